--- a/lanemux/net/node.py
+++ b/lanemux/net/node.py
@@ -9,6 +9,7 @@
 from collections import deque
 from collections.abc import Callable, Iterable, Iterator
 from dataclasses import dataclass, field
+from functools import partial
 from typing import Protocol, assert_never
 
 from lanemux import interface as api
@@ -338,7 +339,7 @@
                 or number >= self._limits.max_attempts):
             self.feed(api.Outcome(action.request, number, action.upstream, api.Result.MOOT, 0, call is None))
             return
-        call.out = Exchange(pool, self._attempt(call.request, end - now),
+        call.out = Exchange(pool, partial(self._serialize_attempt, call.request, end),
                             self._when_ended(call, number, action.upstream, now),
                             wanted=lambda: self._wanted(call), rest_s=REST_S)
         call.out.start(end / SECOND)
@@ -349,9 +350,11 @@
             self.gone(call.client)
         return not call.over
 
-    def _attempt(self, request: Message, timeout_ns: int) -> bytes:
+    def _serialize_attempt(self, request: Message, end_ns: int) -> bytes:
+        """The request as it is sent on; built when it is written, it tells the time left until its end."""
+        left_ns = end_ns - time.monotonic_ns()
         headers = [(k, v) for k, v in request.end_to_end() if k != b"req-deadline-ms"]
-        headers.append((b"Req-Deadline-Ms", b"%d" % max(1, timeout_ns // MS)))
+        headers.append((b"Req-Deadline-Ms", b"%d" % max(1, left_ns // MS)))
         return write_request(request.method, request.target, headers, request.body)
 
     def _when_ended(self, call: Call, number: int, upstream: int,
--- a/lanemux/net/upstream.py
+++ b/lanemux/net/upstream.py
@@ -15,6 +15,7 @@
 
 Address = tuple[str, int]
 Done = Callable[[Result, Message | None], None]
+Serialize = Callable[[], bytes]
 
 IDLE_DEFAULT_S = 10.0  # where the settings do not say how long an upstream keeps a connection
 IDLE_PART = 0.8  # of that time; later, closing and the next request may cross
@@ -25,15 +26,17 @@
 class Exchange:
     """One request on one connection: an attempt, a probe or a call to discovery.
 
+    `serialize` builds the request at the moment it is written, up to the connect timeout after the start, so
+    that a time left that it tells is still true.
     `done` is called once: with RESULT OK and the response, whatever its status, or with what went wrong.
     """
 
-    def __init__(self, pool: Pool, data: bytes, done: Done, spare: int = 0,
+    def __init__(self, pool: Pool, serialize: Serialize, done: Done, spare: int = 0,
                  wanted: Callable[[], bool] = lambda: True, rest_s: float = 0.0) -> None:
         self.pool = pool
         self.spare = spare  # places that it must leave to others
         self.rest_s = rest_s  # for which its connection is left alone afterwards
-        self.data = data
+        self.serialize = serialize
         self.over = False
         self.too_large = False  # its answer was, and so it ended
         self._done = done
@@ -140,7 +143,7 @@
         if self._transport is None or not self.usable:
             asyncio.get_running_loop().call_soon(self.lose)  # not at once: its sender still sets it up
             return
-        self._transport.write(exchange.data)
+        self._transport.write(exchange.serialize())
         self._written = not self._transport.is_closing() and not self._transport.get_write_buffer_size()
 
     def resume_writing(self) -> None:
@@ -202,7 +205,8 @@
     idle: list[Connection] = field(default_factory=list)
 
     def exchange(self, data: bytes, timeout_s: float | None, done: Done, spare: int = 0) -> Exchange:
-        exchange = Exchange(self, data, done, spare)
+        """Begin an exchange whose request tells no time left, so that it may be built beforehand."""
+        exchange = Exchange(self, lambda: data, done, spare)
         exchange.start(None if timeout_s is None else asyncio.get_running_loop().time() + timeout_s)
         return exchange
 
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -15,7 +15,7 @@
 
 from lanemux import interface as api
 from lanemux.interface import Result
-from lanemux.net.node import REST_S, Config, Node, leave_s
+from lanemux.net.node import MODULE_EARLY_NS, NODE_EARLY_NS, REST_S, Config, Node, leave_s
 from lanemux.policy import Balancer
 from tests.sockets import (
     HOST,
@@ -598,18 +598,63 @@
     run(test())
 
 
-def hold_connections(monkeypatch: pytest.MonkeyPatch, until_set: asyncio.Event) -> None:
-    """New connections come up only once the event is set."""
+def hold_connections(monkeypatch: pytest.MonkeyPatch, until_set: asyncio.Event,
+                     port: int | None = None) -> None:
+    """New connections (where a port is given, those to it) come up only once the event is set."""
     loop = asyncio.get_running_loop()
     original = loop.create_connection
 
     async def create_connection(*args: object, **options: object) -> object:
-        await until_set.wait()
+        if port is None or port in args:
+            await until_set.wait()
         return await original(*args, **options)  # type: ignore[call-overload]
 
     monkeypatch.setattr(loop, "create_connection", create_connection)
 
 
+@pytest.mark.parametrize("timeout_ns", [0, 2000 * MS], ids=["to the deadline", "to its time-out"])
+@pytest.mark.parametrize("attempts", [1, 2])
+def test_an_attempt_whose_connection_comes_up_late_tells_the_time_left_when_it_is_written(
+        monkeypatch: pytest.MonkeyPatch, attempts: int, timeout_ns: int) -> None:
+    connect_ns = 40 * MS
+
+    async def test() -> None:
+        ends: list[int] = []  # of the attempts, by the clock
+        received: list[int] = []  # when the last one had come
+
+        async def answer(got: Got, writer: asyncio.StreamWriter) -> None:
+            received.append(time.monotonic_ns())
+            writer.write(written(200))
+
+        def send(event: api.Event) -> Iterable[api.Action]:
+            if isinstance(event, (api.Arrival, api.Outcome)) and len(ends) < attempts:
+                arrival = script.of(api.Arrival)[0]
+                deadline = arrival.deadline_ns + MODULE_EARLY_NS - NODE_EARLY_NS
+                ends.append(client.node._decided_ns + timeout_ns if timeout_ns else deadline)
+                upstreams = script.ids()
+                return [api.Send(arrival.request, upstreams[-1 if len(ends) == attempts else 0], timeout_ns)]
+            return ()
+
+        refusing, upstream = await Upstream(silent).start(), await Upstream(answer).start()
+        refusing.stop()
+        script, up = Script(send), asyncio.Event()
+        async with node(script, refusing, upstream) as client:
+            await client.send(b"GET /health/ready HTTP/1.1\r\n\r\n")
+            await client.read()
+            hold_connections(monkeypatch, up, upstream.port)
+            await client.send(request())
+            await until(lambda: len(ends) == attempts)
+            begun = time.monotonic_ns()
+            await until(lambda: time.monotonic_ns() - begun >= connect_ns)
+            opened = time.monotonic_ns()
+            up.set()
+            assert (await client.read()).status == 200
+            told_ns = int(upstream.got[0].headers["req-deadline-ms"]) * MS
+            # It was written between these two times, and what it tells is in whole milliseconds.
+            assert ends[-1] - received[0] - MS < told_ns <= ends[-1] - opened
+    run(test())
+
+
 @pytest.mark.parametrize("health", ["draining", "removed"])
 def test_a_send_that_waits_for_its_connection_is_called_off_by_a_drain(
         monkeypatch: pytest.MonkeyPatch, health: str) -> None:
