--- a/lanemux/net/discovery.py
+++ b/lanemux/net/discovery.py
@@ -27,6 +27,10 @@
 ASKED_WAIT_MS = 10_000
 RETURN_WAIT_MS = 1_000  # after a failed call: a return of discovery must not hide behind a long wait
 OVERDUE_S = 1.0  # beyond that, and for an answer that waits for nothing
+# The whole list of a new address counts as told 4 s after the signal. A discovery with many callers answers
+# them in turn, and a call that is given up stays in its queue: a retry would wait behind it. With OVERDUE_S,
+# the call has all of that time.
+HANDOVER_WAIT_S = 3.0
 EMPTY_S = 0.02  # an agent that answers at once with nothing must not be asked without pause
 FIRST_RETRY_S, LAST_RETRY_S = 0.05, 1.0
 
@@ -50,6 +54,7 @@
             self._reading.cancel()
 
     def _answered(self, result: api.Result, response: Message | None) -> None:
+        self._source.refuses = result is api.Result.CONNECT_FAILED
         if result is not api.Result.OK or response is None or response.status != 200:
             if self._exchange.too_large:
                 log.warning("discovery: a list of over %d bytes is turned down; the old list stays",
@@ -90,6 +95,7 @@
         self.reader = reader
         self.pool = Pool(Hub(2, 2.0, 0.0, most, LEAST_RATE), address)
         self.host = f"{address[0]}:{address[1]}".encode()
+        self.refuses = False  # the last call to it found no connection
 
     def get(self, query: str, wait_s: float, done: Callable[[Told], None]) -> Call:
         return Call(self, query, wait_s, done)
@@ -115,6 +121,8 @@
         self._call: Call | None = None
         self._fetch: Call | None = None
         self._handover: Call | None = None  # the call to the successor
+        self._watch_deferred = False  # to the end of that call, since the old address refuses connections
+        self._fetch_deferred = False
         self._retry: asyncio.TimerHandle | None = None
         self._handover_retry: asyncio.TimerHandle | None = None
         self._failures = 0
@@ -129,6 +137,9 @@
         if self._call is not None:
             return
         self._cancel_retry()
+        if self._closed:
+            self._watch_deferred = True
+            return
         wait_ms = RETURN_WAIT_MS if self._failures else AGENT_WAIT_MS if self._pushed else ASKED_WAIT_MS
         query = "" if self._version is None else f"?after={self._version}&wait_ms={wait_ms}"
         # Who waits less leaves a discovery with too many callers more time to come to it.
@@ -136,11 +147,13 @@
 
     def fetch(self) -> None:
         """Ask for the whole list once."""
-        if self._fetch is None:
+        if self._closed:
+            self._fetch_deferred = True
+        elif self._fetch is None:
             self._fetch = self._source.get("", 0.0, self._fetched)
 
     def unwatch(self) -> None:
-        self._watching = False
+        self._watching = self._watch_deferred = False
         self._end_call()
 
     def _end_call(self) -> None:
@@ -154,15 +167,27 @@
             self._retry.cancel()
             self._retry = None
 
+    @property
+    def _closed(self) -> bool:
+        """The old address of a handover has closed: what would be asked of it is left to the successor."""
+        return self._successor is not None and self._source.refuses
+
     def move(self, address: Address) -> None:
         """Go over to another address. The watch on the old one stays until the new one has answered."""
+        if self._handover is not None and self._successor is not None and address == self._successor.address:
+            return  # a second call would wait behind the first one
         self._forget_successor()  # of several moves in a row the last one counts
+        self._source.refuses = False  # it may be back since
         if address != self._source.address:
             self._successor = Source(address, self._reader, self._most)
             self._handover_failures = 0
             self._ask_successor()
-        elif self._watching and self._call is None:
+            return
+        if self._watching and self._call is None:
             self.watch()  # back to an address whose watch had ended
+        if self._fetch_deferred:
+            self.fetch()
+        self._watch_deferred = self._fetch_deferred = False
 
     def _forget_successor(self) -> None:
         if self._handover is not None:
@@ -176,7 +201,7 @@
     def _ask_successor(self) -> None:
         self._handover_retry = None
         if self._successor is not None:
-            self._handover = self._successor.get("", 0.0, self._succeeded)
+            self._handover = self._successor.get("", HANDOVER_WAIT_S, self._succeeded)
 
     def _succeeded(self, listing: Told) -> None:
         self._handover = None
@@ -186,6 +211,7 @@
             self._handover_failures += 1
             self._handover_retry = asyncio.get_running_loop().call_later(
                 self._pause_s(self._handover_failures), self._ask_successor)
+            self._fail_deferred(api.ListKind.FAILED if isinstance(listing, Listing) else listing)
             return
         self._end_call()
         if self._fetch is not None:  # what the whole list was asked for, this one answers
@@ -194,10 +220,18 @@
         self._source.close()
         self._source, self._successor = self._successor, None
         self._failures, self._version = 0, listing.version
+        self._watch_deferred = self._fetch_deferred = False  # this list answers them
         if self._watching:
             self.watch()
         self._tell(listing)
 
+    def _fail_deferred(self, failure: Told) -> None:
+        """Tell of a failure once for each call that was left to the handover."""
+        count = self._watch_deferred + self._fetch_deferred
+        self._watch_deferred = self._fetch_deferred = False
+        for _ in range(count):
+            self._tell(failure)
+
     def stop(self) -> None:
         self.unwatch()
         self._forget_successor()
@@ -207,11 +241,17 @@
 
     def _fetched(self, listing: Told) -> None:
         self._fetch = None
+        if self._closed and not isinstance(listing, Listing):
+            self._fetch_deferred = True
+            return
         self._tell(listing)
 
     def _answered(self, listing: Told) -> None:
         self._call = None
         self._failures = 0 if isinstance(listing, Listing) else self._failures + 1
+        if self._closed and not isinstance(listing, Listing):
+            self._watch_deferred = True
+            return
         if isinstance(listing, Listing):
             self._version = listing.version
             if len(listing):
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -14,6 +14,7 @@
 from tests.sockets import (
     HOST,
     Answer,
+    Client,
     Got,
     Registry,
     Script,
@@ -328,6 +329,126 @@
     run(test())
 
 
+def answers_in_turn(registry: Registry, work_s: float) -> None:
+    """Each call is work of so many seconds, one after the other, also for a caller that has gone."""
+    turn, heard = asyncio.Lock(), registry.upstream.answer
+
+    async def answer(got: Got, writer: Writer) -> None:
+        async with turn:
+            await asyncio.sleep(work_s)
+        await heard(got, writer)
+
+    registry.upstream.answer = answer
+
+
+def test_a_new_address_that_answers_in_turn_is_waited_for() -> None:
+    # Guards against a retry storm: a call given up after a second stays in the queue of that address, and
+    # each retry waits behind it. A second signal with the same address must not queue one either.
+    async def test() -> None:
+        old, script = Registry(), Script()
+        new = await second("s9")
+        answers_in_turn(new, 1.3)
+        async with node(script, registry=old, known_list=known(5)) as client:
+            await until(lambda: old.calls)
+            client.node.move_discovery((HOST, new.upstream.port))
+            await until(lambda: new.upstream.got)
+            client.node.move_discovery((HOST, new.upstream.port))
+            await until(lambda: client.node._discovery._successor is None)
+            assert hosts(script) == [number_of("s9")]
+            await until(lambda: len(new.upstream.got) == 2)
+            assert [("after=" in got.first) for got in new.upstream.got] == [False, True]
+            assert client.node._discovery._handover_failures == 0
+        new.upstream.stop()
+    run(test())
+
+
+def asks() -> Script:
+    """A module that asks for the watch, or for the whole list, when it is woken so."""
+    steps: dict[str, api.Action] = {"watch": api.Subscribe(True), "fetch": api.FetchList()}
+    return Script(lambda e: [steps[e.name]] if isinstance(e, api.Wake) else ())
+
+
+def failures(script: Script) -> int:
+    return sum(e.kind is api.ListKind.FAILED for e in script.of(api.ListUpdate))
+
+
+async def closes_in_handover(old: Registry, new: Registry, client: Client, script: Script) -> None:
+    """The node goes over to a new address, and the old one ends its watch and listens no more."""
+    client.node.feed(api.Wake("watch"))
+    await until(lambda: old.calls)
+    client.node.move_discovery((HOST, new.upstream.port))
+    await until(lambda: new.upstream.got)
+    old.broken = written(503)
+    old.upstream.stop()
+    old.change("s1")
+    await until(lambda: client.node._discovery._call is None)
+    assert failures(script) == 1  # of the watch that has ended
+
+
+def test_what_is_asked_while_the_old_address_is_closed_is_answered_by_the_new_one() -> None:
+    # Guards against the module being told of failures of the old address, and against calls to it.
+    async def test() -> None:
+        old, script = Registry(), asks()
+        new = await second("s9")
+        release = holds_first_list(new)
+        async with node(script, registry=old, known_list=known(5), asked=True) as client:
+            discovery = client.node._discovery
+            await closes_in_handover(old, new, client, script)
+            client.node.feed(api.Wake("watch"))
+            await until(lambda: discovery._call is None)  # refused
+            client.node.feed(api.Wake("watch"))
+            client.node.feed(api.Wake("fetch"))
+            assert discovery._call is None and discovery._fetch is None
+            assert failures(script) == 1
+            release.set()
+            await until(lambda: len(new.calls) == 2)
+            assert hosts(script) == [number_of("s9")] and "after=3" in new.calls[1][1]
+            assert failures(script) == 1
+        new.upstream.stop()
+    run(test())
+
+
+def test_what_is_asked_while_both_addresses_fail_is_told_of_the_failure_once() -> None:
+    # Guards against a module that waits for ever, and one that is told again of what it did not ask.
+    async def test() -> None:
+        old, script = Registry(), asks()
+        new = await second("s9", broken=written(503))
+        async with node(script, registry=old, known_list=known(5), asked=True) as client:
+            discovery = client.node._discovery
+            await closes_in_handover(old, new, client, script)
+
+            async def is_told_once(told: int) -> None:
+                client.node.feed(api.Wake("watch"))
+                await until(lambda: failures(script) == told)
+                ended = len(new.calls)
+                await until(lambda: len(new.calls) >= ended + 2)
+                assert failures(script) == told and discovery._call is None
+
+            await is_told_once(2)
+            await is_told_once(3)
+            new.broken = b""
+            await until(lambda: discovery._successor is None)
+            assert hosts(script) == [number_of("s9")]
+        new.upstream.stop()
+    run(test())
+
+
+@pytest.mark.parametrize("asked", ["watch", "fetch"])
+def test_what_was_left_to_the_new_address_is_asked_of_the_old_one_after_a_move_back(asked: str) -> None:
+    async def test() -> None:
+        old, script = Registry(), asks()
+        new = await second("s9")
+        holds_first_list(new)
+        async with node(script, registry=old, known_list=known(5), asked=True) as client:
+            await closes_in_handover(old, new, client, script)
+            client.node.feed(api.Wake(asked))
+            await until(lambda: client.node._discovery._source.refuses)
+            client.node.move_discovery((HOST, old.upstream.port))
+            await until(lambda: failures(script) >= 2)  # it is still closed, and is asked
+        new.upstream.stop()
+    run(test())
+
+
 def holds_first_list(registry: Registry) -> asyncio.Event:
     """The first whole list is held back, as it is when asked for, until the event is set."""
     release, heard = asyncio.Event(), registry.upstream.answer
--- a/tests/test_return.py
+++ b/tests/test_return.py
@@ -109,7 +109,8 @@
 
 def shorten(monkeypatch: pytest.MonkeyPatch) -> None:
     """All waits but the one of a watch where the list is asked for: what hides behind that is not seen."""
-    for name, value in (("AGENT_WAIT_MS", 40), ("RETURN_WAIT_MS", 20), ("OVERDUE_S", 0.1)):
+    for name, value in (("AGENT_WAIT_MS", 40), ("RETURN_WAIT_MS", 20), ("OVERDUE_S", 0.1),
+                        ("HANDOVER_WAIT_S", 0.0)):
         monkeypatch.setattr(f"lanemux.net.discovery.{name}", value)
 
 
