--- a/lanemux/net/discovery.py
+++ b/lanemux/net/discovery.py
@@ -6,6 +6,7 @@
 import logging
 import random
 from collections.abc import Callable, Generator
+from contextlib import closing
 from typing import Literal, cast
 
 from lanemux import interface as api
@@ -66,8 +67,9 @@
             self._done(told)
 
     async def _read(self, steps: Steps) -> None:
-        while (told := self._step(steps)) is None:
-            await asyncio.sleep(0)  # others have their turn
+        with closing(steps):  # also when it is abandoned
+            while (told := self._step(steps)) is None:
+                await asyncio.sleep(0)  # others have their turn
         self._done(told)
 
     def _step(self, steps: Steps) -> Told | None:
--- a/lanemux/net/lists.py
+++ b/lanemux/net/lists.py
@@ -19,6 +19,7 @@
 
 from lanemux import interface as api
 from lanemux.membership import Profile
+from lanemux.net.host_numbers import HostNumbers
 from lanemux.net.upstream import Address
 
 log = logging.getLogger(__name__)
@@ -28,6 +29,7 @@
 STATES = {"up": api.State.READY, "draining": api.State.DRAINING, "removed": api.State.GONE}
 STARTS, ENDS = frozenset({"start_map", "start_array"}), frozenset({"end_map", "end_array"})
 NOWHERE: Address = ("", 0)
+FINGERPRINT = b"fingerprint"  # makes the second hash of a name independent of the first
 
 T = TypeVar("T")
 Packed = int | Address  # an IPv4 address and port in one number: a third of what they take apart
@@ -70,10 +72,15 @@
 
 def number_of(host: str) -> int:
     """A number below 2^64, the same in every process and whatever else is listed: that two of 160,000 hosts
-    have the same has a chance of one in a thousand millions."""
+    have the same has a chance of one in a thousand millions. `HostNumbers` gives one of them another then."""
     return int.from_bytes(hashlib.blake2b(host.encode(), digest_size=8).digest(), "big")
 
 
+def fingerprint_of(host: str) -> int:
+    """A second, independent hash of the name: tells apart hosts whose `number_of` is the same."""
+    return int.from_bytes(hashlib.blake2b(host.encode(), digest_size=8, person=FINGERPRINT).digest(), "big")
+
+
 class Entry(NamedTuple):
     upstream: api.Upstream
     address: Address
@@ -82,7 +89,8 @@
 class Listing:
     """An answer of discovery: the whole list or the entries that changed, without an object for each."""
 
-    def __init__(self, version: int = 0, whole: bool = False) -> None:
+    def __init__(self, host_numbers: HostNumbers, version: int = 0, whole: bool = False) -> None:
+        self.host_numbers = host_numbers  # that assigned the numbers
         self.version, self.whole = version, whole
         self.numbers = array("Q")
         self.profiles: list[Profile] = []
@@ -106,8 +114,9 @@
 class Rows:
     """Takes a JSON parser's events and makes the listing of them, up to the end of its object."""
 
-    def __init__(self, offset_ns: int) -> None:
-        self.listing = Listing()
+    def __init__(self, offset_ns: int, host_numbers: HostNumbers | None = None) -> None:
+        self._host_numbers = HostNumbers() if host_numbers is None else host_numbers
+        self.listing = Listing(self._host_numbers)
         self._offset_ns = offset_ns  # from the module's clock to Unix time
         self._version: object = None
         self._whole: object = None
@@ -193,12 +202,22 @@
         except (KeyError, ValueError, OverflowError, ArithmeticError) as error:
             # One bad row must not hide the others, nor end an upstream that is there.
             log.warning("discovery: entry %.80s can't be read: %r", host, error)
-            self.listing.unread.append(number_of(host))
+            if (number := self._host_numbers.find(number_of(host), fingerprint_of(host))) is not None:
+                self.listing.unread.append(number)
             return
-        self.listing.numbers.append(number_of(host))
+        if (number := self._number(host, state)) is None:
+            return
+        self.listing.numbers.append(number)
         self.listing.profiles.append(alike.setdefault(profile, profile))
         self.listing.addresses.append(address)
 
+    def _number(self, host: str, state: api.State) -> int | None:
+        """None for the end of a host that is not known, where another host holds its number: it must stay."""
+        preferred, fingerprint = number_of(host), fingerprint_of(host)
+        if state is api.State.GONE:
+            return self._host_numbers.find(preferred, fingerprint)
+        return self._host_numbers.assign(preferred, fingerprint)
+
 
 def run_through(steps: Generator[None, None, T]) -> T:
     """All steps at once."""
@@ -212,7 +231,9 @@
 class Reader:
     """Reads discovery's answers, and takes none that is older than the last."""
 
-    def __init__(self, offset_ns: int) -> None:
+    def __init__(self, offset_ns: int, host_numbers: HostNumbers | None = None) -> None:
+        self.host_numbers = HostNumbers() if host_numbers is None else host_numbers
+        self.reads = 0  # begun and not over: the numbers that they assign may be in use nowhere else yet
         self._offset_ns = offset_ns
         self._newest: int | None = None  # the latest version read
 
@@ -222,8 +243,8 @@
 
     def steps(self, text: bytearray) -> Generator[None, None, Listing]:
         """The same in steps of a fraction of a millisecond, which use the text up."""
-        rows, over = Rows(self._offset_ns), False
-        with _readable() as (parser, events):
+        rows, over = Rows(self._offset_ns, self.host_numbers), False
+        with self._reading(), _readable() as (parser, events):
             while text:
                 parser.send(bytes(text[:STRIDE]))
                 del text[:STRIDE]  # what has been read takes no more memory
@@ -234,11 +255,19 @@
             parser.close()
         return self.accept(rows.done())
 
+    @contextmanager
+    def _reading(self) -> Iterator[None]:
+        self.reads += 1
+        try:
+            yield
+        finally:
+            self.reads -= 1
+
     def accept(self, listing: Listing) -> Listing:
         if self._newest is not None and listing.version < self._newest:
             # Two calls have crossed, or a new address lags behind the old one: it must undo nothing.
             log.info("discovery: version %d after %d", listing.version, self._newest)
-            return Listing(self._newest)
+            return Listing(self.host_numbers, self._newest)
         self._newest = listing.version
         return listing
 
--- a/lanemux/net/node.py
+++ b/lanemux/net/node.py
@@ -36,6 +36,7 @@
 PROBE_SPARE = 8  # one in so many places for connections is none for a probe: attempts come first
 FULL_RETRY_S = b"1"  # what a client is told that finds no room for its request
 SWEEP_S = 1.0
+SWEEP_SEGMENTS = 1  # of the host numbers, at a sweep: all of them in some four minutes
 SLICE = 64  # entries of a long list that are put in force at a stretch: a fraction of a millisecond
 LATE_ARRIVALS_S = 0.5  # after SIGTERM, new connections go on coming for so long
 WIND_UP_S = 0.01  # how often it is looked at what is left then
@@ -113,7 +114,7 @@
         self._held: dict[int, Packed | None] = {}  # where listed upstreams are; None: they take nothing new
         self._applying: asyncio.Task[None] | None = None  # puts long lists in force, in slices
         self._long: deque[Listing] = deque()  # the one in hand, and those that wait
-        self._reader = Reader(unix_offset_ns())
+        self._reader = Reader(unix_offset_ns(), None if config.known is None else config.known.host_numbers)
         self._discovery = Discovery(config.discovery, self._reader, config.settings.discovery_push,
                                     random.Random(config.seed + 1), self._listed,
                                     min(MAX_LIST, config.memory_bytes // MEMORY_PART or MAX_LIST))
@@ -151,8 +152,14 @@
     def _sweep_idle(self) -> None:
         self._hub.expire()
         self._hub.forget()
+        self._sweep_host_numbers()
         self._sweep = self._loop.call_later(SWEEP_S, self._sweep_idle)
 
+    def _sweep_host_numbers(self, segments: int = SWEEP_SEGMENTS) -> None:
+        """Free numbers of hosts that are gone, unless a list that is not in force yet may name them."""
+        if not self._reader.reads and not self._long:
+            self._reader.host_numbers.sweep(self._held, segments)
+
     @property
     def ready(self) -> bool:
         return not self._stopping and self._loop.time() >= self._rested_s
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -9,12 +9,15 @@
 import pytest
 
 from lanemux import interface as api
+from lanemux.net.host_numbers import SEGMENTS, HostNumbers
 from lanemux.net.lists import BadList, Listing, Reader, number_of
+from lanemux.net.node import Node
 from lanemux.policy import Balancer
 from tests.sockets import (
     HOST,
     Answer,
     Got,
+    Json,
     Registry,
     Script,
     Watched,
@@ -49,6 +52,137 @@
     assert len(set(listing.numbers)) == 2
 
 
+SHARED = 7  # the number that all hosts prefer where they collide
+
+
+@pytest.fixture
+def colliding(monkeypatch: pytest.MonkeyPatch) -> None:
+    monkeypatch.setattr("lanemux.net.lists.number_of", lambda host: SHARED)
+
+
+def changed(version: int, *hosts: object, whole: bool = False) -> Json:
+    return {"seq": version, "whole": whole, "hosts": hosts}
+
+
+def ports(balancer: Node) -> dict[int, int]:
+    """The number of each upstream in force, by its port."""
+    return {port: number for number, (_, port) in balancer.upstreams().items()}
+
+
+@pytest.mark.usefixtures("colliding")
+def test_a_colliding_host_keeps_its_number_in_every_list() -> None:
+    reader = Reader(0)
+    assert list(read(changed(1, entry("a"), entry("b"), entry("a"), whole=True), reader).numbers) == [7, 8, 7]
+    assert list(read(changed(2, entry("c"), entry("b", health="draining")), reader).numbers) == [9, 8]
+    assert list(read(changed(3, entry("c"), entry("b"), entry("a"), whole=True), reader).numbers) == [9, 8, 7]
+    assert list(read(changed(4, entry("b", health="removed", dial="")), reader).numbers) == [8]
+    assert read(changed(5, entry("c", health="odd"), entry("a", dial="h")), reader).unread == [9, 7]
+    unknown = read(changed(6, entry("x", health="removed", dial=""), entry("y", health="odd")), reader)
+    assert not list(unknown.numbers) and not unknown.unread  # whose number they would name is another's
+
+
+@pytest.mark.usefixtures("colliding")
+def test_a_delta_that_adds_a_colliding_host_leaves_its_partner() -> None:
+    async def test() -> None:
+        registry, script = Registry(), Script()
+        registry.rows = {"s0": entry("s0", 1)}
+        async with node(script, registry=registry, known_list=known(1)) as client:
+            await until(lambda: registry.calls)
+            registry.change("s1", dial=f"{HOST}:2")
+            await until(lambda: len(client.node.upstreams()) == 2)
+            assert ports(client.node) == {1: SHARED, 2: SHARED + 1}
+    run(test())
+
+
+@pytest.mark.usefixtures("colliding")
+def test_colliding_hosts_of_the_known_list_keep_their_numbers_when_discovery_lists_them() -> None:
+    async def test() -> None:
+        script = Script()
+        async with node(script, known_list=known(1, 2)) as client:
+            assert script.ids() == [SHARED, SHARED + 1]
+            balancer = client.node
+            balancer._listed(read(changed(2, entry("s1", 4), entry("s0", 3), whole=True), balancer._reader))
+            await until(lambda: balancer._applying is None)
+            assert ports(balancer) == {3: SHARED, 4: SHARED + 1}
+    run(test())
+
+
+@pytest.mark.usefixtures("colliding")
+@pytest.mark.parametrize("swept", [False, True])
+@pytest.mark.parametrize("whole", [False, True])
+@pytest.mark.parametrize("left", [0, 1])
+def test_a_removed_host_whose_colliding_partner_stays_returns(left: int, whole: bool, swept: bool) -> None:
+    async def test() -> None:
+        async with node(Script(), known_list=known(1, 2)) as client:
+            balancer, stays = client.node, 1 - left
+
+            def told(*hosts: object, whole: bool = False) -> None:
+                version = (balancer._reader._newest or 0) + 1
+                balancer._listed(read(changed(version, *hosts, whole=whole), balancer._reader))
+                if swept:
+                    balancer._sweep_host_numbers(SEGMENTS)
+            if whole:
+                told(entry(f"s{stays}", stays + 1), whole=True)
+            else:
+                told(entry(f"s{left}", health="removed", dial=""))
+            assert ports(balancer) == {stays + 1: SHARED + stays}
+            told(entry(f"s{stays}", stays + 1))
+            assert ports(balancer) == {stays + 1: SHARED + stays}  # it keeps its number
+            told(entry(f"s{left}", left + 1))
+            assert ports(balancer) == {1: SHARED, 2: SHARED + 1}
+    run(test())
+
+
+@pytest.mark.usefixtures("colliding")
+def test_a_number_is_freed_when_the_list_that_removes_its_host_is_in_force_and_no_sooner() -> None:
+    async def test() -> None:
+        async with node(Script(), known_list=known(1, 2)) as client:
+            balancer, reader = client.node, client.node._reader
+            many = [entry(f"s{i}", i + 1) for i in range(1, 100)]
+            balancer._listed(read(changed(2, *many, whole=True), reader))  # put in force in slices
+            assert balancer._applying is not None
+            balancer._sweep_host_numbers(SEGMENTS)
+            assert len(reader.host_numbers) == 100
+            assert list(read(changed(3, entry("new", 200)), reader).numbers) == [SHARED + 100]  # none is free
+            await until(lambda: balancer._applying is None)
+            balancer._sweep_host_numbers(SEGMENTS)
+            assert len(reader.host_numbers) == len(balancer._held) == 99
+            assert list(read(changed(4, entry("newer", 201)), reader).numbers) == [SHARED]
+    run(test())
+
+
+def test_hosts_that_come_and_go_leave_nothing_behind() -> None:
+    async def test() -> None:
+        async with node(Script(), known_list=known(1)) as client:
+            balancer, reader = client.node, client.node._reader
+            for version in range(2, 50):
+                balancer._listed(read(changed(version, entry(f"x{version}"), whole=True), reader))
+            with pytest.raises(BadList):
+                read({"hosts": [entry("bad")]}, reader)
+            read(changed(1, entry("late")), reader)  # older than the last: not taken
+            abandoned = reader.steps(bytearray(json.dumps(known(*range(1, 200))).encode()))
+            next(abandoned)
+            balancer._sweep_host_numbers(SEGMENTS)
+            assert len(reader.host_numbers) > 50  # what is being read may name any
+            abandoned.close()
+            for _ in range(SEGMENTS):  # as once a second
+                assert balancer._sweep is not None
+                balancer._sweep.cancel()
+                balancer._sweep_idle()
+            assert len(reader.host_numbers) == len(balancer._held) == 1
+    run(test())
+
+
+def test_a_swept_host_is_forgotten_and_the_next_free_number_goes_round() -> None:
+    numbers, last = HostNumbers(), 2**64 - 1
+    assert [numbers.assign(last, fingerprint) for fingerprint in (1, 2, 3)] == [last, 0, 1]
+    numbers.sweep({last, 1})
+    assert [numbers.find(last, fingerprint) for fingerprint in (1, 2, 3)] == [last, None, 1]
+    assert numbers.assign(last, 4) == 0 and numbers.find(last, 4) == 0
+    numbers.sweep({0})
+    assert numbers.assign(last, 3) == last and len(numbers) == 2
+
+
 def test_hosts_whose_numbers_would_collide_in_32_bits_get_different_ones() -> None:
     # Half of 2^32 numbers are met twice among some 77,000 hosts; which came first must not matter anywhere.
     assert number_of("s-0001320d") % 2**32 == number_of("s-0001e3f4") % 2**32
