--- a/lanemux/__main__.py
+++ b/lanemux/__main__.py
@@ -1,6 +1,6 @@
 """One real balancer: reads its configuration, runs the node, ends on a signal.
 
-    RELAY_CONFIG=config.json python -m lanemux
+RELAY_CONFIG=config.json python -m lanemux
 """
 
 from __future__ import annotations
@@ -89,14 +89,19 @@
     peer_listen, peers_all = raw.get("peer_listen"), raw.get("peers_all")
     limits = raw.get("limits") or {}
     return Config(
-        name=str(raw["name"]), listen=read_address(raw["listen"]), discovery=read_address(raw["discovery"]),
+        name=str(raw["name"]),
+        listen=read_address(raw["listen"]),
+        discovery=read_address(raw["discovery"]),
         seed=int.from_bytes(str(raw["seed"]).encode(), "big"),
         sockets=int(limits.get("sockets") or 1024),
-        settings=read_settings(raw["settings"]), known=known,
+        settings=read_settings(raw["settings"]),
+        known=known,
         peer_listen=read_address(peer_listen) if peer_listen else None,
         peers=[read_address(a) for a in raw.get("peers") or ()],
         peers_all=read_address(peers_all) if peers_all else None,
-        cores=float(limits.get("cores") or 0.0), memory_bytes=int(float(limits.get("memory_mb") or 0) * MB))
+        cores=float(limits.get("cores") or 0.0),
+        memory_bytes=int(float(limits.get("memory_mb") or 0) * MB),
+    )
 
 
 async def reload(path: str, old: Config, node: Node) -> None:
@@ -112,8 +117,17 @@
         log.warning("%s: reload: %s; the old configuration stays", old.name, error)
         return
     log.info("%s: reload: discovery at %s:%d", old.name, *new.discovery)
-    for name in ("name", "listen", "sockets", "cores", "memory_bytes", "settings", "peer_listen", "peers",
-                 "peers_all"):
+    for name in (
+        "name",
+        "listen",
+        "sockets",
+        "cores",
+        "memory_bytes",
+        "settings",
+        "peer_listen",
+        "peers",
+        "peers_all",
+    ):
         if getattr(new, name) != getattr(old, name):
             log.warning("%s: reload: another %s needs a restart", old.name, name)
     node.move_discovery(new.discovery)
@@ -160,8 +174,9 @@
 def main() -> int:
     handler = logging.StreamHandler()
     handler.addFilter(RateLimit())
-    logging.basicConfig(level=logging.INFO, handlers=[handler],
-                        format="%(asctime)s %(levelname)s %(message)s")
+    logging.basicConfig(
+        level=logging.INFO, handlers=[handler], format="%(asctime)s %(levelname)s %(message)s"
+    )
     path = os.environ.get("RELAY_CONFIG")
     signal.signal(signal.SIGHUP, signal.SIG_IGN)  # so that it ends nothing before there is a node to reload
     try:
--- a/lanemux/adapter.py
+++ b/lanemux/adapter.py
@@ -18,9 +18,16 @@
 from lanemux.config import Json, read_settings
 from lanemux.policy import Balancer
 
-RESULTS = {"delivered": api.Result.OK, "app_error": api.Result.ERROR, "shed": api.Result.FULL,
-           "expired": api.Result.TIMEOUT, "dial_failed": api.Result.CONNECT_FAILED,
-           "dropped": api.Result.RESET, "revoked": api.Result.CANCELLED, "unused": api.Result.MOOT}
+RESULTS = {
+    "delivered": api.Result.OK,
+    "app_error": api.Result.ERROR,
+    "shed": api.Result.FULL,
+    "expired": api.Result.TIMEOUT,
+    "dial_failed": api.Result.CONNECT_FAILED,
+    "dropped": api.Result.RESET,
+    "revoked": api.Result.CANCELLED,
+    "unused": api.Result.MOOT,
+}
 STATES = {0: api.State.GONE, 1: api.State.READY, 2: api.State.DRAINING}
 LISTS = {0: api.ListKind.DELTA, 1: api.ListKind.FULL, 2: api.ListKind.CACHED, 3: api.ListKind.FAILED}
 
@@ -30,9 +37,15 @@
 
 
 def read_upstream(row: Json) -> api.Upstream:
-    return api.Upstream(row["upstream"], STATES[row.get("availability", 1)], row.get("locality") or "",
-                        row.get("cohort") or 0, row.get("scale") or 1.0, row.get("up_since_ns") or 0,
-                        row.get("class_of_host") or "")
+    return api.Upstream(
+        row["upstream"],
+        STATES[row.get("availability", 1)],
+        row.get("locality") or "",
+        row.get("cohort") or 0,
+        row.get("scale") or 1.0,
+        row.get("up_since_ns") or 0,
+        row.get("class_of_host") or "",
+    )
 
 
 def _is_whole(value: object) -> TypeGuard[int]:
@@ -63,14 +76,27 @@
 
 
 def _arrival(e: Json) -> api.Event:
-    return api.Arrival(_text(e, "ticket"), _text(e, "kind"), str(e.get("user_group") or ""),
-                       _whole(e, "deadline_ns"), e.get("cost_guess_ns") or 0, e.get("entity") or "",
-                       bool(e.get("resent")))
+    return api.Arrival(
+        _text(e, "ticket"),
+        _text(e, "kind"),
+        str(e.get("user_group") or ""),
+        _whole(e, "deadline_ns"),
+        e.get("cost_guess_ns") or 0,
+        e.get("entity") or "",
+        bool(e.get("resent")),
+    )
 
 
 def _outcome(e: Json) -> api.Event:
-    return api.Outcome(_text(e, "ticket"), _whole(e, "attempt"), _whole(e, "upstream"),
-                       RESULTS[e["result"]], e.get("took_ns") or 0, bool(e.get("complete")), _metrics(e))
+    return api.Outcome(
+        _text(e, "ticket"),
+        _whole(e, "attempt"),
+        _whole(e, "upstream"),
+        RESULTS[e["result"]],
+        e.get("took_ns") or 0,
+        bool(e.get("complete")),
+        _metrics(e),
+    )
 
 
 READ: dict[str, Callable[[Json], api.Event]] = {
@@ -78,16 +104,23 @@
     "returned": _outcome,
     "timer": lambda e: api.Wake(_text(e, "name")),
     "dropped": lambda e: api.ClientGone(_text(e, "ticket")),
-    "accepted": lambda e: api.AnswerBegun(_text(e, "ticket"), _whole(e, "attempt"), _whole(e, "upstream"),
-                                          e.get("took_ns") or 0),
-    "probe_result": lambda e: api.ProbeResult(_whole(e, "upstream"), RESULTS[e["result"]],
-                                              e.get("took_ns") or 0, _metrics(e)),
-    "message": lambda e: api.PeerMessage(_whole(e, "origin_peer"),
-                                         base64.b64decode(e["blob"], validate=True)),
+    "accepted": lambda e: api.AnswerBegun(
+        _text(e, "ticket"), _whole(e, "attempt"), _whole(e, "upstream"), e.get("took_ns") or 0
+    ),
+    "probe_result": lambda e: api.ProbeResult(
+        _whole(e, "upstream"), RESULTS[e["result"]], e.get("took_ns") or 0, _metrics(e)
+    ),
+    "message": lambda e: api.PeerMessage(
+        _whole(e, "origin_peer"), base64.b64decode(e["blob"], validate=True)
+    ),
 }
 WRITE: dict[type, Callable[[Any], Json]] = {
-    api.Send: lambda a: {"t": "submit_to", "ticket": a.request, "upstream": a.upstream,
-                         "timeout_ns": a.timeout_ns},
+    api.Send: lambda a: {
+        "t": "submit_to",
+        "ticket": a.request,
+        "upstream": a.upstream,
+        "timeout_ns": a.timeout_ns,
+    },
     api.Refuse: lambda a: {"t": "push_back", "ticket": a.request, "backoff_ns": a.retry_after_ns},
     api.Fail: lambda a: {"t": "finish_error", "ticket": a.request},
     api.Cancel: lambda a: {"t": "retract", "ticket": a.request, "attempt": a.attempt},
--- a/lanemux/membership.py
+++ b/lanemux/membership.py
@@ -55,7 +55,7 @@
     first, count = first % n, min(count, n)
     if isinstance(ring, SortedList):
         return [*ring.islice(first, first + count), *ring.islice(0, max(0, first + count - n))]
-    return [*ring[first:first + count], *ring[:max(0, first + count - n)]]
+    return [*ring[first : first + count], *ring[: max(0, first + count - n)]]
 
 
 @dataclass(slots=True, eq=False)
@@ -169,8 +169,11 @@
         for placement in self.placements:
             if anew:
                 placement.clear()
-                placement.join(((n, profile) for n, profile in profiles.items() if profile[0] is ready),
-                               self._zoned, self._celled)
+                placement.join(
+                    ((n, profile) for n, profile in profiles.items() if profile[0] is ready),
+                    self._zoned,
+                    self._celled,
+                )
             placement.leave(left, self._zoned, self._celled)
             placement.join(came, self._zoned, self._celled)
         return anew or bool(left or came)
@@ -178,11 +181,15 @@
     def entry(self, number: int) -> api.Upstream:
         return api.Upstream(number, *self.profiles[number])
 
-    def group(self, placement: Placement, like: api.Upstream, scope: api.Scope, place: float,
-              count: int) -> list[int]:
+    def group(
+        self, placement: Placement, like: api.Upstream, scope: api.Scope, place: float, count: int
+    ) -> list[int]:
         """So many ready upstreams of the zone or cell of this one, from a place on its ring on (0 to 1)."""
-        groups = placement.by_zone.get(like.zone) if scope is api.Scope.ZONE else placement.by_cell.get(
-            (like.zone, like.cell))
+        groups = (
+            placement.by_zone.get(like.zone)
+            if scope is api.Scope.ZONE
+            else placement.by_cell.get((like.zone, like.cell))
+        )
         return [unmixed(key) for key in stretch(groups, int(place * len(groups)), count)] if groups else []
 
     def subset(self, placement: Placement) -> Subset:
@@ -221,8 +228,11 @@
         else:
             near = stretch(ring, first + size, min(n - size, RESERVE // 2))
             inside = {*own, *near}
-            far = [key for key in stretch(whole, int((place + GOLDEN) % 1 * len(whole)), RESERVE // 2)
-                   if key not in inside]
+            far = [
+                key
+                for key in stretch(whole, int((place + GOLDEN) % 1 * len(whole)), RESERVE // 2)
+                if key not in inside
+            ]
         return Subset(own, near, far, proxies * size / max(1, n))
 
     def _first(self, ring: SortedList[Key], place: float, proxies: int) -> int:
--- a/lanemux/net/discovery.py
+++ b/lanemux/net/discovery.py
@@ -58,8 +58,10 @@
         self._source.refuses = result is api.Result.CONNECT_FAILED
         if result is not api.Result.OK or response is None or response.status != 200:
             if self._exchange.too_large:
-                log.warning("discovery: a list of over %d bytes is turned down; the old list stays",
-                            self._source.pool.hub.max_body)
+                log.warning(
+                    "discovery: a list of over %d bytes is turned down; the old list stays",
+                    self._source.pool.hub.max_body,
+                )
             log.info("discovery: call failed: %s %s", result.value, response.status if response else "")
             self._done(api.ListKind.SILENT if result is api.Result.TIMEOUT else api.ListKind.FAILED)
         else:
@@ -109,8 +111,15 @@
 class Discovery:
     """Watches the list. Where it is pushed, the watch never ends; where it is asked, the module says when."""
 
-    def __init__(self, address: Address, reader: Reader, pushed: bool, rng: random.Random,
-                 heard: Callable[[Told], None], most: int = MAX_LIST) -> None:
+    def __init__(
+        self,
+        address: Address,
+        reader: Reader,
+        pushed: bool,
+        rng: random.Random,
+        heard: Callable[[Told], None],
+        most: int = MAX_LIST,
+    ) -> None:
         self._reader = reader
         self._most = most  # bytes of a list
         self._source = Source(address, reader, most)
@@ -212,7 +221,8 @@
         if not isinstance(listing, Listing) or not listing.whole:
             self._handover_failures += 1
             self._handover_retry = asyncio.get_running_loop().call_later(
-                self._pause_s(self._handover_failures), self._ask_successor)
+                self._pause_s(self._handover_failures), self._ask_successor
+            )
             self._fail_deferred(api.ListKind.FAILED if isinstance(listing, Listing) else listing)
             return
         self._end_call()
--- a/lanemux/net/http.py
+++ b/lanemux/net/http.py
@@ -14,12 +14,32 @@
 FRAMING = 8  # times its body that a chunked message may take: a byte a chunk takes six
 MOST_LOAD = 1e12  # of any figure in a load report; what is above has no meaning
 MAX_ANNOUNCED = 16  # 1xx answers ahead of an answer
-HOP_BY_HOP = frozenset({b"connection", b"keep-alive", b"proxy-connection", b"proxy-authenticate",
-                        b"proxy-authorization", b"te", b"trailer", b"transfer-encoding", b"upgrade",
-                        b"expect", b"content-length"})
-REASONS = {200: "OK", 400: "Bad Request", 405: "Method Not Allowed",
-           408: "Request Timeout", 409: "Conflict", 413: "Content Too Large",
-           431: "Request Header Fields Too Large", 503: "Service Unavailable", 504: "Gateway Timeout"}
+HOP_BY_HOP = frozenset(
+    {
+        b"connection",
+        b"keep-alive",
+        b"proxy-connection",
+        b"proxy-authenticate",
+        b"proxy-authorization",
+        b"te",
+        b"trailer",
+        b"transfer-encoding",
+        b"upgrade",
+        b"expect",
+        b"content-length",
+    }
+)
+REASONS = {
+    200: "OK",
+    400: "Bad Request",
+    405: "Method Not Allowed",
+    408: "Request Timeout",
+    409: "Conflict",
+    413: "Content Too Large",
+    431: "Request Header Fields Too Large",
+    503: "Service Unavailable",
+    504: "Gateway Timeout",
+}
 
 Headers = Iterable[tuple[bytes, bytes]]
 
@@ -153,8 +173,7 @@
     return b"\r\n".join(lines) + b"\r\n\r\n" + body
 
 
-def write_request(method: bytes, target: bytes, headers: Headers,
-                  body: bytes | bytearray = b"") -> bytes:
+def write_request(method: bytes, target: bytes, headers: Headers, body: bytes | bytearray = b"") -> bytes:
     return _head(method + b" " + target + b" HTTP/1.1", headers, body, bool(body) or method != b"GET")
 
 
@@ -185,5 +204,8 @@
         return None
     if not isinstance(value, dict):
         return None
-    return {k: float(v) for k, v in value.items()
-            if isinstance(v, int | float) and not isinstance(v, bool) and 0 <= v <= MOST_LOAD}
+    return {
+        k: float(v)
+        for k, v in value.items()
+        if isinstance(v, int | float) and not isinstance(v, bool) and 0 <= v <= MOST_LOAD
+    }
--- a/lanemux/net/lists.py
+++ b/lanemux/net/lists.py
@@ -190,15 +190,24 @@
         try:
             state = STATES[str(row.get("health"))]
             born_ms, cell, weight = row.get("born_ms") or 0, row.get("block") or 0, row.get("share") or 1.0
-            if not (isinstance(born_ms, int) and isinstance(cell, int)
-                    and isinstance(weight, int | float | Decimal)):
+            if not (
+                isinstance(born_ms, int)
+                and isinstance(cell, int)
+                and isinstance(weight, int | float | Decimal)
+            ):
                 raise BadList("an entry's figures are no numbers")
             # No start lies in the future: clocks differ a little, and what is younger than new has no warmth.
             started = min(born_ms * MS - self._offset_ns, time.monotonic_ns()) if born_ms > 0 else 0
             address = NOWHERE if state is api.State.GONE else pack_address(str(row.get("dial")))
             weight = alike.setdefault(float(weight), float(weight))
-            profile = (state, intern(str(row.get("site") or "")), cell, weight, started,
-                       intern(str(row.get("class") or "")))
+            profile = (
+                state,
+                intern(str(row.get("site") or "")),
+                cell,
+                weight,
+                started,
+                intern(str(row.get("class") or "")),
+            )
         except (KeyError, ValueError, OverflowError, ArithmeticError) as error:
             # One bad row must not hide the others, nor end an upstream that is there.
             log.warning("discovery: entry %.80s can't be read: %r", host, error)
--- a/lanemux/net/node.py
+++ b/lanemux/net/node.py
@@ -116,9 +116,14 @@
         self._applying: asyncio.Task[None] | None = None  # puts long lists in force, in slices
         self._long: deque[Listing] = deque()  # the one in hand, and those that wait
         self._reader = Reader(unix_offset_ns(), None if config.known is None else config.known.host_numbers)
-        self._discovery = Discovery(config.discovery, self._reader, config.settings.discovery_push,
-                                    random.Random(config.seed + 1), self._listed,
-                                    min(MAX_LIST, config.memory_bytes // MEMORY_PART or MAX_LIST))
+        self._discovery = Discovery(
+            config.discovery,
+            self._reader,
+            config.settings.discovery_push,
+            random.Random(config.seed + 1),
+            self._listed,
+            min(MAX_LIST, config.memory_bytes // MEMORY_PART or MAX_LIST),
+        )
         self._peers = Peers(config.peers, config.peers_all, config.settings.me, self._peer_message)
         self._module = module
         self._probe_path = b"/stats" if config.settings.report_columns else b"/health/live"
@@ -286,9 +291,17 @@
         cookies = (c.strip() for c in request.header(b"cookie").decode("latin-1").split(";"))
         key = next((c[5:] for c in cookies if c.startswith("user=")), "")
         cost_us = whole_number(request.header(b"req-cost")) or 0
-        self.feed(api.Arrival(call.id, name, request.header(b"req-owner").decode("latin-1"),
-                              deadline_ns - MODULE_EARLY_NS, cost_us * 1000, key,
-                              request.header(b"req-retry") == b"1"))
+        self.feed(
+            api.Arrival(
+                call.id,
+                name,
+                request.header(b"req-owner").decode("latin-1"),
+                deadline_ns - MODULE_EARLY_NS,
+                cost_us * 1000,
+                key,
+                request.header(b"req-retry") == b"1",
+            )
+        )
 
     def _out_of_time(self, call: Call) -> None:
         self._finish(call, 504)
@@ -342,13 +355,23 @@
             end = min(end, self._decided_ns + action.timeout_ns)
         if call is not None:
             call.sends += 1
-        if (call is None or call.out is not None or pool is None or not pool.ready or end <= now
-                or number >= self._limits.max_attempts):
+        if (
+            call is None
+            or call.out is not None
+            or pool is None
+            or not pool.ready
+            or end <= now
+            or number >= self._limits.max_attempts
+        ):
             self.feed(api.Outcome(action.request, number, action.upstream, api.Result.MOOT, 0, call is None))
             return
-        call.out = Exchange(pool, partial(self._serialize_attempt, call.request, end),
-                            self._when_ended(call, number, action.upstream, now),
-                            wanted=lambda: self._wanted(call), rest_s=REST_S)
+        call.out = Exchange(
+            pool,
+            partial(self._serialize_attempt, call.request, end),
+            self._when_ended(call, number, action.upstream, now),
+            wanted=lambda: self._wanted(call),
+            rest_s=REST_S,
+        )
         call.out.start(end / SECOND)
 
     def _wanted(self, call: Call) -> bool:
@@ -364,8 +387,9 @@
         headers.append((b"Req-Deadline-Ms", b"%d" % max(1, left_ns // MS)))
         return write_request(request.method, request.target, headers, request.body)
 
-    def _when_ended(self, call: Call, number: int, upstream: int,
-                    sent_ns: int) -> Callable[[api.Result, Message | None], None]:
+    def _when_ended(
+        self, call: Call, number: int, upstream: int, sent_ns: int
+    ) -> Callable[[api.Result, Message | None], None]:
         def ended(result: api.Result, response: Message | None) -> None:
             call.out = None
             took = time.monotonic_ns() - sent_ns
@@ -376,6 +400,7 @@
                 self._finish(call, 200, headers, response.body)
             report = self._report(response) if self.config.settings.reports_in_answers else None
             self.feed(api.Outcome(call.id, number, upstream, result, took, call.over, report))
+
         return ended
 
     def _report(self, response: Message | None) -> dict[str, float] | None:
@@ -404,14 +429,19 @@
             self.feed(api.ProbeResult(upstream, result, time.monotonic_ns() - now, report))
 
         host = "{}:{}".format(*pool.address).encode()
-        pool.exchange(write_request(b"GET", self._probe_path, [(b"Host", host)]), PROBE_TIMEOUT_S, ended,
-                      self._hub.capacity // PROBE_SPARE)
+        pool.exchange(
+            write_request(b"GET", self._probe_path, [(b"Host", host)]),
+            PROBE_TIMEOUT_S,
+            ended,
+            self._hub.capacity // PROBE_SPARE,
+        )
 
     def _listed(self, listing: Told) -> None:
         if not isinstance(listing, Listing):
             self.feed(api.ListUpdate(listing))
-        elif len(listing) > SLICE or (listing.whole and (listing.unread or self._long
-                                                        or len(self._held) > 2 * SLICE)):
+        elif len(listing) > SLICE or (
+            listing.whole and (listing.unread or self._long or len(self._held) > 2 * SLICE)
+        ):
             self._long.append(listing)
             if self._applying is None:
                 self._applying = self._loop.create_task(self._apply_long())
@@ -430,16 +460,16 @@
             left: set[int] = set()
             held = list(self._held) if listing.whole else []
             for first in range(0, len(held), SLICE * SLICE):
-                left.update(held[first:first + SLICE * SLICE])
+                left.update(held[first : first + SLICE * SLICE])
                 await asyncio.sleep(0)
             left.difference_update(listing.unread)
             for first in range(0, len(listing), SLICE):
-                left.difference_update(listing.numbers[first:first + SLICE])
+                left.difference_update(listing.numbers[first : first + SLICE])
                 self._apply(list(self._taken(listing, first, first + SLICE)))
                 await asyncio.sleep(0)
             missing = list(left)
             for first in range(0, len(missing), SLICE):
-                gone = [n for n in missing[first:first + SLICE] if n not in listing.overtaken]
+                gone = [n for n in missing[first : first + SLICE] if n not in listing.overtaken]
                 self._note_gone(gone)
                 self._apply([api.Upstream(number, api.State.GONE) for number in gone])
                 await asyncio.sleep(0)
@@ -503,4 +533,3 @@
     if response.status in (503, 504) and response.header(b"srv-declined") == b"1":
         return api.Result.FULL
     return api.Result.ERROR
-
--- a/lanemux/net/peers.py
+++ b/lanemux/net/peers.py
@@ -17,8 +17,9 @@
 class Peers(asyncio.DatagramProtocol):
     """Sends to peers by number, and hands on what comes from their addresses."""
 
-    def __init__(self, peers: Sequence[Address], everyone: Address | None, me: int,
-                 heard: Callable[[int, bytes], None]) -> None:
+    def __init__(
+        self, peers: Sequence[Address], everyone: Address | None, me: int, heard: Callable[[int, bytes], None]
+    ) -> None:
         self._peers = peers
         self._numbers = {address: i for i, address in enumerate(peers) if i != me}
         self._everyone = everyone
--- a/lanemux/net/server.py
+++ b/lanemux/net/server.py
@@ -65,8 +65,7 @@
     @property
     def unread(self) -> bool:
         """Something lies in its socket that will be read as soon as the loop comes to it."""
-        return (self._transport is not None and self._transport.is_reading()
-                and shows(self._transport, UNREAD))
+        return self._transport is not None and self._transport.is_reading() and shows(self._transport, UNREAD)
 
     @property
     def speaking(self) -> bool:
--- a/lanemux/net/upstream.py
+++ b/lanemux/net/upstream.py
@@ -31,8 +31,15 @@
     `done` is called once: with RESULT OK and the response, whatever its status, or with what went wrong.
     """
 
-    def __init__(self, pool: Pool, serialize: Serialize, done: Done, spare: int = 0,
-                 wanted: Callable[[], bool] = lambda: True, rest_s: float = 0.0) -> None:
+    def __init__(
+        self,
+        pool: Pool,
+        serialize: Serialize,
+        done: Done,
+        spare: int = 0,
+        wanted: Callable[[], bool] = lambda: True,
+        rest_s: float = 0.0,
+    ) -> None:
         self.pool = pool
         self.spare = spare  # places that it must leave to others
         self.rest_s = rest_s  # for which its connection is left alone afterwards
@@ -135,8 +142,11 @@
     @property
     def usable(self) -> bool:
         """Still open, with nothing unread. One that was closed there leaves its pool some turns later."""
-        return (self._transport is not None and not self._transport.is_closing()
-                and not shows(self._transport, UNREAD))
+        return (
+            self._transport is not None
+            and not self._transport.is_closing()
+            and not shows(self._transport, UNREAD)
+        )
 
     def send(self, exchange: Exchange) -> None:
         self._exchange, self._written = exchange, False
@@ -250,8 +260,14 @@
 class Hub:
     """What all pools share: the limits, and the count of connections."""
 
-    def __init__(self, capacity: int, connect_timeout_s: float, conn_idle_s: float,
-                 max_body: int = MAX_ANSWER, least_rate: float = 0.0) -> None:
+    def __init__(
+        self,
+        capacity: int,
+        connect_timeout_s: float,
+        conn_idle_s: float,
+        max_body: int = MAX_ANSWER,
+        least_rate: float = 0.0,
+    ) -> None:
         self.least_rate = least_rate  # bytes a second of an answer that put off its time-out; 0: it stands
         self.capacity = capacity
         self.connect_timeout_s = connect_timeout_s
--- a/lanemux/policy.py
+++ b/lanemux/policy.py
@@ -66,8 +66,7 @@
     def learn(self, result: api.Result, rules: api.Rules) -> None:
         """Note its outcome. "Full" proves nothing where upstreams also drop what they had begun."""
         self.result = result
-        self.may_have_run = (result not in api.NEVER_RAN
-                             or (result is api.Result.FULL and rules.full_unproven))
+        self.may_have_run = result not in api.NEVER_RAN or (result is api.Result.FULL and rules.full_unproven)
 
 
 @dataclass(slots=True, eq=False)
@@ -96,8 +95,13 @@
         return sum(a.result is None for a in self.attempts)
 
     def may_send(self, server: Server, now: int, limits: api.Limits) -> bool:
-        if (self.over or self.begun or now >= self.deadline_ns or len(self.attempts) >= limits.max_attempts
-                or not self.pool.admits(server.entry)):
+        if (
+            self.over
+            or self.begun
+            or now >= self.deadline_ns
+            or len(self.attempts) >= limits.max_attempts
+            or not self.pool.admits(server.entry)
+        ):
             return False
         if server.entry.state is not api.State.READY or self.out >= (2 if limits.second_copies else 1):
             return False
@@ -110,8 +114,9 @@
 
     def may_refuse(self) -> bool:
         everywhere = self.cls.effect is api.Effect.KEYED and self.cls.scope is api.Scope.ALL
-        return (self.cls.effect is api.Effect.SAFE or everywhere
-                or not any(a.may_have_run for a in self.attempts))
+        return (
+            self.cls.effect is api.Effect.SAFE or everywhere or not any(a.may_have_run for a in self.attempts)
+        )
 
     def _same_group(self, x: Server, y: Server) -> bool:
         if self.cls.scope is api.Scope.ALL:
@@ -183,12 +188,12 @@
         self.held.remove(request)
         self.u += 1
 
-
     def idle(self, now: int) -> bool:
         """Nothing sets it apart from a new one: it holds nobody, its bank is full, few came of late."""
         self.accrue(now)
-        return not (self.held or self.waking or self.asked or self.demand > SILENT
-                    or self.u < self.bank + self.hold)
+        return not (
+            self.held or self.waking or self.asked or self.demand > SILENT or self.u < self.bank + self.hold
+        )
 
 
 class Gates(dict[str, Throttle]):
@@ -356,8 +361,11 @@
         self.any = self.pool(api.RequestClass(""))
         for cls in settings.classes.values():
             self.pool(cls)
-        self.looks = (settings.limits.probes and "inflight" in settings.report_columns
-                      and settings.prices.probe * (LOOKS + 1) <= LOOK_PRICE)
+        self.looks = (
+            settings.limits.probes
+            and "inflight" in settings.report_columns
+            and settings.prices.probe * (LOOKS + 1) <= LOOK_PRICE
+        )
         self.sizes: dict[str, float] = {}  # kind -> largest weight seen, that of an idle one
         self.ended = self.broke = 0.0  # over the upstreams in use, see Server
         self.reach = 0  # upstreams in the subsets of this proxy
@@ -420,13 +428,15 @@
         for s in self.servers.values():
             s.own = False
         for pool, subset in zip(self.pools.values(), subsets, strict=True):
-            own, near, far = ([self.server(unmixed(key), now) for key in keys]
-                              for keys in (subset.own, subset.near, subset.far))
+            own, near, far = (
+                [self.server(unmixed(key), now) for key in keys]
+                for keys in (subset.own, subset.near, subset.far)
+            )
             pool.given = subset
             pool.order = own + sorted(near, key=lambda s: s.rank) + sorted(far, key=lambda s: s.rank)
             pool.subset = pool.width = len(pool.order) if self.looks else len(own)
             pool.sharers = subset.sharers * pool.subset / max(1, len(own))
-            for s in pool.order[:pool.subset]:
+            for s in pool.order[: pool.subset]:
                 s.own = True
         self.reach = sum(s.own for s in self.servers.values())
         self.used = {s.id for pool in self.pools.values() for s in pool.order}
@@ -471,16 +481,20 @@
         return max(1, self.crowding.limit // 2) if self.cold(s, now) else self.crowding.limit
 
     def fit(self, s: Server, now: int) -> bool:
-        return (s.entry.state is api.State.READY and now >= s.not_before_ns
-                and s.inflight < self.limit_of(s, now))
+        return (
+            s.entry.state is api.State.READY and now >= s.not_before_ns and s.inflight < self.limit_of(s, now)
+        )
 
     def eject(self, s: Server, now: int, base: float) -> None:
         """Leave a failing upstream alone, longer each time, unless that would leave hardly any."""
         if s.not_before_ns > now:
             return  # what was out there when it stood still fails together: one strike for it
         s.strikes += 1
-        if all(sum(o.not_before_ns > now for o in p.order[:p.width]) < 0.7 * p.width
-               for p in self.pools.values() if s in p.order[:p.width]):
+        if all(
+            sum(o.not_before_ns > now for o in p.order[: p.width]) < 0.7 * p.width
+            for p in self.pools.values()
+            if s in p.order[: p.width]
+        ):
             length = min(base * 2 ** min(s.strikes - 1, 5), EJECTION_MAX)
             s.not_before_ns = now + int(length * self.rng.uniform(0.75, 1.25))
 
@@ -576,7 +590,7 @@
         for i, x in enumerate((1.0, a.load, took, a.load * a.load, a.load * took)):
             self.sums[i] = KEPT * self.sums[i] + x
         n, mean_held, mean_took = self.sums[0], self.sums[1] / self.sums[0], self.sums[2] / self.sums[0]
-        spread, along = self.sums[3] / n - mean_held ** 2, self.sums[4] / n - mean_held * mean_took
+        spread, along = self.sums[3] / n - mean_held**2, self.sums[4] / n - mean_held * mean_took
         alone = self.alone = max(1.0, mean_took / mean_held)
         self.each = min(alone, max(alone / 10, (along + alone) / (spread + 1)))
         self.base = max(0.0, mean_took - self.each * mean_held)
@@ -594,7 +608,8 @@
     def known(self, k: int) -> bool:
         """Were upstreams held at k for so long that a good number should have finished?"""
         return self.done[1] >= EVIDENCE and (
-            k == 1 or self.busy[k] * self.done[k - 1] >= 4 * EVIDENCE * self.busy[k - 1])
+            k == 1 or self.busy[k] * self.done[k - 1] >= 4 * EVIDENCE * self.busy[k - 1]
+        )
 
     def speed(self, k: int) -> float:
         # A clock that stands still between batches books no time: no division by it.
@@ -821,8 +836,13 @@
 
     def _again(self, r: Request, now: int) -> None:
         """Nothing is out and nothing was served: another attempt, or the final answer."""
-        if r.attempts and any(r.may_send(s, now, self.settings.limits)
-                              for s in self._choices(r, now) or r.pool.order[:1]) and now < r.give_up_ns:
+        if (
+            r.attempts
+            and any(
+                r.may_send(s, now, self.settings.limits) for s in self._choices(r, now) or r.pool.order[:1]
+            )
+            and now < r.give_up_ns
+        ):
             r.pool.queue.appendleft(r)
             self._look_around(r, now)
         else:
@@ -928,8 +948,12 @@
             fresh = [s for s in r.asked if s.load_ns > old and fleet.fit(s, now)]
             r.asked = []
             server = fleet.pick(pool, now, fresh or choices)
-            full = (server is not None and server.load >= 1 and server.told(now)
-                    and self.crowding.time(server.load + 1.5) * server.pace > r.aim_ns - now)
+            full = (
+                server is not None
+                and server.load >= 1
+                and server.told(now)
+                and self.crowding.time(server.load + 1.5) * server.pace > r.aim_ns - now
+            )
             if full or (server is None and choices is not None):
                 # All that it may go to are busy, or would answer late: it must not stop the queue.
                 self.rate.unplaced += not r.hurried
--- a/scale/__main__.py
+++ b/scale/__main__.py
@@ -43,10 +43,15 @@
     "configured": (Count, "Changes of configuration a day, at 160,000 upstreams."),
     "restarted": (Count, "Restarted or replaced upstreams a day, at 160,000."),
     "failed": (Count, "Failed upstreams a day, at 160,000."),
-    "course": (click.Choice(COURSES), "day: churn; zone: and a zone lost and back cold; "
-                                      "back: and discovery cut off, then all call at once."),
-    "wholes": (click.IntRange(0, 1000),
-               "Whole lists told to the one with clients and a hollow one, at the end."),
+    "course": (
+        click.Choice(COURSES),
+        "day: churn; zone: and a zone lost and back cold; "
+        "back: and discovery cut off, then all call at once.",
+    ),
+    "wholes": (
+        click.IntRange(0, 1000),
+        "Whole lists told to the one with clients and a hollow one, at the end.",
+    ),
     "mode": (click.Choice(["ask", "push"]), "How the settings say that lists come."),
     "requests": (click.FloatRange(min=0.0, max=5000.0), "Requests a second to that balancer."),
     "known": (bool, "Whether the configuration holds the list."),
@@ -57,8 +62,9 @@
 
 
 def commit() -> str:
-    done = subprocess.run(["git", "describe", "--always", "--dirty"], cwd=ROOT, capture_output=True,
-                          text=True, check=False)
+    done = subprocess.run(
+        ["git", "describe", "--always", "--dirty"], cwd=ROOT, capture_output=True, text=True, check=False
+    )
     return done.stdout.strip()
 
 
@@ -71,8 +77,12 @@
 
 
 @click.command(context_settings={"show_default": True})
-@click.option("--json", "path", type=click.Path(dir_okay=False, writable=True, path_type=Path),
-              help="Write the figures to this file too.")
+@click.option(
+    "--json",
+    "path",
+    type=click.Path(dir_okay=False, writable=True, path_type=Path),
+    help="Write the figures to this file too.",
+)
 def command(path: Path | None, **arguments: Any) -> None:
     """Measure what the list of upstreams costs balancers, and how fast a change is in force."""
     plan = Plan(**arguments)
@@ -83,18 +93,28 @@
     rows, notes = asyncio.run(interruptible(plan))
     click.echo(report.table(rows, [*notes, NOTES]))
     if path is not None:
-        path.write_bytes(orjson.dumps({
-            "commit": version, "arguments": asdict(plan), "changes_a_second": plan.changes_a_second,
-            "machine": {"processors": psutil.cpu_count(), "memory": psutil.virtual_memory().total},
-            "notes": notes, "rows": report.as_json(rows)}, option=orjson.OPT_INDENT_2))
+        path.write_bytes(
+            orjson.dumps(
+                {
+                    "commit": version,
+                    "arguments": asdict(plan),
+                    "changes_a_second": plan.changes_a_second,
+                    "machine": {"processors": psutil.cpu_count(), "memory": psutil.virtual_memory().total},
+                    "notes": notes,
+                    "rows": report.as_json(rows),
+                },
+                option=orjson.OPT_INDENT_2,
+            )
+        )
 
 
 for field in reversed(fields(Plan)):
     kind, text = OPTIONS[field.name]
     name = field.name.replace("_", "-")
     flag = f"--{name}/--no-{name}" if kind is bool else f"--{name}"
-    command = click.option(flag, field.name, type=kind, help=text,
-                           default=getattr(DEFAULT, field.name))(command)
+    command = click.option(flag, field.name, type=kind, help=text, default=getattr(DEFAULT, field.name))(
+        command
+    )
 
 
 def main() -> int:
--- a/scale/courses.py
+++ b/scale/courses.py
@@ -19,8 +19,9 @@
 Course = Callable[["Discovery", Plan, random.Random], Coroutine[Any, Any, None]]
 
 
-async def day(discovery: Discovery, plan: Plan, rng: random.Random,
-              spared: frozenset[int] = frozenset()) -> None:
+async def day(
+    discovery: Discovery, plan: Plan, rng: random.Random, spared: frozenset[int] = frozenset()
+) -> None:
     """Changes of configuration, restarts and failures, at random."""
     start = now = time.monotonic()
     end = start + plan.duration
--- a/scale/discovery.py
+++ b/scale/discovery.py
@@ -66,9 +66,12 @@
         """An address for each balancer."""
         self._worker = asyncio.create_task(self._work())
         for caller in self.callers:
-            async def accept(reader: asyncio.StreamReader, writer: asyncio.StreamWriter,
-                             caller: Caller = caller) -> None:
+
+            async def accept(
+                reader: asyncio.StreamReader, writer: asyncio.StreamWriter, caller: Caller = caller
+            ) -> None:
                 await self._serve(caller, reader, writer)
+
             self._servers.append(await asyncio.start_server(accept, HOST, 0))
         return [server.sockets[0].getsockname()[:2] for server in self._servers]
 
@@ -82,8 +85,9 @@
 
     # -- calls --
 
-    async def _serve(self, caller: Caller, reader: asyncio.StreamReader,
-                     writer: asyncio.StreamWriter) -> None:
+    async def _serve(
+        self, caller: Caller, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
+    ) -> None:
         self._connections.add(writer)
         try:
             while True:
@@ -137,8 +141,11 @@
     async def _work(self) -> None:
         while True:
             call = await self._queue.get()
-            whole = call.whole or call.after is None or not (
-                self.registry.first <= call.after <= self.registry.version)
+            whole = (
+                call.whole
+                or call.after is None
+                or not (self.registry.first <= call.after <= self.registry.version)
+            )
             body = self.registry.whole() if whole else self.registry.since(call.after)
             if whole:
                 call.caller.wholes.append([time.monotonic_ns(), self.registry.version])
@@ -155,7 +162,7 @@
         view = memoryview(body)
         with contextlib.suppress(OSError):
             for at in range(0, len(body), PIECE):
-                call.writer.write(view[at:at + PIECE])
+                call.writer.write(view[at : at + PIECE])
                 await call.writer.drain()
         call.over.set()
 
@@ -240,11 +247,20 @@
         return [(c.calls, c.received, c.sent) for c in self.discovery.callers]
 
     async def report(self) -> object:
-        return {"callers": [asdict(c) for c in self.discovery.callers], "made": self.discovery.registry.made,
-                "cuts": self.discovery.cuts}
+        return {
+            "callers": [asdict(c) for c in self.discovery.callers],
+            "made": self.discovery.registry.made,
+            "cuts": self.discovery.cuts,
+        }
 
 
 if __name__ == "__main__":
     commands = Commands()
-    asyncio.run(serve({name: getattr(commands, name)
-                       for name in ("start", "course", "settled", "whole", "counts", "report")}))
+    asyncio.run(
+        serve(
+            {
+                name: getattr(commands, name)
+                for name in ("start", "course", "settled", "whole", "counts", "report")
+            }
+        )
+    )
--- a/scale/evenness.py
+++ b/scale/evenness.py
@@ -19,8 +19,13 @@
     found = []
     prices = api.Prices(connection=0.03, cross_zone=0.02) if zones else api.Prices()
     for me in range(balancers):
-        table.settings = api.Settings(me=me, replicas_of_me=balancers, zones=zones, prices=prices,
-                                      zone=zones[me % len(zones)] if zones else "")
+        table.settings = api.Settings(
+            me=me,
+            replicas_of_me=balancers,
+            zones=zones,
+            prices=prices,
+            zone=zones[me % len(zones)] if zones else "",
+        )
         found.append(frozenset(table.subset(table.placements[0]).own))
     return found
 
@@ -46,12 +51,18 @@
     more = moved(before, subsets(table, balancers + 1, zones))
     table.drop(ids[upstreams // 2])
     table.settle()
-    return {"smallest subset": min(sizes), "largest subset": max(sizes), "memberships": sum(sizes),
-            "upstreams in no subset": upstreams - len(shares),
-            "balancers an upstream, least": min(shares.values()) if len(shares) == upstreams else 0,
-            "balancers an upstream, mean": mean, "balancers an upstream, most": max(shares.values()),
-            "most to mean": max(shares.values()) / mean, "moved by one balancer more": more,
-            "moved by one upstream gone": moved(before, subsets(table, balancers, zones))}
+    return {
+        "smallest subset": min(sizes),
+        "largest subset": max(sizes),
+        "memberships": sum(sizes),
+        "upstreams in no subset": upstreams - len(shares),
+        "balancers an upstream, least": min(shares.values()) if len(shares) == upstreams else 0,
+        "balancers an upstream, mean": mean,
+        "balancers an upstream, most": max(shares.values()),
+        "most to mean": max(shares.values()) / mean,
+        "moved by one balancer more": more,
+        "moved by one upstream gone": moved(before, subsets(table, balancers, zones)),
+    }
 
 
 @click.command(help=__doc__, context_settings={"show_default": True})
--- a/scale/hollow.py
+++ b/scale/hollow.py
@@ -75,8 +75,16 @@
             base = read_config(config)  # read anew each time: a real balancer shares no text with another
             settings = replace(base.settings, me=told["me"], zone=told["zone"])
             module = Watched(Balancer(settings, told["seed"], time.monotonic_ns()))
-            node = WatchedNode(replace(base, name=told["name"], discovery=tuple(told["discovery"]),
-                                seed=told["seed"], settings=settings), module)
+            node = WatchedNode(
+                replace(
+                    base,
+                    name=told["name"],
+                    discovery=tuple(told["discovery"]),
+                    seed=told["seed"],
+                    settings=settings,
+                ),
+                module,
+            )
             await node.start()
             took.append(time.monotonic_ns() - begun)
             self.nodes.append(node)
--- a/scale/load.py
+++ b/scale/load.py
@@ -60,8 +60,10 @@
             self._begin(self._request(address, number))
 
     async def _request(self, address: tuple[str, int], number: int) -> None:
-        request = (b"GET /reading HTTP/1.1\r\nHost: scale\r\nReq-Id: %016x\r\nReq-Owner: ash\r\n"
-                   b"Req-Deadline-Ms: %d\r\n\r\n" % (number, DEADLINE_MS))
+        request = (
+            b"GET /reading HTTP/1.1\r\nHost: scale\r\nReq-Id: %016x\r\nReq-Owner: ash\r\n"
+            b"Req-Deadline-Ms: %d\r\n\r\n" % (number, DEADLINE_MS)
+        )
         sent, added = time.monotonic_ns(), -1
         try:
             async with asyncio.timeout(2 * DEADLINE_MS / 1000):
--- a/scale/part.py
+++ b/scale/part.py
@@ -39,9 +39,15 @@
         log = folder / f"{name}.log"
         with log.open("wb") as out:
             process = await asyncio.create_subprocess_exec(
-                *command, cwd=ROOT, stdin=PIPE if talks else DEVNULL, stdout=PIPE if talks else out,
-                stderr=out, env={**os.environ, "TMPDIR": str(temporary), **env}, limit=LONGEST_LINE,
-                start_new_session=True)
+                *command,
+                cwd=ROOT,
+                stdin=PIPE if talks else DEVNULL,
+                stdout=PIPE if talks else out,
+                stderr=out,
+                env={**os.environ, "TMPDIR": str(temporary), **env},
+                limit=LONGEST_LINE,
+                start_new_session=True,
+            )
         return cls(name, process, log)
 
     def ended(self) -> Refused:
--- a/scale/plan.py
+++ b/scale/plan.py
@@ -66,8 +66,7 @@
     @property
     def memory(self) -> int:
         """About what it will take; what it takes is looked at all the time."""
-        return (self.processes * PROCESS_MB * MB
-                + self.upstreams * (ROW_BYTES + self.balancers * self.held))
+        return self.processes * PROCESS_MB * MB + self.upstreams * (ROW_BYTES + self.balancers * self.held)
 
     @property
     def mix(self) -> dict[str, int]:
@@ -84,21 +83,37 @@
     def check(self) -> None:
         """Say what is wrong with it."""
         limit = memory_limit()
-        wrong = {
-            "at least one balancer is needed": self.balancers < 1,
-            f"--hollow-processes has to be between 1 and --hollow ({self.hollow})":
-                self.hollow > 0 and not 0 < self.hollow_processes <= self.hollow,
-            f"--replicas {self.replicas} is less than the {self.balancers} balancers that run":
+        memory_mb = math.ceil(self.memory / MB)
+        too_many_hollow_processes = self.hollow > 0 and not 0 < self.hollow_processes <= self.hollow
+        wrong = [
+            (self.balancers < 1, "at least one balancer is needed"),
+            (
+                too_many_hollow_processes,
+                f"--hollow-processes has to be between 1 and --hollow ({self.hollow})",
+            ),
+            (
                 0 < self.replicas < self.balancers,
-            f"--zones {self.zones} is more than --upstreams {self.upstreams}": self.zones > self.upstreams,
-            "nothing changes: --configured, --restarted and --failed are all 0": not any(self.mix.values()),
-            f"{self.processes} processes, but at most {MAX_PROCESSES} may run":
+                f"--replicas {self.replicas} is less than the {self.balancers} balancers that run",
+            ),
+            (
+                self.zones > self.upstreams,
+                f"--zones {self.zones} is more than --upstreams {self.upstreams}",
+            ),
+            (
+                not any(self.mix.values()),
+                "nothing changes: --configured, --restarted and --failed are all 0",
+            ),
+            (
                 self.processes > MAX_PROCESSES,
-            f"about {math.ceil(self.memory / MB)} MB of memory, but at most {limit // MB} MB may be used":
+                f"{self.processes} processes, but at most {MAX_PROCESSES} may run",
+            ),
+            (
                 self.memory > limit,
-        }
-        for what, is_so in wrong.items():
-            if is_so:
+                f"about {memory_mb} MB of memory, but at most {limit // MB} MB may be used",
+            ),
+        ]
+        for is_wrong, what in wrong:
+            if is_wrong:
                 raise Refused(what)
 
 
--- a/scale/registry.py
+++ b/scale/registry.py
@@ -31,9 +31,11 @@
 
     def _encode(self, i: int, version: int) -> bytes:
         share = f"{1 + version * MARK:.6f}" if version else "1.0"
-        return (f'{{"host":"s-{i:08x}","dial":"{self._dials[i % len(self._dials)]}",'
-                f'"site":"{zone_name(self._plan.zone_of(i))}","class":"m2","block":{i // 100},'
-                f'"health":"{self.health[i]}","share":{share},"born_ms":{self._born_ms[i]}}}').encode()
+        return (
+            f'{{"host":"s-{i:08x}","dial":"{self._dials[i % len(self._dials)]}",'
+            f'"site":"{zone_name(self._plan.zone_of(i))}","class":"m2","block":{i // 100},'
+            f'"health":"{self.health[i]}","share":{share},"born_ms":{self._born_ms[i]}}}'
+        ).encode()
 
     def change(self, rows: Iterable[int], health: str = "", born: bool = False) -> None:
         """One version in which these rows changed: their health, their start, or only their share."""
@@ -58,8 +60,9 @@
     def whole(self) -> bytes:
         """The whole list; it is put together once for a version."""
         if not self._whole:
-            rows = b",".join(row for row, health in zip(self._rows, self.health, strict=True)
-                             if health != "removed")
+            rows = b",".join(
+                row for row, health in zip(self._rows, self.health, strict=True) if health != "removed"
+            )
             self._whole = b'{"seq":%d,"whole":true,"hosts":[%b]}' % (self.version, rows)
         return self._whole
 
@@ -68,7 +71,7 @@
         if after is None or not self.first <= after <= self.version:
             return self.whole()
         if after not in self._deltas:
-            changed = dict.fromkeys(i for rows in self._log[after - self.first:] for i in rows)
+            changed = dict.fromkeys(i for rows in self._log[after - self.first :] for i in rows)
             rows = b",".join(self._rows[i] for i in changed)
             self._deltas[after] = b'{"seq":%d,"whole":false,"hosts":[%b]}' % (self.version, rows)
         return self._deltas[after]
--- a/scale/report.py
+++ b/scale/report.py
@@ -53,8 +53,10 @@
 def made(report: dict[str, Any]) -> list[Made]:
     """The versions in order; what changed while discovery was down counts from its return."""
     cuts = [tuple(cut) for cut in report["cuts"]]
-    return [Made(version, next((back for down, back in cuts if down <= at < back), at), rows)
-            for version, at, rows in report["made"]]
+    return [
+        Made(version, next((back for down, back in cuts if down <= at < back), at), rows)
+        for version, at, rows in report["made"]
+    ]
 
 
 def by_calls(versions: Sequence[Made], caller: dict[str, Any]) -> tuple[list[tuple[float, int]], int]:
@@ -91,8 +93,11 @@
 
 def added(samples: Iterable[Sequence[int]], windows: Sequence[tuple[int, int]]) -> tuple[list[float], int]:
     """The ms that the balancer added to requests that were open in one of these spans; how many failed."""
-    took = [add / MS for sent, answered, add in samples
-            if any(sent < end and answered > begun for begun, end in windows)]
+    took = [
+        add / MS
+        for sent, answered, add in samples
+        if any(sent < end and answered > begun for begun, end in windows)
+    ]
     return [t for t in took if t >= 0], sum(t < 0 for t in took)
 
 
@@ -103,15 +108,28 @@
 
 def table(rows: Sequence[Row], notes: Sequence[str]) -> str:
     """For people."""
+
     def cells(r: Row) -> list[str]:
-        return [r.figure, r.phase, r.group, f"{r.median:.3g}" if r.median < 100 else f"{r.median:.0f}",
-                *(f"{v:.3g}" if v < 100 else f"{v:.0f}" for v in (r.p99, r.worst)), r.unit, str(r.count)]
+        return [
+            r.figure,
+            r.phase,
+            r.group,
+            f"{r.median:.3g}" if r.median < 100 else f"{r.median:.0f}",
+            *(f"{v:.3g}" if v < 100 else f"{v:.0f}" for v in (r.p99, r.worst)),
+            r.unit,
+            str(r.count),
+        ]
+
     lines = [["figure", "phase", "of", "median", "99th", "worst", "unit", "count"], *map(cells, rows)]
     widths = [max(len(line[i]) for line in lines) for i in range(len(lines[0]))]
     right = (3, 4, 5, 7)
-    text = ["  ".join(c.rjust(w) if i in right else c.ljust(w) for i, (c, w) in enumerate(zip(line, widths,
-                                                                                         strict=True))).rstrip()
-            for line in lines]
+    text = [
+        "  ".join(
+            c.rjust(w) if i in right else c.ljust(w)
+            for i, (c, w) in enumerate(zip(line, widths, strict=True))
+        ).rstrip()
+        for line in lines
+    ]
     return "\n".join([*text, "", *notes])
 
 
--- a/scale/run.py
+++ b/scale/run.py
@@ -34,15 +34,34 @@
 
 def settings(plan: Plan, me: int, zone: str) -> dict[str, Any]:
     ms = 1_000_000
-    return {"me": me, "replicas_of_me": plan.replicas_told, "locality": zone,
-            "zones": [zone_name(i) for i in range(plan.zones)], "registry_mode": plan.mode,
-            "weight_source": "none", "realms": [{"name": "ash", "share": 1.0}],
-            "profiles": [{"name": "reading", "repeat": "read_like", "aim_ns": 400 * ms, "worth": 1.0,
-                          "late_worth": 0.2, "hard_limit_ns": 2000 * ms}],
-            "limits": {"send_cap": 3, "may_cancel": True, "retry_after": True, "conn_idle_ns": 60_000 * ms,
-                       "connect_timeout_ns": 200 * ms},
-            "rules": {"ask_within_ns": 10_000 * ms, "stop_sending_within_ns": 250 * ms, "cold_ns": 8000 * ms},
-            "prices": {"connection": 0.03, "cross_zone": 0.025}}
+    return {
+        "me": me,
+        "replicas_of_me": plan.replicas_told,
+        "locality": zone,
+        "zones": [zone_name(i) for i in range(plan.zones)],
+        "registry_mode": plan.mode,
+        "weight_source": "none",
+        "realms": [{"name": "ash", "share": 1.0}],
+        "profiles": [
+            {
+                "name": "reading",
+                "repeat": "read_like",
+                "aim_ns": 400 * ms,
+                "worth": 1.0,
+                "late_worth": 0.2,
+                "hard_limit_ns": 2000 * ms,
+            }
+        ],
+        "limits": {
+            "send_cap": 3,
+            "may_cancel": True,
+            "retry_after": True,
+            "conn_idle_ns": 60_000 * ms,
+            "connect_timeout_ns": 200 * ms,
+        },
+        "rules": {"ask_within_ns": 10_000 * ms, "stop_sending_within_ns": 250 * ms, "cold_ns": 8000 * ms},
+        "prices": {"connection": 0.03, "cross_zone": 0.025},
+    }
 
 
 def address_of(number: int) -> tuple[str, int]:
@@ -73,8 +92,11 @@
         self.processes: list[Process] = []
         self.real: list[Process] = []
         self.hollow: list[Process] = []
-        self.share = [len(range(i, plan.hollow, plan.hollow_processes)) for i in range(plan.hollow_processes)
-                      ] if plan.hollow else []  # hollow ones in each process
+        self.share = (
+            [len(range(i, plan.hollow, plan.hollow_processes)) for i in range(plan.hollow_processes)]
+            if plan.hollow
+            else []
+        )  # hollow ones in each process
         self.empty: list[int] = []  # bytes of those processes before they held any
         self.callers: list[tuple[str, int]] = []  # discovery's addresses: real ones first
         self.addresses = [address_of(i) for i in range(plan.real)]
@@ -131,9 +153,13 @@
     def config(self, i: int) -> dict[str, Any]:
         plan = self.plan
         me = i * plan.replicas_told // plan.balancers
-        return {"name": f"n{me}", "discovery": "{}:{}".format(*self.callers[i]), "seed": f"{plan.seed}-{i}",
-                "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
-                "settings": settings(plan, me, zone_name(i % plan.zones))}
+        return {
+            "name": f"n{me}",
+            "discovery": "{}:{}".format(*self.callers[i]),
+            "seed": f"{plan.seed}-{i}",
+            "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
+            "settings": settings(plan, me, zone_name(i % plan.zones)),
+        }
 
     def write(self, name: str, config: dict[str, Any]) -> Path:
         path = self.folder / f"{name}.json"
@@ -148,8 +174,16 @@
             path = self.write(f"real{i}", {**config, "listen": listen})
             begun = time.monotonic()
             process = await Process.start(
-                f"real{i}", self.folder, "/bin/sh", "-c", run, RELAY_NAME=config["name"], RELAY_LISTEN=listen,
-                RELAY_DISCOVERY=config["discovery"], RELAY_CONFIG=str(path))
+                f"real{i}",
+                self.folder,
+                "/bin/sh",
+                "-c",
+                run,
+                RELAY_NAME=config["name"],
+                RELAY_LISTEN=listen,
+                RELAY_DISCOVERY=config["discovery"],
+                RELAY_CONFIG=str(path),
+            )
             self.processes.append(process)
             while not await is_ready(address):
                 await asyncio.sleep(READY_LOOK_S)
@@ -164,8 +198,15 @@
             nodes = []
             for i in range(plan.real + number, plan.balancers, plan.hollow_processes):
                 told = self.config(i)
-                nodes.append({"name": told["name"], "discovery": self.callers[i], "seed": plan.seed + i,
-                              "me": told["settings"]["me"], "zone": told["settings"]["locality"]})
+                nodes.append(
+                    {
+                        "name": told["name"],
+                        "discovery": self.callers[i],
+                        "seed": plan.seed + i,
+                        "me": told["settings"]["me"],
+                        "zone": told["settings"]["locality"],
+                    }
+                )
             path = self.write(f"hollow{number}", {**self.config(plan.real + number), "listen": "127.0.0.1:0"})
             await process.ask("start", config=str(path), nodes=[])
             empty = psutil.Process(process.pid).memory_info().rss
@@ -177,13 +218,18 @@
 
     def spent(self) -> dict[str, list[float]]:
         """Processor seconds of each balancer so far."""
+
         def of(process: Process) -> float:
             times = psutil.Process(process.pid).cpu_times()
             return times.user + times.system
+
         loaded = self.loaded
-        return {"real": [of(p) for p in self.real[loaded:]], "loaded": [of(p) for p in self.real[:loaded]],
-                "hollow": [of(p) / n for p, n in zip(self.hollow, self.share, strict=True)],
-                "discovery": [of(self.discovery)]}
+        return {
+            "real": [of(p) for p in self.real[loaded:]],
+            "loaded": [of(p) for p in self.real[:loaded]],
+            "hollow": [of(p) / n for p, n in zip(self.hollow, self.share, strict=True)],
+            "discovery": [of(self.discovery)],
+        }
 
     @property
     def loaded(self) -> int:
@@ -192,8 +238,11 @@
 
     def groups(self) -> dict[str, range]:
         """The balancers by their numbers."""
-        return {"real": range(self.loaded, self.plan.real), "loaded": range(self.loaded),
-                "hollow": range(self.plan.real, self.plan.balancers)}
+        return {
+            "real": range(self.loaded, self.plan.real),
+            "loaded": range(self.loaded),
+            "hollow": range(self.plan.real, self.plan.balancers),
+        }
 
     @contextlib.asynccontextmanager
     async def phase(self, name: str) -> AsyncIterator[None]:
@@ -204,28 +253,48 @@
         self.spans[name] = (begun, ended)
         seconds = (ended - begun) / SECOND
         for group, was in spent.items():
-            self.add("processor time a second", name, group, "ms",
-                     [(b - a) * 1000 / seconds for a, b in zip(was, after[group], strict=True)])
+            self.add(
+                "processor time a second",
+                name,
+                group,
+                "ms",
+                [(b - a) * 1000 / seconds for a, b in zip(was, after[group], strict=True)],
+            )
         for at, figure in enumerate(("calls to", "bytes to", "bytes from")):
             for group, numbers in self.groups().items():
-                self.add(f"{figure} discovery a second", name, group, "",
-                         [(later[i][at] - counts[i][at]) / seconds for i in numbers])
-
-    def add(self, figure: str, phase: str, group: str, unit: str,
-            values: Iterable[float | tuple[float, int]]) -> None:
+                self.add(
+                    f"{figure} discovery a second",
+                    name,
+                    group,
+                    "",
+                    [(later[i][at] - counts[i][at]) / seconds for i in numbers],
+                )
+
+    def add(
+        self, figure: str, phase: str, group: str, unit: str, values: Iterable[float | tuple[float, int]]
+    ) -> None:
         self.rows.append(row(figure, phase, group, unit, values))
 
     def memory(self) -> None:
         def figures(process: Process) -> tuple[float, ...]:
-            peak = next(line for line in Path(f"/proc/{process.pid}/status").read_text().splitlines()
-                        if line.startswith("VmHWM:"))
+            peak = next(
+                line
+                for line in Path(f"/proc/{process.pid}/status").read_text().splitlines()
+                if line.startswith("VmHWM:")
+            )
             return psutil.Process(process.pid).memory_info().rss / MB, int(peak.split()[1]) * 1024 / MB
+
         real = [figures(p) for p in self.real]
-        hollow = [tuple((f - e / MB) / n for f in figures(p))
-                  for p, n, e in zip(self.hollow, self.share, self.empty, strict=True)]
+        hollow = [
+            tuple((f - e / MB) / n for f in figures(p))
+            for p, n, e in zip(self.hollow, self.share, self.empty, strict=True)
+        ]
         for at, figure in enumerate(("memory now", "memory peak")):
-            for group, seen in {"real": real[self.loaded:], "loaded": real[:self.loaded],
-                                "hollow": hollow}.items():
+            for group, seen in {
+                "real": real[self.loaded :],
+                "loaded": real[: self.loaded],
+                "hollow": hollow,
+            }.items():
                 self.add(figure, "end", group, "MB", [f[at] for f in seen])
 
     def lists(self, told: dict[str, Any], seen: list[dict[str, Any]]) -> None:
@@ -241,32 +310,70 @@
             self.add("changes never in force", "course", group, "", [f[1] for f in found])
             if told["cuts"]:
                 self.add("calls refused by discovery", "course", group, "", [c["refused"] for c in callers])
-            self.add("whole list read", "all", group, "ms",
-                     [(w[2] - w[0]) / report.MS for many in wholes for w in many if w[3]])
-            self.add("whole lists turned down", "all", group, "",
-                     [sum(not w[3] for w in many) for many in wholes])
-        self.add("in force, by module", "course", "hollow", "ms",
-                 [took for module in seen
-                  for took in report.by_module(versions, module)])
-        self.add("whole list in force", "all", "hollow", "ms",
-                 [took / report.MS for took, _ in self.in_force(told, seen)])
+            self.add(
+                "whole list read",
+                "all",
+                group,
+                "ms",
+                [(w[2] - w[0]) / report.MS for many in wholes for w in many if w[3]],
+            )
+            self.add(
+                "whole lists turned down", "all", group, "", [sum(not w[3] for w in many) for many in wholes]
+            )
+        self.add(
+            "in force, by module",
+            "course",
+            "hollow",
+            "ms",
+            [took for module in seen for took in report.by_module(versions, module)],
+        )
+        self.add(
+            "whole list in force",
+            "all",
+            "hollow",
+            "ms",
+            [took / report.MS for took, _ in self.in_force(told, seen)],
+        )
         # A zone's rows or a whole list come in one answer: what one row takes is told by single changes.
-        self.add("module's part of a single change", "course", "hollow", "ms",
-                 [(done - at) / report.MS for module in seen
-                  for at, done, rows in module["changes"] if begun <= at <= ended and rows == 1])
-        self.add("module's part of that", "course", "hollow", "ms",
-                 [(done - at) / report.MS for module in seen
-                  for at, done, _ in module["changes"] if begun <= at <= ended])
+        self.add(
+            "module's part of a single change",
+            "course",
+            "hollow",
+            "ms",
+            [
+                (done - at) / report.MS
+                for module in seen
+                for at, done, rows in module["changes"]
+                if begun <= at <= ended and rows == 1
+            ],
+        )
+        self.add(
+            "module's part of that",
+            "course",
+            "hollow",
+            "ms",
+            [
+                (done - at) / report.MS
+                for module in seen
+                for at, done, _ in module["changes"]
+                if begun <= at <= ended
+            ],
+        )
 
     def in_force(self, told: dict[str, Any], seen: list[dict[str, Any]]) -> list[tuple[int, int]]:
-        return [w for i, module in zip(self.groups()["hollow"], seen, strict=True)
-                for w in report.wholes_in_force(told["callers"][i], module)]
+        return [
+            w
+            for i, module in zip(self.groups()["hollow"], seen, strict=True)
+            for w in report.wholes_in_force(told["callers"][i], module)
+        ]
 
     def requests(self, samples: Sequence[Sequence[int]], told: dict[str, Any], tail_ns: int) -> None:
         """What the loaded balancer added to a request, and to those open while it read a whole list."""
         wholes = [w for w in told["callers"][0]["wholes"] if w[0] > self.spans["course"][1]]
-        for phase, windows in {**{name: [span] for name, span in self.spans.items()},
-                               "whole list": report.whole_windows(wholes, tail_ns)}.items():
+        for phase, windows in {
+            **{name: [span] for name, span in self.spans.items()},
+            "whole list": report.whole_windows(wholes, tail_ns),
+        }.items():
             added, unserved = report.added(samples, windows)
             self.add("time added to a request", phase, "loaded", "ms", added)
             self.add("requests not served", phase, "loaded", "", [unserved])
@@ -303,7 +410,7 @@
         told = await self.discovery.ask("report")
         seen: list[Any] = [None] * plan.hollow
         for number, process in enumerate(self.hollow):
-            seen[number::plan.hollow_processes] = await process.ask("report")
+            seen[number :: plan.hollow_processes] = await process.ask("report")
         self.lists(told, seen)
         if clients is not None:
             tail_ns = max((after for _, after in self.in_force(told, seen)), default=0)
--- a/scale/slopes.py
+++ b/scale/slopes.py
@@ -46,9 +46,17 @@
 
 def row(i: int, kinds: int = 1, dial: str = "", **more: object) -> Json:
     """A line of discovery's list."""
-    return {"host": f"s-{i:08x}", "dial": dial or f"10.{i >> 16 & 255}.{i >> 8 & 255}.{i & 255}:3000",
-            "site": ZONES[i % 40], "class": f"m{i % kinds}", "block": i // 100, "health": "up", "share": 1.0,
-            "born_ms": 0, **more}
+    return {
+        "host": f"s-{i:08x}",
+        "dial": dial or f"10.{i >> 16 & 255}.{i >> 8 & 255}.{i & 255}:3000",
+        "site": ZONES[i % 40],
+        "class": f"m{i % kinds}",
+        "block": i // 100,
+        "health": "up",
+        "share": 1.0,
+        "born_ms": 0,
+        **more,
+    }
 
 
 def listed(rows: Sequence[Json], seq: int = 1, whole: bool = True) -> Json:
@@ -57,11 +65,25 @@
 
 def raw_settings(tenants: int = 2, routes: int = 1, placed: bool = False) -> Json:
     """The settings as the configuration file has them."""
-    classes = [{"name": f"c{i}", "repeat": "read_like", "aim_ns": S // 2,
-                **({"allowed_on": [f"m{i}"]} if placed else {})} for i in range(routes)]
-    return {"me": 7, "replicas_of_me": 8800, "locality": ZONES[0], "zones": ZONES, "profiles": classes,
-            "realms": [{"name": f"t{i}", "share": 1 / tenants, "quota_per_s": 1.0} for i in range(tenants)],
-            "prices": {"connection": 0.03, "cross_zone": 0.02}, "limits": {"send_cap": 2}}
+    classes = [
+        {
+            "name": f"c{i}",
+            "repeat": "read_like",
+            "aim_ns": S // 2,
+            **({"allowed_on": [f"m{i}"]} if placed else {}),
+        }
+        for i in range(routes)
+    ]
+    return {
+        "me": 7,
+        "replicas_of_me": 8800,
+        "locality": ZONES[0],
+        "zones": ZONES,
+        "profiles": classes,
+        "realms": [{"name": f"t{i}", "share": 1 / tenants, "quota_per_s": 1.0} for i in range(tenants)],
+        "prices": {"connection": 0.03, "cross_zone": 0.02},
+        "limits": {"send_cap": 2},
+    }
 
 
 def read_list(text: bytes, reader: Any = None) -> tuple[Any, list[api.Upstream]]:
@@ -93,8 +115,12 @@
     gc.collect()
     memory, peak = tracemalloc.get_traced_memory()
     tracemalloc.stop()
-    return made, {f"{name}_s": seconds, "memory_b": memory, "peak_b": peak,
-                  "objects": len(gc.get_objects()) - before}
+    return made, {
+        f"{name}_s": seconds,
+        "memory_b": memory,
+        "peak_b": peak,
+        "objects": len(gc.get_objects()) - before,
+    }
 
 
 class Clock:
@@ -113,24 +139,33 @@
         return next((a for a in self.give(arrival, later_ns=later_ns) if isinstance(a, api.Send)), None)
 
     def end(self, send: api.Send | None) -> list[api.Action]:
-        return [] if send is None else self.give(
-            api.Outcome(send.request, 0, send.upstream, api.Result.OK, 10**7, True), later_ns=10**4)
+        return (
+            []
+            if send is None
+            else self.give(
+                api.Outcome(send.request, 0, send.upstream, api.Result.OK, 10**7, True), later_ns=10**4
+            )
+        )
 
     def request_s(self, turns: int = 40) -> float:
         """Of one request, its outcome included."""
+
         def serve() -> None:
             for i in range(turns):
                 self.end(self.ask(f"c{i}" if f"c{i}" in self.balancer.settings.classes else "c0", f"t{i}"))
+
         return spent(serve, 3)[0] / turns
 
     def looks(self, times: int = 6) -> Figures:
         """The half-second look: its mean, and the longest."""
+
         def look() -> float:
             end = self.now + S // 2
             while self.now < end - S // 50:  # some traffic, and all timers on time
                 self.end(self.ask(tenant=f"t{self.count % 40}"))
                 self.give(later_ns=S // 100)
             return spent(lambda: self.give(later_ns=end - self.now))[0]
+
         self.give(later_ns=S // 2)  # from here on, looks come each half second
         taken = [look() for _ in range(times)]
         return {"look_s": statistics.mean(taken), "look_top_s": max(taken)}
@@ -152,19 +187,29 @@
     def whole() -> tuple[Any, Clock]:
         reader, entries = read_list(text)
         return reader, Clock(Balancer(settings, 1, S)).full(entries)
+
     (reader, clock), figures = kept(whole, "start")
     seq = itertools.count(2)
 
     def change(size: int) -> tuple[bytes, float]:
         number = next(seq)
         health = ("up", "draining")[number % 2 == 0]
-        news = orjson.dumps(listed([{**r, "health": health} for r in rows[:size * 40:40]], number, False))
-        return news, spent(lambda: clock.give(
-            api.ListUpdate(api.ListKind.DELTA, read_list(news, reader)[1])))[0]
+        news = orjson.dumps(listed([{**r, "health": health} for r in rows[: size * 40 : 40]], number, False))
+        return news, spent(
+            lambda: clock.give(api.ListUpdate(api.ListKind.DELTA, read_list(news, reader)[1]))
+        )[0]
+
     news = [change(1) for _ in range(4)]
-    figures |= {"read_s": read_s, "take_s": take_s, "list_b": len(text), "change_b": len(news[0][0]),
-                "change_s": statistics.median(s for _, s in news), **clock.looks(),
-                "zone_s": change(max(1, n // 40))[1], "request_s": clock.request_s()}
+    figures |= {
+        "read_s": read_s,
+        "take_s": take_s,
+        "list_b": len(text),
+        "change_b": len(news[0][0]),
+        "change_s": statistics.median(s for _, s in news),
+        **clock.looks(),
+        "zone_s": change(max(1, n // 40))[1],
+        "request_s": clock.request_s(),
+    }
     return figures
 
 
@@ -196,8 +241,11 @@
     raw["profiles"][0]["aim_ns"] = 60 * S
     settings = read_settings(raw)
     clock = Clock(Balancer(settings, 1, S)).full([api.Upstream(i + 1) for i in range(4 * n)])
-    sends, figures = kept(lambda: [clock.ask(later_ns=2 * 10**5) for _ in range(n)], "arrive",
-                          lambda sends: [clock.end(s) for s in sends])
+    sends, figures = kept(
+        lambda: [clock.ask(later_ns=2 * 10**5) for _ in range(n)],
+        "arrive",
+        lambda sends: [clock.end(s) for s in sends],
+    )
     figures |= {"arrive_s": figures["arrive_s"] / n, "open": sum(s is not None for s in sends)}
     end_s = spent(lambda: [clock.end(s) for s in sends[::2]])[0] / (n / 2)
     return figures | {"end_s": end_s, "stall_s": spent(lambda: clock.give(later_ns=20 * S))[0]}
@@ -255,10 +303,12 @@
 
 def until_cancelled(serve: Serve) -> Serve:
     """The stand-ins end with the balancer, in the middle of what they do."""
+
     async def served(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         with suppress(asyncio.CancelledError):
             await serve(reader, writer)
         writer.close()
+
     return served
 
 
@@ -278,8 +328,10 @@
 
     async def get(self, name: int) -> bool:
         """One request; is it served?"""
-        self.writer.write(b"GET /c0 HTTP/1.1\r\nHost: h\r\nReq-Id: %d\r\nReq-Owner: t0\r\n"
-                          b"Req-Deadline-Ms: 5000\r\n\r\n" % name)
+        self.writer.write(
+            b"GET /c0 HTTP/1.1\r\nHost: h\r\nReq-Id: %d\r\nReq-Owner: t0\r\n"
+            b"Req-Deadline-Ms: 5000\r\n\r\n" % name
+        )
         head = await self.reader.readuntil(b"\r\n\r\n")
         size = int(head.partition(b"Content-Length: ")[2].partition(b"\r\n")[0])
         await self.reader.readexactly(size)
@@ -293,33 +345,52 @@
         self.pid, self.port = pid, port
 
     def cpu_s(self) -> float:
-        return sum(int((task / "schedstat").read_text().split()[0])
-                   for task in Path(f"/proc/{self.pid}/task").iterdir()) / S
+        return (
+            sum(
+                int((task / "schedstat").read_text().split()[0])
+                for task in Path(f"/proc/{self.pid}/task").iterdir()
+            )
+            / S
+        )
 
     def memory(self) -> Figures:
         lines = Path(f"/proc/{self.pid}/status").read_text().splitlines()
         status = dict(line.split(":", 1) for line in lines)
-        return {name: 1024 * int(status[key].split()[0]) for name, key in
-                (("rss_b", "VmRSS"), ("top_b", "VmHWM"))}
+        return {
+            name: 1024 * int(status[key].split()[0]) for name, key in (("rss_b", "VmRSS"), ("top_b", "VmHWM"))
+        }
 
 
 @asynccontextmanager
 async def balancer(stand: Stand, raw: Json, known: bool = False) -> AsyncIterator[Process]:
     """It runs, ready, before the stand-ins; `known` gives it the whole list at the start."""
     run = tomllib.loads((ROOT / "deploy/balancer.toml").read_text())["run"]
-    servers = [await asyncio.start_server(until_cancelled(serve), HOST, 0)
-               for serve in (stand.registry, stand.upstream)]
+    servers = [
+        await asyncio.start_server(until_cancelled(serve), HOST, 0)
+        for serve in (stand.registry, stand.upstream)
+    ]
     registry, upstream = (f"{HOST}:{s.sockets[0].getsockname()[1]}" for s in servers)
     for r in stand.rows.values():
         r["dial"] = upstream
-    config = {"name": "n0", "listen": f"{HOST}:0", "discovery": registry, "seed": "1", "settings": raw,
-              "limits": {"sockets": 16384}} | ({"known": listed(list(stand.rows.values()))} if known else {})
+    config = {
+        "name": "n0",
+        "listen": f"{HOST}:0",
+        "discovery": registry,
+        "seed": "1",
+        "settings": raw,
+        "limits": {"sockets": 16384},
+    } | ({"known": listed(list(stand.rows.values()))} if known else {})
     with tempfile.TemporaryDirectory() as folder:
         path, log = Path(folder) / "config.json", Path(folder) / "log"
         path.write_bytes(orjson.dumps(config))
         with log.open("wb") as file:
-            process = subprocess.Popen(["/bin/sh", "-c", run], cwd=ROOT, stdout=file, stderr=file,
-                                       env={**os.environ, "RELAY_CONFIG": str(path)})
+            process = subprocess.Popen(
+                ["/bin/sh", "-c", run],
+                cwd=ROOT,
+                stdout=file,
+                stderr=file,
+                env={**os.environ, "RELAY_CONFIG": str(path)},
+            )
         try:
             while "ready on port" not in (text := log.read_text()):
                 if process.poll() is not None:
@@ -350,8 +421,12 @@
             spent_s, moved_b = it.cpu_s(), stand.moved_b
             await asyncio.sleep(QUIET_S)
             quiet = (it.cpu_s() - spent_s) / QUIET_S
-            figures |= {"start_s": spent_s - quiet * settle_s, "quiet_cores": quiet,
-                        "quiet_rate_b": (stand.moved_b - moved_b) / QUIET_S, **it.memory()}
+            figures |= {
+                "start_s": spent_s - quiet * settle_s,
+                "quiet_cores": quiet,
+                "quiet_rate_b": (stand.moved_b - moved_b) / QUIET_S,
+                **it.memory(),
+            }
             spent_s, moved_b, count, gap_s = it.cpu_s(), stand.moved_b, 6, QUIET_S / 8 + n / 80_000
             for host in [*stand.rows][:count]:
                 stand.change(host, health="draining")
@@ -393,6 +468,7 @@
                 served += await (await client.open()).get(name)
             took.append(time.monotonic() - begin)
             clients.append(client)
+
         for warm in range(30):
             await one(warm)
         served, begin, spent_s = 0, time.monotonic(), it.cpu_s()
@@ -403,9 +479,15 @@
                 group.create_task(one(100 + k))
         cpu_s = it.cpu_s() - spent_s
         took.sort()
-        return {"cores": cpu_s / seconds, "request_s": cpu_s / max(1, served), "served": served,
-                "asked": int(rate * seconds), "wall_half_s": took[len(took) // 2],
-                "wall_99_s": took[len(took) * 99 // 100], **it.memory()}
+        return {
+            "cores": cpu_s / seconds,
+            "request_s": cpu_s / max(1, served),
+            "served": served,
+            "asked": int(rate * seconds),
+            "wall_half_s": took[len(took) // 2],
+            "wall_99_s": took[len(took) * 99 // 100],
+            **it.memory(),
+        }
 
 
 def rates(n: int) -> Figures:
@@ -457,7 +539,7 @@
 
 def fit(points: list[tuple[float, float]]) -> Figures:
     """y = base + each * x by least squares of the relative error in x; power: log-log, over the last two."""
-    w = [1 / x ** 2 for x, _ in points]
+    w = [1 / x**2 for x, _ in points]
     total = sum(w)
     mean_x = sum(a * x for a, (x, _) in zip(w, points, strict=True)) / total
     mean_y = sum(a * y for a, (_, y) in zip(w, points, strict=True)) / total
@@ -487,8 +569,14 @@
     sizes = [p["size"] for p in result["points"]]
     lines = [[name, *(f"{n:,}" for n in sizes), "each", "power"]]
     for key, slope in result["slopes"].items():
-        lines.append([key, *(shown(p[key], key) for p in result["points"]), shown(slope["each"], key),
-                      f"{slope['power']:.2f}"])
+        lines.append(
+            [
+                key,
+                *(shown(p[key], key) for p in result["points"]),
+                shown(slope["each"], key),
+                f"{slope['power']:.2f}",
+            ]
+        )
     return "\n".join(" ".join(f"{c:>{20 if not i else 11}}" for i, c in enumerate(line)) for line in lines)
 
 
--- a/tests/bench.py
+++ b/tests/bench.py
@@ -19,8 +19,9 @@
 CELL = api.RequestClass("cell", api.Effect.KEYED, api.Scope.CELL, window_ns=400 * MS, aim_ns=300 * MS)
 ANY = api.RequestClass("any", api.Effect.KEYED, api.Scope.ALL, window_ns=400 * MS, aim_ns=300 * MS)
 NEAR = api.RequestClass("near", api.Effect.SAFE, aim_ns=300 * MS, zones=frozenset({"east"}))
-BIG = api.RequestClass("big", api.Effect.KEYED, api.Scope.ZONE, window_ns=400 * MS, aim_ns=300 * MS,
-                       kinds=frozenset({"large"}))
+BIG = api.RequestClass(
+    "big", api.Effect.KEYED, api.Scope.ZONE, window_ns=400 * MS, aim_ns=300 * MS, kinds=frozenset({"large"})
+)
 
 
 def settings(**changes: object) -> api.Settings:
@@ -40,12 +41,20 @@
 
 def mixed_fleet(count: int, started_ns: int = 0) -> list[api.Upstream]:
     """Upstreams over two zones and two kinds."""
-    return [u._replace(zone=("east", "west")[i % 2], kind=("large", "small")[i // 2 % 2])
-            for i, u in enumerate(upstreams(count, 1, started_ns))]
-
-
-def arrival(number: int | str, now: int, cls: api.RequestClass = READ, tenant: str = "ash",
-            wait_ns: int = 500 * MS, retry: bool = False) -> api.Arrival:
+    return [
+        u._replace(zone=("east", "west")[i % 2], kind=("large", "small")[i // 2 % 2])
+        for i, u in enumerate(upstreams(count, 1, started_ns))
+    ]
+
+
+def arrival(
+    number: int | str,
+    now: int,
+    cls: api.RequestClass = READ,
+    tenant: str = "ash",
+    wait_ns: int = 500 * MS,
+    retry: bool = False,
+) -> api.Arrival:
     return api.Arrival(f"r{number}", cls.name, tenant, now + wait_ns, retry=retry)
 
 
@@ -99,8 +108,9 @@
         return seen
 
     def out(self) -> list[tuple[str, int]]:
-        return [(r, i) for r, sent in self.sends.items() for i in range(len(sent))
-                if (r, i) not in self.results]
+        return [
+            (r, i) for r, sent in self.sends.items() for i in range(len(sent)) if (r, i) not in self.results
+        ]
 
     def result(self, request: str, number: int, result: api.Result) -> api.Outcome:
         upstream, sent = self.sends[request][number]
@@ -135,16 +145,22 @@
         proofs = set(api.NEVER_RAN)
         if self.config.rules.full_unproven:
             proofs.discard(api.Result.FULL)
-        return [s for i, s in enumerate(self.sends.get(request, []))
-                if self.results.get((request, i)) not in proofs]
+        return [
+            s
+            for i, s in enumerate(self.sends.get(request, []))
+            if self.results.get((request, i)) not in proofs
+        ]
 
     def _action(self, a: api.Action) -> None:
         if isinstance(a, api.Send):
             self._send(a)
         elif isinstance(a, api.Refuse):
             cls, risky = self.cls[a.request], self._risky(a.request)
-            harmless = cls.effect is api.Effect.SAFE or not risky or (
-                cls.effect is api.Effect.KEYED and cls.scope is api.Scope.ALL)
+            harmless = (
+                cls.effect is api.Effect.SAFE
+                or not risky
+                or (cls.effect is api.Effect.KEYED and cls.scope is api.Scope.ALL)
+            )
             assert harmless, f"{a.request} refused though it may have run"
             self._final(a.request, "refused")
             assert 0 <= a.retry_after_ns <= self.config.limits.max_retry_after_ns
--- a/tests/fleet.py
+++ b/tests/fleet.py
@@ -55,7 +55,7 @@
             if book[first][0] - self.entry.started_ns < rules.cold_ns and told > total * 2 / 3:
                 part = self.part(book[first][0], rules)
                 budget = rules.fall_multiple * self.rate * part * rules.overload_for_ns / SECOND
-                worst = max(worst, total / (budget + 2 * budget ** 0.5))
+                worst = max(worst, total / (budget + 2 * budget**0.5))
         return worst
 
 
@@ -90,9 +90,17 @@
 
 
 class FleetModel:
-    def __init__(self, count: int, machines: Sequence[Machine], config: Sequence[api.Settings],
-                 traffic: Sequence[Traffic], rate: float, seed: int,
-                 shares: Sequence[float] | None = None, client_retries: int = 2) -> None:
+    def __init__(
+        self,
+        count: int,
+        machines: Sequence[Machine],
+        config: Sequence[api.Settings],
+        traffic: Sequence[Traffic],
+        rate: float,
+        seed: int,
+        shares: Sequence[float] | None = None,
+        client_retries: int = 2,
+    ) -> None:
         self.rng = random.Random(seed)
         self.now, self.count, self.sequence = START, count, 0
         self.machines = {m.entry.id: m for m in machines}
@@ -195,8 +203,10 @@
         if o.tries < self.client_retries:
             t = next(t for t in self.traffic if t.cls is o.cls)
             node = self._node()
-            self.at(self.now + int(self.rng.uniform(20, 160) * MS),
-                    lambda: self._ask(node, t, o.work, o.tries + 1))
+            self.at(
+                self.now + int(self.rng.uniform(20, 160) * MS),
+                lambda: self._ask(node, t, o.work, o.tries + 1),
+            )
 
     # -- balancers --
 
@@ -282,7 +292,14 @@
         if result is api.Result.OK and not o.over:
             o.over = True
             self.served += 1
-        report = ({"inflight": float(a.machine.busy + len(a.machine.queue))}
-                  if result is api.Result.OK and self.config[a.node].reports_in_answers else None)
-        self.give(a.node, api.Outcome(a.request, a.number, a.machine.entry.id, result,
-                                      self.now - a.sent_ns, o.over, report))
+        report = (
+            {"inflight": float(a.machine.busy + len(a.machine.queue))}
+            if result is api.Result.OK and self.config[a.node].reports_in_answers
+            else None
+        )
+        self.give(
+            a.node,
+            api.Outcome(
+                a.request, a.number, a.machine.entry.id, result, self.now - a.sent_ns, o.over, report
+            ),
+        )
--- a/tests/sockets.py
+++ b/tests/sockets.py
@@ -68,6 +68,7 @@
 def answers(status: int, body: bytes = b"", *headers: str) -> Answer:
     async def answer(got: Got, writer: Writer) -> None:
         writer.write(written(status, body, *headers))
+
     return answer
 
 
@@ -76,6 +77,7 @@
         writer.write(data)
         if close:
             writer.close()
+
     return answer
 
 
@@ -150,8 +152,17 @@
 
 
 def entry(host: str, port: int = 1, **more: object) -> Json:
-    return {"host": host, "dial": f"{HOST}:{port}", "site": "east", "class": "m", "block": 0, "health": "up",
-            "share": 1.0, "born_ms": 0, **more}
+    return {
+        "host": host,
+        "dial": f"{HOST}:{port}",
+        "site": "east",
+        "class": "m",
+        "block": 0,
+        "health": "up",
+        "share": 1.0,
+        "born_ms": 0,
+        **more,
+    }
 
 
 def listing(raw: object) -> Listing:
@@ -204,32 +215,53 @@
 
     def answer_to(self, kind: api.ListKind) -> list[api.Action] | None:
         """What the module said when it was first told of such a list."""
-        told = (said for events, said in self.batches
-                if any(isinstance(e, api.ListUpdate) and e.kind is kind for e in events))
+        told = (
+            said
+            for events, said in self.batches
+            if any(isinstance(e, api.ListUpdate) and e.kind is kind for e in events)
+        )
         return next(told, None)
 
 
 def settings(in_answers: bool = False, asked: bool = False, limit_ns: int = 0, **limits: Any) -> api.Settings:
     return api.Settings(
-        reports_in_answers=in_answers, discovery_push=not asked,
+        reports_in_answers=in_answers,
+        discovery_push=not asked,
         rules=api.Rules(ask_within_ns=40 * MS) if asked else api.Rules(),
-        classes={"read": api.RequestClass("read", limit_ns=limit_ns),
-                 "pay": api.RequestClass("pay", api.Effect.UNSAFE, limit_ns=limit_ns),
-                 "book": api.RequestClass("book", api.Effect.KEYED, window_ns=1000 * MS, aim_ns=5000 * MS,
-                                          limit_ns=limit_ns)},
+        classes={
+            "read": api.RequestClass("read", limit_ns=limit_ns),
+            "pay": api.RequestClass("pay", api.Effect.UNSAFE, limit_ns=limit_ns),
+            "book": api.RequestClass(
+                "book", api.Effect.KEYED, window_ns=1000 * MS, aim_ns=5000 * MS, limit_ns=limit_ns
+            ),
+        },
         limits=api.Limits(**{"max_attempts": 3, "connect_timeout_ns": 2000 * MS, **limits}),
-        report_columns=("inflight",))
+        report_columns=("inflight",),
+    )
 
 
 @asynccontextmanager
-async def node(module: Module, *upstreams: Upstream, registry: Registry | None = None,
-               sockets: int = 1024, known_list: object = None, rest_s: float = 0.0,
-               **limits: Any) -> AsyncIterator[Client]:
+async def node(
+    module: Module,
+    *upstreams: Upstream,
+    registry: Registry | None = None,
+    sockets: int = 1024,
+    known_list: object = None,
+    rest_s: float = 0.0,
+    **limits: Any,
+) -> AsyncIterator[Client]:
     """A node that knows these upstreams, and a client of it."""
     registry = registry or Registry()
     await registry.upstream.start()
-    config = Config("n", (HOST, 0), (HOST, registry.upstream.port), 1, sockets, settings(**limits),
-                    listing(known_list or known(*(u.port for u in upstreams))))
+    config = Config(
+        "n",
+        (HOST, 0),
+        (HOST, registry.upstream.port),
+        1,
+        sockets,
+        settings(**limits),
+        listing(known_list or known(*(u.port for u in upstreams))),
+    )
     balancer = Node(config, module)
     port = await balancer.start(rest_s)
     client = Client(balancer, port)
@@ -277,8 +309,14 @@
             self.writer.close()
 
 
-def request(target: str = "/read", *more: str, deadline_ms: int | None = 5000, method: str = "GET",
-            body: bytes = b"", name: str = "") -> bytes:
+def request(
+    target: str = "/read",
+    *more: str,
+    deadline_ms: int | None = 5000,
+    method: str = "GET",
+    body: bytes = b"",
+    name: str = "",
+) -> bytes:
     """A client's request, with an id of its own unless the test names one."""
     name = name or f"{next(NUMBERS):08x}"
     lines = [f"{method} {target} HTTP/1.1", "Host: service.internal", f"Req-Id: {name}", *more]
--- a/tests/start_cost.py
+++ b/tests/start_cost.py
@@ -48,14 +48,27 @@
         free.close()
         path = Path(folder) / "config.json"
         text = json.dumps(known(count))
-        path.write_text(json.dumps({
-            "name": "n0", "listen": f"{HOST}:{port}", "discovery": f"{HOST}:1", "seed": "1",
-            "limits": {"cores": CORES, "sockets": 1024}, "settings": {}, "known": None,
-        }).replace("null", text))
+        path.write_text(
+            json.dumps(
+                {
+                    "name": "n0",
+                    "listen": f"{HOST}:{port}",
+                    "discovery": f"{HOST}:1",
+                    "seed": "1",
+                    "limits": {"cores": CORES, "sockets": 1024},
+                    "settings": {},
+                    "known": None,
+                }
+            ).replace("null", text)
+        )
         began = time.monotonic()
         process = await asyncio.create_subprocess_exec(
-            sys.executable, "-m", "lanemux", stderr=asyncio.subprocess.DEVNULL,
-            env={**os.environ, "RELAY_CONFIG": str(path)})
+            sys.executable,
+            "-m",
+            "lanemux",
+            stderr=asyncio.subprocess.DEVNULL,
+            env={**os.environ, "RELAY_CONFIG": str(path)},
+        )
         try:
             while not ready(port):
                 assert process.returncode is None, "it ended before it was ready"
@@ -68,5 +81,8 @@
 
 if __name__ == "__main__":
     for length in map(int, sys.argv[1:] or ("200", "10000", "160000")):
-        print("{:7d} upstreams, {:5.1f} MB: {:6.2f} s of processor, {:6.2f} s to ready".format(
-            length, *asyncio.run(start(length))))
+        print(
+            "{:7d} upstreams, {:5.1f} MB: {:6.2f} s of processor, {:6.2f} s to ready".format(
+                length, *asyncio.run(start(length))
+            )
+        )
--- a/tests/test_adapter.py
+++ b/tests/test_adapter.py
@@ -18,21 +18,32 @@
 
 Json = dict[str, Any]
 SETTINGS: Json = {
-    "me": 0, "replicas_of_me": 2, "locality": "north", "unknown_key": {"deep": 1}, "registry_mode": "ask",
+    "me": 0,
+    "replicas_of_me": 2,
+    "locality": "north",
+    "unknown_key": {"deep": 1},
+    "registry_mode": "ask",
     "profiles": [{"name": "look", "repeat": "read_like", "aim_ns": 300_000_000}],
     "realms": [{"name": "elm", "share": 0.6}, {"name": "fir", "share": 0.4}],
     "limits": {"send_cap": 3, "may_cancel": True, "second_copies": True, "retry_after": True},
     "rules": {"ask_within_ns": 10_000_000_000, "cold_from": 0.3, "cold_ns": 5_000_000_000},
-    "load_report": {"columns": ["util", "strange"], "how": "answers"}}
-ROWS = [{"upstream": i, "locality": "north", "cohort": 1, "availability": 1, "extra": 3}
-        for i in (11, 12, 13)]
+    "load_report": {"columns": ["util", "strange"], "how": "answers"},
+}
+ROWS = [
+    {"upstream": i, "locality": "north", "cohort": 1, "availability": 1, "extra": 3} for i in (11, 12, 13)
+]
 
 
 def run(lines: list[str], hash_seed: str = "0") -> subprocess.CompletedProcess[str]:
-    return subprocess.run([sys.executable, "-m", "lanemux.adapter"],
-                          input="".join(f"{x}\n" for x in lines), capture_output=True, text=True,
-                          timeout=60, check=False,
-                          env={**os.environ, "PYTHONHASHSEED": hash_seed})
+    return subprocess.run(
+        [sys.executable, "-m", "lanemux.adapter"],
+        input="".join(f"{x}\n" for x in lines),
+        capture_output=True,
+        text=True,
+        timeout=60,
+        check=False,
+        env={**os.environ, "PYTHONHASHSEED": hash_seed},
+    )
 
 
 def batch(number: int, now: int, *happened: Json) -> str:
@@ -40,14 +51,22 @@
 
 
 def start(balancer: int = 0) -> list[Json]:
-    return [{"t": "new_instance", "balancer": balancer, "seed": 5, "settings": SETTINGS},
-            {"t": "directory", "buffer": 0, "rows_in": ROWS},
-            {"t": "membership", "balancer": balancer, "form": 2, "stamp": 1, "buffer": 0}]
+    return [
+        {"t": "new_instance", "balancer": balancer, "seed": 5, "settings": SETTINGS},
+        {"t": "directory", "buffer": 0, "rows_in": ROWS},
+        {"t": "membership", "balancer": balancer, "form": 2, "stamp": 1, "buffer": 0},
+    ]
 
 
 def submit(ticket: str, now: int, balancer: int = 0) -> Json:
-    return {"t": "submit", "balancer": balancer, "ticket": ticket, "kind": "look", "user_group": "elm",
-            "deadline_ns": now + 400_000_000}
+    return {
+        "t": "submit",
+        "balancer": balancer,
+        "ticket": ticket,
+        "kind": "look",
+        "user_group": "elm",
+        "deadline_ns": now + 400_000_000,
+    }
 
 
 def day() -> list[str]:
@@ -60,10 +79,26 @@
 
 def test_round_trip() -> None:
     now = 2 * 10**9
-    done = run([batch(1, now, *start(), submit("t1", now)),
-                batch(2, now + 10**7, {"t": "returned", "balancer": 0, "ticket": "t1", "attempt": 0,
-                                       "upstream": 11, "result": "delivered", "took_ns": 10**7,
-                                       "complete": True, "metrics": {"util": 0.2, "strange": 1}})])
+    done = run(
+        [
+            batch(1, now, *start(), submit("t1", now)),
+            batch(
+                2,
+                now + 10**7,
+                {
+                    "t": "returned",
+                    "balancer": 0,
+                    "ticket": "t1",
+                    "attempt": 0,
+                    "upstream": 11,
+                    "result": "delivered",
+                    "took_ns": 10**7,
+                    "complete": True,
+                    "metrics": {"util": 0.2, "strange": 1},
+                },
+            ),
+        ]
+    )
     assert done.returncode == 0 and not done.stderr
     first, second = (json.loads(line) for line in done.stdout.splitlines())
     sends = [c for c in first["cmds"] if c["t"] == "submit_to"]
@@ -77,49 +112,105 @@
 
 def test_power_off_forgets_the_balancer() -> None:
     now = 2 * 10**9
-    done = run([batch(1, now, *start(), submit("t1", now)),
-                batch(2, now + 1, {"t": "power_off", "balancer": 0}),
-                batch(3, now + 2, {"t": "timer", "balancer": 0, "name": "1"})])
+    done = run(
+        [
+            batch(1, now, *start(), submit("t1", now)),
+            batch(2, now + 1, {"t": "power_off", "balancer": 0}),
+            batch(3, now + 2, {"t": "timer", "balancer": 0, "name": "1"}),
+        ]
+    )
     assert done.returncode == 2 and "not started" in done.stderr
 
 
-@pytest.mark.parametrize(("line", "says"), [
-    ("{", "not JSON"), ("[]", "must be an object"), ('{"round":1,"happened":[]}', "sim_time_ns"),
-    ('{"sim_time_ns":1,"happened":[]}', "round"), ('{"sim_time_ns":1,"round":1}', "happened"),
-    (batch(1, 1, {"t": "strange", "balancer": 0}), "not started"),
-    (batch(1, 1, {"balancer": 0}), "KeyError"),
-    (batch(1, 1, *start(), {"t": "strange", "balancer": 0}), "unknown event 'strange'"),
-    (batch(1, 1, *start(), {"t": "submit", "balancer": 0, "ticket": "t1"}), "KeyError 'kind'"),
-    (batch(1, 1, *start(), {**submit("t1", 1), "deadline_ns": "soon"}), "deadline_ns is no whole number"),
-    (batch(1, 1, *start(), {**submit("t1", 1), "ticket": 7}), "ticket is no text"),
-    (batch(1, 1, *start(), {"t": "membership", "balancer": 0, "form": 1, "stamp": 2, "buffer": 9}),
-     "KeyError 9"),
-    (batch(1, 1, *start(), {"t": "membership", "balancer": 0, "form": 7, "stamp": 2, "buffer": 0}),
-     "KeyError 7"),
-    (batch(1, 1, *start(), {"t": "probe_result", "balancer": 0, "result": "delivered", "upstream": 11,
-                            "metrics": {"util": "high"}}), "metrics is no object of numbers")])
+@pytest.mark.parametrize(
+    ("line", "says"),
+    [
+        ("{", "not JSON"),
+        ("[]", "must be an object"),
+        ('{"round":1,"happened":[]}', "sim_time_ns"),
+        ('{"sim_time_ns":1,"happened":[]}', "round"),
+        ('{"sim_time_ns":1,"round":1}', "happened"),
+        (batch(1, 1, {"t": "strange", "balancer": 0}), "not started"),
+        (batch(1, 1, {"balancer": 0}), "KeyError"),
+        (batch(1, 1, *start(), {"t": "strange", "balancer": 0}), "unknown event 'strange'"),
+        (batch(1, 1, *start(), {"t": "submit", "balancer": 0, "ticket": "t1"}), "KeyError 'kind'"),
+        (batch(1, 1, *start(), {**submit("t1", 1), "deadline_ns": "soon"}), "deadline_ns is no whole number"),
+        (batch(1, 1, *start(), {**submit("t1", 1), "ticket": 7}), "ticket is no text"),
+        (
+            batch(1, 1, *start(), {"t": "membership", "balancer": 0, "form": 1, "stamp": 2, "buffer": 9}),
+            "KeyError 9",
+        ),
+        (
+            batch(1, 1, *start(), {"t": "membership", "balancer": 0, "form": 7, "stamp": 2, "buffer": 0}),
+            "KeyError 7",
+        ),
+        (
+            batch(
+                1,
+                1,
+                *start(),
+                {
+                    "t": "probe_result",
+                    "balancer": 0,
+                    "result": "delivered",
+                    "upstream": 11,
+                    "metrics": {"util": "high"},
+                },
+            ),
+            "metrics is no object of numbers",
+        ),
+    ],
+)
 def test_malformed_input_stops_with_a_plain_message(line: str, says: str) -> None:
     done = run([line])
     assert done.returncode == 2 and says in done.stderr and "Traceback" not in done.stderr
 
 
 def test_an_exception_in_the_module_is_a_fault() -> None:
-    done = run([batch(1, 1, {"t": "new_instance", "balancer": 3, "seed": "no number", "settings": {
-        "rules": {"ask_within_ns": "soon"}, "registry_mode": "ask"}})])
+    done = run(
+        [
+            batch(
+                1,
+                1,
+                {
+                    "t": "new_instance",
+                    "balancer": 3,
+                    "seed": "no number",
+                    "settings": {"rules": {"ask_within_ns": "soon"}, "registry_mode": "ask"},
+                },
+            )
+        ]
+    )
     assert done.returncode == 0
     fault = json.loads(done.stdout)["cmds"][0]
     assert fault["t"] == "fault" and fault["balancer"] == 3 and "TypeError" in fault["message"]
 
 
 def test_every_setting_that_a_decision_can_use_is_carried() -> None:
-    raw = {**SETTINGS, "zones": ["north", "south"], "weight_source": "live", "over_share_worth": 0.2,
-           "clients": {"marks_retry": True}, "load_report": {"columns": ["inflight"], "how": "probe"},
-           "prices": {"cross_zone": 0.01, "connection": 0.03, "registry_mode": 0.5, "late_fail": 0.02},
-           "profiles": [{"name": "look", "repeat": "idempotency_key", "dedup_scope": "cell", "aim_ns": 5,
-                         "window_ns": 7, "aim_stretch": 1.5, "hard_limit_ns": 9, "runs_in": ["north"],
-                         "allowed_on": ["big"]}],
-           "rules": {"full_unproven": True, "grace_to_answer_ns": 3, "stop_sending_within_ns": 4},
-           "limits": {"conn_idle_ns": 6, "max_streams": 8, "max_open": 10, "cpu_us_per_s": 12}}
+    raw = {
+        **SETTINGS,
+        "zones": ["north", "south"],
+        "weight_source": "live",
+        "over_share_worth": 0.2,
+        "clients": {"marks_retry": True},
+        "load_report": {"columns": ["inflight"], "how": "probe"},
+        "prices": {"cross_zone": 0.01, "connection": 0.03, "registry_mode": 0.5, "late_fail": 0.02},
+        "profiles": [
+            {
+                "name": "look",
+                "repeat": "idempotency_key",
+                "dedup_scope": "cell",
+                "aim_ns": 5,
+                "window_ns": 7,
+                "aim_stretch": 1.5,
+                "hard_limit_ns": 9,
+                "runs_in": ["north"],
+                "allowed_on": ["big"],
+            }
+        ],
+        "rules": {"full_unproven": True, "grace_to_answer_ns": 3, "stop_sending_within_ns": 4},
+        "limits": {"conn_idle_ns": 6, "max_streams": 8, "max_open": 10, "cpu_us_per_s": 12},
+    }
     known = read_settings(raw)
     look = known.classes["look"]
     assert (look.zones, look.kinds, look.scope) == (frozenset({"north"}), frozenset({"big"}), api.Scope.CELL)
@@ -138,8 +229,15 @@
     deploy = tomllib.loads((root / "deploy" / "balancer.toml").read_text())
     subprocess.run(["/bin/sh", "-c", deploy["build"]], cwd=root, check=True, timeout=600)
     assert all((root / name).is_file() for name in deploy["policy"])
-    done = subprocess.run(["/bin/sh", "-c", deploy["sim"]], cwd=root, input="".join(f"{x}\n" for x in day()),
-                          capture_output=True, text=True, timeout=60, check=False)
+    done = subprocess.run(
+        ["/bin/sh", "-c", deploy["sim"]],
+        cwd=root,
+        input="".join(f"{x}\n" for x in day()),
+        capture_output=True,
+        text=True,
+        timeout=60,
+        check=False,
+    )
     replies = [json.loads(line) for line in done.stdout.splitlines()]
     assert done.returncode == 0 and [r["round"] for r in replies] == list(range(1, 43))
     assert any(c["t"] == "submit_to" for r in replies for c in r["cmds"])
--- a/tests/test_cold.py
+++ b/tests/test_cold.py
@@ -19,8 +19,15 @@
 LIMITS = api.Limits(max_attempts=5, may_cancel=True, retry_after=True)
 READ = api.RequestClass("read", aim_ns=400 * MS, late_worth=0.2, limit_ns=800 * MS)
 PAY = api.RequestClass("pay", api.Effect.UNSAFE, aim_ns=400 * MS, late_worth=0.2, limit_ns=800 * MS)
-SWITCH = api.RequestClass("switch", api.Effect.KEYED, api.Scope.ZONE, window_ns=1200 * MS, aim_ns=400 * MS,
-                          late_worth=0.2, limit_ns=2 * SECOND)
+SWITCH = api.RequestClass(
+    "switch",
+    api.Effect.KEYED,
+    api.Scope.ZONE,
+    window_ns=1200 * MS,
+    aim_ns=400 * MS,
+    late_worth=0.2,
+    limit_ns=2 * SECOND,
+)
 CELL = replace(SWITCH, name="cell", scope=api.Scope.CELL)
 SLOW = api.RequestClass("slow", aim_ns=2 * SECOND, late_worth=0.2, limit_ns=4 * SECOND)
 LARGE = replace(READ, name="large", kinds=frozenset({"large"}))
@@ -56,20 +63,30 @@
         """The worst pressure on a cold upstream, and the fleet after it."""
         chance = random.Random(seed)
         shares = [0.05 + chance.expovariate(1) ** 2 if self.uneven else 1.0 for _ in range(count)]
-        fleet = FleetModel(count, self.machines(), self.config(count), self.traffic,
-                           self.load * self.upstreams * self.rate, seed, shares)
+        fleet = FleetModel(
+            count,
+            self.machines(),
+            self.config(count),
+            self.traffic,
+            self.load * self.upstreams * self.rate,
+            seed,
+            shares,
+        )
         machines = list(fleet.machines.values())
         cold = [m for m in machines if (m.entry.zone, m.entry.kind) == (self.zones[0], self.kinds[0])]
-        cold = cold[:max(1, int(len(machines) * self.cold))]
+        cold = cold[: max(1, int(len(machines) * self.cold))]
         starting = set(cold)
         for node in range(count):
-            fleet.tell(node, api.ListKind.CACHED, [
-                m.entry for m in machines if m not in starting and chance.random() >= self.differ])
+            fleet.tell(
+                node,
+                api.ListKind.CACHED,
+                [m.entry for m in machines if m not in starting and chance.random() >= self.differ],
+            )
         fleet.stop(cold)
         fleet.run(self.before)
         for m in cold:
             m.spoils = self.spoils
-        for some in ([[m] for m in cold] if self.after_each_other else [cold]):
+        for some in [[m] for m in cold] if self.after_each_other else [cold]:
             entries = fleet.start(some)
             if self.began:
                 for node in range(count):
@@ -81,15 +98,34 @@
         return max(m.pressure(RULES) for m in cold), fleet
 
     def machines(self) -> list[Machine]:
-        return [Machine(api.Upstream(1 + i, api.State.READY, self.zones[i % len(self.zones)], i // 6,
-                                     kind=self.kinds[i % len(self.kinds)]), self.rate, self.cores, self.room)
-                for i in range(self.upstreams)]
+        return [
+            Machine(
+                api.Upstream(
+                    1 + i,
+                    api.State.READY,
+                    self.zones[i % len(self.zones)],
+                    i // 6,
+                    kind=self.kinds[i % len(self.kinds)],
+                ),
+                self.rate,
+                self.cores,
+                self.room,
+            )
+            for i in range(self.upstreams)
+        ]
 
     def config(self, count: int) -> list[api.Settings]:
-        one = api.Settings(replicas_of_me=count, zones=self.zones, rules=RULES, limits=self.limits,
-                           prices=self.prices, classes={t.cls.name: t.cls for t in self.traffic},
-                           retries_marked=True, reports_in_answers=self.reports,
-                           report_columns=("inflight",) if self.reports else ())
+        one = api.Settings(
+            replicas_of_me=count,
+            zones=self.zones,
+            rules=RULES,
+            limits=self.limits,
+            prices=self.prices,
+            classes={t.cls.name: t.cls for t in self.traffic},
+            retries_marked=True,
+            reports_in_answers=self.reports,
+            report_columns=("inflight",) if self.reports else (),
+        )
         return [replace(one, me=i, zone=self.zones[i % len(self.zones)]) for i in range(count)]
 
 
@@ -136,8 +172,9 @@
 LONG = Case(upstreams=3000, load=0.05, rate=20.0, before=0.2, after=0.5, spoils=1.0)
 
 
-@pytest.mark.parametrize("count, case", [
-    (4, LONG), (30, LONG), (200, replace(LONG, upstreams=1000, load=0.1, cold=0.1))])
+@pytest.mark.parametrize(
+    "count, case", [(4, LONG), (30, LONG), (200, replace(LONG, upstreams=1000, load=0.1, cold=0.1))]
+)
 def test_a_cold_upstream_of_a_long_list_gets_no_more_than_its_budget(count: int, case: Case) -> None:
     worst, fleet = case.play(count, seed=2)
     assert worst <= 1
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -41,8 +41,10 @@
 
 def test_a_host_has_the_same_number_everywhere() -> None:
     rows = [entry("s-5be2a07c"), entry("s-0001320d"), entry("s-0001e3f4")]
-    one, other = (read({"seq": 1, "whole": True, "hosts": hosts}, Reader(offset))
-                  for offset, hosts in ((0, rows), (9, rows[::-1])))
+    one, other = (
+        read({"seq": 1, "whole": True, "hosts": hosts}, Reader(offset))
+        for offset, hosts in ((0, rows), (9, rows[::-1]))
+    )
     assert list(one.numbers) == list(other.numbers)[::-1]  # whatever reads it, in whatever order
     assert one.numbers[0] == number_of("s-5be2a07c") == 9587356208999800076
 
@@ -92,6 +94,7 @@
             registry.change("s1", dial=f"{HOST}:2")
             await until(lambda: len(client.node.upstreams()) == 2)
             assert ports(client.node) == {1: SHARED, 2: SHARED + 1}
+
     run(test())
 
 
@@ -105,6 +108,7 @@
             balancer._listed(read(changed(2, entry("s1", 4), entry("s0", 3), whole=True), balancer._reader))
             await until(lambda: balancer._applying is None)
             assert ports(balancer) == {3: SHARED, 4: SHARED + 1}
+
     run(test())
 
 
@@ -122,6 +126,7 @@
                 balancer._listed(read(changed(version, *hosts, whole=whole), balancer._reader))
                 if swept:
                     balancer._sweep_host_numbers(SEGMENTS)
+
             if whole:
                 told(entry(f"s{stays}", stays + 1), whole=True)
             else:
@@ -131,6 +136,7 @@
             assert ports(balancer) == {stays + 1: SHARED + stays}  # it keeps its number
             told(entry(f"s{left}", left + 1))
             assert ports(balancer) == {1: SHARED, 2: SHARED + 1}
+
     run(test())
 
 
@@ -149,6 +155,7 @@
             balancer._sweep_host_numbers(SEGMENTS)
             assert len(reader.host_numbers) == len(balancer._held) == 99
             assert list(read(changed(4, entry("newer", 201)), reader).numbers) == [SHARED]
+
     run(test())
 
 
@@ -171,6 +178,7 @@
                 balancer._sweep.cancel()
                 balancer._sweep_idle()
             assert len(reader.host_numbers) == len(balancer._held) == 1
+
     run(test())
 
 
@@ -192,18 +200,37 @@
 
 
 def test_entries_become_the_modules() -> None:
-    listing = read({"seq": 7, "whole": True, "hosts": [
-        entry("a", 80, site="west", block=3, health="draining", share=0.5, born_ms=2), entry("b", 81)]},
-        Reader(5))
+    listing = read(
+        {
+            "seq": 7,
+            "whole": True,
+            "hosts": [
+                entry("a", 80, site="west", block=3, health="draining", share=0.5, born_ms=2),
+                entry("b", 81),
+            ],
+        },
+        Reader(5),
+    )
     by_port = {e.address[1]: e.upstream for e in listing.entries}
     assert by_port[80]._replace(id=1) == api.Upstream(1, api.State.DRAINING, "west", 3, 0.5, 1_999_995, "m")
     assert by_port[81].started_ns == 0 and (listing.version, listing.whole) == (7, True)
 
 
-@pytest.mark.parametrize("row", [
-    entry("a", health="odd"), entry("a", dial="nowhere"), entry("a", dial="h:80"),
-    entry("a", dial="127.0.0.1:99999"), entry("a", dial="x" * 300 + ":80"), entry("a", dial="a\0b:80"),
-    entry("a", born_ms="x"), entry("a", share=10**400), {"host": 3}, 7])
+@pytest.mark.parametrize(
+    "row",
+    [
+        entry("a", health="odd"),
+        entry("a", dial="nowhere"),
+        entry("a", dial="h:80"),
+        entry("a", dial="127.0.0.1:99999"),
+        entry("a", dial="x" * 300 + ":80"),
+        entry("a", dial="a\0b:80"),
+        entry("a", born_ms="x"),
+        entry("a", share=10**400),
+        {"host": 3},
+        7,
+    ],
+)
 def test_a_bad_entry_does_not_hide_the_others(row: object) -> None:
     listing = read({"seq": 1, "whole": False, "hosts": [row, entry("b", 81)]})
     assert [e.address[1] for e in listing.entries] == [81]
@@ -212,8 +239,12 @@
 def test_a_row_that_cannot_be_read_does_not_end_an_upstream_that_is_there() -> None:
     async def test() -> None:
         registry, script = Registry(), Script()
-        registry.broken = written(200, json.dumps({"seq": 2, "whole": True, "hosts": [
-            entry("s0", health="odd"), entry("s1", 2)]}).encode())
+        registry.broken = written(
+            200,
+            json.dumps(
+                {"seq": 2, "whole": True, "hosts": [entry("s0", health="odd"), entry("s1", 2)]}
+            ).encode(),
+        )
         async with node(script, registry=registry, known_list=known(1, 2, 3)) as client:
             await until(lambda: len(client.node.upstreams()) == 2)  # s2 is gone, s0 is still there
             assert {port for _, port in client.node.upstreams().values()} == {1, 2}
@@ -223,6 +254,7 @@
             assert number_of("s0") not in {u.id for u in told}
             assert client.node.upstreams()[number_of("s0")] == (HOST, 1)
             assert all(e.kind is api.ListKind.DELTA for e in script.of(api.ListUpdate)[1:])
+
     run(test())
     again = read({"seq": 2, "whole": True, "hosts": [entry("s0", health="odd"), entry("s1", 2)]})
     assert again.unread == [number_of("s0")] and list(again.numbers) == [number_of("s1")]
@@ -238,8 +270,10 @@
     assert started <= time.monotonic_ns()
 
 
-@pytest.mark.parametrize("raw", [3, {}, {"hosts": []}, {"hosts": [], "seq": "1", "whole": True},
-                                 {"hosts": {}, "seq": 1, "whole": True}])
+@pytest.mark.parametrize(
+    "raw",
+    [3, {}, {"hosts": []}, {"hosts": [], "seq": "1", "whole": True}, {"hosts": {}, "seq": 1, "whole": True}],
+)
 def test_what_is_no_list_is_told(raw: object) -> None:
     with pytest.raises(BadList):
         read(raw)
@@ -253,6 +287,7 @@
             assert set(balancer._held) == {number_of("s1")}
             balancer._listed(read({"seq": 3, "whole": True, "hosts": []}))
             assert not balancer._held and not balancer._hub.pools and not balancer._long
+
     run(test())
 
 
@@ -280,6 +315,7 @@
             registry.change("s9", health="removed")
             await until(lambda: len(script.of(api.ListUpdate)) == 3)
             assert len(client.node._held) == 1 == len(client.node.upstreams())
+
     run(test())
 
 
@@ -302,11 +338,13 @@
             await until(lambda: len(script.of(api.ListUpdate)) == 2)
             assert script.of(api.ListUpdate)[1].upstreams[0].state is api.State.DRAINING
             assert time.monotonic() - registry.calls[0][0] < TOLD_S
+
     run(test())
 
 
 def test_an_asked_watch_that_is_lost_in_silence_is_asked_anew_without_a_pause(
-        monkeypatch: pytest.MonkeyPatch) -> None:
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     # Guards against a drain told on such a watch being unknown still when it counts as told: a pause as
     # after a call that failed, of 0.5 to 1.5 s, is as long as all the time that is left then.
     async def test() -> None:
@@ -328,12 +366,21 @@
             assert client.node.upstreams()
             await until(lambda: not client.node.upstreams())
             assert api.Subscribe(True) in (module.answer_to(api.ListKind.SILENT) or [])
+
     run(test())
 
 
-@pytest.mark.parametrize("broken", [
-    written(503), written(200, b"no json"), written(200, b"[]"), written(200, b"[" * 50_000), b"garbage",
-    b"HTTP/1.1 200 X\r\nContent-Length: 5\r\n\r\n"])
+@pytest.mark.parametrize(
+    "broken",
+    [
+        written(503),
+        written(200, b"no json"),
+        written(200, b"[]"),
+        written(200, b"[" * 50_000),
+        b"garbage",
+        b"HTTP/1.1 200 X\r\nContent-Length: 5\r\n\r\n",
+    ],
+)
 def test_a_discovery_that_fails_costs_nothing_that_is_known(broken: bytes) -> None:
     async def test() -> None:
         registry, script = Registry(), Script()
@@ -345,6 +392,7 @@
             registry.broken = b""
             registry.change("s9", dial="127.0.0.1:9")
             await until(lambda: len(client.node.upstreams()) == 2)
+
     run(test())
 
 
@@ -354,13 +402,17 @@
         async with node(Script(), registry=registry, known_list=known(5)) as client:
             registry.change("s0", dial="127.0.0.2:6")
             await until(lambda: [*client.node.upstreams().values()] == [("127.0.0.2", 6)])
+
     run(test())
 
 
 def test_the_module_ends_the_watch_and_fetches_the_whole_list() -> None:
     async def test() -> None:
         steps: dict[str, api.Action] = {
-            "off": api.Subscribe(False), "on": api.Subscribe(True), "fetch": api.FetchList()}
+            "off": api.Subscribe(False),
+            "on": api.Subscribe(True),
+            "fetch": api.FetchList(),
+        }
         registry = Registry()
         script = Script(lambda e: [steps[e.name]] if isinstance(e, api.Wake) else ())
         async with node(script, registry=registry, known_list=known(5)) as client:
@@ -374,6 +426,7 @@
             assert script.of(api.ListUpdate)[1].kind is api.ListKind.FULL
             assert not client.node._held and not client.node._hub.pools
             assert registry.calls[2][1] == "/registry/instances"
+
     run(test())
 
 
@@ -406,6 +459,7 @@
             new.change("s7")
             await until(lambda: len(client.node.upstreams()) == 3)
         new.upstream.stop()
+
     run(test())
 
 
@@ -422,6 +476,7 @@
             new.broken = b""
             await until(lambda: len(client.node.upstreams()) == 1)
         new.upstream.stop()
+
     run(test())
 
 
@@ -439,6 +494,7 @@
             new.broken = b""
             await until(lambda: len(new.calls) > 1 and "after=3" in new.calls[-1][1])
         new.upstream.stop()
+
     run(test())
 
 
@@ -460,6 +516,7 @@
             assert hosts(script) == [number_of("s8")]
         for registry in new:
             registry.upstream.stop()
+
     run(test())
 
 
@@ -493,6 +550,7 @@
             assert [("after=" in got.first) for got in new.upstream.got] == [False, True]
             assert client.node._discovery._handover_failures == 0
         new.upstream.stop()
+
     run(test())
 
 
@@ -539,6 +597,7 @@
             assert hosts(script) == [number_of("s9")] and "after=3" in new.calls[1][1]
             assert failures(script) == 1
         new.upstream.stop()
+
     run(test())
 
 
@@ -564,6 +623,7 @@
             await until(lambda: discovery._successor is None)
             assert hosts(script) == [number_of("s9")]
         new.upstream.stop()
+
     run(test())
 
 
@@ -580,6 +640,7 @@
             client.node.move_discovery((HOST, old.upstream.port))
             await until(lambda: failures(script) >= 2)  # it is still closed, and is asked
         new.upstream.stop()
+
     run(test())
 
 
@@ -627,6 +688,7 @@
             await until(lambda: client.node._discovery._successor is None)
             assert api.State.READY not in states(script)[1:]
         new.upstream.stop()
+
     run(test())
 
 
@@ -646,6 +708,7 @@
             await until(lambda: client.node._discovery._fetch is None)
             assert states(script) == [api.State.READY, api.State.DRAINING]
             assert not client.node.upstreams()
+
     run(test())
 
 
@@ -662,4 +725,5 @@
         registry.upstream.answer = indented
         async with node(Script(), registry=registry, known_list=known(5)) as client:
             await until(lambda: len(client.node.upstreams()) == 2 and len(registry.calls) == 2)
+
     run(test())
--- a/tests/test_gone.py
+++ b/tests/test_gone.py
@@ -43,8 +43,12 @@
 
 WHEN = pytest.mark.parametrize("when", ["read", "decided", "connected"])
 BREAK_S = 0.1  # an attempt that begins so long after the close is a break
-ENDS: dict[str, Answer] = {"full": answers(503, b"", "Srv-Declined: 1"), "error": answers(500),
-                           "reset": breaks, "timeout": silent}
+ENDS: dict[str, Answer] = {
+    "full": answers(503, b"", "Srv-Declined: 1"),
+    "error": answers(500),
+    "reset": breaks,
+    "timeout": silent,
+}
 
 
 class Late:
@@ -60,7 +64,9 @@
         for action in actions:
             if type(action) is api.Send:
                 if self.when == "decided" and (action.request, self.sends[action.request]) == (
-                        self.request, self.attempt):
+                    self.request,
+                    self.attempt,
+                ):
                     self.happen()
                 self.sends[action.request] += 1
         return actions
@@ -105,9 +111,11 @@
 
 async def served(client: Client) -> None:
     """A later request is served, though its upstream may be left alone for a while first."""
+
     async def ask() -> None:
         while (await client.another().ask(request("/read/barrier"))).status != 200:
             await asyncio.sleep(0.01)
+
     await asyncio.wait_for(ask(), PATIENCE_S)
 
 
@@ -140,6 +148,7 @@
             assert not module.happens and not balancer.requests
             first.close()
             mine.close()
+
     run(test())
 
 
@@ -172,14 +181,16 @@
             assert sent(upstream) == ["/read/barrier"]
             assert not module.happens and not balancer.requests
             mine.close()
+
     run(test())
 
 
 @LEAVES
 @WHEN
 @pytest.mark.parametrize("end", ["full", "error", "reset"])
-def test_between_two_attempts_of_the_real_module(monkeypatch: pytest.MonkeyPatch, leave: Leave, when: str,
-                                                 end: str) -> None:
+def test_between_two_attempts_of_the_real_module(
+    monkeypatch: pytest.MonkeyPatch, leave: Leave, when: str, end: str
+) -> None:
     async def test() -> None:
         free = asyncio.Event()
 
@@ -201,22 +212,27 @@
             assert sent(upstream) == ["/read/left", "/read/barrier"]
             assert not module.happens
             mine.close()
+
     run(test())
 
 
 @LEAVES
 @WHEN
 @pytest.mark.parametrize("end", [*ENDS, "refused"])
-def test_after_an_attempt_that_ended_in_any_way(monkeypatch: pytest.MonkeyPatch, leave: Leave, when: str,
-                                                end: str) -> None:
+def test_after_an_attempt_that_ended_in_any_way(
+    monkeypatch: pytest.MonkeyPatch, leave: Leave, when: str, end: str
+) -> None:
     async def test() -> None:
         upstream, other = await Upstream(ENDS.get(end, silent)).start(), await Upstream(answers(200)).start()
 
         def react(event: api.Event) -> Iterable[api.Action]:
             first, second = script.ids()
             if isinstance(event, api.Arrival):
-                return [api.Send(event.request, second) if event.request == "1" else
-                        api.Send(event.request, first, 50 * MS if end == "timeout" else 0)]
+                return [
+                    api.Send(event.request, second)
+                    if event.request == "1"
+                    else api.Send(event.request, first, 50 * MS if end == "timeout" else 0)
+                ]
             again = isinstance(event, api.Wake if when == "read" else api.Outcome)
             return [api.Send("2", second)] if again and module.sends["2"] == 1 else ()
 
@@ -236,19 +252,22 @@
                 await module.goes(leave, mine, client)
                 client.node.feed(api.Wake("again"))
             await until(lambda: script.of(api.ClientGone) and len(script.of(api.Outcome)) >= 3)
-            script.react = lambda e: ([api.Send(e.request, script.ids()[1])]
-                                      if isinstance(e, api.Arrival) else ())
+            script.react = lambda e: (
+                [api.Send(e.request, script.ids()[1])] if isinstance(e, api.Arrival) else ()
+            )
             await served(client)
             assert sent(other) == ["/read/first", "/read/barrier"]
             assert len(upstream.got) == (end != "refused") and not module.happens
             mine.close()
+
     run(test())
 
 
 @LEAVES
 @pytest.mark.parametrize("kept", [False, True])
-def test_request_and_leave_lie_in_the_backlog(monkeypatch: pytest.MonkeyPatch, leave: Leave,
-                                              kept: bool) -> None:
+def test_request_and_leave_lie_in_the_backlog(
+    monkeypatch: pytest.MonkeyPatch, leave: Leave, kept: bool
+) -> None:
     async def test() -> None:
         monkeypatch.setattr("lanemux.net.node.REST_S", 0.0)
         upstream = await Upstream(answers(200)).start()
@@ -261,6 +280,7 @@
             leave(mine)
             await nothing_but(upstream, client, script, before=int(kept))
             mine.close()
+
     run(test())
 
 
@@ -303,13 +323,15 @@
             assert sorted(sent(upstream)[6:]) == ["/read/1", "/read/3", "/read/5"]
             for mine in clients:
                 mine.close()
+
     run(test())
 
 
 @LEAVES
 @pytest.mark.parametrize("kept", [False, True])
-def test_an_unread_leave_opens_no_connection_and_ends_no_kept_one(monkeypatch: pytest.MonkeyPatch,
-                                                                  leave: Leave, kept: bool) -> None:
+def test_an_unread_leave_opens_no_connection_and_ends_no_kept_one(
+    monkeypatch: pytest.MonkeyPatch, leave: Leave, kept: bool
+) -> None:
     # Guards against clients that leave in numbers costing upstreams a handshake each.
     async def test() -> None:
         upstream, script = await Upstream(answers(200)).start(), Script()
@@ -327,6 +349,7 @@
             await nothing_but(upstream, client, script, before=int(kept))
             assert upstream.opened == 1 and not upstream.closed  # that of the last request, the same if kept
             mine.close()
+
     run(test())
 
 
@@ -349,6 +372,7 @@
             await until(lambda: side not in client.node.server._connections)
             await nothing_but(upstream, client, script, before=1)
             mine.close()
+
     run(test())
 
 
@@ -376,6 +400,7 @@
             assert sent(upstream) == ["/read/left", "/read/barrier"] and not other.got
             await until(lambda: upstream.closed)  # the attempt that was out has been given up
             mine.close()
+
     run(test())
 
 
@@ -398,8 +423,11 @@
 @pytest.mark.parametrize("gone", [False, True])
 def test_a_copy_and_the_leave_are_due_in_one_batch(gone: bool, gone_first: bool) -> None:
     desk = desk_with_one_slow()
-    due = next(at for at, _, what, about, _ in desk.balancer.due
-               if what == "overdue" and about is desk.balancer.requests["rslow"])
+    due = next(
+        at
+        for at, _, what, about, _ in desk.balancer.due
+        if what == "overdue" and about is desk.balancer.requests["rslow"]
+    )
     desk.advance(due - 1 - desk.now)
     assert len(desk.sends["rslow"]) == 1
     desk.now = due
@@ -414,8 +442,9 @@
 @pytest.mark.parametrize("result", [r for r in api.Result if r is not api.Result.OK])
 @pytest.mark.parametrize("gone_first", [False, True])
 @pytest.mark.parametrize("copies", [False, True])
-def test_an_attempt_ends_and_the_leave_is_told_in_one_batch(result: api.Result, gone_first: bool,
-                                                           copies: bool) -> None:
+def test_an_attempt_ends_and_the_leave_is_told_in_one_batch(
+    result: api.Result, gone_first: bool, copies: bool
+) -> None:
     desk = desk_with_one_slow(second_copies=copies)
     desk.now += 10 * MS
     leave, end = api.ClientGone("rslow"), desk.result("rslow", 0, result)
--- a/tests/test_leaves.py
+++ b/tests/test_leaves.py
@@ -89,6 +89,7 @@
             await nothing_but(upstream, client, script)
             assert script.of(api.ClientGone) == [api.ClientGone("1")]
             mine.close()
+
     run(test())
 
 
@@ -108,13 +109,15 @@
             await until(lambda: script.of(api.ClientGone))
             await nothing_but(upstream, client, script, before=1)
             mine.close()
+
     run(test())
 
 
 @LEAVES
 @pytest.mark.parametrize("same_turn", [False, True])
 def test_a_request_whose_client_left_while_its_connection_came_up_is_not_sent(
-        monkeypatch: pytest.MonkeyPatch, leave: Leave, same_turn: bool) -> None:
+    monkeypatch: pytest.MonkeyPatch, leave: Leave, same_turn: bool
+) -> None:
     async def test() -> None:
         upstream = await Upstream(answers(200)).start()
         script = Script(lambda event: send_first(script, event))
@@ -143,13 +146,15 @@
             await nothing_but(upstream, client, script)
             assert [o.result for o in script.of(api.Outcome)][0] is api.Result.CANCELLED
             mine.close()
+
     run(test())
 
 
 @LEAVES
 @pytest.mark.parametrize("same_turn", [False, True])
 def test_a_request_whose_client_left_between_two_attempts_is_not_sent_again(
-        leave: Leave, same_turn: bool) -> None:
+    leave: Leave, same_turn: bool
+) -> None:
     async def test() -> None:
         answer: list[Answer] = [answers(200), answers(503, b"", "Srv-Declined: 1")]
 
@@ -179,6 +184,7 @@
             await until(lambda: script.of(api.ClientGone))
             await nothing_but(upstream, client, script, before=1)
             mine.close()
+
     run(test())
 
 
@@ -215,6 +221,7 @@
             assert side.flushing and side in client.node.server._flushing  # and its time runs
             await nothing_but(upstream, client, script, before=1)
             mine.close()
+
     run(test())
 
 
@@ -233,6 +240,7 @@
             await until(lambda: script.of(api.ClientGone))
             await nothing_but(upstream, client, script, before=1)
             mine.close()
+
     run(test())
 
 
@@ -257,4 +265,5 @@
             assert (await client.read()).status == 200  # the next token is its own
             assert [got.first.split()[1] for got in upstream.got] == ["/read/stays"]
             mine.close()
+
     run(test())
--- a/tests/test_lists.py
+++ b/tests/test_lists.py
@@ -51,20 +51,42 @@
     return read.version, read.whole, list(read.entries), read.unread
 
 
-ROWS = st.lists(st.one_of(
-    st.builds(lambda i, health, zone, odd: {**entry(f"s{i}", 1 + i, health=health, site=zone), **odd},
-              st.integers(0, 99), st.sampled_from(["up", "draining", "removed", "odd"]),
-              st.sampled_from(["east", "w\u00e9st", "}],{[\"", ""]),
-              st.sampled_from([{}, {"more": [{"host": "x", "hosts": []}, 1]}, {"dial": None}, {"share": 0.25},
-                               {"share": 10**400}, {"born_ms": 5}, {"block": 2.5}, {"host": {"a": 1}}])),
-    st.sampled_from([3, None, "x", [], [{"host": "s1"}], {}])), max_size=12)
+ROWS = st.lists(
+    st.one_of(
+        st.builds(
+            lambda i, health, zone, odd: {**entry(f"s{i}", 1 + i, health=health, site=zone), **odd},
+            st.integers(0, 99),
+            st.sampled_from(["up", "draining", "removed", "odd"]),
+            st.sampled_from(["east", "w\u00e9st", '}],{["', ""]),
+            st.sampled_from(
+                [
+                    {},
+                    {"more": [{"host": "x", "hosts": []}, 1]},
+                    {"dial": None},
+                    {"share": 0.25},
+                    {"share": 10**400},
+                    {"born_ms": 5},
+                    {"block": 2.5},
+                    {"host": {"a": 1}},
+                ]
+            ),
+        ),
+        st.sampled_from([3, None, "x", [], [{"host": "s1"}], {}]),
+    ),
+    max_size=12,
+)
 
 
 @hyp(max_examples=200, deadline=None, derandomize=True)
-@given(ROWS, st.integers(1, 60), st.sampled_from([None, 1, 4]),
-       st.permutations(["seq", "whole", "hosts", "more"]))
+@given(
+    ROWS,
+    st.integers(1, 60),
+    st.sampled_from([None, 1, 4]),
+    st.permutations(["seq", "whole", "hosts", "more"]),
+)
 def test_a_list_is_the_same_however_it_is_cut_and_written(
-        rows: list[Any], stride: int, indent: int | None, order: list[str]) -> None:
+    rows: list[Any], stride: int, indent: int | None, order: list[str]
+) -> None:
     text = {"seq": 4, "whole": False, "hosts": rows, "more": {"hosts": [{"host": "no"}], "seq": 9}}
     body = json.dumps({key: text[key] for key in order}, indent=indent).encode()
     once = Reader(0).read(body)
@@ -77,9 +99,21 @@
     assert sorted([*once.numbers, *once.unread]) == sorted(number_of(name) for name in named)
 
 
-@pytest.mark.parametrize("text", [
-    b"", b"[]", b"null", b"{", b'{"seq":1,"whole":true,"hosts":[', b'{"seq":1,"whole":true,"hosts":[]} x',
-    b'{"seq":1,"whole":true,"hosts":[]}{}', b"\xff", b'{"seq":1,"whole":true}', b"[" * 100_000])
+@pytest.mark.parametrize(
+    "text",
+    [
+        b"",
+        b"[]",
+        b"null",
+        b"{",
+        b'{"seq":1,"whole":true,"hosts":[',
+        b'{"seq":1,"whole":true,"hosts":[]} x',
+        b'{"seq":1,"whole":true,"hosts":[]}{}',
+        b"\xff",
+        b'{"seq":1,"whole":true}',
+        b"[" * 100_000,
+    ],
+)
 def test_what_is_cut_or_no_list_is_told_and_changes_nothing(text: bytes) -> None:
     reader = Reader(0)
     with pytest.raises(BadList):
@@ -120,6 +154,7 @@
             assert gone == {number_of("s0"), number_of("s1")}  # s2 is in both
             assert set(client.node._held) == {number_of(f"s{i}") for i in range(2, 1002)}
             assert not client.node._hub.pools  # no connections, nor a place for any, where nothing is sent
+
     run(test())
 
 
@@ -130,8 +165,11 @@
             balancer = client.node
             balancer._listed(listing(whole(500, 2)))
             balancer._listed(listing(whole(500, 3)))  # waits behind the first
-            last = {"seq": 4, "whole": False, "hosts": [
-                entry("s499", health="draining"), entry("s498", health="removed"), entry("new", 7)]}
+            last = {
+                "seq": 4,
+                "whole": False,
+                "hosts": [entry("s499", health="draining"), entry("s498", health="removed"), entry("new", 7)],
+            }
             balancer._listed(listing(last))  # in force at once
             assert balancer._applying is not None
             names = ("s499", "s498", "new")
@@ -144,6 +182,7 @@
             balancer._listed(listing(whole(300, 5)))  # a newer whole list counts again
             await until(lambda: balancer._applying is None)
             assert len(balancer.upstreams()) == 300
+
     run(test())
 
 
@@ -156,11 +195,13 @@
                 await until(lambda: client.node._applying is None)
             assert max(len(list(update.upstreams)) for update in told(script)) <= SLICE
             assert len(client.node._held) == 2
+
     run(test())
 
 
 def test_a_list_over_the_bound_is_turned_down_with_one_line_and_the_old_one_stays(
-        caplog: pytest.LogCaptureFixture) -> None:
+    caplog: pytest.LogCaptureFixture,
+) -> None:
     caplog.set_level(logging.WARNING)
 
     async def test() -> None:
@@ -168,14 +209,23 @@
         await registry.upstream.start()
         long = json.dumps(whole(200, 2)).encode()
         registry.broken = written(200, long)
-        config = Config("n", (HOST, 0), (HOST, registry.upstream.port), 1, 1024, settings(),
-                        listing(whole(3)), memory_bytes=4 * (len(long) - 1))
+        config = Config(
+            "n",
+            (HOST, 0),
+            (HOST, registry.upstream.port),
+            1,
+            1024,
+            settings(),
+            listing(whole(3)),
+            memory_bytes=4 * (len(long) - 1),
+        )
         balancer = Node(config, script)
         await balancer.start()
         try:
             await until(lambda: caplog.records)
             assert [r.getMessage() for r in caplog.records] == [
-                f"discovery: a list of over {len(long) - 1} bytes is turned down; the old list stays"]
+                f"discovery: a list of over {len(long) - 1} bytes is turned down; the old list stays"
+            ]
             assert len(balancer.upstreams()) == 3 and len(script.of(api.ListUpdate)) == 1
             registry.broken = b""
             registry.change("s9", port=9)  # what is not too long is heard
@@ -183,6 +233,7 @@
         finally:
             balancer.close()
             registry.upstream.stop()
+
     run(test())
 
 
@@ -201,8 +252,11 @@
             for rate, put_off in ((1000.0, 3.0), (0.0, 0.0)):
                 ended: list[api.Result] = []
                 pool = Pool(Hub(2, 2.0, 0.0, least_rate=rate), (HOST, upstream.port))
-                exchange = pool.exchange(b"GET / HTTP/1.1\r\n\r\n", PATIENCE_S,
-                                         lambda result, response, ended=ended: ended.append(result))  # type: ignore[misc]
+                exchange = pool.exchange(
+                    b"GET / HTTP/1.1\r\n\r\n",
+                    PATIENCE_S,
+                    lambda result, response, ended=ended: ended.append(result),
+                )  # type: ignore[misc]
                 before = exchange._timer.when()  # type: ignore[union-attr]
                 seen = len(upstream.got)
                 await until(lambda seen=seen: len(upstream.got) > seen)  # type: ignore[misc]
@@ -215,17 +269,25 @@
                 pool.close_idle()
         finally:
             upstream.stop()
+
     run(test())
 
 
-CONFIG: Json = {"name": "n", "listen": "127.0.0.1:0", "discovery": "127.0.0.1:1", "seed": "7",
-                "limits": {"memory_mb": 128, "cores": 0.5}, "settings": {"prices": {"connection": 0.03}}}
+CONFIG: Json = {
+    "name": "n",
+    "listen": "127.0.0.1:0",
+    "discovery": "127.0.0.1:1",
+    "seed": "7",
+    "limits": {"memory_mb": 128, "cores": 0.5},
+    "settings": {"prices": {"connection": 0.03}},
+}
 
 
 @pytest.mark.parametrize("indent", [None, 2])
 @pytest.mark.parametrize("first", [True, False])
-def test_a_configuration_with_a_long_list_is_read_beside_it(tmp_path: Path, indent: int | None,
-                                                            first: bool) -> None:
+def test_a_configuration_with_a_long_list_is_read_beside_it(
+    tmp_path: Path, indent: int | None, first: bool
+) -> None:
     path, known = tmp_path / "config.json", {"known": whole(3000, 5)}
     path.write_text(json.dumps(known | CONFIG if first else CONFIG | known, indent=indent))
     config = read_config(str(path))
@@ -246,6 +308,7 @@
         def call(*args: object) -> object:
             done[name] += 1
             return real(*args)
+
         monkeypatch.setattr(module, name, call)
 
     for module, name in ((lists, "number_of"), (lists, "pack_address"), (membership, "mixed")):
@@ -258,6 +321,7 @@
         await started.start()
         assert started.ready and len(started.upstreams()) == count
         started.close()
+
     run(test())
     assert done["number_of"] == count and done["pack_address"] <= count + 2
     assert done["mixed"] <= count + 10 and len(balancer.fleet.servers) == len(balancer.fleet.used)
@@ -293,4 +357,5 @@
             assert list(client.node._hub.pools) == [numbers[3]] and client.node._pool(1) is None
             client.node._hub.forget()
             assert not client.node._hub.pools
+
     run(test())
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -28,14 +28,31 @@
 def fleet(count: int, seed: int = 1) -> list[api.Upstream]:
     """Upstreams of random ids over eight zones, a hundred to a cell."""
     rng = random.Random(seed)
-    return [api.Upstream(rng.getrandbits(64), api.State.READY, ZONES[i % 8], i // 800, 1.0, 0,
-                         ("large", "small")[i // 8 % 2]) for i in range(count)]
+    return [
+        api.Upstream(
+            rng.getrandbits(64),
+            api.State.READY,
+            ZONES[i % 8],
+            i // 800,
+            1.0,
+            0,
+            ("large", "small")[i // 8 % 2],
+        )
+        for i in range(count)
+    ]
 
 
 def site(proxies: int, zonal: bool = False, me: int = 0, **more: object) -> api.Settings:
     prices = api.Prices(connection=0.03, cross_zone=0.02) if zonal else api.Prices()
-    return settings(me=me, replicas_of_me=proxies, zone=ZONES[me % 8], zones=ZONES, prices=prices,
-                    classes={c.name: c for c in (READ, ZONE, CELL)}, **more)
+    return settings(
+        me=me,
+        replicas_of_me=proxies,
+        zone=ZONES[me % 8],
+        zones=ZONES,
+        prices=prices,
+        classes={c.name: c for c in (READ, ZONE, CELL)},
+        **more,
+    )
 
 
 def table(config: api.Settings, upstreams: Iterable[api.Upstream]) -> Membership:
@@ -49,9 +66,14 @@
 
 def shown(made: Membership) -> object:
     """All that a table holds, and the subset that it gives."""
-    return (made.profiles, [(list(p.ring), {z: list(ring) for z, ring in p.by_zone.items() if ring},
-                             dict(p.by_cell)) for p in made.placements],
-            [made.subset(p) for p in made.placements])
+    return (
+        made.profiles,
+        [
+            (list(p.ring), {z: list(ring) for z, ring in p.by_zone.items() if ring}, dict(p.by_cell))
+            for p in made.placements
+        ],
+        [made.subset(p) for p in made.placements],
+    )
 
 
 def subsets(made: Membership, proxies: int, zonal: bool) -> list[set[int]]:
@@ -64,16 +86,22 @@
 
 
 ENTRIES = st.builds(
-    api.Upstream, st.integers(0, 60).map(lambda i: mixed(i, 9)),
+    api.Upstream,
+    st.integers(0, 60).map(lambda i: mixed(i, 9)),
     st.sampled_from([api.State.READY, api.State.READY, api.State.DRAINING, api.State.GONE]),
-    st.sampled_from(ZONES[:3]), st.integers(0, 2), st.sampled_from([1.0, 2.5]), st.sampled_from([0, 7]),
-    st.sampled_from(["large", "small"]))
+    st.sampled_from(ZONES[:3]),
+    st.integers(0, 2),
+    st.sampled_from([1.0, 2.5]),
+    st.sampled_from([0, 7]),
+    st.sampled_from(["large", "small"]),
+)
 
 
 @hyp(max_examples=150, deadline=None, derandomize=True)
 @given(st.lists(st.tuples(st.booleans(), st.lists(ENTRIES, max_size=40)), max_size=8), st.booleans())
 def test_the_table_is_what_the_last_word_on_each_upstream_makes_it(
-        updates: list[tuple[bool, list[api.Upstream]]], zonal: bool) -> None:
+    updates: list[tuple[bool, list[api.Upstream]]], zonal: bool
+) -> None:
     # Guards against a table that depends on how it came about: lists, changes, drains, returns, doubles.
     config = replace(site(40, zonal), zones=ZONES[:3])
     balancer, last = Balancer(config, 1, START), dict[int, api.Upstream]()
@@ -118,8 +146,10 @@
     made.put(upstreams[77])
     made.settle()
     assert subsets(made, proxies, zonal) == before
-    assert sum(len(a - b) for a, b in zip(before, subsets(made, proxies + 1, zonal)[:proxies],
-                                          strict=True)) <= 0.002 * members
+    assert (
+        sum(len(a - b) for a, b in zip(before, subsets(made, proxies + 1, zonal)[:proxies], strict=True))
+        <= 0.002 * members
+    )
 
 
 def test_a_list_that_grows_moves_no_great_part_at_once_where_the_segments_double() -> None:
@@ -128,7 +158,7 @@
     made = table(site(proxies), upstreams[:3900])
     before, worst = subsets(made, proxies, False), 0
     for first in range(3900, 4300, 40):
-        for upstream in upstreams[first:first + 40]:
+        for upstream in upstreams[first : first + 40]:
             made.put(upstream)
         made.settle()
         now = subsets(made, proxies, False)
@@ -149,6 +179,7 @@
             given = real[name](*args)
             done[name] += len(given) if isinstance(given, list) else 1
             return given
+
         return call
 
     for name in real:
@@ -165,7 +196,8 @@
 
 
 def test_a_change_and_a_look_cost_the_same_before_a_thousand_and_thirty_thousand(
-        monkeypatch: pytest.MonkeyPatch) -> None:
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     small, _ = touched(monkeypatch, 1000)
     large, balancer = touched(monkeypatch, 30_000)
     assert large["mixed"] <= 1.2 * small["mixed"] and large["mixed"] <= 40 * 8
@@ -187,8 +219,10 @@
 
 
 def ready_left(subset: Subset, gone: set[int]) -> tuple[int, int]:
-    return (len([k for k in subset.own if unmixed(k) not in gone]),
-            len([k for k in subset if unmixed(k) not in gone]))
+    return (
+        len([k for k in subset.own if unmixed(k) not in gone]),
+        len([k for k in subset if unmixed(k) not in gone]),
+    )
 
 
 @pytest.mark.parametrize("zonal", [False, True])
--- a/tests/test_module.py
+++ b/tests/test_module.py
@@ -26,8 +26,11 @@
 def test_reads_no_clock_and_no_unseeded_chance() -> None:
     text = "\n".join(LINES)
     assert "import time" not in text and "from time" not in text
-    assert not [line for line in LINES if "random." in line and "random.Random" not in line
-                and "rng.random" not in line]
+    assert not [
+        line
+        for line in LINES
+        if "random." in line and "random.Random" not in line and "rng.random" not in line
+    ]
 
 
 def test_readme_example_runs() -> None:
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -39,13 +39,16 @@
 )
 
 
-def sends_first(script: Script, then: Callable[[api.Event], Iterable[api.Action]] = lambda e: (),
-                timeout_ns: int = 0) -> None:
+def sends_first(
+    script: Script, then: Callable[[api.Event], Iterable[api.Action]] = lambda e: (), timeout_ns: int = 0
+) -> None:
     """Each request goes to the first upstream; what follows its outcome is up to the test."""
+
     def react(event: api.Event) -> Iterable[api.Action]:
         if isinstance(event, api.Arrival):
             return [api.Send(event.request, script.ids()[0], timeout_ns)]
         return then(event)
+
     script.react = react
 
 
@@ -61,10 +64,21 @@
         script = Script()
         sends_first(script)
         async with node(script, upstream) as client:
-            got = await client.ask(request(
-                "/pay/a%20b?x=1&y=%2F", "Idempotency-Key: k1", "Cookie: a=b; user=7f3a", "Req-Owner: acme",
-                "Req-Cost: 1200", "Req-Retry: 1", "Connection: x-hop", "X-Hop: 1", method="POST",
-                body=b"\x01body", name="9b1f03aa"))
+            got = await client.ask(
+                request(
+                    "/pay/a%20b?x=1&y=%2F",
+                    "Idempotency-Key: k1",
+                    "Cookie: a=b; user=7f3a",
+                    "Req-Owner: acme",
+                    "Req-Cost: 1200",
+                    "Req-Retry: 1",
+                    "Connection: x-hop",
+                    "X-Hop: 1",
+                    method="POST",
+                    body=b"\x01body",
+                    name="9b1f03aa",
+                )
+            )
             assert (got.status, got.body) == (200, b"\x00quote\r\n")
             assert got.headers["content-type"] == "x/y" and "srv-load" not in got.headers
             seen = upstream.got[0]
@@ -79,6 +93,7 @@
         outcome = script.of(api.Outcome)[0]
         assert (outcome.result, outcome.attempt, outcome.complete) == (Result.OK, 0, True)
         assert outcome.took_ns > 0
+
     run(test())
 
 
@@ -89,6 +104,7 @@
             for _ in range(3):
                 assert (await client.ask(request())).status == 200
         assert sum(g.first.startswith("GET /read") for g in upstream.got) == 3
+
     run(test())
 
 
@@ -100,28 +116,39 @@
             got = await client.ask(request())
             assert got.status == 503 and got.headers["retry-after"] == "0.437"
             assert time.monotonic() - begun < 2.5  # of the five seconds that the client would wait
+
     run(test())
 
 
 DECLINED = "Srv-Declined: 1"
 
 
-@pytest.mark.parametrize(("answer", "result"), [
-    (answers(200, b"x"), Result.OK), (answers(500), Result.ERROR), (answers(503, b"", DECLINED), Result.FULL),
-    (answers(504, b"", DECLINED), Result.FULL), (answers(503), Result.ERROR), (answers(404), Result.ERROR),
-    (answers(500, b"", DECLINED), Result.ERROR), (breaks, Result.RESET), (sends_raw(b"no http\r\n"),
-                                                                         Result.RESET),
-    (sends_raw(b"HTTP/1.1 200 X\r\nContent-Length: 9\r\n\r\nhalf", close=True), Result.RESET),
-    (answers(200, b"x" * 400_000), Result.OK), (answers(200, b"x" * (1024 * 1024 + 1)), Result.RESET),
-    (sends_raw(b"HTTP/1.1 200 X\r\nContent-Length: 3000000000\r\n\r\nabc"), Result.RESET),
-    (sends_raw(b"HTTP/1.1 200 X\r\nContent-Length: 3\r\nContent-Length: 2\r\n\r\nab"), Result.RESET),
-    (sends_raw(b"HTTP/1.1 200 X\r\nContent-Length: -1\r\n\r\nab"), Result.RESET),
-    (sends_raw(b"HTTP/1.1 200 X\r\nTransfer-Encoding: chunked\r\n\r\n1\r\na\r\nzz\r\n"), Result.RESET),
-    (sends_raw(b"HTTP/1.1 200 X\r\nTransfer-Encoding: gzip, chunked\r\n\r\n0\r\n\r\n"), Result.RESET),
-    (sends_raw(b"HTTP/1.1 OK 200\r\nContent-Length: 1\r\n\r\na"), Result.RESET),
-    (sends_raw(b"ICY 200 OK\r\nContent-Length: 1\r\n\r\na"), Result.RESET),
-    (sends_raw(b"HTTP/1.1 200 X\r\n" + b"X: y\r\n" * 4000), Result.RESET),
-    (sends_raw(b"HTTP/1.1 102 X\r\n\r\n" * 17 + written(200)), Result.RESET)])
+@pytest.mark.parametrize(
+    ("answer", "result"),
+    [
+        (answers(200, b"x"), Result.OK),
+        (answers(500), Result.ERROR),
+        (answers(503, b"", DECLINED), Result.FULL),
+        (answers(504, b"", DECLINED), Result.FULL),
+        (answers(503), Result.ERROR),
+        (answers(404), Result.ERROR),
+        (answers(500, b"", DECLINED), Result.ERROR),
+        (breaks, Result.RESET),
+        (sends_raw(b"no http\r\n"), Result.RESET),
+        (sends_raw(b"HTTP/1.1 200 X\r\nContent-Length: 9\r\n\r\nhalf", close=True), Result.RESET),
+        (answers(200, b"x" * 400_000), Result.OK),
+        (answers(200, b"x" * (1024 * 1024 + 1)), Result.RESET),
+        (sends_raw(b"HTTP/1.1 200 X\r\nContent-Length: 3000000000\r\n\r\nabc"), Result.RESET),
+        (sends_raw(b"HTTP/1.1 200 X\r\nContent-Length: 3\r\nContent-Length: 2\r\n\r\nab"), Result.RESET),
+        (sends_raw(b"HTTP/1.1 200 X\r\nContent-Length: -1\r\n\r\nab"), Result.RESET),
+        (sends_raw(b"HTTP/1.1 200 X\r\nTransfer-Encoding: chunked\r\n\r\n1\r\na\r\nzz\r\n"), Result.RESET),
+        (sends_raw(b"HTTP/1.1 200 X\r\nTransfer-Encoding: gzip, chunked\r\n\r\n0\r\n\r\n"), Result.RESET),
+        (sends_raw(b"HTTP/1.1 OK 200\r\nContent-Length: 1\r\n\r\na"), Result.RESET),
+        (sends_raw(b"ICY 200 OK\r\nContent-Length: 1\r\n\r\na"), Result.RESET),
+        (sends_raw(b"HTTP/1.1 200 X\r\n" + b"X: y\r\n" * 4000), Result.RESET),
+        (sends_raw(b"HTTP/1.1 102 X\r\n\r\n" * 17 + written(200)), Result.RESET),
+    ],
+)
 def test_what_comes_back_is_the_outcome(answer: Answer, result: Result) -> None:
     async def test() -> None:
         upstream = await Upstream(answer).start()
@@ -132,6 +159,7 @@
             assert got.status == (200 if result is Result.OK else 504)
             assert [o.result for o in script.of(api.Outcome)] == [result]
             assert len(upstream.got) == 1  # nothing is sent again by itself
+
     run(test())
 
 
@@ -146,6 +174,7 @@
                 assert (await client.ask(request())).body == b"mine"
                 assert upstream.opened == len(upstream.got) == number and not client.node._hub.idle
             assert [o.result for o in script.of(api.Outcome)] == [Result.OK] * 2
+
     run(test())
 
 
@@ -156,7 +185,8 @@
 
 
 def test_a_second_answer_that_comes_late_does_not_pass_for_that_to_the_next_request(
-        monkeypatch: pytest.MonkeyPatch) -> None:
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     async def test() -> None:
         monkeypatch.setattr("lanemux.net.node.REST_S", 60.0)  # a slow machine changes nothing here
         writers: list[asyncio.StreamWriter] = []
@@ -177,6 +207,7 @@
         async with node(script, upstream) as client:
             assert (await client.ask(request())).body == b"first"
             assert (await client.ask(request())).body == b"second"
+
     run(test())
 
 
@@ -197,12 +228,22 @@
                 assert (got.status, got.body) == (200, b"it") and "link" not in got.headers
                 rests(client.node)
             assert upstream.opened == 1
+
     run(test())
 
 
-@pytest.mark.parametrize(("report", "heard"), [
-    ("1" + "0" * 400, None), ("[" * 10_000, None), ('{"inflight":1' + "0" * 400 + "}", {}), ("{", None),
-    ('{"inflight":-3,"queue":2}', {"queue": 2.0}), ('{"inflight":1e400,"queue":true}', {}), ("3", None)])
+@pytest.mark.parametrize(
+    ("report", "heard"),
+    [
+        ("1" + "0" * 400, None),
+        ("[" * 10_000, None),
+        ('{"inflight":1' + "0" * 400 + "}", {}),
+        ("{", None),
+        ('{"inflight":-3,"queue":2}', {"queue": 2.0}),
+        ('{"inflight":1e400,"queue":true}', {}),
+        ("3", None),
+    ],
+)
 def test_a_load_report_that_cannot_be_read_costs_nothing_else(report: str, heard: object) -> None:
     async def test() -> None:
         upstream = await Upstream(answers(200, b"it", f"Srv-Load: {report}")).start()
@@ -213,6 +254,7 @@
                 assert (await client.ask(request())).body == b"it"
                 await until(lambda number=number: len(script.of(api.Outcome)) == number)  # type: ignore[misc]
             assert [(o.result, o.report) for o in script.of(api.Outcome)] == [(Result.OK, heard)] * 2
+
     run(test())
 
 
@@ -227,6 +269,7 @@
             sends_first(script)
             await client.send(request())
             await until(lambda: any("/read" in got.first for got in upstream.got))
+
     run(test())
 
 
@@ -253,6 +296,7 @@
             asyncio.get_running_loop().call_later(0.1, release.set)
             assert (await late.read()).body == b"it"
             await draining
+
     run(test())
 
 
@@ -281,12 +325,22 @@
                 assert got.status == 504 and got.headers["connection"] == "close"
             await draining
             assert len(script.of(api.Arrival)) == len(busy) + len(late)
+
     run(test())
 
 
-@pytest.mark.parametrize(("limits_ms", "leaves_s"), [
-    ([], 3.5), ([0], 3.5), ([250], 0.75), ([800, 2000], 2.5), ([2000, 0], 3.5), ([3000], 3.5),
-    ([220, 4600], 3.5)])
+@pytest.mark.parametrize(
+    ("limits_ms", "leaves_s"),
+    [
+        ([], 3.5),
+        ([0], 3.5),
+        ([250], 0.75),
+        ([800, 2000], 2.5),
+        ([2000, 0], 3.5),
+        ([3000], 3.5),
+        ([220, 4600], 3.5),
+    ],
+)
 def test_a_drain_is_over_before_the_soonest_kill(limits_ms: list[int], leaves_s: float) -> None:
     classes = [api.RequestClass(str(ms), limit_ns=ms * MS) for ms in limits_ms]
     assert leave_s(classes) == pytest.approx(leaves_s)
@@ -307,6 +361,7 @@
             assert (await client.read()).status == 504
             assert time.monotonic() - begun < 2.5  # soon after 0.6 s; a fixed time for all settings is 3.4 s
             await draining
+
     run(test())
 
 
@@ -318,7 +373,8 @@
 
 @pytest.mark.parametrize("kept", [False, True])
 def test_a_request_half_read_at_a_drain_is_answered_when_the_rest_comes(
-        monkeypatch: pytest.MonkeyPatch, kept: bool) -> None:
+    monkeypatch: pytest.MonkeyPatch, kept: bool
+) -> None:
     async def test() -> None:
         monkeypatch.setattr("lanemux.net.node.LATE_ARRIVALS_S", 0.0)
         monkeypatch.setattr("lanemux.net.server.FRESH_S", 0.0)
@@ -339,6 +395,7 @@
             got = await client.read()
             assert (got.body, got.headers["connection"]) == (b"it", "close")
             await draining
+
     run(test())
 
 
@@ -371,6 +428,7 @@
             mine.resume_reading()
             assert (await client.read()).body == body
             await draining
+
     run(test())
 
 
@@ -383,6 +441,7 @@
         async with node(script, upstream) as client:
             assert (await client.ask(request())).status == 504
             assert [o.result for o in script.of(api.Outcome)] == [Result.CONNECT_FAILED]
+
     run(test())
 
 
@@ -396,6 +455,7 @@
             hold_connections(monkeypatch, asyncio.Event())
             assert (await client.read()).status == 504
             assert [o.result for o in script.of(api.Outcome)] == [Result.CONNECT_FAILED]
+
     run(test())
 
 
@@ -420,6 +480,7 @@
             await until(lambda: ended)
             assert ended == [Result.CONNECT_FAILED]
         server.close()
+
     run(test())
 
 
@@ -449,7 +510,10 @@
             assert upstream.opened == 2
             await until(lambda: upstream.closed == 1)
             assert [(o.result, o.attempt) for o in script.of(api.Outcome)] == [
-                (Result.TIMEOUT, 0), (Result.OK, 1)]
+                (Result.TIMEOUT, 0),
+                (Result.OK, 1),
+            ]
+
     run(test())
 
 
@@ -476,6 +540,7 @@
                 assert (await client.read()).status == 504
                 assert ended == [b""]
             accepted[0].close()
+
     run(test())
 
 
@@ -491,6 +556,7 @@
             assert (await client.read()).status == 504
             await until(lambda: upstream.closed == 1)
             assert [o.result for o in script.of(api.Outcome)] == [Result.CANCELLED]
+
     run(test())
 
 
@@ -505,6 +571,7 @@
             assert (await client.ask(request())).status == 200
         async with node(script, upstream) as client:
             assert (await client.ask(ready)).status == 200
+
     run(test())
 
 
@@ -532,6 +599,7 @@
             assert outcomes == {(1, Result.MOOT, False), (0, Result.CANCELLED, True), (0, Result.MOOT, True)}
             assert len(upstream.got) == 1 and script.deepest == 1
             assert (await client.ask(b"GET /health/ready HTTP/1.1\r\n\r\n")).status == 200  # one answer only
+
     run(test())
 
 
@@ -548,6 +616,7 @@
             assert script.of(api.ClientGone) == [api.ClientGone("1")]
             assert [(o.result, o.complete) for o in script.of(api.Outcome)] == [(Result.CANCELLED, True)]
             assert not client.node._calls and not client.node._by_client
+
     run(test())
 
 
@@ -559,6 +628,7 @@
             assert (await client.ask(request(deadline_ms=80))).status == 504
             assert time.monotonic() - begun > 0.05
             assert script.of(api.ClientGone) == [api.ClientGone("1")]
+
     run(test())
 
 
@@ -582,6 +652,7 @@
             assert [o.result for o in script.of(api.Outcome)] == [Result.TIMEOUT]
             await until(lambda: script.of(api.Wake))
             assert not script.of(api.ClientGone)
+
     run(test())
 
 
@@ -595,11 +666,13 @@
         async with node(Script(react)) as client:
             assert (await client.ask(request(deadline_ms=50))).status == 504
             assert (await client.ask(request())).status == 504
+
     run(test())
 
 
-def hold_connections(monkeypatch: pytest.MonkeyPatch, until_set: asyncio.Event,
-                     port: int | None = None) -> None:
+def hold_connections(
+    monkeypatch: pytest.MonkeyPatch, until_set: asyncio.Event, port: int | None = None
+) -> None:
     """New connections (where a port is given, those to it) come up only once the event is set."""
     loop = asyncio.get_running_loop()
     original = loop.create_connection
@@ -615,7 +688,8 @@
 @pytest.mark.parametrize("timeout_ns", [0, 2000 * MS], ids=["to the deadline", "to its time-out"])
 @pytest.mark.parametrize("attempts", [1, 2])
 def test_an_attempt_whose_connection_comes_up_late_tells_the_time_left_when_it_is_written(
-        monkeypatch: pytest.MonkeyPatch, attempts: int, timeout_ns: int) -> None:
+    monkeypatch: pytest.MonkeyPatch, attempts: int, timeout_ns: int
+) -> None:
     connect_ns = 40 * MS
 
     async def test() -> None:
@@ -652,12 +726,14 @@
             told_ns = int(upstream.got[0].headers["req-deadline-ms"]) * MS
             # It was written between these two times, and what it tells is in whole milliseconds.
             assert ends[-1] - received[0] - MS < told_ns <= ends[-1] - opened
+
     run(test())
 
 
 @pytest.mark.parametrize("health", ["draining", "removed"])
 def test_a_send_that_waits_for_its_connection_is_called_off_by_a_drain(
-        monkeypatch: pytest.MonkeyPatch, health: str) -> None:
+    monkeypatch: pytest.MonkeyPatch, health: str
+) -> None:
     async def test() -> None:
         upstream = await Upstream(answers(200)).start()
         script = Script()
@@ -677,6 +753,7 @@
             assert (await client.ask(request())).status == 504  # nor does a new one go there
             assert [o.result for o in script.of(api.Outcome)] == [Result.MOOT] * 2
             assert not upstream.got
+
     run(test())
 
 
@@ -693,7 +770,8 @@
 
 
 def test_a_send_whose_upstream_moves_while_its_connection_comes_up_goes_to_the_new_address(
-        monkeypatch: pytest.MonkeyPatch) -> None:
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     async def test() -> None:
         old, new = await Upstream(answers(200, b"old")).start(), await Upstream(answers(200, b"new")).start()
         script = Script()
@@ -712,6 +790,7 @@
             assert not old.got and client.node._hub.open == 1
         old.stop()
         new.stop()
+
     run(test())
 
 
@@ -736,11 +815,13 @@
             await until(lambda: old.closed == 1)
         old.stop()
         new.stop()
+
     run(test())
 
 
 def test_an_upstream_removed_and_back_while_a_connection_comes_up_gets_one_copy(
-        monkeypatch: pytest.MonkeyPatch) -> None:
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     async def test() -> None:
         upstream = await Upstream(answers(200, b"it")).start()
         script = Script()
@@ -760,6 +841,7 @@
             up.set()
             assert (await client.read()).body == b"it"
             assert len(upstream.got) == 1 and client.node._hub.open == 1
+
     run(test())
 
 
@@ -777,6 +859,7 @@
                     pool = next(iter(client.node._hub.pools.values()))
                     pool.idle[0].idle_since -= 12.5  # as if it had stood for so long
             await until(lambda: upstream.closed == 1)
+
     run(test())
 
 
@@ -796,6 +879,7 @@
             assert not ended
             await until(lambda: ended)
             assert ended == [Result.OK] and upstream.opened == 2
+
     run(test())
 
 
@@ -826,6 +910,7 @@
             client.node.feed(api.Wake("token"))  # in the same turn
             assert (await client.read()).body == b"mine"
             assert upstream.opened == 2 and [o.result for o in script.of(api.Outcome)] == [Result.OK] * 2
+
     run(test())
 
 
@@ -834,6 +919,7 @@
         loop = asyncio.get_running_loop()
         original = loop.create_connection
         with socket.create_server((HOST, 0)) as listener:
+
             async def create_connection(*args: object, **options: object) -> object:
                 made = await original(*args, **options)  # type: ignore[call-overload]
                 accepted, _ = listener.accept()
@@ -848,6 +934,7 @@
                 monkeypatch.setattr(loop, "create_connection", create_connection)
                 assert (await client.ask(request("/pay", method="POST"))).status == 504
                 assert [o.result for o in script.of(api.Outcome)] == [Result.CONNECT_FAILED]
+
     run(test())
 
 
@@ -882,6 +969,7 @@
             upstream.answer = answers(200, b"next")
             assert (await client.ask(request())).body == b"next"  # no late answer meets it
             mine.close()
+
     run(test())
 
 
@@ -902,6 +990,7 @@
             for other in others:
                 other.close()
             await until(lambda: client.node._hub.open == 0)
+
     run(test())
 
 
@@ -929,6 +1018,7 @@
                 assert (len(upstream.got), upstream.opened) == (6 * turn, 6)
             for other in others:
                 other.close()
+
     run(test())
 
 
@@ -947,6 +1037,7 @@
                 assert (await client.ask(request())).status == 200
                 assert len(upstream.got) == 1 and client.node._hub.open == 1
             await until(lambda: first.closed == 1)
+
     run(test())
 
 
@@ -973,8 +1064,14 @@
             client.node.feed(api.Wake("now"))
         assert upstream.got[0].first == "GET /stats HTTP/1.1" and upstream.opened == 1
         results = [(p.result, p.report) for p in script.of(api.ProbeResult)]
-        assert results == [(Result.OK, {"inflight": 3.0, "queue": 1.0}), (Result.FULL, None),
-                           (Result.OK, None), (Result.OK, {}), (Result.CONNECT_FAILED, None)]
+        assert results == [
+            (Result.OK, {"inflight": 3.0, "queue": 1.0}),
+            (Result.FULL, None),
+            (Result.OK, None),
+            (Result.OK, {}),
+            (Result.CONNECT_FAILED, None),
+        ]
+
     run(test())
 
 
@@ -984,28 +1081,44 @@
         async with node(script) as client:
             client.node.feed(api.Wake("first"))
             await until(lambda: api.Wake("next") in script.events)
+
     run(test())
 
 
 def test_balancers_hear_each_other() -> None:
     async def test() -> None:
-        free = [await asyncio.get_running_loop().create_datagram_endpoint(
-            asyncio.DatagramProtocol, (HOST, 0)) for _ in range(2)]
+        free = [
+            await asyncio.get_running_loop().create_datagram_endpoint(asyncio.DatagramProtocol, (HOST, 0))
+            for _ in range(2)
+        ]
         addresses = [transport.get_extra_info("sockname") for transport, _ in free]
         for transport, _ in free:
             transport.close()
         await asyncio.sleep(0)
         scripts, nodes = [Script(), Script()], []
         for i, script in enumerate(scripts):
-            config = Config(f"n{i}", (HOST, 0), (HOST, 1), i, 1024, api.Settings(me=i, replicas_of_me=2),
-                            peer_listen=addresses[i], peers=addresses, peers_all=addresses[1])
+            config = Config(
+                f"n{i}",
+                (HOST, 0),
+                (HOST, 1),
+                i,
+                1024,
+                api.Settings(me=i, replicas_of_me=2),
+                peer_listen=addresses[i],
+                peers=addresses,
+                peers_all=addresses[1],
+            )
             nodes.append(Node(config, script))
             await nodes[-1].start()
-        scripts[0].react = lambda e: [api.Tell(b"one", 1), api.Tell(b"all"), api.Tell(b"x", 9),
-                                      api.Tell(b"x" * 257)] if isinstance(e, api.Wake) else ()
+        scripts[0].react = lambda e: (
+            [api.Tell(b"one", 1), api.Tell(b"all"), api.Tell(b"x", 9), api.Tell(b"x" * 257)]
+            if isinstance(e, api.Wake)
+            else ()
+        )
         nodes[0].feed(api.Wake("now"))
         await until(lambda: len(scripts[1].of(api.PeerMessage)) == 2)
         assert set(scripts[1].of(api.PeerMessage)) == {api.PeerMessage(0, b"one"), api.PeerMessage(0, b"all")}
         for n in nodes:
             n.close()
+
     run(test())
--- a/tests/test_process.py
+++ b/tests/test_process.py
@@ -35,32 +35,60 @@
 )
 
 READY = b"GET /health/ready HTTP/1.1\r\n\r\n"
-SETTINGS = {"profiles": [{"name": "read", "repeat": "read_like", "aim_ns": 3_000_000_000}],
-            "limits": {"send_cap": 2, "retry_after": True}}
+SETTINGS = {
+    "profiles": [{"name": "read", "repeat": "read_like", "aim_ns": 3_000_000_000}],
+    "limits": {"send_cap": 2, "retry_after": True},
+}
 
 
 def config(*upstreams: int, **changes: object) -> dict[str, object]:
-    return {"name": "n0", "listen": f"{HOST}:0", "discovery": f"{HOST}:1", "seed": "8c1f30d27a5be964",
-            "limits": {"sockets": 1024}, "known": known(*upstreams), "settings": SETTINGS, **changes}
+    return {
+        "name": "n0",
+        "listen": f"{HOST}:0",
+        "discovery": f"{HOST}:1",
+        "seed": "8c1f30d27a5be964",
+        "limits": {"sockets": 1024},
+        "known": known(*upstreams),
+        "settings": SETTINGS,
+        **changes,
+    }
 
 
 @asynccontextmanager
-async def program(folder: Path, *upstreams: int, descriptors: int = 1024, path: Path | None = None,
-                  discovery: int = 1, mode: str = "push",
-                  **limits: float) -> AsyncIterator[tuple[Process, int]]:
+async def program(
+    folder: Path,
+    *upstreams: int,
+    descriptors: int = 1024,
+    path: Path | None = None,
+    discovery: int = 1,
+    mode: str = "push",
+    **limits: float,
+) -> AsyncIterator[tuple[Process, int]]:
     """A real process; its configuration is written for it, unless there is one."""
     if path is None:
         path = folder / "config.json"
-        path.write_text(json.dumps(config(*upstreams, discovery=f"{HOST}:{discovery}",
-                                          settings={**SETTINGS, "registry_mode": mode},
-                                          limits={"sockets": 1024, **limits})))
+        path.write_text(
+            json.dumps(
+                config(
+                    *upstreams,
+                    discovery=f"{HOST}:{discovery}",
+                    settings={**SETTINGS, "registry_mode": mode},
+                    limits={"sockets": 1024, **limits},
+                )
+            )
+        )
 
     def limit() -> None:
         resource.setrlimit(resource.RLIMIT_NOFILE, (descriptors, descriptors))
 
     process = await asyncio.create_subprocess_exec(
-        sys.executable, "-m", "lanemux", stderr=PIPE, env={**os.environ, "RELAY_CONFIG": str(path)},
-        preexec_fn=limit)
+        sys.executable,
+        "-m",
+        "lanemux",
+        stderr=PIPE,
+        env={**os.environ, "RELAY_CONFIG": str(path)},
+        preexec_fn=limit,
+    )
     assert process.stderr is not None
     try:
         line = b""
@@ -112,6 +140,7 @@
             idle_writer.close()
         upstream.stop()
         second.stop()
+
     run(test())
 
 
@@ -124,11 +153,13 @@
                 assert got.status == 503
                 assert (await ask(port, request())).status == 200  # it serves all the same
         upstream.stop()
+
     run(test())
 
 
-@pytest.mark.parametrize(("cores", "spent_s", "rest"), [
-    (0.0, 0.1, 0.0), (0.5, 0.1, 0.2 + STOP_LATE_S), (0.01, 0.1, REST_MAX_S)])
+@pytest.mark.parametrize(
+    ("cores", "spent_s", "rest"), [(0.0, 0.1, 0.0), (0.5, 0.1, 0.2 + STOP_LATE_S), (0.01, 0.1, REST_MAX_S)]
+)
 def test_the_rest_pays_for_the_start(cores: float, spent_s: float, rest: float) -> None:
     assert rest_s(cores, spent_s) == pytest.approx(rest)
 
@@ -148,6 +179,7 @@
             assert [(await ask(port, request())).status for _ in range(3)] == [200] * 3
             assert len(upstream.got) == 3 and process.returncode is None
         upstream.stop()
+
     run(test())
 
 
@@ -177,6 +209,7 @@
             assert await asyncio.wait_for(process.wait(), PATIENCE_S) == 0
         for server in (upstream, *(r.upstream for r in registries)):
             server.stop()
+
     run(test())
 
 
@@ -191,6 +224,7 @@
             answered = [(await ask(port, request())).status for _ in range(3)]
             assert answered == [200] * 3 and process.returncode is None
         upstream.stop()
+
     run(test())
 
 
@@ -213,8 +247,14 @@
 
         registry.upstream.answer = answer
         await registry.upstream.start()
-        async with program(tmp_path, *(u.port for u in upstreams), descriptors=256, mode=mode,
-                           discovery=registry.upstream.port, sockets=256) as (process, port):
+        async with program(
+            tmp_path,
+            *(u.port for u in upstreams),
+            descriptors=256,
+            mode=mode,
+            discovery=registry.upstream.port,
+            sockets=256,
+        ) as (process, port):
             idle = [await asyncio.open_connection(HOST, port) for _ in range(300)]
             answered = set()
             while len(registry.calls) < 4:  # two fail, one tells, the watch goes on
@@ -229,24 +269,40 @@
                 writer.close()
         for server in (*upstreams, registry.upstream):
             server.stop()
+
     run(test())
 
 
-@pytest.mark.parametrize(("text", "says"), [
-    (None, "No such file"), ("{", "premature EOF"), ("[]", ""), ("{}", "'name' is missing"),
-    (json.dumps(config(1, listen="nowhere")), "no address"), (json.dumps(config(1, settings=3)), ""),
-    (json.dumps(config(1, known={"hosts": 3})), "known")])
+@pytest.mark.parametrize(
+    ("text", "says"),
+    [
+        (None, "No such file"),
+        ("{", "premature EOF"),
+        ("[]", ""),
+        ("{}", "'name' is missing"),
+        (json.dumps(config(1, listen="nowhere")), "no address"),
+        (json.dumps(config(1, settings=3)), ""),
+        (json.dumps(config(1, known={"hosts": 3})), "known"),
+    ],
+)
 def test_a_bad_configuration_is_one_plain_line(tmp_path: Path, text: str | None, says: str) -> None:
     path = tmp_path / "config.json"
     if text is not None:
         path.write_text(text)
-    done = subprocess.run([sys.executable, "-m", "lanemux"], capture_output=True, text=True, check=False,
-                          timeout=60, env={**os.environ, "RELAY_CONFIG": str(path)})
+    done = subprocess.run(
+        [sys.executable, "-m", "lanemux"],
+        capture_output=True,
+        text=True,
+        check=False,
+        timeout=60,
+        env={**os.environ, "RELAY_CONFIG": str(path)},
+    )
     assert done.returncode == 2 and says in done.stderr and done.stderr.count("\n") == 1
 
 
 def test_no_configuration_is_told() -> None:
     env = {k: v for k, v in os.environ.items() if k != "RELAY_CONFIG"}
-    done = subprocess.run([sys.executable, "-m", "lanemux"], capture_output=True, text=True, check=False,
-                          timeout=60, env=env)
+    done = subprocess.run(
+        [sys.executable, "-m", "lanemux"], capture_output=True, text=True, check=False, timeout=60, env=env
+    )
     assert done.returncode == 2 and done.stderr == "lanemux: RELAY_CONFIG is not set\n"
--- a/tests/test_return.py
+++ b/tests/test_return.py
@@ -60,12 +60,20 @@
     return times
 
 
-@pytest.mark.parametrize("fails", [
-    [(REFUSED_S, FAILED)], [(DECLINED_S, FAILED)], [(UNANSWERED_S, FAILED)], [(UNANSWERED_S, SILENT)],
-    [(UNANSWERED_S, SILENT), (DECLINED_S, FAILED)],
-    [(REFUSED_S, FAILED), (DECLINED_S, FAILED), (UNANSWERED_S, SILENT)]])
+@pytest.mark.parametrize(
+    "fails",
+    [
+        [(REFUSED_S, FAILED)],
+        [(DECLINED_S, FAILED)],
+        [(UNANSWERED_S, FAILED)],
+        [(UNANSWERED_S, SILENT)],
+        [(UNANSWERED_S, SILENT), (DECLINED_S, FAILED)],
+        [(REFUSED_S, FAILED), (DECLINED_S, FAILED), (UNANSWERED_S, SILENT)],
+    ],
+)
 def test_the_next_call_comes_in_time_however_long_discovery_was_away(
-        fails: list[tuple[float, api.ListKind]]) -> None:
+    fails: list[tuple[float, api.ListKind]],
+) -> None:
     # At worst discovery is back just after a call went out, which fails all the same: the next one must
     # bring the news. The pause alone grew to 8 s.
     for seed in range(30):
@@ -109,15 +117,20 @@
 
 def shorten(monkeypatch: pytest.MonkeyPatch) -> None:
     """All waits but the one of a watch where the list is asked for: what hides behind that is not seen."""
-    for name, value in (("AGENT_WAIT_MS", 40), ("RETURN_WAIT_MS", 20), ("OVERDUE_S", 0.1),
-                        ("HANDOVER_WAIT_S", 0.0)):
+    for name, value in (
+        ("AGENT_WAIT_MS", 40),
+        ("RETURN_WAIT_MS", 20),
+        ("OVERDUE_S", 0.1),
+        ("HANDOVER_WAIT_S", 0.0),
+    ):
         monkeypatch.setattr(f"lanemux.net.discovery.{name}", value)
 
 
 @pytest.mark.parametrize("asked", [True, False])
 @pytest.mark.parametrize("order", [[declined, silent], [breaks, silent], [breaks, silent, silent, declined]])
 def test_a_return_does_not_hide_behind_a_long_watch(
-        order: list[Answer], asked: bool, monkeypatch: pytest.MonkeyPatch) -> None:
+    order: list[Answer], asked: bool, monkeypatch: pytest.MonkeyPatch
+) -> None:
     # A call fails, the next is never answered: what then changes must not wait for a watch of 10 s to end.
     shorten(monkeypatch)
 
@@ -142,6 +155,7 @@
             waits = [int(query.rpartition("wait_ms=")[2]) for _, query in registry.calls]
             longest = 10_000 if asked else 40
             assert waits == [longest, *[20] * len(order), longest]  # short until one is answered
+
     run(test())
 
 
@@ -177,7 +191,8 @@
 @pytest.mark.parametrize("asked", [True, False])
 @pytest.mark.parametrize("refuses", [True, False])
 def test_a_drain_is_in_force_when_a_machine_that_was_away_is_back(
-        refuses: bool, asked: bool, monkeypatch: pytest.MonkeyPatch) -> None:
+    refuses: bool, asked: bool, monkeypatch: pytest.MonkeyPatch
+) -> None:
     shorten(monkeypatch)
 
     async def test() -> None:
@@ -190,12 +205,14 @@
             registry.change("s0", health="draining")
             await machine.comes_back()
             await until(lambda: not client.node.upstreams())
+
     run(test())
 
 
 @pytest.mark.parametrize("kind", ["refuses", "unreachable", "silent"])
 def test_a_new_address_that_is_away_at_first_is_asked_until_it_answers(
-        kind: str, monkeypatch: pytest.MonkeyPatch) -> None:
+    kind: str, monkeypatch: pytest.MonkeyPatch
+) -> None:
     shorten(monkeypatch)
 
     async def test() -> None:
@@ -219,6 +236,7 @@
             await until(lambda: not client.node.upstreams())
             assert client.node._discovery._successor is None
         new.upstream.stop()
+
     run(test())
 
 
@@ -238,7 +256,8 @@
 @pytest.mark.parametrize("asked", [True, False])
 @pytest.mark.parametrize("kind", ["refuses", "breaks", "silent"])
 def test_idle_clients_in_all_places_keep_neither_the_list_away_nor_requests(
-        kind: str, asked: bool, monkeypatch: pytest.MonkeyPatch) -> None:
+    kind: str, asked: bool, monkeypatch: pytest.MonkeyPatch
+) -> None:
     shorten(monkeypatch)
     monkeypatch.setattr("lanemux.net.discovery.ASKED_WAIT_MS", 40)
 
@@ -288,4 +307,5 @@
             for task in idle:
                 task.cancel()
             await asyncio.gather(*idle, return_exceptions=True)
+
     run(test())
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -47,8 +47,9 @@
 
 def test_all_draining_is_refused_in_time() -> None:
     desk = Desk()
-    desk.give(api.ListUpdate(api.ListKind.DELTA, [u._replace(state=api.State.DRAINING)
-                                                  for u in upstreams(6)]))
+    desk.give(
+        api.ListUpdate(api.ListKind.DELTA, [u._replace(state=api.State.DRAINING) for u in upstreams(6)])
+    )
     desk.give(arrival(1, desk.now, PAY))
     desk.advance(600 * MS)
     assert desk.answer["r1"] == "refused" and "r1" not in desk.sends
@@ -103,10 +104,13 @@
     assert desk.answer["rnear"] == "refused"
 
 
-@pytest.mark.parametrize(("cls", "unproven", "answer"), [
-    (PAY, True, "failed"), (CELL, True, None), (PAY, False, None), (READ, True, None)])
-def test_full_is_proof_only_where_it_is_said_to_be(cls: api.RequestClass, unproven: bool,
-                                                   answer: str | None) -> None:
+@pytest.mark.parametrize(
+    ("cls", "unproven", "answer"),
+    [(PAY, True, "failed"), (CELL, True, None), (PAY, False, None), (READ, True, None)],
+)
+def test_full_is_proof_only_where_it_is_said_to_be(
+    cls: api.RequestClass, unproven: bool, answer: str | None
+) -> None:
     # Guards against a second effect where upstreams also drop what they had begun.
     desk = Desk(settings(rules=api.Rules(cold_ns=4 * SECOND, full_unproven=unproven)))
     desk.give(arrival(1, desk.now, cls))
@@ -149,8 +153,9 @@
 
 def test_drained_upstream_gets_nothing_new() -> None:
     desk = Desk()
-    desk.give(api.ListUpdate(api.ListKind.DELTA, [u._replace(state=api.State.DRAINING)
-                                                  for u in upstreams(5)]))
+    desk.give(
+        api.ListUpdate(api.ListKind.DELTA, [u._replace(state=api.State.DRAINING) for u in upstreams(5)])
+    )
     for i in range(20):
         desk.give(arrival(i, desk.now))
         desk.advance(20 * MS)
@@ -271,8 +276,11 @@
     for server in fleet.servers.values():
         for _ in range(20):
             fleet.ends(server, False)
-    return {number for number, count in breaks.items()
-            if [fleet.ends(fleet.servers[number], True) for _ in range(count)][-1]}
+    return {
+        number
+        for number, count in breaks.items()
+        if [fleet.ends(fleet.servers[number], True) for _ in range(count)][-1]
+    }
 
 
 def test_a_break_counts_by_how_far_it_sets_its_upstream_apart() -> None:
@@ -302,7 +310,7 @@
     for me in range(10):
         b = Balancer(settings(me=me, replicas_of_me=10), 1, START)
         b.handle(START, [api.ListUpdate(api.ListKind.FULL, upstreams(100))])
-        subsets += [s.id for s in b.fleet.any.order[:b.fleet.any.subset]]
+        subsets += [s.id for s in b.fleet.any.order[: b.fleet.any.subset]]
     assert sorted(subsets) == list(range(1, 101))
 
 
@@ -429,8 +437,13 @@
     desk.give(arrival(1, desk.now, tenant=""))
     desk.finish("r1")
     b = Balancer(api.Settings(), 1, START)
-    b.handle(START, [api.ListUpdate(api.ListKind.FULL, upstreams(2)),
-                     api.Arrival("x", "never-named", "nobody", START + SECOND)])
+    b.handle(
+        START,
+        [
+            api.ListUpdate(api.ListKind.FULL, upstreams(2)),
+            api.Arrival("x", "never-named", "nobody", START + SECOND),
+        ],
+    )
 
 
 def test_retry_after_is_jittered() -> None:
@@ -448,19 +461,36 @@
 @given(st.integers(0, 10**6), st.booleans(), st.booleans(), st.integers(1, 9))
 def test_random_days_keep_the_rules(seed: int, copies: bool, push: bool, servers: int) -> None:
     rng = random.Random(seed)
-    limits = api.Limits(max_attempts=rng.choice([1, 2, 3, 5]), second_copies=copies,
-                        may_cancel=rng.random() < 0.7, retry_after=True, probes=True, peers=True)
+    limits = api.Limits(
+        max_attempts=rng.choice([1, 2, 3, 5]),
+        second_copies=copies,
+        may_cancel=rng.random() < 0.7,
+        retry_after=True,
+        probes=True,
+        peers=True,
+    )
     rules = api.Rules(cold_ns=4 * SECOND, full_unproven=rng.random() < 0.5)
-    desk = Desk(settings(limits=limits, discovery_push=push, replicas_of_me=rng.choice([1, 3, 40]),
-                         rules=rules), seed, 0)
+    desk = Desk(
+        settings(limits=limits, discovery_push=push, replicas_of_me=rng.choice([1, 3, 40]), rules=rules),
+        seed,
+        0,
+    )
     pool = mixed_fleet(servers)
     desk.give(api.ListUpdate(api.ListKind.CACHED, pool))
     for number in range(rng.randint(5, 120)):
         for _ in range(rng.choice([0, 1, 1, 2, 12])):
             cls = rng.choice([READ, PAY, CELL, ANY, NEAR, BIG])
             ident = f"{number}-{rng.random()}"
-            desk.give(arrival(ident, desk.now, cls, rng.choice(["ash", "birch"]),
-                              rng.choice([2, 40, 300, 900]) * MS, rng.random() < 0.2))
+            desk.give(
+                arrival(
+                    ident,
+                    desk.now,
+                    cls,
+                    rng.choice(["ash", "birch"]),
+                    rng.choice([2, 40, 300, 900]) * MS,
+                    rng.random() < 0.2,
+                )
+            )
         for request, attempt in desk.out():
             if rng.random() < 0.4:
                 desk.give(desk.result(request, attempt, rng.choice(RESULTS)))
@@ -481,12 +511,14 @@
     assert set(desk.answer) == set(desk.cls)
 
 
-def near_subset(zone: str, me: int, proxies: int, prices: api.Prices,
-                servers: int = 24) -> list[api.Upstream]:
-    b = Balancer(settings(me=me, replicas_of_me=proxies, zone=zone, zones=("east", "west"), prices=prices),
-                 1, START)
+def near_subset(
+    zone: str, me: int, proxies: int, prices: api.Prices, servers: int = 24
+) -> list[api.Upstream]:
+    b = Balancer(
+        settings(me=me, replicas_of_me=proxies, zone=zone, zones=("east", "west"), prices=prices), 1, START
+    )
     b.handle(START, [api.ListUpdate(api.ListKind.FULL, mixed_fleet(servers))])
-    return [s.entry for s in b.fleet.any.order[:b.fleet.any.subset]]
+    return [s.entry for s in b.fleet.any.order[: b.fleet.any.subset]]
 
 
 def test_subset_is_small_and_near_where_connections_have_a_price() -> None:
@@ -586,9 +618,16 @@
     desk.give(arrival(1, desk.now))
     sent = desk.sends["r1"][0][0].id
     balancer, good = desk.balancer, desk.result("r1", 0, api.Result.OK)
-    balancer.handle(desk.now, [good._replace(attempt=3), good._replace(attempt=-1),
-                               good._replace(upstream=99), good._replace(upstream=3 - sent),
-                               arrival(1, desk.now)])
+    balancer.handle(
+        desk.now,
+        [
+            good._replace(attempt=3),
+            good._replace(attempt=-1),
+            good._replace(upstream=99),
+            good._replace(upstream=3 - sent),
+            arrival(1, desk.now),
+        ],
+    )
     assert balancer.fleet.servers[sent].inflight == 1 and len(balancer.requests) == 1
     desk.give(good)
     assert balancer.fleet.servers[sent].inflight == 0 and not balancer.requests
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -24,8 +24,28 @@
 from tests.sockets import PATIENCE_S, Json, run, until
 
 COMMAND = [sys.executable, "-m", "scale"]
-SMALL = ["--upstreams", "50", "--zones", "5", "--real", "1", "--hollow", "3", "--hollow-processes", "1",
-         "--quiet", "0.3", "--duration", "1", "--changes", "20", "--wholes", "1", "--seed", "3"]
+SMALL = [
+    "--upstreams",
+    "50",
+    "--zones",
+    "5",
+    "--real",
+    "1",
+    "--hollow",
+    "3",
+    "--hollow-processes",
+    "1",
+    "--quiet",
+    "0.3",
+    "--duration",
+    "1",
+    "--changes",
+    "20",
+    "--wholes",
+    "1",
+    "--seed",
+    "3",
+]
 PLAN = Plan(upstreams=4, zones=2, real=1, hollow=1, hollow_processes=1)
 
 
@@ -41,26 +61,35 @@
 
 def start(*arguments: str) -> subprocess.Popen[str]:
     """Its processes carry a mark, by which those that are left are found."""
-    return subprocess.Popen([*COMMAND, *arguments], stdout=subprocess.PIPE, stderr=subprocess.PIPE, text=True,
-                            env={**os.environ, "SCALE_TEST": str(os.getpid())})
-
-
-@pytest.mark.parametrize(("arguments", "says"), [
-    (["--upstreams", "0"], "0 is not in the range"),
-    (["--upstreams", "many"], "is not a valid integer"),
-    (["--course", "night"], "'night' is not one of"),
-    (["--zones", "41"], "41 is not in the range"),
-    (["--upstreams", "3", "--zones", "4"], "more than --upstreams 3"),
-    (["--real", "0", "--hollow", "0"], "at least one balancer"),
-    (["--hollow", "3", "--hollow-processes", "4"], "--hollow-processes has to be"),
-    (["--real", "1", "--hollow", "3", "--replicas", "2"], "less than the 4 balancers"),
-    (["--real", "200"], "at most 200 may run"),
-    (["--upstreams", "1000000", "--hollow", "1000"], "MB may be used"),
-    (["--configured", "0", "--restarted", "0", "--failed", "0"], "nothing changes"),
-    (["--duration", "0"], "not in the range"),
-    (["--json", "no/such/folder.json"], "no such folder"),
-    (["--what"], "No such option"),
-    (["much"], "unexpected extra argument")])
+    return subprocess.Popen(
+        [*COMMAND, *arguments],
+        stdout=subprocess.PIPE,
+        stderr=subprocess.PIPE,
+        text=True,
+        env={**os.environ, "SCALE_TEST": str(os.getpid())},
+    )
+
+
+@pytest.mark.parametrize(
+    ("arguments", "says"),
+    [
+        (["--upstreams", "0"], "0 is not in the range"),
+        (["--upstreams", "many"], "is not a valid integer"),
+        (["--course", "night"], "'night' is not one of"),
+        (["--zones", "41"], "41 is not in the range"),
+        (["--upstreams", "3", "--zones", "4"], "more than --upstreams 3"),
+        (["--real", "0", "--hollow", "0"], "at least one balancer"),
+        (["--hollow", "3", "--hollow-processes", "4"], "--hollow-processes has to be"),
+        (["--real", "1", "--hollow", "3", "--replicas", "2"], "less than the 4 balancers"),
+        (["--real", "200"], "at most 200 may run"),
+        (["--upstreams", "1000000", "--hollow", "1000"], "MB may be used"),
+        (["--configured", "0", "--restarted", "0", "--failed", "0"], "nothing changes"),
+        (["--duration", "0"], "not in the range"),
+        (["--json", "no/such/folder.json"], "no such folder"),
+        (["--what"], "No such option"),
+        (["much"], "unexpected extra argument"),
+    ],
+)
 def test_what_cannot_be_run_is_one_plain_line(arguments: list[str], says: str) -> None:
     done = subprocess.run([*COMMAND, *arguments], capture_output=True, text=True, check=False, timeout=60)
     assert done.returncode == 2 and not done.stdout
@@ -86,8 +115,15 @@
 def test_the_list_is_told_whole_or_as_what_changed() -> None:
     registry = Registry(PLAN, ["127.0.0.1:1", "127.0.0.1:2"])
     assert json.loads(registry.whole())["hosts"][3] == {
-        "host": "s-00000003", "dial": "127.0.0.1:2", "site": "r0-z1", "class": "m2", "block": 0,
-        "health": "up", "share": 1.0, "born_ms": 0}
+        "host": "s-00000003",
+        "dial": "127.0.0.1:2",
+        "site": "r0-z1",
+        "class": "m2",
+        "block": 0,
+        "health": "up",
+        "share": 1.0,
+        "born_ms": 0,
+    }
     assert registry.whole() is registry.whole()  # put together once
     registry.change([1], "draining")
     registry.change([0, 2])
@@ -95,7 +131,10 @@
     delta = json.loads(registry.since(2))
     assert (delta["seq"], delta["whole"]) == (4, False)
     assert {row["host"]: (row["health"], mark(row["share"])) for row in delta["hosts"]} == {
-        "s-00000000": ("up", 3), "s-00000001": ("removed", 4), "s-00000002": ("up", 3)}
+        "s-00000000": ("up", 3),
+        "s-00000001": ("removed", 4),
+        "s-00000002": ("up", 3),
+    }
     assert hosts(registry.since(4)) == []
     for after in (None, 0, 9):  # of these it knows nothing
         assert json.loads(registry.since(after))["whole"]
@@ -158,9 +197,11 @@
             first.ask("?after=2&wait_ms=20000")
             assert [row["host"] for row in (await first.answer())["hosts"]] == ["s-00000003"]
             assert [c.sent for c in one.callers] == [first.got, second.got]
-            assert one.callers[1].received == len("GET /registry/instances?after=1&wait_ms=20000 HTTP/1.1\r\n"
-                                                  "Host: d\r\n\r\n")
+            assert one.callers[1].received == len(
+                "GET /registry/instances?after=1&wait_ms=20000 HTTP/1.1\r\nHost: d\r\n\r\n"
+            )
             assert [after for _, after in one.callers[0].has] == [1, 2]
+
     run(test())
 
 
@@ -180,6 +221,7 @@
             one.change([0])
             await asyncio.gather(*asked)
             assert order == [1, 0]  # as the calls came, not as the answers are read
+
     run(test())
 
 
@@ -195,6 +237,7 @@
             assert await told
             assert [whole[1:2] + whole[3:] for whole in one.callers[0].wholes] == [[2, taken]]
             assert not (await second.answer())["whole"] and not one.callers[1].wholes
+
     run(test())
 
 
@@ -218,6 +261,7 @@
             answer = await again.answer()
             assert (answer["seq"], answer["whole"], one.callers[1].refused) == (2, True, 1)
             again.writer.close()
+
     run(test())
 
 
@@ -233,8 +277,11 @@
     expected = {("time to ready", "start", g) for g in ("real", "hollow")}
     for phase in ("quiet", "course"):
         expected |= {("processor time a second", phase, g) for g in ("loaded", "hollow", "discovery")}
-        expected |= {(f"{what} discovery a second", phase, g) for g in ("loaded", "hollow")
-                     for what in ("calls to", "bytes to", "bytes from")}
+        expected |= {
+            (f"{what} discovery a second", phase, g)
+            for g in ("loaded", "hollow")
+            for what in ("calls to", "bytes to", "bytes from")
+        }
     expected |= {(f"memory {when}", "end", g) for g in ("loaded", "hollow") for when in ("now", "peak")}
     expected |= {("time added to a request", p, "loaded") for p in ("quiet", "course", "whole list")}
     for g in ("loaded", "hollow"):
@@ -271,8 +318,9 @@
     assert 0 < found["moved by one upstream gone"] < found["memberships"] / 10
 
 
-def test_a_run_ends_when_it_needs_too_much_or_a_process_has_ended(tmp_path: Path,
-                                                                  monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_run_ends_when_it_needs_too_much_or_a_process_has_ended(
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+) -> None:
     async def test() -> None:
         one = Run(PLAN, tmp_path)
         sleeper = await one.helper("load", "sleeper")
@@ -282,6 +330,7 @@
         await sleeper.kill()
         with pytest.raises(Refused, match="sleeper has ended"):
             await one.look()
+
     run(test())
 
 
@@ -293,14 +342,17 @@
         try:
             await one.start()
             assert await one.discovery.ask("settled", patience=PATIENCE_S)
-            called = [{tuple(c.raddr) for c in psutil.Process(p.pid).net_connections("tcp") if c.raddr}
-                      for p in (*one.real, *one.hollow)]
+            called = [
+                {tuple(c.raddr) for c in psutil.Process(p.pid).net_connections("tcp") if c.raddr}
+                for p in (*one.real, *one.hollow)
+            ]
             callers = [tuple(address) for address in one.callers]
-            assert called == [*({c} for c in callers[:4]), *(set(callers[4 + i::3]) for i in range(3))]
+            assert called == [*({c} for c in callers[:4]), *(set(callers[4 + i :: 3]) for i in range(3))]
             for process, address in zip(one.real, one.addresses, strict=True):
                 assert address in [c.laddr for c in psutil.Process(process.pid).net_connections("tcp")]
         finally:
             await asyncio.gather(*(p.kill() for p in one.processes))
+
     run(test())
 
 
