--- a/tests/test_server.py
+++ b/tests/test_server.py
@@ -21,21 +21,30 @@
     return [api.Fail(event.request)] if isinstance(event, api.Arrival) else ()
 
 
-@pytest.mark.parametrize(("data", "status"), [
-    (b"nonsense\r\n\r\n", 400), (b"GET /read HTTP/1.1\r\nbad header\r\n\r\n", 400),
-    (b"POST /pay HTTP/1.1\r\nContent-Length: -1\r\n\r\n", 400),
-    (b"GET /read HTTP/1.1\r\nUpgrade: x\r\nConnection: upgrade\r\n\r\nyz", 400),
-    (request("/pay", method="POST", body=b"x" * (64 * 1024 + 1)), 413),
-    (request("/pay", "Content-Length: 60000000", method="POST"), 413),
-    (request("/pay", "Content-Length: 3", "Content-Length: 3", method="POST") + b"abc", 400),
-    (request("/pay", "Content-Length: 3", "Transfer-Encoding: chunked", method="POST") + b"0\r\n\r\n", 400),
-    (request("/pay", "Transfer-Encoding: gzip, chunked", method="POST") + b"0\r\n\r\n", 400),
-    (request("/pay", "Transfer-Encoding: identity", method="POST") + b"abc", 400),
-    (request("/pay", "Transfer-Encoding: chunked", method="POST") + b"zz\r\n", 400),
-    (request("/pay", "Transfer-Encoding: chunked", method="POST") + b"1;" + b"x" * 600_000, 413),
-    (request("/pay", "Transfer-Encoding: chunked", method="POST") + b"0\r\n" + b"T: x\r\n" * 4000, 431),
-    (request("/read", "X: " + "x" * 20_000), 431), (b"GET /read\r\n\r\n", 400),
-    (b"GET /read HTTP/1.1\r\nX: " + b"x" * 20_000, 431)])
+@pytest.mark.parametrize(
+    ("data", "status"),
+    [
+        (b"nonsense\r\n\r\n", 400),
+        (b"GET /read HTTP/1.1\r\nbad header\r\n\r\n", 400),
+        (b"POST /pay HTTP/1.1\r\nContent-Length: -1\r\n\r\n", 400),
+        (b"GET /read HTTP/1.1\r\nUpgrade: x\r\nConnection: upgrade\r\n\r\nyz", 400),
+        (request("/pay", method="POST", body=b"x" * (64 * 1024 + 1)), 413),
+        (request("/pay", "Content-Length: 60000000", method="POST"), 413),
+        (request("/pay", "Content-Length: 3", "Content-Length: 3", method="POST") + b"abc", 400),
+        (
+            request("/pay", "Content-Length: 3", "Transfer-Encoding: chunked", method="POST") + b"0\r\n\r\n",
+            400,
+        ),
+        (request("/pay", "Transfer-Encoding: gzip, chunked", method="POST") + b"0\r\n\r\n", 400),
+        (request("/pay", "Transfer-Encoding: identity", method="POST") + b"abc", 400),
+        (request("/pay", "Transfer-Encoding: chunked", method="POST") + b"zz\r\n", 400),
+        (request("/pay", "Transfer-Encoding: chunked", method="POST") + b"1;" + b"x" * 600_000, 413),
+        (request("/pay", "Transfer-Encoding: chunked", method="POST") + b"0\r\n" + b"T: x\r\n" * 4000, 431),
+        (request("/read", "X: " + "x" * 20_000), 431),
+        (b"GET /read\r\n\r\n", 400),
+        (b"GET /read HTTP/1.1\r\nX: " + b"x" * 20_000, 431),
+    ],
+)
 def test_what_cannot_be_read_is_answered_and_the_connection_closed(data: bytes, status: int) -> None:
     async def test() -> None:
         script = Script(fails_all)
@@ -45,15 +54,27 @@
             assert await client.closed()
             assert not script.of(api.Arrival)
             assert (await client.another().ask(READY)).status == 200
+
     run(test())
 
 
-@pytest.mark.parametrize(("data", "status"), [
-    (request("/strange"), 400), (request("/"), 400), (request(deadline_ms=None), 400),
-    (request(deadline_ms=0), 400), (request("/read", "Req-Deadline-Ms: soon", deadline_ms=None), 400),
-    (b"GET /read HTTP/1.1\r\nReq-Deadline-Ms: 9\r\n\r\n", 400), (request(method="DELETE"), 405),
-    (request(method="POST"), 405), (request("/pay"), 405), (request(body=b"abc"), 400),
-    (request("/read?x#y"), 400), (request("/read", "Req-Id: another"), 400)])
+@pytest.mark.parametrize(
+    ("data", "status"),
+    [
+        (request("/strange"), 400),
+        (request("/"), 400),
+        (request(deadline_ms=None), 400),
+        (request(deadline_ms=0), 400),
+        (request("/read", "Req-Deadline-Ms: soon", deadline_ms=None), 400),
+        (b"GET /read HTTP/1.1\r\nReq-Deadline-Ms: 9\r\n\r\n", 400),
+        (request(method="DELETE"), 405),
+        (request(method="POST"), 405),
+        (request("/pay"), 405),
+        (request(body=b"abc"), 400),
+        (request("/read?x#y"), 400),
+        (request("/read", "Req-Id: another"), 400),
+    ],
+)
 def test_what_cannot_be_understood_is_answered_and_the_connection_kept(data: bytes, status: int) -> None:
     async def test() -> None:
         script = Script(fails_all)
@@ -61,6 +82,7 @@
             assert (await client.ask(data)).status == status
             assert not script.of(api.Arrival)
             assert (await client.ask(READY)).status == 200
+
     run(test())
 
 
@@ -68,6 +90,7 @@
     async def test() -> None:
         async with node(Script(fails_all)) as client:
             assert (await client.ask(request("/pay", method="POST", body=b"x" * 64 * 1024))).status == 504
+
     run(test())
 
 
@@ -78,6 +101,7 @@
             await until(lambda: client.node._calls)
             got = await client.another().ask(request())
             assert got.status == 503 and float(got.headers["retry-after"]) > 0
+
     run(test())
 
 
@@ -95,6 +119,7 @@
             assert await client.closed()
             assert len(script.of(api.Arrival)) == len(script.of(api.ClientGone)) == apart
             assert not client.node._calls and not client.node._ids
+
     run(test())
 
 
@@ -103,6 +128,7 @@
         async with node(Script(fails_all)) as client:
             for _ in range(2):
                 assert (await client.ask(request() + b"\r\n")).status == 504
+
     run(test())
 
 
@@ -124,6 +150,7 @@
             assert transport.get_write_buffer_size() < 8192
             mine.resume_reading()
             await until(transport.is_reading)
+
     run(test())
 
 
@@ -137,9 +164,14 @@
         member.since -= seconds
 
 
-@pytest.mark.parametrize(("data", "answer"), [
-    (b"", b""), (b"GET /re", b"HTTP/1.1 408 "),
-    (request("/pay", method="POST", body=b"abc")[:-1], b"HTTP/1.1 408 ")])
+@pytest.mark.parametrize(
+    ("data", "answer"),
+    [
+        (b"", b""),
+        (b"GET /re", b"HTTP/1.1 408 "),
+        (request("/pay", method="POST", body=b"abc")[:-1], b"HTTP/1.1 408 "),
+    ],
+)
 @pytest.mark.parametrize("served", [False, True])
 def test_a_request_that_does_not_come_is_not_waited_for(data: bytes, answer: bytes, served: bool) -> None:
     async def test() -> None:
@@ -160,6 +192,7 @@
             assert got.startswith(answer) and bool(got) == bool(answer)
             client.close()
             await until(lambda: not server._connections and not server._leaving)
+
     run(test())
 
 
@@ -175,6 +208,7 @@
             server._tick()
             assert await client.closed()
             await until(lambda: not server._connections)
+
     run(test())
 
 
@@ -189,6 +223,7 @@
             await client.send(b"GET")
             await until(lambda: first(server._awaited).speaking)
             assert first(server._awaited).since == since
+
     run(test())
 
 
@@ -201,6 +236,7 @@
             ages(server._leaving, 0.6)
             server._tick()
             assert not server._leaving and not server._connections
+
     run(test())
 
 
@@ -214,6 +250,7 @@
             transport = side._transport
             await client.send(b"x" * 300_000)
             await until(lambda: not transport.is_reading())
+
     run(test())
 
 
@@ -232,6 +269,7 @@
             assert (await client.ask(READY)).status == 200  # idle for longer, and still there
             for other in mute:
                 other.close()
+
     run(test())
 
 
@@ -247,6 +285,7 @@
                 assert server._evict()  # its transport is not made yet
                 ended = asyncio.get_running_loop().sock_recv(mine, 1)
                 assert await asyncio.wait_for(ended, PATIENCE_S) == b""
+
     run(test())
 
 
@@ -261,6 +300,7 @@
             assert (await client.read()).status == 504  # the open one goes on as if nothing had come
             await client.send(request(name="one"))
             await until(lambda: len(script.of(api.Arrival)) == 2)
+
     run(test())
 
 
@@ -270,10 +310,11 @@
         async with node(script) as client:
             data = request("/pay", method="POST", body=b"abc")
             for i in range(len(data) - 1):
-                await client.send(data[i:i + 1])
+                await client.send(data[i : i + 1])
             await asyncio.sleep(0)
             assert not script.of(api.Arrival)
             assert (await client.ask(data[-1:])).status == 504
+
     run(test())
 
 
@@ -299,6 +340,7 @@
             assert (await last.read()).status == 200
             for other in (*busy, last):
                 other.close()
+
     run(test())
 
 
@@ -316,6 +358,7 @@
             monkeypatch.setattr(socket.socket, "accept", failing)
             assert (await client.ask(READY)).status == 200
             assert not failures
+
     run(test())
 
 
@@ -324,6 +367,7 @@
         async with node(Script(fails_all)) as client:
             got = await client.ask(request("/read", "Connection: close"))
             assert got.headers["connection"] == "close" and await client.closed()
+
     run(test())
 
 
@@ -351,4 +395,5 @@
                     server._tick()
                 got = await asyncio.wait_for(loop.sock_recv(mine, 4096), PATIENCE_S)
                 assert got.startswith(b"HTTP/1.1 504 ")
+
     run(test())
--- a/tests/test_slopes.py
+++ b/tests/test_slopes.py
@@ -25,12 +25,16 @@
     assert slopes.fit([(10, 5.0)]) == {"base": 5, "each": 0, "power": 0}
 
 
-@pytest.mark.parametrize("name, counted", [
-    ("upstreams", {"list_b", "change_b", "memory_b", "objects", "change_s", "zone_s", "look_s"}),
-    ("services", {"list_b", "change_b", "memory_b", "objects", "change_s", "zone_s", "look_s"}),
-    ("tenants", {"config_b", "memory_b", "objects", "start_s", "look_s", "request_s"}),
-    ("routes", {"config_b", "memory_b", "objects", "start_s", "look_s", "request_s"}),
-    ("requests", {"open", "memory_b", "objects", "arrive_s", "end_s", "stall_s"})])
+@pytest.mark.parametrize(
+    "name, counted",
+    [
+        ("upstreams", {"list_b", "change_b", "memory_b", "objects", "change_s", "zone_s", "look_s"}),
+        ("services", {"list_b", "change_b", "memory_b", "objects", "change_s", "zone_s", "look_s"}),
+        ("tenants", {"config_b", "memory_b", "objects", "start_s", "look_s", "request_s"}),
+        ("routes", {"config_b", "memory_b", "objects", "start_s", "look_s", "request_s"}),
+        ("requests", {"open", "memory_b", "objects", "arrive_s", "end_s", "stall_s"}),
+    ],
+)
 def test_a_tiny_run_gives_every_size_and_figure(name: str, counted: set[str]) -> None:
     result = slopes.measure(name, (1, 2, 4))
     assert [p["size"] for p in result["points"]] == [1, 2, 4]
--- a/tests/test_throttle.py
+++ b/tests/test_throttle.py
@@ -73,8 +73,9 @@
 
 @settings(derandomize=True, deadline=None)
 @given(st.integers(2, 8), st.data(), STEPS)
-def test_overflow_depends_on_the_sum_of_the_capacities_only(total: int, data: st.DataObject,
-                                                             steps: list[int]) -> None:
+def test_overflow_depends_on_the_sum_of_the_capacities_only(
+    total: int, data: st.DataObject, steps: list[int]
+) -> None:
     a, b = (data.draw(st.integers(1, total)) for _ in "ab")
     u = data.draw(st.integers(max(a, b), total))
     assert play(throttle(total - a, a, u), steps)[:2] == play(throttle(total - b, b, u), steps)[:2]
@@ -246,11 +247,16 @@
     assert looked_at(100_000, monkeypatch)[0] == 20
 
 
-@given(st.lists(st.tuples(st.integers(0, 30), st.sampled_from([1, 2, 5])), min_size=1, max_size=8),
-       st.integers(1, 400), st.floats(1.0, 500.0), st.floats(1.0, 500.0))
+@given(
+    st.lists(st.tuples(st.integers(0, 30), st.sampled_from([1, 2, 5])), min_size=1, max_size=8),
+    st.integers(1, 400),
+    st.floats(1.0, 500.0),
+    st.floats(1.0, 500.0),
+)
 @settings(max_examples=100, deadline=None, derandomize=True)
 def test_shares_are_those_that_all_tenants_gone_through_would_give(
-        active: list[tuple[int, int]], silent: int, value: float, served: float) -> None:
+    active: list[tuple[int, int]], silent: int, value: float, served: float
+) -> None:
     weights = [float(w) for _, w in active] + [1.0 + i % 3 for i in range(silent)]
     every = [Throttle(w, random.Random(i), 0) for i, w in enumerate(weights)]
     few = [Throttle(float(w), random.Random(i), 0) for i, (_, w) in enumerate(active)]
@@ -260,11 +266,12 @@
         for t, (demand, _) in zip(throttles, active, strict=False):
             t.demand = float(demand)
         rate._share(0)
-    assert [t.rate for t in few] == pytest.approx([t.rate for t in every[:len(few)]], rel=1e-9)
-    assert [t.over for t in few] == [t.over for t in every[:len(few)]]
+    assert [t.rate for t in few] == pytest.approx([t.rate for t in every[: len(few)]], rel=1e-9)
+    assert [t.over for t in few] == [t.over for t in every[: len(few)]]
     # One that comes anew has the rate and the full bank of one that was there all the time.
-    assert [lazy.of_silent(t.weight) for t in every[len(few):]] == pytest.approx(
-        [t.rate for t in every[len(few):]], rel=1e-9)
+    assert [lazy.of_silent(t.weight) for t in every[len(few) :]] == pytest.approx(
+        [t.rate for t in every[len(few) :]], rel=1e-9
+    )
 
 
 def test_a_tenant_that_comes_back_has_a_full_bank_as_a_new_one() -> None:
--- a/tests/test_trouble.py
+++ b/tests/test_trouble.py
@@ -39,6 +39,7 @@
             writer.transport.abort()
         else:
             writer.write(written(200))
+
     return answer
 
 
@@ -58,6 +59,7 @@
                 most = max(most, ejected(balancer))
         assert sum(len(u.got) for u in upstreams) >= 70  # so many did break
         assert most <= 1  # the first break of all has no other to be compared with
+
     run(test())
 
 
@@ -69,6 +71,7 @@
             for _ in range(30):
                 assert (await client.ask(request())).status == 200
         assert len(upstreams[0].got) <= 2
+
     run(test())
 
 
@@ -90,6 +93,7 @@
             begun = time.monotonic_ns()
             assert (await client.ask(request())).status == 200
             assert looks == 2 and time.monotonic_ns() - begun < 2 * SECOND
+
     run(test())
 
 
@@ -105,6 +109,7 @@
             server = next(iter(balancer.fleet.servers.values()))
             await until(lambda: server.strikes)
             assert server.not_before_ns - time.monotonic_ns() < 1.25 * balancer.patience_ns
+
     run(test())
 
 
@@ -126,11 +131,13 @@
                 c.close()
             assert ejected(balancer) == 0 and not sum(balancer.rate.bad.values())
             assert balancer.crowding.each == each
+
     run(test())
 
 
 def test_a_keyed_retry_does_not_go_out_past_its_window_on_a_connection_that_comes_up_late(
-        monkeypatch: pytest.MonkeyPatch) -> None:
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     # Guards against a second run: by then the upstreams have forgotten the first one.
     async def test() -> None:
         upstream = await Upstream(breaks).start()
@@ -150,4 +157,5 @@
             monkeypatch.setattr(loop, "create_connection", create_connection)
             got = await client.ask(request("/book", "Idempotency-Key: k", method="POST"))
             assert got.status in (503, 504) and len(upstream.got) == 1
+
     run(test())
