--- a/lanemux/__main__.py
+++ b/loadbalancer/__main__.py
@@ -1,6 +1,6 @@
 """One real balancer: reads its configuration, runs the node, ends on a signal.
 
-RELAY_CONFIG=config.json python -m lanemux
+RELAY_CONFIG=config.json python -m loadbalancer
 """
 
 from __future__ import annotations
@@ -15,8 +15,8 @@
 from collections.abc import Generator
 from typing import Any, cast
 
-from lanemux.config import read_settings
-from lanemux.net.lists import (
+from loadbalancer.config import read_settings
+from loadbalancer.net.lists import (
     BadList,
     Listing,
     Rows,
@@ -25,8 +25,8 @@
     run_through,
     unix_offset_ns,
 )
-from lanemux.net.node import Config, Node
-from lanemux.policy import Balancer
+from loadbalancer.net.node import Config, Node
+from loadbalancer.policy import Balancer
 
 log = logging.getLogger(__name__)
 
@@ -184,12 +184,12 @@
             raise BadConfig("RELAY_CONFIG is not set")
         config = read_config(path)
     except BadConfig as error:
-        print(f"lanemux: {error}", file=sys.stderr)
+        print(f"loadbalancer: {error}", file=sys.stderr)
         return 2
     try:
         asyncio.run(serve(config, path))
     except OSError as error:
-        print(f"lanemux: {config.name}: {error}", file=sys.stderr)
+        print(f"loadbalancer: {config.name}: {error}", file=sys.stderr)
         return 1
     return 0
 
--- a/lanemux/adapter.py
+++ b/loadbalancer/adapter.py
@@ -1,6 +1,6 @@
 """The adapter: hosts many balancers on the simulator's wire. It translates and decides nothing.
 
-    python -m lanemux.adapter < batches > replies
+    python -m loadbalancer.adapter < batches > replies
 
 One JSON object a line each way. A line that is not a batch ends the process with a message on standard
 error and exit status 2; an exception inside a balancer is reported as that balancer's `fault`.
@@ -14,9 +14,9 @@
 from collections.abc import Callable, Sequence
 from typing import Any, TypeGuard
 
-from lanemux import interface as api
-from lanemux.config import Json, read_settings
-from lanemux.policy import Balancer
+from loadbalancer import interface as api
+from loadbalancer.config import Json, read_settings
+from loadbalancer.policy import Balancer
 
 RESULTS = {
     "delivered": api.Result.OK,
--- a/lanemux/config.py
+++ b/loadbalancer/config.py
@@ -5,7 +5,7 @@
 from collections.abc import Mapping
 from typing import Any
 
-from lanemux import interface as api
+from loadbalancer import interface as api
 
 Json = dict[str, Any]
 
--- a/lanemux/membership.py
+++ b/loadbalancer/membership.py
@@ -1,9 +1,9 @@
 """Every upstream that the list names, compactly, and the subset of them that this proxy uses.
 
-The types it takes are in `lanemux/interface.py`. Of each upstream a row is kept, and where it is ready its
-place on the rings of the placements that admit it; whatever costs more is kept by the fleet (`policy.py`),
-and only for those in use. So a change costs what changed, and nothing that is looked at again and again grows
-with the list."""
+The types it takes are in `loadbalancer/interface.py`. Of each upstream a row is kept, and where it is ready
+its place on the rings of the placements that admit it; whatever costs more is kept by the fleet
+(`policy.py`), and only for those in use. So a change costs what changed, and nothing that is looked at again
+and again grows with the list."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 from sortedcontainers import SortedList
 
-from lanemux import interface as api
+from loadbalancer import interface as api
 
 WORD = 1 << 64
 SPREAD, STIR, STEP, START = 0x9E3779B97F4A7C15, 0xBF58476D1CE4E5B9, 0xD1B54A32D192ED03, 0x632BE59BD9B4E019
--- a/lanemux/net/discovery.py
+++ b/loadbalancer/net/discovery.py
@@ -9,10 +9,10 @@
 from contextlib import closing
 from typing import Literal, cast
 
-from lanemux import interface as api
-from lanemux.net.http import Message, write_request
-from lanemux.net.lists import BadList, Listing, Reader
-from lanemux.net.upstream import Address, Hub, Pool
+from loadbalancer import interface as api
+from loadbalancer.net.http import Message, write_request
+from loadbalancer.net.lists import BadList, Listing, Reader
+from loadbalancer.net.upstream import Address, Hub, Pool
 
 log = logging.getLogger(__name__)
 
--- a/lanemux/net/lists.py
+++ b/loadbalancer/net/lists.py
@@ -17,10 +17,10 @@
 import ijson
 from ijson.backends.yajl2_c import basic_parse_coro
 
-from lanemux import interface as api
-from lanemux.membership import Profile
-from lanemux.net.host_numbers import HostNumbers
-from lanemux.net.upstream import Address
+from loadbalancer import interface as api
+from loadbalancer.membership import Profile
+from loadbalancer.net.host_numbers import HostNumbers
+from loadbalancer.net.upstream import Address
 
 log = logging.getLogger(__name__)
 
--- a/lanemux/net/node.py
+++ b/loadbalancer/net/node.py
@@ -12,13 +12,13 @@
 from functools import partial
 from typing import Protocol, assert_never
 
-from lanemux import interface as api
-from lanemux.net.discovery import MAX_LIST, MEMORY_PART, Discovery, Told
-from lanemux.net.http import Headers, Message, load_report, whole_number, write_request
-from lanemux.net.lists import Listing, Packed, Reader, unix_offset_ns, unpack_address
-from lanemux.net.peers import Peers
-from lanemux.net.server import ClientConnection, Server
-from lanemux.net.upstream import Address, Exchange, Hub, Pool
+from loadbalancer import interface as api
+from loadbalancer.net.discovery import MAX_LIST, MEMORY_PART, Discovery, Told
+from loadbalancer.net.http import Headers, Message, load_report, whole_number, write_request
+from loadbalancer.net.lists import Listing, Packed, Reader, unix_offset_ns, unpack_address
+from loadbalancer.net.peers import Peers
+from loadbalancer.net.server import ClientConnection, Server
+from loadbalancer.net.upstream import Address, Exchange, Hub, Pool
 
 log = logging.getLogger(__name__)
 
@@ -85,7 +85,7 @@
 
 
 class Module(Protocol):
-    """What decides: the `Balancer` of `lanemux/policy.py`."""
+    """What decides: the `Balancer` of `loadbalancer/policy.py`."""
 
     def handle(self, now: int, events: Iterable[api.Event]) -> list[api.Action]: ...
 
--- a/lanemux/net/peers.py
+++ b/loadbalancer/net/peers.py
@@ -7,7 +7,7 @@
 from collections.abc import Callable, Sequence
 from typing import cast
 
-from lanemux.net.upstream import Address
+from loadbalancer.net.upstream import Address
 
 log = logging.getLogger(__name__)
 
--- a/lanemux/net/server.py
+++ b/loadbalancer/net/server.py
@@ -10,8 +10,8 @@
 from collections.abc import Iterator
 from typing import Protocol, cast
 
-from lanemux.net.http import Headers, Message, MessageReader, write_response
-from lanemux.net.look import CLOSED, UNREAD, shows
+from loadbalancer.net.http import Headers, Message, MessageReader, write_response
+from loadbalancer.net.look import CLOSED, UNREAD, shows
 
 log = logging.getLogger(__name__)
 
--- a/lanemux/net/upstream.py
+++ b/loadbalancer/net/upstream.py
@@ -9,9 +9,9 @@
 from dataclasses import dataclass, field
 from typing import cast
 
-from lanemux.interface import Result
-from lanemux.net.http import MAX_ANSWER, Message, MessageReader
-from lanemux.net.look import UNREAD, shows
+from loadbalancer.interface import Result
+from loadbalancer.net.http import MAX_ANSWER, Message, MessageReader
+from loadbalancer.net.look import UNREAD, shows
 
 Address = tuple[str, int]
 Done = Callable[[Result, Message | None], None]
--- a/lanemux/policy.py
+++ b/loadbalancer/policy.py
@@ -1,4 +1,4 @@
-"""Every decision of lanemux. The types it takes and gives are in `lanemux/interface.py`.
+"""Every decision of loadbalancer. The types it takes and gives are in `loadbalancer/interface.py`.
 
 A request passes its tenant's Throttle, may wait in one queue, and goes to the lightest upstream drawn."""
 
@@ -10,8 +10,8 @@
 from collections.abc import Collection, Iterable
 from dataclasses import dataclass, field
 
-from lanemux import interface as api
-from lanemux.membership import Membership, Placement, Subset, mixed, unmixed
+from loadbalancer import interface as api
+from loadbalancer.membership import Membership, Placement, Subset, mixed, unmixed
 
 SECOND = 1_000_000_000
 STALL_NS = SECOND // 50  # a timer so late: the proxy itself stood still meanwhile
--- a/scale/__main__.py
+++ b/scale_test/__main__.py
@@ -1,4 +1,4 @@
-"""python -m scale: see --help."""
+"""python -m scale_test: see --help."""
 
 from __future__ import annotations
 
@@ -14,10 +14,10 @@
 import orjson
 import psutil
 
-from scale import report
-from scale.part import ROOT
-from scale.plan import COURSES, MAX_ZONES, Plan, Refused
-from scale.run import run
+from scale_test import report
+from scale_test.part import ROOT
+from scale_test.plan import COURSES, MAX_ZONES, Plan, Refused
+from scale_test.run import run
 
 DEFAULT = Plan()
 NOTES = """\
--- a/scale/courses.py
+++ b/scale_test/courses.py
@@ -9,10 +9,10 @@
 from collections.abc import Callable, Coroutine
 from typing import TYPE_CHECKING, Any
 
-from scale.plan import CHANGES, Plan
+from scale_test.plan import CHANGES, Plan
 
 if TYPE_CHECKING:
-    from scale.discovery import Discovery
+    from scale_test.discovery import Discovery
 
 RETURN_S = 4.0  # a restarted or failed upstream is back after this, or a fifth of the run
 ZONE_STEPS, ZONE_STEP_S = 10, 0.1  # a zone's upstreams change in so many steps
--- a/scale/discovery.py
+++ b/scale_test/discovery.py
@@ -12,10 +12,10 @@
 from pathlib import Path
 from urllib.parse import parse_qs, urlsplit
 
-from scale.courses import COURSES
-from scale.part import serve
-from scale.plan import Plan
-from scale.registry import Registry
+from scale_test.courses import COURSES
+from scale_test.part import serve
+from scale_test.plan import Plan
+from scale_test.registry import Registry
 
 HOST = "127.0.0.1"
 LONGEST_WAIT_S = 60.0
--- a/scale/evenness.py
+++ b/scale_test/evenness.py
@@ -1,4 +1,4 @@
-"""python -m scale.evenness: how even the subsets of all balancers are, and how much one change moves."""
+"""python -m scale_test.evenness: how even the subsets of all balancers are, and how much one change moves."""
 
 from __future__ import annotations
 
@@ -6,10 +6,10 @@
 
 import click
 
-from lanemux import interface as api
-from lanemux.membership import Membership, Placement
-from lanemux.net.lists import number_of
-from scale.plan import Plan, zone_name
+from loadbalancer import interface as api
+from loadbalancer.membership import Membership, Placement
+from loadbalancer.net.lists import number_of
+from scale_test.plan import Plan, zone_name
 
 Subsets = list[frozenset[int]]
 
--- a/scale/hollow.py
+++ b/scale_test/hollow.py
@@ -9,14 +9,14 @@
 from dataclasses import replace
 from typing import Any
 
-from lanemux import interface as api
-from lanemux.__main__ import read_config
-from lanemux.net.discovery import Told
-from lanemux.net.lists import Listing
-from lanemux.net.node import Config, Node
-from lanemux.policy import Balancer
-from scale.part import serve
-from scale.report import NEVER_NS
+from loadbalancer import interface as api
+from loadbalancer.__main__ import read_config
+from loadbalancer.net.discovery import Told
+from loadbalancer.net.lists import Listing
+from loadbalancer.net.node import Config, Node
+from loadbalancer.policy import Balancer
+from scale_test.part import serve
+from scale_test.report import NEVER_NS
 
 
 class Watched:
--- a/scale/part.py
+++ b/scale_test/part.py
@@ -14,7 +14,7 @@
 
 import orjson
 
-from scale.plan import Refused
+from scale_test.plan import Refused
 
 ROOT = Path(__file__).parent.parent
 LONGEST_LINE = 2**30
@@ -74,7 +74,7 @@
 
 
 async def helper(role: str, name: str, folder: Path) -> Process:
-    return await Process.start(name, folder, sys.executable, "-m", f"scale.{role}", talks=True)
+    return await Process.start(name, folder, sys.executable, "-m", f"scale_test.{role}", talks=True)
 
 
 async def serve(commands: Commands) -> None:
--- a/scale/registry.py
+++ b/scale_test/registry.py
@@ -5,7 +5,7 @@
 import time
 from collections.abc import Iterable, Sequence
 
-from scale.plan import Plan, zone_name
+from scale_test.plan import Plan, zone_name
 
 MARK = 1e-6  # a changed row's share is 1 and so much for each version: it tells when that row has come
 
--- a/scale/run.py
+++ b/scale_test/run.py
@@ -17,10 +17,10 @@
 import orjson
 import psutil
 
-from scale import report
-from scale.part import ROOT, Process, helper
-from scale.plan import MB, Plan, Refused, memory_limit, zone_name
-from scale.report import Row, row
+from scale_test import report
+from scale_test.part import ROOT, Process, helper
+from scale_test.plan import MB, Plan, Refused, memory_limit, zone_name
+from scale_test.report import Row, row
 
 AT_ONCE = 4  # balancers that start side by side: they share the machine
 LOOK_S = 0.25  # how often memory is looked at
--- a/scale/slopes.py
+++ b/scale_test/slopes.py
@@ -1,6 +1,6 @@
 """Slopes: what one more upstream, tenant, route, service, request or connection costs a balancer.
 
-    python -m scale.slopes [SUBJECT ...] [--json FILE]
+    python -m scale_test.slopes [SUBJECT ...] [--json FILE]
 
 A subject is measured at several sizes: processor time (names end in _s; those with `wall` are on the wall
 clock), bytes (_b), counts. The first subjects play the decision module and the list reader alone, in this
@@ -29,10 +29,10 @@
 import click
 import orjson
 
-from lanemux import interface as api
-from lanemux.config import read_settings
-from lanemux.net.lists import Reader
-from lanemux.policy import Balancer
+from loadbalancer import interface as api
+from loadbalancer.config import read_settings
+from loadbalancer.net.lists import Reader
+from loadbalancer.policy import Balancer
 
 S, HOST, SERVICE = 10**9, "127.0.0.1", 23  # ns a second; loopback; upstreams a service: 160,000 in 7,000
 QUIET_S = 4.0  # for which a real balancer is watched with nothing to do
@@ -595,7 +595,10 @@
         click.echo(table(name, result) + "\n")
         if path is not None:
             held = orjson.loads(path.read_bytes()) if path.exists() else {"subjects": {}}
-            held |= {"balancer": commit("lanemux", "requirements.txt"), "tool": commit("scale/slopes.py")}
+            held |= {
+                "balancer": commit("loadbalancer", "requirements.txt"),
+                "tool": commit("scale_test/slopes.py"),
+            }
             held["subjects"][name] = result
             path.write_bytes(orjson.dumps(held, option=orjson.OPT_INDENT_2))
 
--- a/tests/bench.py
+++ b/tests/bench.py
@@ -7,8 +7,8 @@
 
 from collections.abc import Iterable
 
-from lanemux import interface as api
-from lanemux.policy import Balancer
+from loadbalancer import interface as api
+from loadbalancer.policy import Balancer
 
 MS = 1_000_000
 SECOND = 1000 * MS
--- a/tests/fleet.py
+++ b/tests/fleet.py
@@ -14,8 +14,8 @@
 from dataclasses import dataclass, field
 from itertools import accumulate
 
-from lanemux import interface as api
-from lanemux.policy import Balancer
+from loadbalancer import interface as api
+from loadbalancer.policy import Balancer
 from tests.bench import MS, SECOND, START
 
 
--- a/tests/sockets.py
+++ b/tests/sockets.py
@@ -9,11 +9,11 @@
 from collections.abc import AsyncIterator, Awaitable, Callable, Coroutine, Iterable
 from contextlib import asynccontextmanager
 from dataclasses import dataclass, field
-from typing import Any
+from typing import Any, TypeVar
 
-from lanemux import interface as api
-from lanemux.net.lists import Listing, Reader, unix_offset_ns
-from lanemux.net.node import Config, Module, Node
+from loadbalancer import interface as api
+from loadbalancer.net.lists import Listing, Reader, unix_offset_ns
+from loadbalancer.net.node import Config, Module, Node
 
 HOST = "127.0.0.1"
 PATIENCE_S = 10.0  # a test that waits longer has failed
@@ -24,6 +24,8 @@
 Writer = asyncio.StreamWriter
 Answer = Callable[["Got", Writer], Awaitable[None]]
 
+EventType = TypeVar("EventType")
+
 
 def run(test: Coroutine[Any, Any, None]) -> None:
     asyncio.run(asyncio.wait_for(test, 3 * PATIENCE_S))
@@ -191,7 +193,8 @@
         self.entered -= 1
         return actions
 
-    def of(self, kind: type) -> list[Any]:
+    def of(self, kind: type[EventType]) -> list[EventType]:
+        """The events of one type, in the order in which they came."""
         return [e for e in self.events if isinstance(e, kind)]
 
     def ids(self) -> list[int]:
--- a/tests/start_cost.py
+++ b/tests/start_cost.py
@@ -65,7 +65,7 @@
         process = await asyncio.create_subprocess_exec(
             sys.executable,
             "-m",
-            "lanemux",
+            "loadbalancer",
             stderr=asyncio.subprocess.DEVNULL,
             env={**os.environ, "RELAY_CONFIG": str(path)},
         )
--- a/tests/test_adapter.py
+++ b/tests/test_adapter.py
@@ -12,9 +12,9 @@
 
 import pytest
 
-from lanemux import interface as api
-from lanemux.adapter import read_upstream
-from lanemux.config import read_settings
+from loadbalancer import interface as api
+from loadbalancer.adapter import read_upstream
+from loadbalancer.config import read_settings
 
 Json = dict[str, Any]
 SETTINGS: Json = {
@@ -36,7 +36,7 @@
 
 def run(lines: list[str], hash_seed: str = "0") -> subprocess.CompletedProcess[str]:
     return subprocess.run(
-        [sys.executable, "-m", "lanemux.adapter"],
+        [sys.executable, "-m", "loadbalancer.adapter"],
         input="".join(f"{x}\n" for x in lines),
         capture_output=True,
         text=True,
--- a/tests/test_cold.py
+++ b/tests/test_cold.py
@@ -11,7 +11,7 @@
 
 import pytest
 
-from lanemux import interface as api
+from loadbalancer import interface as api
 from tests.bench import MS, SECOND
 from tests.fleet import FleetModel, Machine, Traffic
 
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -8,11 +8,11 @@
 
 import pytest
 
-from lanemux import interface as api
-from lanemux.net.host_numbers import SEGMENTS, HostNumbers
-from lanemux.net.lists import BadList, Listing, Reader, number_of
-from lanemux.net.node import Node
-from lanemux.policy import Balancer
+from loadbalancer import interface as api
+from loadbalancer.net.host_numbers import SEGMENTS, HostNumbers
+from loadbalancer.net.lists import BadList, Listing, Reader, number_of
+from loadbalancer.net.node import Node
+from loadbalancer.policy import Balancer
 from tests.sockets import (
     HOST,
     Answer,
@@ -50,7 +50,7 @@
 
 
 def test_hosts_that_collide_get_different_numbers(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr("lanemux.net.lists.number_of", lambda host: 7)
+    monkeypatch.setattr("loadbalancer.net.lists.number_of", lambda host: 7)
     listing = read({"seq": 1, "whole": True, "hosts": [entry("a", 80), entry("b", 81)]})
     assert len(set(listing.numbers)) == 2
 
@@ -60,7 +60,7 @@
 
 @pytest.fixture
 def colliding(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr("lanemux.net.lists.number_of", lambda host: SHARED)
+    monkeypatch.setattr("loadbalancer.net.lists.number_of", lambda host: SHARED)
 
 
 def changed(version: int, *hosts: object, whole: bool = False) -> Json:
@@ -336,7 +336,7 @@
             await until(lambda: registry.calls)
             registry.change("s0", health="draining")
             await until(lambda: len(script.of(api.ListUpdate)) == 2)
-            assert script.of(api.ListUpdate)[1].upstreams[0].state is api.State.DRAINING
+            assert list(script.of(api.ListUpdate)[1].upstreams)[0].state is api.State.DRAINING
             assert time.monotonic() - registry.calls[0][0] < TOLD_S
 
     run(test())
@@ -348,8 +348,8 @@
     # Guards against a drain told on such a watch being unknown still when it counts as told: a pause as
     # after a call that failed, of 0.5 to 1.5 s, is as long as all the time that is left then.
     async def test() -> None:
-        monkeypatch.setattr("lanemux.net.discovery.ASKED_WAIT_MS", 20)
-        monkeypatch.setattr("lanemux.net.discovery.OVERDUE_S", 0.02)
+        monkeypatch.setattr("loadbalancer.net.discovery.ASKED_WAIT_MS", 20)
+        monkeypatch.setattr("loadbalancer.net.discovery.OVERDUE_S", 0.02)
         registry = Registry()
         heard: Answer = registry.upstream.answer
 
--- a/tests/test_gone.py
+++ b/tests/test_gone.py
@@ -15,9 +15,9 @@
 
 import pytest
 
-from lanemux import interface as api
-from lanemux.net.node import Module
-from lanemux.policy import Balancer
+from loadbalancer import interface as api
+from loadbalancer.net.node import Module
+from loadbalancer.policy import Balancer
 from tests import bench
 from tests.sockets import (
     HOST,
@@ -87,7 +87,7 @@
                 self.happen()
             return made
 
-        monkeypatch.setattr("lanemux.net.node.REST_S", 0.0 if self.when == "decided" else 60.0)
+        monkeypatch.setattr("loadbalancer.net.node.REST_S", 0.0 if self.when == "decided" else 60.0)
         if self.when == "connected":
             monkeypatch.setattr(loop, "create_connection", create_connection)
 
@@ -165,8 +165,8 @@
             else:
                 writer.write(written(200))
 
-        monkeypatch.setattr("lanemux.policy.LOOK_NS", int(PATIENCE_S * 1000) * MS)
-        monkeypatch.setattr("lanemux.net.node.PROBE_TIMEOUT_S", PATIENCE_S)
+        monkeypatch.setattr("loadbalancer.policy.LOOK_NS", int(PATIENCE_S * 1000) * MS)
+        monkeypatch.setattr("loadbalancer.net.node.PROBE_TIMEOUT_S", PATIENCE_S)
         upstream, balancer = await Upstream(answer).start(), real(probes=True)
         module = Late(balancer, when)
         module.watch(monkeypatch, upstream)
@@ -269,7 +269,7 @@
     monkeypatch: pytest.MonkeyPatch, leave: Leave, kept: bool
 ) -> None:
     async def test() -> None:
-        monkeypatch.setattr("lanemux.net.node.REST_S", 0.0)
+        monkeypatch.setattr("loadbalancer.net.node.REST_S", 0.0)
         upstream = await Upstream(answers(200)).start()
         script = Script(lambda event: send_first(script, event))
         async with node(script, upstream) as client:
@@ -287,7 +287,7 @@
 @LEAVES
 def test_the_loop_is_busy_with_a_long_batch(monkeypatch: pytest.MonkeyPatch, leave: Leave) -> None:
     async def test() -> None:
-        monkeypatch.setattr("lanemux.net.node.REST_S", 0.0)
+        monkeypatch.setattr("loadbalancer.net.node.REST_S", 0.0)
         all_came = asyncio.Event()
 
         async def answer(got: Got, writer: Writer) -> None:
--- a/tests/test_leaves.py
+++ b/tests/test_leaves.py
@@ -13,8 +13,8 @@
 
 import pytest
 
-from lanemux import interface as api
-from lanemux.policy import Balancer
+from loadbalancer import interface as api
+from loadbalancer.policy import Balancer
 from tests.sockets import (
     HOST,
     Answer,
--- a/tests/test_lists.py
+++ b/tests/test_lists.py
@@ -15,14 +15,14 @@
 from hypothesis import settings as hyp
 from hypothesis import strategies as st
 
-from lanemux import interface as api
-from lanemux import membership
-from lanemux.__main__ import BadConfig, keep_for_good, read_config
-from lanemux.net import lists
-from lanemux.net.lists import STRIDE, BadList, Listing, Reader, number_of, run_through
-from lanemux.net.node import SLICE, Config, Node
-from lanemux.net.upstream import Hub, Pool
-from lanemux.policy import Balancer
+from loadbalancer import interface as api
+from loadbalancer import membership
+from loadbalancer.__main__ import BadConfig, keep_for_good, read_config
+from loadbalancer.net import lists
+from loadbalancer.net.lists import STRIDE, BadList, Listing, Reader, number_of, run_through
+from loadbalancer.net.node import SLICE, Config, Node
+from loadbalancer.net.upstream import Hub, Pool
+from loadbalancer.policy import Balancer
 from tests.sockets import (
     HOST,
     PATIENCE_S,
@@ -255,8 +255,8 @@
                 exchange = pool.exchange(
                     b"GET / HTTP/1.1\r\n\r\n",
                     PATIENCE_S,
-                    lambda result, response, ended=ended: ended.append(result),
-                )  # type: ignore[misc]
+                    lambda result, response, ended=ended: ended.append(result),  # type: ignore[misc]
+                )
                 before = exchange._timer.when()  # type: ignore[union-attr]
                 seen = len(upstream.got)
                 await until(lambda seen=seen: len(upstream.got) > seen)  # type: ignore[misc]
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -12,10 +12,10 @@
 from hypothesis import settings as hyp
 from hypothesis import strategies as st
 
-from lanemux import interface as api
-from lanemux import membership as membership_module
-from lanemux.membership import MANY, RESERVE, WIDE, Membership, Placement, Subset, mixed, unmixed
-from lanemux.policy import SCAN, Balancer
+from loadbalancer import interface as api
+from loadbalancer import membership as membership_module
+from loadbalancer.membership import MANY, RESERVE, WIDE, Membership, Placement, Subset, mixed, unmixed
+from loadbalancer.policy import SCAN, Balancer
 from tests.bench import MS, SECOND, START, Desk, arrival, settings
 
 ZONES = [f"z{i}" for i in range(8)]
--- a/tests/test_module.py
+++ b/tests/test_module.py
@@ -19,8 +19,8 @@
 
 
 def test_names_its_interface_at_the_top() -> None:
-    assert "lanemux/policy.py" in POLICY
-    assert all("lanemux/interface.py" in " ".join(text[:3]) for text in TEXTS.values())
+    assert "loadbalancer/policy.py" in POLICY
+    assert all("loadbalancer/interface.py" in " ".join(text[:3]) for text in TEXTS.values())
 
 
 def test_reads_no_clock_and_no_unseeded_chance() -> None:
@@ -42,6 +42,11 @@
 
 
 def test_no_name_of_the_old_package_is_left() -> None:
-    old = "cress" + "plank"
-    files = [*ROOT.glob("lanemux/*"), *ROOT.glob("deploy/*"), ROOT / "pyproject.toml", ROOT / "README.md"]
-    assert not [f for f in files if f.is_file() and old in f.read_text()]
+    old_names = ("cress" + "plank", "lane" + "mux")
+    files = [
+        *ROOT.glob("loadbalancer/**/*.py"),
+        *ROOT.glob("deploy/*"),
+        ROOT / "pyproject.toml",
+        ROOT / "README.md",
+    ]
+    assert not [f for f in files if f.is_file() and any(name in f.read_text() for name in old_names)]
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -13,10 +13,10 @@
 
 import pytest
 
-from lanemux import interface as api
-from lanemux.interface import Result
-from lanemux.net.node import MODULE_EARLY_NS, NODE_EARLY_NS, REST_S, Config, Node, leave_s
-from lanemux.policy import Balancer
+from loadbalancer import interface as api
+from loadbalancer.interface import Result
+from loadbalancer.net.node import MODULE_EARLY_NS, NODE_EARLY_NS, REST_S, Config, Node, leave_s
+from loadbalancer.policy import Balancer
 from tests.sockets import (
     HOST,
     MS,
@@ -188,7 +188,7 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     async def test() -> None:
-        monkeypatch.setattr("lanemux.net.node.REST_S", 60.0)  # a slow machine changes nothing here
+        monkeypatch.setattr("loadbalancer.net.node.REST_S", 60.0)  # a slow machine changes nothing here
         writers: list[asyncio.StreamWriter] = []
 
         async def answer(got: Got, writer: asyncio.StreamWriter) -> None:
@@ -303,7 +303,7 @@
 def test_what_waits_in_the_backlog_at_a_drain_is_answered_too(monkeypatch: pytest.MonkeyPatch) -> None:
     # Guards against closing to new clients while some of them, accepted by the system, wait for a place.
     async def test() -> None:
-        monkeypatch.setattr("lanemux.net.node.LATE_ARRIVALS_S", 0.0)
+        monkeypatch.setattr("loadbalancer.net.node.LATE_ARRIVALS_S", 0.0)
         script = Script()
         async with node(script, sockets=32 + 16) as client:  # so eight clients
             busy = [client.another() for _ in range(8)]
@@ -349,7 +349,7 @@
 def test_what_is_open_at_the_end_of_a_drain_is_answered(monkeypatch: pytest.MonkeyPatch) -> None:
     # Guards against leaving to SIGKILL what came late, where the longest deadline is short.
     async def test() -> None:
-        monkeypatch.setattr("lanemux.net.node.LATE_ARRIVALS_S", 0.0)
+        monkeypatch.setattr("loadbalancer.net.node.LATE_ARRIVALS_S", 0.0)
         upstream = await Upstream(silent).start()
         script = Script()
         sends_first(script)
@@ -376,8 +376,8 @@
     monkeypatch: pytest.MonkeyPatch, kept: bool
 ) -> None:
     async def test() -> None:
-        monkeypatch.setattr("lanemux.net.node.LATE_ARRIVALS_S", 0.0)
-        monkeypatch.setattr("lanemux.net.server.FRESH_S", 0.0)
+        monkeypatch.setattr("loadbalancer.net.node.LATE_ARRIVALS_S", 0.0)
+        monkeypatch.setattr("loadbalancer.net.server.FRESH_S", 0.0)
         upstream = await Upstream(answers(200, b"it")).start()
         script = Script()
         sends_first(script)
--- a/tests/test_process.py
+++ b/tests/test_process.py
@@ -16,7 +16,7 @@
 
 import pytest
 
-from lanemux.__main__ import REST_MAX_S, STOP_LATE_S, rest_s
+from loadbalancer.__main__ import REST_MAX_S, STOP_LATE_S, rest_s
 from tests.sockets import (
     HOST,
     PATIENCE_S,
@@ -84,7 +84,7 @@
     process = await asyncio.create_subprocess_exec(
         sys.executable,
         "-m",
-        "lanemux",
+        "loadbalancer",
         stderr=PIPE,
         env={**os.environ, "RELAY_CONFIG": str(path)},
         preexec_fn=limit,
@@ -290,7 +290,7 @@
     if text is not None:
         path.write_text(text)
     done = subprocess.run(
-        [sys.executable, "-m", "lanemux"],
+        [sys.executable, "-m", "loadbalancer"],
         capture_output=True,
         text=True,
         check=False,
@@ -303,6 +303,11 @@
 def test_no_configuration_is_told() -> None:
     env = {k: v for k, v in os.environ.items() if k != "RELAY_CONFIG"}
     done = subprocess.run(
-        [sys.executable, "-m", "lanemux"], capture_output=True, text=True, check=False, timeout=60, env=env
+        [sys.executable, "-m", "loadbalancer"],
+        capture_output=True,
+        text=True,
+        check=False,
+        timeout=60,
+        env=env,
     )
-    assert done.returncode == 2 and done.stderr == "lanemux: RELAY_CONFIG is not set\n"
+    assert done.returncode == 2 and done.stderr == "loadbalancer: RELAY_CONFIG is not set\n"
--- a/tests/test_return.py
+++ b/tests/test_return.py
@@ -12,9 +12,9 @@
 
 import pytest
 
-from lanemux import interface as api
-from lanemux.net.upstream import KEPT_IDLE
-from lanemux.policy import Balancer
+from loadbalancer import interface as api
+from loadbalancer.net.upstream import KEPT_IDLE
+from loadbalancer.policy import Balancer
 from tests.bench import SECOND, START, settings
 from tests.sockets import (
     HOST,
@@ -123,7 +123,7 @@
         ("OVERDUE_S", 0.1),
         ("HANDOVER_WAIT_S", 0.0),
     ):
-        monkeypatch.setattr(f"lanemux.net.discovery.{name}", value)
+        monkeypatch.setattr(f"loadbalancer.net.discovery.{name}", value)
 
 
 @pytest.mark.parametrize("asked", [True, False])
@@ -199,7 +199,9 @@
         registry = Registry()
         registry.upstream = machine = Machine(registry.upstream.answer, refuses)
         module = Balancer(node_settings(asked=asked), 1, time.monotonic_ns())
-        monkeypatch.setattr("lanemux.net.discovery.ASKED_WAIT_MS", 40)  # the first call too must be given up
+        monkeypatch.setattr(
+            "loadbalancer.net.discovery.ASKED_WAIT_MS", 40
+        )  # the first call too must be given up
         async with node(module, registry=registry, known_list=known(5), asked=asked) as client:
             await until(lambda: client.node._discovery._failures >= 3)
             registry.change("s0", health="draining")
@@ -259,7 +261,7 @@
     kind: str, asked: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     shorten(monkeypatch)
-    monkeypatch.setattr("lanemux.net.discovery.ASKED_WAIT_MS", 40)
+    monkeypatch.setattr("loadbalancer.net.discovery.ASKED_WAIT_MS", 40)
 
     async def test() -> None:
         upstreams = [await Upstream(answers(200)).start() for _ in range(PLACES // KEPT_IDLE)]
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -10,8 +10,8 @@
 from hypothesis import settings as hyp
 from hypothesis import strategies as st
 
-from lanemux import interface as api
-from lanemux.policy import DRAWS, Attempt, Balancer, Fleet, Rate, Server, Throttle
+from loadbalancer import interface as api
+from loadbalancer.policy import DRAWS, Attempt, Balancer, Fleet, Rate, Server, Throttle
 from tests.bench import (
     ANY,
     BIG,
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -16,14 +16,14 @@
 import psutil
 import pytest
 
-from scale import evenness, report
-from scale.discovery import Discovery
-from scale.plan import Plan, Refused
-from scale.registry import Registry, mark
-from scale.run import Run
+from scale_test import evenness, report
+from scale_test.discovery import Discovery
+from scale_test.plan import Plan, Refused
+from scale_test.registry import Registry, mark
+from scale_test.run import Run
 from tests.sockets import PATIENCE_S, Json, run, until
 
-COMMAND = [sys.executable, "-m", "scale"]
+COMMAND = [sys.executable, "-m", "scale_test"]
 SMALL = [
     "--upstreams",
     "50",
@@ -324,7 +324,7 @@
     async def test() -> None:
         one = Run(PLAN, tmp_path)
         sleeper = await one.helper("load", "sleeper")
-        monkeypatch.setattr("scale.run.memory_limit", lambda: 1)
+        monkeypatch.setattr("scale_test.run.memory_limit", lambda: 1)
         with pytest.raises(Refused, match="MB of memory used"):
             await one.look()
         await sleeper.kill()
--- a/tests/test_server.py
+++ b/tests/test_server.py
@@ -10,8 +10,8 @@
 
 import pytest
 
-from lanemux import interface as api
-from lanemux.net.server import ClientConnection, Table
+from loadbalancer import interface as api
+from loadbalancer.net.server import ClientConnection, Table
 from tests.sockets import HOST, PATIENCE_S, Script, node, request, run, until
 
 READY = b"GET /health/ready HTTP/1.1\r\n\r\n"
--- a/tests/test_slopes.py
+++ b/tests/test_slopes.py
@@ -10,7 +10,7 @@
 import pytest
 from click.testing import CliRunner
 
-from scale import slopes
+from scale_test import slopes
 
 
 def test_a_line_is_fitted_and_its_power_told() -> None:
--- a/tests/test_throttle.py
+++ b/tests/test_throttle.py
@@ -8,9 +8,9 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from lanemux import interface as api
-from lanemux.membership import Placement
-from lanemux.policy import FEEDBACK_NS, Balancer, Pool, Rate, Request, Throttle
+from loadbalancer import interface as api
+from loadbalancer.membership import Placement
+from loadbalancer.policy import FEEDBACK_NS, Balancer, Pool, Rate, Request, Throttle
 from tests.bench import MS, READ, SECOND, START, Desk, arrival, upstreams
 from tests.bench import settings as bench_settings
 
