--- a/loadbalancer/adapter.py
+++ b/loadbalancer/adapter.py
@@ -19,25 +19,30 @@
 from loadbalancer.policy import Balancer
 
 RESULTS = {
-    "delivered": api.Result.OK,
-    "app_error": api.Result.ERROR,
-    "shed": api.Result.FULL,
-    "expired": api.Result.TIMEOUT,
-    "dial_failed": api.Result.CONNECT_FAILED,
-    "dropped": api.Result.RESET,
-    "revoked": api.Result.CANCELLED,
-    "unused": api.Result.MOOT,
+    "delivered": api.AttemptResult.OK,
+    "app_error": api.AttemptResult.ERROR,
+    "shed": api.AttemptResult.REJECTED,
+    "expired": api.AttemptResult.TIMEOUT,
+    "dial_failed": api.AttemptResult.CONNECT_FAILED,
+    "dropped": api.AttemptResult.RESET,
+    "revoked": api.AttemptResult.CANCELLED,
+    "unused": api.AttemptResult.NOT_SENT,
+}
+STATES = {0: api.EndpointStatus.REMOVED, 1: api.EndpointStatus.READY, 2: api.EndpointStatus.DRAINING}
+LISTS = {
+    0: api.EndpointUpdateKind.DELTA,
+    1: api.EndpointUpdateKind.FULL,
+    2: api.EndpointUpdateKind.CACHED,
+    3: api.EndpointUpdateKind.FAILED,
 }
-STATES = {0: api.State.GONE, 1: api.State.READY, 2: api.State.DRAINING}
-LISTS = {0: api.ListKind.DELTA, 1: api.ListKind.FULL, 2: api.ListKind.CACHED, 3: api.ListKind.FAILED}
 
 
 class Malformed(Exception):
     """The input is not what the wire allows."""
 
 
-def read_upstream(row: Json) -> api.Upstream:
-    return api.Upstream(
+def read_upstream(row: Json) -> api.Endpoint:
+    return api.Endpoint(
         row["upstream"],
         STATES[row.get("availability", 1)],
         row.get("locality") or "",
@@ -76,7 +81,7 @@
 
 
 def _arrival(e: Json) -> api.Event:
-    return api.Arrival(
+    return api.RequestArrived(
         _text(e, "ticket"),
         _text(e, "kind"),
         str(e.get("user_group") or ""),
@@ -88,7 +93,7 @@
 
 
 def _outcome(e: Json) -> api.Event:
-    return api.Outcome(
+    return api.AttemptEnded(
         _text(e, "ticket"),
         _whole(e, "attempt"),
         _whole(e, "upstream"),
@@ -102,35 +107,35 @@
 READ: dict[str, Callable[[Json], api.Event]] = {
     "submit": _arrival,
     "returned": _outcome,
-    "timer": lambda e: api.Wake(_text(e, "name")),
-    "dropped": lambda e: api.ClientGone(_text(e, "ticket")),
-    "accepted": lambda e: api.AnswerBegun(
+    "timer": lambda e: api.TimerExpired(_text(e, "name")),
+    "dropped": lambda e: api.ClientDisconnected(_text(e, "ticket")),
+    "accepted": lambda e: api.ResponseStarted(
         _text(e, "ticket"), _whole(e, "attempt"), _whole(e, "upstream"), e.get("took_ns") or 0
     ),
-    "probe_result": lambda e: api.ProbeResult(
+    "probe_result": lambda e: api.HealthCheckEnded(
         _whole(e, "upstream"), RESULTS[e["result"]], e.get("took_ns") or 0, _metrics(e)
     ),
-    "message": lambda e: api.PeerMessage(
+    "message": lambda e: api.GossipReceived(
         _whole(e, "origin_peer"), base64.b64decode(e["blob"], validate=True)
     ),
 }
 WRITE: dict[type, Callable[[Any], Json]] = {
-    api.Send: lambda a: {
+    api.Forward: lambda a: {
         "t": "submit_to",
         "ticket": a.request,
         "upstream": a.upstream,
         "timeout_ns": a.timeout_ns,
     },
-    api.Refuse: lambda a: {"t": "push_back", "ticket": a.request, "backoff_ns": a.retry_after_ns},
+    api.Reject: lambda a: {"t": "push_back", "ticket": a.request, "backoff_ns": a.retry_after_ns},
     api.Fail: lambda a: {"t": "finish_error", "ticket": a.request},
-    api.Cancel: lambda a: {"t": "retract", "ticket": a.request, "attempt": a.attempt},
-    api.Probe: lambda a: {"t": "sample", "upstream": a.upstream},
-    api.Tell: lambda a: {"t": "announce", "dst": a.peer, "blob": base64.b64encode(a.data).decode()},
-    api.CloseIdle: lambda a: {"t": "close", "upstream": a.upstream},
-    api.Subscribe: lambda a: {"t": "track", "active": a.on},
-    api.FetchList: lambda a: {"t": "fetch"},
+    api.CancelAttempt: lambda a: {"t": "retract", "ticket": a.request, "attempt": a.attempt},
+    api.CheckHealth: lambda a: {"t": "sample", "upstream": a.upstream},
+    api.SendGossip: lambda a: {"t": "announce", "dst": a.peer, "blob": base64.b64encode(a.data).decode()},
+    api.CloseIdleConnections: lambda a: {"t": "close", "upstream": a.upstream},
+    api.WatchEndpoints: lambda a: {"t": "track", "active": a.on},
+    api.FetchEndpoints: lambda a: {"t": "fetch"},
     api.SetTimer: lambda a: {"t": "schedule", "wait_ns": a.delay_ns, "name": a.name},
-    api.Note: lambda a: {"t": "write_log", "message": a.text},
+    api.LogMessage: lambda a: {"t": "write_log", "message": a.text},
 }
 
 
@@ -139,7 +144,7 @@
 
     def __init__(self) -> None:
         self.balancers: dict[int, Balancer] = {}
-        self.lists: dict[int, Sequence[api.Upstream]] = {}
+        self.lists: dict[int, Sequence[api.Endpoint]] = {}
 
     def batch(self, line: str) -> str:
         try:
@@ -191,8 +196,8 @@
             raise Malformed(f"event {kind} for balancer {number}, which was not started")
         if kind == "membership":
             form = LISTS[event["form"]]
-            rows = () if form is api.ListKind.FAILED else self.lists[event["buffer"]]
-            waiting.setdefault(number, []).append(api.ListUpdate(form, rows))
+            rows = () if form is api.EndpointUpdateKind.FAILED else self.lists[event["buffer"]]
+            waiting.setdefault(number, []).append(api.EndpointUpdate(form, rows))
         elif kind in READ:
             waiting.setdefault(number, []).append(READ[kind](event))
         else:
--- a/loadbalancer/config.py
+++ b/loadbalancer/config.py
@@ -10,9 +10,9 @@
 Json = dict[str, Any]
 
 EFFECTS = {
-    "read_like": api.Effect.SAFE,
-    "idempotency_key": api.Effect.KEYED,
-    "non_idempotent": api.Effect.UNSAFE,
+    "read_like": api.Idempotency.IDEMPOTENT,
+    "idempotency_key": api.Idempotency.IDEMPOTENCY_KEY,
+    "non_idempotent": api.Idempotency.NON_IDEMPOTENT,
 }
 
 
@@ -44,7 +44,7 @@
         classes[row["name"]] = api.RequestClass(
             row["name"],
             EFFECTS[row.get("repeat", "non_idempotent")],
-            api.Scope(row.get("dedup_scope") or "all"),
+            api.DeduplicationScope(row.get("dedup_scope") or "all"),
             **given,
         )
     tenants = {
@@ -110,7 +110,7 @@
         report_columns=tuple(reports.get("columns") or ()),
         reports_in_answers=reports.get("how") == "answers",
         zones=tuple(raw.get("zones") or ()),
-        weights=api.Weights(raw.get("weight_source") or "none"),
+        weights=api.WeightSource(raw.get("weight_source") or "none"),
         retries_marked=bool((raw.get("clients") or {}).get("marks_retry")),
         **_pick(raw, {"over_share_worth": "over_share_worth"}),
     )
--- a/loadbalancer/interface.py
+++ b/loadbalancer/interface.py
@@ -12,15 +12,15 @@
 from typing import NamedTuple
 
 
-class Effect(Enum):
+class Idempotency(Enum):
     """What repeating a request of a class may do."""
 
-    SAFE = "safe"  # may be repeated and refused freely
-    KEYED = "keyed"  # carries a key: one group of upstreams drops its repeats for a while
-    UNSAFE = "unsafe"  # must never run twice
+    IDEMPOTENT = "idempotent"  # may be repeated and refused freely
+    IDEMPOTENCY_KEY = "idempotency_key"  # carries a key: one group of upstreams drops its repeats for a while
+    NON_IDEMPOTENT = "non_idempotent"  # must never run twice
 
 
-class Scope(Enum):
+class DeduplicationScope(Enum):
     """Which upstreams drop the repeats of a keyed request."""
 
     ALL = "all"
@@ -28,15 +28,15 @@
     CELL = "cell"
 
 
-class State(Enum):
+class EndpointStatus(Enum):
     """What discovery says of an upstream."""
 
-    GONE = 0
+    REMOVED = 0
     READY = 1
     DRAINING = 2
 
 
-class Weights(Enum):
+class WeightSource(Enum):
     """What the weight of a list entry says."""
 
     NONE = "none"  # always 1
@@ -45,37 +45,37 @@
     LIVE = "live"  # its size over 1 + the requests it held a core a while ago
 
 
-class ListKind(Enum):
+class EndpointUpdateKind(Enum):
     """What a list event carries."""
 
     DELTA = 0  # only changed entries
     FULL = 1  # the whole list
     CACHED = 2  # the whole list as last known before a restart, maybe old
     FAILED = 3  # a call failed or the subscription broke; no entries
-    SILENT = 4  # the subscription fell silent, its news are lost; no entries. Only on sockets
+    WATCH_TIMED_OUT = 4  # the subscription fell silent, its news are lost; no entries. Only on sockets
 
 
-class Result(Enum):
+class AttemptResult(Enum):
     """How an attempt ended."""
 
     OK = "ok"
     ERROR = "error"  # answered with an error; may have run
-    FULL = "full"  # turned away unseen; never ran
+    REJECTED = "rejected"  # turned away unseen; never ran
     TIMEOUT = "timeout"  # may have run, may still run
     CONNECT_FAILED = "connect_failed"  # never ran
     RESET = "reset"  # the connection broke; may have run
     CANCELLED = "cancelled"  # called off; may have run
-    MOOT = "moot"  # not sent at all; never ran
+    NOT_SENT = "not_sent"  # not sent at all; never ran
 
 
-NEVER_RAN = frozenset({Result.FULL, Result.CONNECT_FAILED, Result.MOOT})
+NEVER_RAN = frozenset({AttemptResult.REJECTED, AttemptResult.CONNECT_FAILED, AttemptResult.NOT_SENT})
 
 
 @dataclass(frozen=True, slots=True)
 class RequestClass:
     name: str
-    effect: Effect = Effect.SAFE
-    scope: Scope = Scope.ALL
+    effect: Idempotency = Idempotency.IDEMPOTENT
+    scope: DeduplicationScope = DeduplicationScope.ALL
     window_ns: int = 0  # keyed: how long repeats are dropped, from the first send that may have run
     aim_ns: int = 1_000_000_000  # an answer within this earns the full worth
     worth: float = 1.0
@@ -149,16 +149,16 @@
     prices: Prices = field(default_factory=Prices)
     report_columns: Sequence[str] = ()  # what load reports hold
     reports_in_answers: bool = False
-    weights: Weights = Weights.NONE
+    weights: WeightSource = WeightSource.NONE
     over_share_worth: float = 1.0  # worth of traffic beyond a tenant's share
     retries_marked: bool = False  # clients flag their retries
 
 
-class Upstream(NamedTuple):
+class Endpoint(NamedTuple):
     """An entry of the upstream list."""
 
     id: int
-    state: State = State.READY
+    state: EndpointStatus = EndpointStatus.READY
     zone: str = ""
     cell: int = 0
     weight: float = 1.0
@@ -169,12 +169,12 @@
 # ---- events --------------------------------------------------------------------------------------------
 
 
-class ListUpdate(NamedTuple):
-    kind: ListKind
-    upstreams: Iterable[Upstream] = ()  # taken once
+class EndpointUpdate(NamedTuple):
+    kind: EndpointUpdateKind
+    upstreams: Iterable[Endpoint] = ()  # taken once
 
 
-class Arrival(NamedTuple):
+class RequestArrived(NamedTuple):
     """A client's request; the proxy now owes it one final answer."""
 
     request: str
@@ -186,19 +186,19 @@
     retry: bool = False
 
 
-class Outcome(NamedTuple):
+class AttemptEnded(NamedTuple):
     """How one attempt ended; every Send gets exactly one."""
 
     request: str
     attempt: int
     upstream: int
-    result: Result
+    result: AttemptResult
     took_ns: int
     complete: bool = False  # the request is over
     report: Mapping[str, float] | None = None
 
 
-class AnswerBegun(NamedTuple):
+class ResponseStarted(NamedTuple):
     """A streamed answer has begun; the request's deadline no longer runs."""
 
     request: str
@@ -207,34 +207,43 @@
     took_ns: int
 
 
-class ClientGone(NamedTuple):
+class ClientDisconnected(NamedTuple):
     request: str
 
 
-class ProbeResult(NamedTuple):
+class HealthCheckEnded(NamedTuple):
     upstream: int
-    result: Result
+    result: AttemptResult
     took_ns: int
     report: Mapping[str, float] | None = None
 
 
-class PeerMessage(NamedTuple):
+class GossipReceived(NamedTuple):
     sender: int
     data: bytes
 
 
-class Wake(NamedTuple):
+class TimerExpired(NamedTuple):
     """A timer set with SetTimer is due."""
 
     name: str
 
 
-Event = ListUpdate | Arrival | Outcome | AnswerBegun | ClientGone | ProbeResult | PeerMessage | Wake
+Event = (
+    EndpointUpdate
+    | RequestArrived
+    | AttemptEnded
+    | ResponseStarted
+    | ClientDisconnected
+    | HealthCheckEnded
+    | GossipReceived
+    | TimerExpired
+)
 
 # ---- actions -------------------------------------------------------------------------------------------
 
 
-class Send(NamedTuple):
+class Forward(NamedTuple):
     """Start an attempt. A request's attempts are numbered from 0 in the order of their sends."""
 
     request: str
@@ -242,7 +251,7 @@
     timeout_ns: int = 0  # 0: until the client gives up
 
 
-class Refuse(NamedTuple):
+class Reject(NamedTuple):
     """Final answer: turned away; trying again is harmless."""
 
     request: str
@@ -255,31 +264,31 @@
     request: str
 
 
-class Cancel(NamedTuple):
+class CancelAttempt(NamedTuple):
     request: str
     attempt: int
 
 
-class Probe(NamedTuple):
+class CheckHealth(NamedTuple):
     upstream: int
 
 
-class Tell(NamedTuple):
+class SendGossip(NamedTuple):
     data: bytes
     peer: int = -1  # -1: all peers
 
 
-class CloseIdle(NamedTuple):
+class CloseIdleConnections(NamedTuple):
     """Close this proxy's idle connections to an upstream."""
 
     upstream: int
 
 
-class Subscribe(NamedTuple):
+class WatchEndpoints(NamedTuple):
     on: bool = True
 
 
-class FetchList(NamedTuple):
+class FetchEndpoints(NamedTuple):
     pass
 
 
@@ -288,8 +297,20 @@
     name: str
 
 
-class Note(NamedTuple):
+class LogMessage(NamedTuple):
     text: str
 
 
-Action = Send | Refuse | Fail | Cancel | Probe | Tell | CloseIdle | Subscribe | FetchList | SetTimer | Note
+Action = (
+    Forward
+    | Reject
+    | Fail
+    | CancelAttempt
+    | CheckHealth
+    | SendGossip
+    | CloseIdleConnections
+    | WatchEndpoints
+    | FetchEndpoints
+    | SetTimer
+    | LogMessage
+)
--- a/loadbalancer/membership.py
+++ b/loadbalancer/membership.py
@@ -29,7 +29,7 @@
 RESERVE = 256  # upstreams that are known in full beside the subset: for its losses, and for keyed retries
 GOLDEN, SILVER = 0.618033988749895, 0.414213562373095
 
-Profile = tuple[api.State, str, int, float, int, str]  # an `Upstream` but for its id
+Profile = tuple[api.EndpointStatus, str, int, float, int, str]  # an `Upstream` but for its id
 Key = int  # an upstream's place on a ring: its id, scrambled
 
 
@@ -128,17 +128,20 @@
         # With fewer proxies than zones, zones without one would be left idle.
         enough = settings.replicas_of_me >= len(settings.zones)
         self.zonal = prices.connection > 0 < prices.cross_zone and enough
-        self._zoned, self._celled = self.zonal or api.Scope.ZONE in scopes, api.Scope.CELL in scopes
+        self._zoned, self._celled = (
+            self.zonal or api.DeduplicationScope.ZONE in scopes,
+            api.DeduplicationScope.CELL in scopes,
+        )
         self._shared: dict[Profile, Profile] = {}  # one object for all that are alike
         self._moved: dict[int, Profile | None] = {}  # since `settle`: what the rings still hold of these
         self._anew = False  # instead: the rings are of no more use
 
-    def put(self, entry: api.Upstream) -> None:
+    def put(self, entry: api.Endpoint) -> None:
         profile = entry[1:]
         old = self.profiles.get(entry[0])
         if profile == old:
             return
-        if profile[0] is api.State.GONE:
+        if profile[0] is api.EndpointStatus.REMOVED:
             self.drop(entry[0])
             return
         # A new weight or start alone, as comes all the time, moves nothing on the rings.
@@ -162,7 +165,7 @@
         """Bring the rings up to date; has any upstream come to them or left them?"""
         if len(self._shared) > 2 * len(self.profiles) + RESERVE:
             self._shared = {profile: profile for profile in self.profiles.values()}
-        ready, profiles, anew, moved = api.State.READY, self.profiles, self._anew, self._moved
+        ready, profiles, anew, moved = api.EndpointStatus.READY, self.profiles, self._anew, self._moved
         left = [(n, old) for n, old in moved.items() if old is not None and old[0] is ready]
         came = [(n, profiles[n]) for n in moved if n in profiles and profiles[n][0] is ready]
         self._anew, self._moved = False, {}
@@ -178,16 +181,21 @@
             placement.join(came, self._zoned, self._celled)
         return anew or bool(left or came)
 
-    def entry(self, number: int) -> api.Upstream:
-        return api.Upstream(number, *self.profiles[number])
+    def entry(self, number: int) -> api.Endpoint:
+        return api.Endpoint(number, *self.profiles[number])
 
     def group(
-        self, placement: Placement, like: api.Upstream, scope: api.Scope, place: float, count: int
+        self,
+        placement: Placement,
+        like: api.Endpoint,
+        scope: api.DeduplicationScope,
+        place: float,
+        count: int,
     ) -> list[int]:
         """So many ready upstreams of the zone or cell of this one, from a place on its ring on (0 to 1)."""
         groups = (
             placement.by_zone.get(like.zone)
-            if scope is api.Scope.ZONE
+            if scope is api.DeduplicationScope.ZONE
             else placement.by_cell.get((like.zone, like.cell))
         )
         return [unmixed(key) for key in stretch(groups, int(place * len(groups)), count)] if groups else []
--- a/loadbalancer/net/discovery.py
+++ b/loadbalancer/net/discovery.py
@@ -35,7 +35,9 @@
 EMPTY_S = 0.02  # an agent that answers at once with nothing must not be asked without pause
 FIRST_RETRY_S, LAST_RETRY_S = 0.05, 1.0
 
-Told = Listing | Literal[api.ListKind.FAILED, api.ListKind.SILENT]  # what ends a call
+Told = (
+    Listing | Literal[api.EndpointUpdateKind.FAILED, api.EndpointUpdateKind.WATCH_TIMED_OUT]
+)  # what ends a call
 Steps = Generator[None, None, Listing]
 
 
@@ -54,16 +56,20 @@
         if self._reading is not None:
             self._reading.cancel()
 
-    def _answered(self, result: api.Result, response: Message | None) -> None:
-        self._source.refuses = result is api.Result.CONNECT_FAILED
-        if result is not api.Result.OK or response is None or response.status != 200:
+    def _answered(self, result: api.AttemptResult, response: Message | None) -> None:
+        self._source.refuses = result is api.AttemptResult.CONNECT_FAILED
+        if result is not api.AttemptResult.OK or response is None or response.status != 200:
             if self._exchange.too_large:
                 log.warning(
                     "discovery: a list of over %d bytes is turned down; the old list stays",
                     self._source.pool.hub.max_body,
                 )
             log.info("discovery: call failed: %s %s", result.value, response.status if response else "")
-            self._done(api.ListKind.SILENT if result is api.Result.TIMEOUT else api.ListKind.FAILED)
+            self._done(
+                api.EndpointUpdateKind.WATCH_TIMED_OUT
+                if result is api.AttemptResult.TIMEOUT
+                else api.EndpointUpdateKind.FAILED
+            )
         else:
             steps = self._source.reader.steps(response.body)
             if len(response.body) > AT_ONCE:
@@ -87,7 +93,7 @@
             return cast(Listing, end.value)
         except BadList as error:
             log.warning("discovery: %.120s", error)
-            return api.ListKind.FAILED
+            return api.EndpointUpdateKind.FAILED
         return None
 
 
@@ -223,7 +229,7 @@
             self._handover_retry = asyncio.get_running_loop().call_later(
                 self._pause_s(self._handover_failures), self._ask_successor
             )
-            self._fail_deferred(api.ListKind.FAILED if isinstance(listing, Listing) else listing)
+            self._fail_deferred(api.EndpointUpdateKind.FAILED if isinstance(listing, Listing) else listing)
             return
         self._end_call()
         if self._fetch is not None:  # what the whole list was asked for, this one answers
--- a/loadbalancer/net/lists.py
+++ b/loadbalancer/net/lists.py
@@ -26,7 +26,11 @@
 
 MS = 1_000_000
 STRIDE = 4096  # bytes read at a stretch, some thirty rows: what waits meanwhile waits under a millisecond
-STATES = {"up": api.State.READY, "draining": api.State.DRAINING, "removed": api.State.GONE}
+STATES = {
+    "up": api.EndpointStatus.READY,
+    "draining": api.EndpointStatus.DRAINING,
+    "removed": api.EndpointStatus.REMOVED,
+}
 STARTS, ENDS = frozenset({"start_map", "start_array"}), frozenset({"end_map", "end_array"})
 NOWHERE: Address = ("", 0)
 FINGERPRINT = b"fingerprint"  # makes the second hash of a name independent of the first
@@ -82,7 +86,7 @@
 
 
 class Entry(NamedTuple):
-    upstream: api.Upstream
+    upstream: api.Endpoint
     address: Address
 
 
@@ -108,7 +112,7 @@
     @property
     def entries(self) -> Iterator[Entry]:
         for number, profile, address in zip(self.numbers, self.profiles, self.addresses, strict=True):
-            yield Entry(api.Upstream(number, *profile), unpack_address(address))
+            yield Entry(api.Endpoint(number, *profile), unpack_address(address))
 
 
 class Rows:
@@ -198,7 +202,7 @@
                 raise BadList("an entry's figures are no numbers")
             # No start lies in the future: clocks differ a little, and what is younger than new has no warmth.
             started = min(born_ms * MS - self._offset_ns, time.monotonic_ns()) if born_ms > 0 else 0
-            address = NOWHERE if state is api.State.GONE else pack_address(str(row.get("dial")))
+            address = NOWHERE if state is api.EndpointStatus.REMOVED else pack_address(str(row.get("dial")))
             weight = alike.setdefault(float(weight), float(weight))
             profile = (
                 state,
@@ -220,10 +224,10 @@
         self.listing.profiles.append(alike.setdefault(profile, profile))
         self.listing.addresses.append(address)
 
-    def _number(self, host: str, state: api.State) -> int | None:
+    def _number(self, host: str, state: api.EndpointStatus) -> int | None:
         """None for the end of a host that is not known, where another host holds its number: it must stay."""
         preferred, fingerprint = number_of(host), fingerprint_of(host)
-        if state is api.State.GONE:
+        if state is api.EndpointStatus.REMOVED:
             return self._host_numbers.find(preferred, fingerprint)
         return self._host_numbers.assign(preferred, fingerprint)
 
--- a/loadbalancer/net/node.py
+++ b/loadbalancer/net/node.py
@@ -24,7 +24,11 @@
 
 MS = 1_000_000
 SECOND = 1000 * MS
-METHODS = {api.Effect.SAFE: b"GET", api.Effect.KEYED: b"POST", api.Effect.UNSAFE: b"POST"}
+METHODS = {
+    api.Idempotency.IDEMPOTENT: b"GET",
+    api.Idempotency.IDEMPOTENCY_KEY: b"POST",
+    api.Idempotency.NON_IDEMPOTENT: b"POST",
+}
 MODULE_EARLY_NS = 4 * MS  # the module's deadline comes so much before the client's, for the way back
 NODE_EARLY_NS = 3 * MS // 2  # and the node's own, for what the module left open
 LONGEST_DEADLINE_MS = 600_000
@@ -142,14 +146,14 @@
         return self.server.listen(*self.config.listen)
 
     def _take_known(self) -> None:
-        known: Iterable[api.Upstream] = ()
+        known: Iterable[api.Endpoint] = ()
         if self.config.known is not None:
             listing = self._reader.accept(self.config.known)
             self._discovery.take_known(listing)
             known = self._taken(listing)  # noted as the module goes through it, or a long list stood twice
             if len(listing) <= SLICE:
                 known = list(known)
-        self.feed(api.ListUpdate(api.ListKind.CACHED, known))
+        self.feed(api.EndpointUpdate(api.EndpointUpdateKind.CACHED, known))
         if self.config.known is not None:
             for _ in known:
                 pass  # what the module has left
@@ -228,32 +232,32 @@
 
     def _carry_out(self, action: api.Action) -> None:
         match action:
-            case api.Send():
+            case api.Forward():
                 self._send(action)
-            case api.Refuse():
+            case api.Reject():
                 self._refuse(action)
             case api.Fail():
                 self._final(action.request, 504)
-            case api.Cancel():
+            case api.CancelAttempt():
                 self._cancel(action)
-            case api.Probe():
+            case api.CheckHealth():
                 self._probe(action.upstream)
-            case api.Tell():
+            case api.SendGossip():
                 self._peers.tell(action.data, action.peer)
-            case api.CloseIdle():
+            case api.CloseIdleConnections():
                 if (pool := self._hub.pools.get(action.upstream)) is not None:
                     pool.close_idle()
-            case api.Subscribe():
+            case api.WatchEndpoints():
                 if action.on:
                     self._discovery.watch()
                 else:
                     self._discovery.unwatch()
-            case api.FetchList():
+            case api.FetchEndpoints():
                 self._discovery.fetch()
             case api.SetTimer():
                 due = (self._decided_ns + action.delay_ns) / SECOND
-                self._loop.call_at(due, self.feed, api.Wake(action.name))
-            case api.Note():
+                self._loop.call_at(due, self.feed, api.TimerExpired(action.name))
+            case api.LogMessage():
                 log.info("module: %s", action.text)
             case _:
                 assert_never(action)
@@ -292,7 +296,7 @@
         key = next((c[5:] for c in cookies if c.startswith("user=")), "")
         cost_us = whole_number(request.header(b"req-cost")) or 0
         self.feed(
-            api.Arrival(
+            api.RequestArrived(
                 call.id,
                 name,
                 request.header(b"req-owner").decode("latin-1"),
@@ -305,16 +309,16 @@
 
     def _out_of_time(self, call: Call) -> None:
         self._finish(call, 504)
-        self.feed(api.ClientGone(call.id))
+        self.feed(api.ClientDisconnected(call.id))
 
     def gone(self, client: ClientConnection) -> None:
         """The client has closed its connection: nobody waits for the answer."""
         call = self._by_client.get(client)
         if call is not None:
             self._drop(call)
-            self.feed(api.ClientGone(call.id))
+            self.feed(api.ClientDisconnected(call.id))
 
-    def _refuse(self, action: api.Refuse) -> None:
+    def _refuse(self, action: api.Reject) -> None:
         headers = []
         if action.retry_after_ns > 0:
             headers.append((b"Retry-After", b"%.3f" % (action.retry_after_ns / SECOND)))
@@ -340,11 +344,11 @@
         del self._by_client[call.client]
         self._ids.discard(call.request.header(b"req-id"))
         if call.out is not None:
-            call.out.finish(api.Result.CANCELLED)
+            call.out.finish(api.AttemptResult.CANCELLED)
 
     # -- attempts --
 
-    def _send(self, action: api.Send) -> None:
+    def _send(self, action: api.Forward) -> None:
         now = time.monotonic_ns()
         call = self._calls.get(action.request)
         number = call.sends if call is not None else 0
@@ -363,7 +367,11 @@
             or end <= now
             or number >= self._limits.max_attempts
         ):
-            self.feed(api.Outcome(action.request, number, action.upstream, api.Result.MOOT, 0, call is None))
+            self.feed(
+                api.AttemptEnded(
+                    action.request, number, action.upstream, api.AttemptResult.NOT_SENT, 0, call is None
+                )
+            )
             return
         call.out = Exchange(
             pool,
@@ -389,44 +397,44 @@
 
     def _when_ended(
         self, call: Call, number: int, upstream: int, sent_ns: int
-    ) -> Callable[[api.Result, Message | None], None]:
-        def ended(result: api.Result, response: Message | None) -> None:
+    ) -> Callable[[api.AttemptResult, Message | None], None]:
+        def ended(result: api.AttemptResult, response: Message | None) -> None:
             call.out = None
             took = time.monotonic_ns() - sent_ns
             if response is not None:
                 result = _judged(response)
-            if result is api.Result.OK and response is not None:
+            if result is api.AttemptResult.OK and response is not None:
                 headers = [(k, v) for k, v in response.end_to_end() if k != b"srv-load"]
                 self._finish(call, 200, headers, response.body)
             report = self._report(response) if self.config.settings.reports_in_answers else None
-            self.feed(api.Outcome(call.id, number, upstream, result, took, call.over, report))
+            self.feed(api.AttemptEnded(call.id, number, upstream, result, took, call.over, report))
 
         return ended
 
     def _report(self, response: Message | None) -> dict[str, float] | None:
         return load_report(response.header(b"srv-load")) if response is not None else None
 
-    def _cancel(self, action: api.Cancel) -> None:
+    def _cancel(self, action: api.CancelAttempt) -> None:
         call = self._calls.get(action.request)
         if call is not None and call.out is not None and action.attempt == call.sends - 1:
-            call.out.finish(api.Result.CANCELLED)
+            call.out.finish(api.AttemptResult.CANCELLED)
 
     # -- probes, lists, peers --
 
     def _probe(self, upstream: int) -> None:
         pool, now = self._pool(upstream), time.monotonic_ns()
         if pool is None or self._probes >= MAX_PROBES:
-            self.feed(api.ProbeResult(upstream, api.Result.CONNECT_FAILED, 0))
+            self.feed(api.HealthCheckEnded(upstream, api.AttemptResult.CONNECT_FAILED, 0))
             return
         self._probes += 1
 
-        def ended(result: api.Result, response: Message | None) -> None:
+        def ended(result: api.AttemptResult, response: Message | None) -> None:
             self._probes -= 1
             report = None
             if response is not None:
-                result = api.Result.OK if response.status == 200 else api.Result.FULL
+                result = api.AttemptResult.OK if response.status == 200 else api.AttemptResult.REJECTED
                 report = load_report(response.body)
-            self.feed(api.ProbeResult(upstream, result, time.monotonic_ns() - now, report))
+            self.feed(api.HealthCheckEnded(upstream, result, time.monotonic_ns() - now, report))
 
         host = "{}:{}".format(*pool.address).encode()
         pool.exchange(
@@ -438,7 +446,7 @@
 
     def _listed(self, listing: Told) -> None:
         if not isinstance(listing, Listing):
-            self.feed(api.ListUpdate(listing))
+            self.feed(api.EndpointUpdate(listing))
         elif len(listing) > SLICE or (
             listing.whole and (listing.unread or self._long or len(self._held) > 2 * SLICE)
         ):
@@ -451,7 +459,9 @@
                 older.overtaken.update(listing.numbers)
             if listing.whole:
                 self._note_gone(self._held.keys() - set(listing.numbers))
-            self._apply(upstreams, api.ListKind.FULL if listing.whole else api.ListKind.DELTA)
+            self._apply(
+                upstreams, api.EndpointUpdateKind.FULL if listing.whole else api.EndpointUpdateKind.DELTA
+            )
 
     async def _apply_long(self) -> None:
         """Put long lists in force in slices, as changes, so that requests go on meanwhile."""
@@ -471,26 +481,28 @@
             for first in range(0, len(missing), SLICE):
                 gone = [n for n in missing[first : first + SLICE] if n not in listing.overtaken]
                 self._note_gone(gone)
-                self._apply([api.Upstream(number, api.State.GONE) for number in gone])
+                self._apply([api.Endpoint(number, api.EndpointStatus.REMOVED) for number in gone])
                 await asyncio.sleep(0)
             self._long.popleft()
         self._applying = None
 
-    def _apply(self, upstreams: list[api.Upstream], kind: api.ListKind = api.ListKind.DELTA) -> None:
+    def _apply(
+        self, upstreams: list[api.Endpoint], kind: api.EndpointUpdateKind = api.EndpointUpdateKind.DELTA
+    ) -> None:
         self._call_off_waiting()
-        self.feed(api.ListUpdate(kind, upstreams))
+        self.feed(api.EndpointUpdate(kind, upstreams))
 
-    def _taken(self, listing: Listing, first: int = 0, end: int | None = None) -> Iterator[api.Upstream]:
+    def _taken(self, listing: Listing, first: int = 0, end: int | None = None) -> Iterator[api.Endpoint]:
         """These of a listing's upstreams for the module; where they are is noted on the way."""
         for i in range(first, len(listing) if end is None else min(end, len(listing))):
             number, profile, address = listing.numbers[i], listing.profiles[i], listing.addresses[i]
             if number in listing.overtaken:
                 continue
-            if profile[0] is api.State.GONE:
+            if profile[0] is api.EndpointStatus.REMOVED:
                 self._note_gone([number])
             else:
-                self._note(number, address if profile[0] is api.State.READY else None)
-            yield api.Upstream(number, *profile)
+                self._note(number, address if profile[0] is api.EndpointStatus.READY else None)
+            yield api.Endpoint(number, *profile)
 
     def _note(self, number: int, address: Packed | None) -> None:
         if self._held.get(number, 0) != address:
@@ -520,16 +532,16 @@
         """No first byte may go to an upstream that drains or is gone, also not when its connection is up."""
         for call in list(self._calls.values()):
             if call.out is not None and call.out.waiting and not call.out.pool.ready:
-                call.out.finish(api.Result.MOOT)
+                call.out.finish(api.AttemptResult.NOT_SENT)
 
     def _peer_message(self, sender: int, data: bytes) -> None:
-        self.feed(api.PeerMessage(sender, data))
+        self.feed(api.GossipReceived(sender, data))
 
 
-def _judged(response: Message) -> api.Result:
+def _judged(response: Message) -> api.AttemptResult:
     """An attempt's result by what came back: only a marked 503 or 504 proves that it never ran."""
     if response.status == 200:
-        return api.Result.OK
+        return api.AttemptResult.OK
     if response.status in (503, 504) and response.header(b"srv-declined") == b"1":
-        return api.Result.FULL
-    return api.Result.ERROR
+        return api.AttemptResult.REJECTED
+    return api.AttemptResult.ERROR
--- a/loadbalancer/net/upstream.py
+++ b/loadbalancer/net/upstream.py
@@ -9,12 +9,12 @@
 from dataclasses import dataclass, field
 from typing import cast
 
-from loadbalancer.interface import Result
+from loadbalancer.interface import AttemptResult
 from loadbalancer.net.http import MAX_ANSWER, Message, MessageReader
 from loadbalancer.net.look import UNREAD, shows
 
 Address = tuple[str, int]
-Done = Callable[[Result, Message | None], None]
+Done = Callable[[AttemptResult, Message | None], None]
 Serialize = Callable[[], bytes]
 
 IDLE_DEFAULT_S = 10.0  # where the settings do not say how long an upstream keeps a connection
@@ -63,12 +63,12 @@
         if not self._wanted():
             return
         if end_s is not None:
-            self._timer = asyncio.get_running_loop().call_at(end_s, self.finish, Result.TIMEOUT)
+            self._timer = asyncio.get_running_loop().call_at(end_s, self.finish, AttemptResult.TIMEOUT)
         connection = self.pool.reuse()
         if connection is not None:
             self.carry(connection)
         elif not self.pool.hub.make_place(self.spare):
-            asyncio.get_running_loop().call_soon(self.finish, Result.CONNECT_FAILED)
+            asyncio.get_running_loop().call_soon(self.finish, AttemptResult.CONNECT_FAILED)
         else:
             # Its place is taken here: what is begun in the same turn must find it taken.
             self._coming = Connection(self.pool)
@@ -81,7 +81,7 @@
                 await asyncio.get_running_loop().create_connection(lambda: connection, host, port)
         except (OSError, TimeoutError):
             self._opening = None
-            self.finish(Result.CONNECT_FAILED)
+            self.finish(AttemptResult.CONNECT_FAILED)
         else:
             self._opening = self._coming = None
             if self._wanted():  # it may have ended unread while the connection came up
@@ -94,13 +94,13 @@
         if self.pool.hub.least_rate and self._timer is not None:
             end_s = self._timer.when() + size / self.pool.hub.least_rate
             self._timer.cancel()
-            self._timer = asyncio.get_running_loop().call_at(end_s, self.finish, Result.TIMEOUT)
+            self._timer = asyncio.get_running_loop().call_at(end_s, self.finish, AttemptResult.TIMEOUT)
 
     def carry(self, connection: Connection) -> None:
         self._connection = connection
         connection.send(self)
 
-    def finish(self, result: Result, response: Message | None = None) -> None:
+    def finish(self, result: AttemptResult, response: Message | None = None) -> None:
         """End it and say so, once."""
         if not self.over:
             self.abandon(response is not None)
@@ -174,7 +174,7 @@
                 self._pool.keep(self, exchange.rest_s)
             else:
                 self.close()
-            exchange.finish(Result.OK, responses[0])
+            exchange.finish(AttemptResult.OK, responses[0])
         else:
             exchange.progress(len(data))
 
@@ -187,7 +187,7 @@
         self.close()
         if exchange is not None:
             # Up to its last byte nothing can have run; from then on it may have.
-            exchange.finish(Result.RESET if self._written else Result.CONNECT_FAILED)
+            exchange.finish(AttemptResult.RESET if self._written else AttemptResult.CONNECT_FAILED)
 
     def close(self) -> None:
         self._exchange = None  # a late answer finds nobody
--- a/loadbalancer/policy.py
+++ b/loadbalancer/policy.py
@@ -47,8 +47,12 @@
 COMMON_MAX = 0.3  # share of broken connections beyond which none is put down to the network
 BREAKS_KEPT = 0.8  # of evidence on broken connections, a feedback interval
 EVIDENCE = 8  # outcomes before a figure is believed
-FAILURES = (api.Result.FULL, api.Result.TIMEOUT, api.Result.CONNECT_FAILED)  # they count against R
-UNSEEN = (api.Result.CANCELLED, api.Result.MOOT)  # they say nothing of the connection
+FAILURES = (
+    api.AttemptResult.REJECTED,
+    api.AttemptResult.TIMEOUT,
+    api.AttemptResult.CONNECT_FAILED,
+)  # they count against R
+UNSEEN = (api.AttemptResult.CANCELLED, api.AttemptResult.NOT_SENT)  # they say nothing of the connection
 
 
 @dataclass(slots=True, eq=False)
@@ -59,14 +63,16 @@
     sent_ns: int
     expected: float
     load: float  # what the upstream was thought to hold then, this one included
-    result: api.Result | None = None
+    result: api.AttemptResult | None = None
     may_have_run: bool = True  # until its outcome proves the contrary
     late: bool = False  # out longer than its upstream should take: no longer in flight there
 
-    def learn(self, result: api.Result, rules: api.Rules) -> None:
+    def learn(self, result: api.AttemptResult, rules: api.Rules) -> None:
         """Note its outcome. "Full" proves nothing where upstreams also drop what they had begun."""
         self.result = result
-        self.may_have_run = result not in api.NEVER_RAN or (result is api.Result.FULL and rules.full_unproven)
+        self.may_have_run = result not in api.NEVER_RAN or (
+            result is api.AttemptResult.REJECTED and rules.full_unproven
+        )
 
 
 @dataclass(slots=True, eq=False)
@@ -103,26 +109,36 @@
             or not self.pool.admits(server.entry)
         ):
             return False
-        if server.entry.state is not api.State.READY or self.out >= (2 if limits.second_copies else 1):
+        if server.entry.state is not api.EndpointStatus.READY or self.out >= (
+            2 if limits.second_copies else 1
+        ):
             return False
         risky = [a for a in self.attempts if a.may_have_run]
-        if not risky or self.cls.effect is api.Effect.SAFE:
+        if not risky or self.cls.effect is api.Idempotency.IDEMPOTENT:
             return True
         up_ns = now + limits.connect_timeout_ns  # it may go out as late as this, if it needs a new connection
-        fresh = self.cls.effect is api.Effect.KEYED and up_ns - risky[0].sent_ns < self.cls.window_ns
+        fresh = (
+            self.cls.effect is api.Idempotency.IDEMPOTENCY_KEY
+            and up_ns - risky[0].sent_ns < self.cls.window_ns
+        )
         return fresh and all(self._same_group(a.server, server) for a in risky)
 
     def may_refuse(self) -> bool:
-        everywhere = self.cls.effect is api.Effect.KEYED and self.cls.scope is api.Scope.ALL
+        everywhere = (
+            self.cls.effect is api.Idempotency.IDEMPOTENCY_KEY
+            and self.cls.scope is api.DeduplicationScope.ALL
+        )
         return (
-            self.cls.effect is api.Effect.SAFE or everywhere or not any(a.may_have_run for a in self.attempts)
+            self.cls.effect is api.Idempotency.IDEMPOTENT
+            or everywhere
+            or not any(a.may_have_run for a in self.attempts)
         )
 
     def _same_group(self, x: Server, y: Server) -> bool:
-        if self.cls.scope is api.Scope.ALL:
+        if self.cls.scope is api.DeduplicationScope.ALL:
             return True
         a, b = x.entry, y.entry
-        return a.zone == b.zone and (self.cls.scope is api.Scope.ZONE or a.cell == b.cell)
+        return a.zone == b.zone and (self.cls.scope is api.DeduplicationScope.ZONE or a.cell == b.cell)
 
 
 class Throttle:
@@ -300,7 +316,7 @@
     """What this proxy knows of one upstream."""
 
     id: int
-    entry: api.Upstream
+    entry: api.Endpoint
     inflight: int = 0  # own requests there, but for those out too long
     late: int = 0  # these: lost on the way, while it answers others
     answered_ns: int = 0  # the latest time of a send that it has answered
@@ -345,7 +361,7 @@
     queue: deque[Request] = field(default_factory=deque)
     blocked_ns: int = 0  # the queue found no upstream since
 
-    def admits(self, entry: api.Upstream) -> bool:
+    def admits(self, entry: api.Endpoint) -> bool:
         return self.placement.admits(entry.zone, entry.kind)
 
 
@@ -378,10 +394,10 @@
             self.membership.placements.append(self.pools[key].placement)
         return self.pools[key]
 
-    def learn(self, update: api.ListUpdate, now: int) -> list[Server]:
+    def learn(self, update: api.EndpointUpdate, now: int) -> list[Server]:
         """Take a list; which cold upstreams are new in the subset of this proxy?"""
-        membership, live = self.membership, self.settings.weights is api.Weights.LIVE
-        missing = set(membership.profiles) if update.kind is not api.ListKind.DELTA else set()
+        membership, live = self.membership, self.settings.weights is api.WeightSource.LIVE
+        missing = set(membership.profiles) if update.kind is not api.EndpointUpdateKind.DELTA else set()
         kept = {s for s in self.servers.values() if s.own}
         had = len(kept)
         for entry in update.upstreams:
@@ -401,7 +417,7 @@
             membership.drop(number)
             if number in self.servers:
                 s = self.servers[number]
-                s.entry = s.entry._replace(state=api.State.GONE)  # missing from a whole list
+                s.entry = s.entry._replace(state=api.EndpointStatus.REMOVED)  # missing from a whole list
         if membership.settle():
             self._arrange_all(now)
         elif len(kept) == had:  # only weights have changed, as they do all the time
@@ -409,7 +425,7 @@
         return [s for s in self.servers.values() if s.own and s not in kept and self.cold(s, now)]
 
     def _weigh(self, s: Server, now: int) -> None:
-        if self.settings.weights is api.Weights.LIVE and 0 < s.entry.weight < LOAD_MAX:
+        if self.settings.weights is api.WeightSource.LIVE and 0 < s.entry.weight < LOAD_MAX:
             s.hear(self.sizes[s.entry.kind] / s.entry.weight - 1, now)
 
     def server(self, number: int, now: int) -> Server:
@@ -446,10 +462,10 @@
         """Nothing is kept in full of upstreams that are not used and hold nothing of ours. What still knows
         one, as a request that has asked it, finds it gone: no news reaches it any more."""
         for s in [s for i, s in self.servers.items() if not (i in self.used or s.inflight or s.late)]:
-            s.entry = s.entry._replace(state=api.State.GONE)
+            s.entry = s.entry._replace(state=api.EndpointStatus.REMOVED)
             del self.servers[s.id]
 
-    def group(self, pool: Pool, like: Server, scope: api.Scope, now: int) -> list[Server]:
+    def group(self, pool: Pool, like: Server, scope: api.DeduplicationScope, now: int) -> list[Server]:
         """Some upstreams of the same zone or cell that this proxy does not use otherwise."""
         if len(pool.order) == len(pool.placement.ring):
             return []
@@ -482,7 +498,9 @@
 
     def fit(self, s: Server, now: int) -> bool:
         return (
-            s.entry.state is api.State.READY and now >= s.not_before_ns and s.inflight < self.limit_of(s, now)
+            s.entry.state is api.EndpointStatus.READY
+            and now >= s.not_before_ns
+            and s.inflight < self.limit_of(s, now)
         )
 
     def eject(self, s: Server, now: int, base: float) -> None:
@@ -527,7 +545,9 @@
 
     def crowded(self, now: int) -> bool:
         """Do upstreams have more than they can work on, by what they last reported? Unknown counts as yes."""
-        told = [s.load for s in self.servers.values() if s.entry.state is api.State.READY and s.told(now)]
+        told = [
+            s.load for s in self.servers.values() if s.entry.state is api.EndpointStatus.READY and s.told(now)
+        ]
         return not told or sum(told) >= CROWDED * len(told)
 
     def draw(self, pool: Pool, count: int, now: int) -> list[Server]:
@@ -669,19 +689,19 @@
         if self.due and now - self.due[0][0] > STALL_NS:
             self._stood(now)
         for e in events:
-            if type(e) is api.Arrival:
+            if type(e) is api.RequestArrived:
                 self._arrival(e, now)
-            elif type(e) is api.Outcome:
+            elif type(e) is api.AttemptEnded:
                 self._outcome(e, now)
-            elif type(e) is api.ClientGone and e.request in self.requests:
+            elif type(e) is api.ClientDisconnected and e.request in self.requests:
                 self._end(self.requests[e.request], now)
-            elif type(e) is api.ListUpdate:
+            elif type(e) is api.EndpointUpdate:
                 self._list(e, now)
-            elif type(e) is api.ProbeResult:
+            elif type(e) is api.HealthCheckEnded:
                 self._probed(e, now)
-            elif type(e) is api.AnswerBegun and e.request in self.requests:
+            elif type(e) is api.ResponseStarted and e.request in self.requests:
                 self.requests[e.request].begun = True
-            elif type(e) is api.Wake and e.name == str(self.timer):
+            elif type(e) is api.TimerExpired and e.name == str(self.timer):
                 self.timer_ns = 0  # by its name, not the clock: a timer may come a little early
         while self.due and self.due[0][0] <= now:
             _, _, what, about, extra = heapq.heappop(self.due)
@@ -712,11 +732,13 @@
         self.count += 1
         heapq.heappush(self.due, (at, self.count, what, about, extra))
 
-    def _arrival(self, e: api.Arrival, now: int) -> None:
+    def _arrival(self, e: api.RequestArrived, now: int) -> None:
         if e.request in self.requests:
             return  # an id is never reused: the first one stands
         throttle = self.throttles[e.tenant]
-        cls = self.settings.classes.get(e.class_name) or api.RequestClass(e.class_name, api.Effect.UNSAFE)
+        cls = self.settings.classes.get(e.class_name) or api.RequestClass(
+            e.class_name, api.Idempotency.NON_IDEMPOTENT
+        )
         aim = min(now + cls.aim_ns, e.deadline_ns)
         r = Request(e.request, cls, self.fleet.pool(cls), throttle, e.deadline_ns, aim, e.cost_hint_ns)
         self.requests[r.id] = r
@@ -755,20 +777,20 @@
             for s in r.asked:
                 if now - max(s.load_ns, s.asked_ns) >= RECENT_NS:
                     s.asked_ns = now
-                    self.actions.append(api.Probe(s.id))
+                    self.actions.append(api.CheckHealth(s.id))
             self._later(now + LOOK_NS, "look", r)
 
-    def _probed(self, e: api.ProbeResult, now: int) -> None:
+    def _probed(self, e: api.HealthCheckEnded, now: int) -> None:
         server = self.fleet.servers.get(e.upstream)
         if server is not None and e.report is not None:
             server.hear(e.report.get("inflight"), now)
-        elif server is not None and e.result is api.Result.RESET and server.deaf_ns < server.asked_ns:
+        elif server is not None and e.result is api.AttemptResult.RESET and server.deaf_ns < server.asked_ns:
             # Its connection broke, as any may: asked once more, or its request would wait for nothing. Harm:
             # one more look at each upstream that breaks all it is sent.
             server.deaf_ns = now
-            self.actions.append(api.Probe(server.id))
+            self.actions.append(api.CheckHealth(server.id))
 
-    def _outcome(self, e: api.Outcome, now: int) -> None:
+    def _outcome(self, e: api.AttemptEnded, now: int) -> None:
         server = self.fleet.servers.get(e.upstream)
         r = self.requests.get(e.request)
         if r is None or server is None or not 0 <= e.attempt < len(r.attempts):
@@ -780,8 +802,8 @@
         self.crowding.held(server, now)
         if e.report and "inflight" in e.report:
             server.hear(e.report["inflight"] + 1, now)  # this one leaves it below
-        apart = e.result not in UNSEEN and self.fleet.ends(server, e.result is api.Result.RESET)
-        if e.result is api.Result.OK:
+        apart = e.result not in UNSEEN and self.fleet.ends(server, e.result is api.AttemptResult.RESET)
+        if e.result is api.AttemptResult.OK:
             server.answered_ns = max(server.answered_ns, a.sent_ns)
             if not r.stood:
                 self.crowding.note(r, a, e.took_ns)
@@ -791,21 +813,21 @@
             self.rate.bad[server.id] += now > r.aim_ns and not r.hurried  # crowding shows in it first
             if server.strikes:
                 server.strikes = server.not_before_ns = 0
-        elif e.result is api.Result.RESET:
+        elif e.result is api.AttemptResult.RESET:
             # Fewer requests cure no connection that broke by chance: R is not judged by it.
             self.rate.good += not apart
             self.rate.bad[server.id] += apart
             if apart:
                 self._eject(server, now, SECOND / 4)
-        elif e.result in FAILURES and not (r.stood and e.result is api.Result.TIMEOUT):
-            self.rate.bad[server.id] += e.result is not api.Result.TIMEOUT or not r.hurried
-            if e.result is api.Result.TIMEOUT:
+        elif e.result in FAILURES and not (r.stood and e.result is api.AttemptResult.TIMEOUT):
+            self.rate.bad[server.id] += e.result is not api.AttemptResult.TIMEOUT or not r.hurried
+            if e.result is api.AttemptResult.TIMEOUT:
                 # It would have taken longer: what is cut off must not flatten the slope.
                 self.crowding.crowd(a, max(1.3 * e.took_ns, self.crowding.time(a.load)))
-            busy = e.result in (api.Result.FULL, api.Result.TIMEOUT)
+            busy = e.result in (api.AttemptResult.REJECTED, api.AttemptResult.TIMEOUT)
             self._eject(server, now, self._pause(a) if busy else SECOND / 4)
         else:
-            self.rate.good += e.result is api.Result.ERROR
+            self.rate.good += e.result is api.AttemptResult.ERROR
         server.late -= a.late
         server.inflight -= not a.late
         server.load = max(0.0, server.load - 1)
@@ -851,7 +873,11 @@
     def _choices(self, r: Request, now: int) -> list[Server] | None:
         """Where a request that may have run may go again; None: anywhere."""
         first = next((a for a in r.attempts if a.may_have_run), None)
-        if first is None or r.cls.effect is api.Effect.SAFE or r.cls.scope is api.Scope.ALL:
+        if (
+            first is None
+            or r.cls.effect is api.Idempotency.IDEMPOTENT
+            or r.cls.scope is api.DeduplicationScope.ALL
+        ):
             return None
         near = [s for s in r.pool.order if r._same_group(s, first.server)]
         return near + self.fleet.group(r.pool, first.server, r.cls.scope, now)
@@ -860,7 +886,7 @@
         """The final answer of a request that is not served: refused if that is true, else failed."""
         if r.may_refuse():
             back = self.rng.uniform(0.25, 1.0) * min(self.settings.limits.max_retry_after_ns, SECOND)
-            self.actions.append(api.Refuse(r.id, int(back) if self.settings.limits.retry_after else 0))
+            self.actions.append(api.Reject(r.id, int(back) if self.settings.limits.retry_after else 0))
         else:
             self.actions.append(api.Fail(r.id))
         self._end(r, now)
@@ -874,16 +900,16 @@
         if self.settings.limits.may_cancel:
             for i, a in enumerate(r.attempts):
                 if a.result is None:
-                    self.actions.append(api.Cancel(r.id, i))
+                    self.actions.append(api.CancelAttempt(r.id, i))
         if not r.out:
             self.requests.pop(r.id, None)
 
-    def _list(self, e: api.ListUpdate, now: int) -> None:
-        if e.kind in (api.ListKind.FAILED, api.ListKind.SILENT):
+    def _list(self, e: api.EndpointUpdate, now: int) -> None:
+        if e.kind in (api.EndpointUpdateKind.FAILED, api.EndpointUpdateKind.WATCH_TIMED_OUT):
             # Spread and backed off: discovery does not grow with the fleet. But it may be back since the call
             # went out (one out for longer was a watch it held), and the next one has to come in time. The
             # first pause spreads a fleet whose watches ended together. News lost in silence soon count.
-            self.subscribed, failed = False, e.kind is api.ListKind.FAILED
+            self.subscribed, failed = False, e.kind is api.EndpointUpdateKind.FAILED
             # What a silent watch missed counts as told a second after it is found out: one more call at once.
             urgent, self.silent = failed and self.silent, not failed
             most, out = min(ASK_NS, self.settings.rules.ask_within_ns * 0.8), now - self.asked_ns
@@ -893,7 +919,7 @@
             self.failures += failed
             self._later(now + int(wait), "subscribe", None)
         else:
-            self.failures = self.failures if e.kind is api.ListKind.CACHED else 0
+            self.failures = self.failures if e.kind is api.EndpointUpdateKind.CACHED else 0
             for s in self.fleet.learn(e, now):
                 # All proxies learn of a start at once: their first sends must not come at once too.
                 self._space(s, now, self.rng.random())
@@ -907,7 +933,7 @@
                 self._overdue(about, extra, now)
         elif what == "subscribe" and not self.subscribed:
             self.subscribed, self.asked_ns = True, now
-            self.actions.append(api.Subscribe(True))
+            self.actions.append(api.WatchEndpoints(True))
         elif isinstance(about, Throttle):
             about.waking = False
             self._release(about, now)
@@ -983,7 +1009,7 @@
             self._space(server, now, max(1.0, self.crowding.expected(r) / self.crowding.mean))
         # Where a late answer is worth nothing, an attempt ends at the aim and leaves its place to another.
         timeout = 0 if r.cls.late_worth or r.cls.stream else max(1, r.aim_ns - now)
-        self.actions.append(api.Send(r.id, server.id, timeout))
+        self.actions.append(api.Forward(r.id, server.id, timeout))
         overdue = now + int(expected * (1.3 + 3 * self.crowding.spread))
         self._later(overdue, "overdue", r, len(r.attempts) - 1)
 
--- a/scale_test/evenness.py
+++ b/scale_test/evenness.py
@@ -43,7 +43,7 @@
     table.placements.append(Placement(None, None))
     ids = [number_of(f"s-{i:08x}") for i in range(upstreams)]
     for i, number in enumerate(ids):
-        table.put(api.Upstream(number, zone=zone_name(plan.zone_of(i)), cell=i // 100))
+        table.put(api.Endpoint(number, zone=zone_name(plan.zone_of(i)), cell=i // 100))
     table.settle()
     before = subsets(table, balancers, zones)
     shares, sizes = Counter(key for subset in before for key in subset), [len(s) for s in before]
--- a/scale_test/hollow.py
+++ b/scale_test/hollow.py
@@ -32,7 +32,7 @@
         actions = self._module.handle(now, events)
         done = time.monotonic_ns()
         for event in events:
-            if isinstance(event, api.ListUpdate) and event.kind is api.ListKind.DELTA:
+            if isinstance(event, api.EndpointUpdate) and event.kind is api.EndpointUpdateKind.DELTA:
                 self.changes.append((begun, done, len(list(event.upstreams))))
         return actions
 
--- a/scale_test/slopes.py
+++ b/scale_test/slopes.py
@@ -86,7 +86,7 @@
     }
 
 
-def read_list(text: bytes, reader: Any = None) -> tuple[Any, list[api.Upstream]]:
+def read_list(text: bytes, reader: Any = None) -> tuple[Any, list[api.Endpoint]]:
     """All that is used of the list reader: the reader (kept, as a balancer keeps it), and what it gave."""
     reader = reader or Reader(0)
     return reader, [e.upstream for e in reader.read(text).entries]
@@ -133,17 +133,18 @@
         self.now += later_ns
         return self.balancer.handle(self.now, events)
 
-    def ask(self, cls: str = "c0", tenant: str = "t0", later_ns: int = 10**4) -> api.Send | None:
+    def ask(self, cls: str = "c0", tenant: str = "t0", later_ns: int = 10**4) -> api.Forward | None:
         self.count += 1
-        arrival = api.Arrival(str(self.count), cls, tenant, self.now + 60 * S)
-        return next((a for a in self.give(arrival, later_ns=later_ns) if isinstance(a, api.Send)), None)
+        arrival = api.RequestArrived(str(self.count), cls, tenant, self.now + 60 * S)
+        return next((a for a in self.give(arrival, later_ns=later_ns) if isinstance(a, api.Forward)), None)
 
-    def end(self, send: api.Send | None) -> list[api.Action]:
+    def end(self, send: api.Forward | None) -> list[api.Action]:
         return (
             []
             if send is None
             else self.give(
-                api.Outcome(send.request, 0, send.upstream, api.Result.OK, 10**7, True), later_ns=10**4
+                api.AttemptEnded(send.request, 0, send.upstream, api.AttemptResult.OK, 10**7, True),
+                later_ns=10**4,
             )
         )
 
@@ -170,8 +171,8 @@
         taken = [look() for _ in range(times)]
         return {"look_s": statistics.mean(taken), "look_top_s": max(taken)}
 
-    def full(self, upstreams: Sequence[api.Upstream]) -> Clock:
-        self.give(api.ListUpdate(api.ListKind.FULL, upstreams))
+    def full(self, upstreams: Sequence[api.Endpoint]) -> Clock:
+        self.give(api.EndpointUpdate(api.EndpointUpdateKind.FULL, upstreams))
         return self
 
 
@@ -196,7 +197,7 @@
         health = ("up", "draining")[number % 2 == 0]
         news = orjson.dumps(listed([{**r, "health": health} for r in rows[: size * 40 : 40]], number, False))
         return news, spent(
-            lambda: clock.give(api.ListUpdate(api.ListKind.DELTA, read_list(news, reader)[1]))
+            lambda: clock.give(api.EndpointUpdate(api.EndpointUpdateKind.DELTA, read_list(news, reader)[1]))
         )[0]
 
     news = [change(1) for _ in range(4)]
@@ -221,7 +222,7 @@
 def settings_of(raw: Json) -> Figures:
     text = orjson.dumps(raw)
     balancer, figures = kept(lambda: Balancer(read_settings(json.loads(text)), 1, S), "start")
-    clock = Clock(balancer).full([api.Upstream(i + 1) for i in range(10)])
+    clock = Clock(balancer).full([api.Endpoint(i + 1) for i in range(10)])
     return figures | {"config_b": len(text), **clock.looks(), "request_s": clock.request_s()}
 
 
@@ -240,7 +241,7 @@
     raw = raw_settings() | {"replicas_of_me": 1, "zones": [], "prices": {}}
     raw["profiles"][0]["aim_ns"] = 60 * S
     settings = read_settings(raw)
-    clock = Clock(Balancer(settings, 1, S)).full([api.Upstream(i + 1) for i in range(4 * n)])
+    clock = Clock(Balancer(settings, 1, S)).full([api.Endpoint(i + 1) for i in range(4 * n)])
     sends, figures = kept(
         lambda: [clock.ask(later_ns=2 * 10**5) for _ in range(n)],
         "arrive",
--- a/tests/bench.py
+++ b/tests/bench.py
@@ -14,13 +14,22 @@
 SECOND = 1000 * MS
 START = 5 * SECOND
 
-READ = api.RequestClass("read", api.Effect.SAFE, aim_ns=300 * MS)
-PAY = api.RequestClass("pay", api.Effect.UNSAFE, aim_ns=300 * MS)
-CELL = api.RequestClass("cell", api.Effect.KEYED, api.Scope.CELL, window_ns=400 * MS, aim_ns=300 * MS)
-ANY = api.RequestClass("any", api.Effect.KEYED, api.Scope.ALL, window_ns=400 * MS, aim_ns=300 * MS)
-NEAR = api.RequestClass("near", api.Effect.SAFE, aim_ns=300 * MS, zones=frozenset({"east"}))
+READ = api.RequestClass("read", api.Idempotency.IDEMPOTENT, aim_ns=300 * MS)
+PAY = api.RequestClass("pay", api.Idempotency.NON_IDEMPOTENT, aim_ns=300 * MS)
+CELL = api.RequestClass(
+    "cell", api.Idempotency.IDEMPOTENCY_KEY, api.DeduplicationScope.CELL, window_ns=400 * MS, aim_ns=300 * MS
+)
+ANY = api.RequestClass(
+    "any", api.Idempotency.IDEMPOTENCY_KEY, api.DeduplicationScope.ALL, window_ns=400 * MS, aim_ns=300 * MS
+)
+NEAR = api.RequestClass("near", api.Idempotency.IDEMPOTENT, aim_ns=300 * MS, zones=frozenset({"east"}))
 BIG = api.RequestClass(
-    "big", api.Effect.KEYED, api.Scope.ZONE, window_ns=400 * MS, aim_ns=300 * MS, kinds=frozenset({"large"})
+    "big",
+    api.Idempotency.IDEMPOTENCY_KEY,
+    api.DeduplicationScope.ZONE,
+    window_ns=400 * MS,
+    aim_ns=300 * MS,
+    kinds=frozenset({"large"}),
 )
 
 
@@ -35,11 +44,14 @@
     return api.Settings(**{**base, **changes})  # type: ignore[arg-type]
 
 
-def upstreams(count: int, first: int = 1, started_ns: int = 0) -> list[api.Upstream]:
-    return [api.Upstream(first + i, api.State.READY, "east", i // 3, 1.0, started_ns) for i in range(count)]
+def upstreams(count: int, first: int = 1, started_ns: int = 0) -> list[api.Endpoint]:
+    return [
+        api.Endpoint(first + i, api.EndpointStatus.READY, "east", i // 3, 1.0, started_ns)
+        for i in range(count)
+    ]
 
 
-def mixed_fleet(count: int, started_ns: int = 0) -> list[api.Upstream]:
+def mixed_fleet(count: int, started_ns: int = 0) -> list[api.Endpoint]:
     """Upstreams over two zones and two kinds."""
     return [
         u._replace(zone=("east", "west")[i % 2], kind=("large", "small")[i // 2 % 2])
@@ -54,8 +66,8 @@
     tenant: str = "ash",
     wait_ns: int = 500 * MS,
     retry: bool = False,
-) -> api.Arrival:
-    return api.Arrival(f"r{number}", cls.name, tenant, now + wait_ns, retry=retry)
+) -> api.RequestArrived:
+    return api.RequestArrived(f"r{number}", cls.name, tenant, now + wait_ns, retry=retry)
 
 
 class Desk:
@@ -69,13 +81,13 @@
         self.deadline: dict[str, int] = {}
         self.answer: dict[str, str] = {}
         self.told_over: set[str] = set()
-        self.sends: dict[str, list[tuple[api.Upstream, int]]] = {}
-        self.results: dict[tuple[str, int], api.Result] = {}
-        self.list: dict[int, api.Upstream] = {}
+        self.sends: dict[str, list[tuple[api.Endpoint, int]]] = {}
+        self.results: dict[tuple[str, int], api.AttemptResult] = {}
+        self.list: dict[int, api.Endpoint] = {}
         self.timers: list[tuple[int, str]] = []
         self.log: list[api.Action] = []
         if servers:
-            self.give(api.ListUpdate(api.ListKind.CACHED, upstreams(servers)))
+            self.give(api.EndpointUpdate(api.EndpointUpdateKind.CACHED, upstreams(servers)))
 
     # -- time --
 
@@ -96,10 +108,10 @@
             self.now = min(end, self.now + step_ns)
             due = sorted(t for t in self.timers if t[0] <= self.now)
             self.timers = [t for t in self.timers if t[0] > self.now]
-            events: list[api.Event] = [api.Wake(name) for _, name in due]
+            events: list[api.Event] = [api.TimerExpired(name) for _, name in due]
             for request, number in self.out():
                 if self.deadline[request] <= self.now:
-                    events.append(self.result(request, number, api.Result.TIMEOUT))
+                    events.append(self.result(request, number, api.AttemptResult.TIMEOUT))
             if events:
                 seen += self.give(*events)
             for request, deadline in self.deadline.items():
@@ -112,39 +124,41 @@
             (r, i) for r, sent in self.sends.items() for i in range(len(sent)) if (r, i) not in self.results
         ]
 
-    def result(self, request: str, number: int, result: api.Result) -> api.Outcome:
+    def result(self, request: str, number: int, result: api.AttemptResult) -> api.AttemptEnded:
         upstream, sent = self.sends[request][number]
-        over = request in self.answer or request in self.told_over or result is api.Result.OK
-        return api.Outcome(request, number, upstream.id, result, self.now - sent, over)
+        over = request in self.answer or request in self.told_over or result is api.AttemptResult.OK
+        return api.AttemptEnded(request, number, upstream.id, result, self.now - sent, over)
 
-    def finish(self, request: str, result: api.Result = api.Result.OK, number: int = -1) -> list[api.Action]:
+    def finish(
+        self, request: str, result: api.AttemptResult = api.AttemptResult.OK, number: int = -1
+    ) -> list[api.Action]:
         number = number if number >= 0 else len(self.sends[request]) - 1
         return self.give(self.result(request, number, result))
 
     # -- books --
 
     def _event(self, e: api.Event) -> None:
-        if isinstance(e, api.Arrival):
+        if isinstance(e, api.RequestArrived):
             self.cls[e.request] = self.config.classes[e.class_name]
             self.deadline[e.request] = e.deadline_ns
-        elif isinstance(e, api.Outcome) and e.request in self.cls:
+        elif isinstance(e, api.AttemptEnded) and e.request in self.cls:
             self.results[e.request, e.attempt] = e.result
-            if e.result is api.Result.OK and e.request not in self.answer:
+            if e.result is api.AttemptResult.OK and e.request not in self.answer:
                 self.answer[e.request] = "served"
             if e.complete:
                 self.told_over.add(e.request)
-        elif isinstance(e, api.ClientGone):
+        elif isinstance(e, api.ClientDisconnected):
             self.answer.setdefault(e.request, "gone")
             self.told_over.add(e.request)
-        elif isinstance(e, api.ListUpdate):
-            if e.kind in (api.ListKind.FULL, api.ListKind.CACHED):
-                self.list = {i: u._replace(state=api.State.GONE) for i, u in self.list.items()}
+        elif isinstance(e, api.EndpointUpdate):
+            if e.kind in (api.EndpointUpdateKind.FULL, api.EndpointUpdateKind.CACHED):
+                self.list = {i: u._replace(state=api.EndpointStatus.REMOVED) for i, u in self.list.items()}
             self.list |= {u.id: u for u in e.upstreams}
 
-    def _risky(self, request: str) -> list[tuple[api.Upstream, int]]:
+    def _risky(self, request: str) -> list[tuple[api.Endpoint, int]]:
         proofs = set(api.NEVER_RAN)
         if self.config.rules.full_unproven:
-            proofs.discard(api.Result.FULL)
+            proofs.discard(api.AttemptResult.REJECTED)
         return [
             s
             for i, s in enumerate(self.sends.get(request, []))
@@ -152,25 +166,25 @@
         ]
 
     def _action(self, a: api.Action) -> None:
-        if isinstance(a, api.Send):
+        if isinstance(a, api.Forward):
             self._send(a)
-        elif isinstance(a, api.Refuse):
+        elif isinstance(a, api.Reject):
             cls, risky = self.cls[a.request], self._risky(a.request)
             harmless = (
-                cls.effect is api.Effect.SAFE
+                cls.effect is api.Idempotency.IDEMPOTENT
                 or not risky
-                or (cls.effect is api.Effect.KEYED and cls.scope is api.Scope.ALL)
+                or (cls.effect is api.Idempotency.IDEMPOTENCY_KEY and cls.scope is api.DeduplicationScope.ALL)
             )
             assert harmless, f"{a.request} refused though it may have run"
             self._final(a.request, "refused")
             assert 0 <= a.retry_after_ns <= self.config.limits.max_retry_after_ns
         elif isinstance(a, api.Fail):
             self._final(a.request, "failed")
-        elif isinstance(a, api.Cancel):
+        elif isinstance(a, api.CancelAttempt):
             assert self.config.limits.may_cancel and a.attempt < len(self.sends[a.request])
-        elif isinstance(a, api.Probe):
+        elif isinstance(a, api.CheckHealth):
             assert self.config.limits.probes and a.upstream in self.list
-        elif isinstance(a, api.Tell):
+        elif isinstance(a, api.SendGossip):
             assert self.config.limits.peers and len(a.data) <= 256
         elif isinstance(a, api.SetTimer):
             assert a.delay_ns > 0
@@ -182,24 +196,24 @@
         assert self.now <= self.deadline[request] + 20 * MS, f"{request} answered late"
         self.answer[request] = answer
 
-    def _send(self, a: api.Send) -> None:
+    def _send(self, a: api.Forward) -> None:
         request, upstream = a.request, self.list[a.upstream]
         cls, limits, risky = self.cls[request], self.config.limits, self._risky(a.request)
         assert request not in self.answer and request not in self.told_over, f"{request} sent after its end"
-        assert upstream.state is api.State.READY, f"{request} sent to a draining or gone upstream"
+        assert upstream.state is api.EndpointStatus.READY, f"{request} sent to a draining or gone upstream"
         assert cls.zones is None or upstream.zone in cls.zones, f"{request} sent outside its zones"
         assert cls.kinds is None or upstream.kind in cls.kinds, f"{request} sent to a kind not open to it"
         sent = self.sends.setdefault(request, [])
         assert len(sent) < limits.max_attempts
         out = sum((request, i) not in self.results for i in range(len(sent)))
         assert out < (2 if limits.second_copies else 1), f"{request}: {out} attempts out already"
-        if risky and cls.effect is api.Effect.UNSAFE:
+        if risky and cls.effect is api.Idempotency.NON_IDEMPOTENT:
             raise AssertionError(f"{request} is unsafe, may have run and is sent again")
-        if risky and cls.effect is api.Effect.KEYED:
+        if risky and cls.effect is api.Idempotency.IDEMPOTENCY_KEY:
             assert self.now - risky[0][1] <= cls.window_ns, f"{request} repeated after its window"
-            if cls.scope is api.Scope.CELL:
+            if cls.scope is api.DeduplicationScope.CELL:
                 assert all((u.zone, u.cell) == (upstream.zone, upstream.cell) for u, _ in risky)
-            if cls.scope is api.Scope.ZONE:
+            if cls.scope is api.DeduplicationScope.ZONE:
                 assert all(u.zone == upstream.zone for u, _ in risky)
         sent.append((upstream, self.now))
 
--- a/tests/fleet.py
+++ b/tests/fleet.py
@@ -23,7 +23,7 @@
 class Machine:
     """An upstream: `cores` workers before one queue, that turns away what is over `room`."""
 
-    entry: api.Upstream
+    entry: api.Endpoint
     rate: float  # requests of mean work a second, warm
     cores: int = 2
     room: int = 40
@@ -134,43 +134,43 @@
 
     # -- discovery --
 
-    def tell(self, node: int, kind: api.ListKind, entries: Sequence[api.Upstream]) -> None:
+    def tell(self, node: int, kind: api.EndpointUpdateKind, entries: Sequence[api.Endpoint]) -> None:
         for e in entries:
             self.seen[node][e.id] = e.started_ns
-        self.give(node, api.ListUpdate(kind, list(entries)))
+        self.give(node, api.EndpointUpdate(kind, list(entries)))
 
-    def tell_all(self, kind: api.ListKind, entries: Sequence[api.Upstream]) -> None:
+    def tell_all(self, kind: api.EndpointUpdateKind, entries: Sequence[api.Endpoint]) -> None:
         for node in range(self.count):
             self.tell(node, kind, entries)
 
-    def start(self, machines: Sequence[Machine]) -> list[api.Upstream]:
+    def start(self, machines: Sequence[Machine]) -> list[api.Endpoint]:
         """They start now, cold; nobody has been told yet."""
         for m in machines:
-            m.entry = m.entry._replace(started_ns=self.now, state=api.State.READY)
+            m.entry = m.entry._replace(started_ns=self.now, state=api.EndpointStatus.READY)
             m.up, m.busy, m.queue = True, 0, deque()
             m.book = []
             for linked in self.linked:
                 linked.discard(m.entry.id)
         return [m.entry for m in machines]
 
-    def stop(self, machines: Sequence[Machine]) -> list[api.Upstream]:
+    def stop(self, machines: Sequence[Machine]) -> list[api.Endpoint]:
         """They crash: what they hold breaks."""
         for m in machines:
             m.up, m.queue = False, deque()
-            m.entry = m.entry._replace(state=api.State.GONE)
+            m.entry = m.entry._replace(state=api.EndpointStatus.REMOVED)
         for open_requests in self.requests:
             for o in list(open_requests.values()):
                 for a in o.sends:
                     if not a.over and not a.machine.up:
-                        self.at(self.now, lambda a=a: self.end(a, api.Result.RESET))  # type: ignore[misc]
+                        self.at(self.now, lambda a=a: self.end(a, api.AttemptResult.RESET))  # type: ignore[misc]
         return [m.entry for m in machines]
 
-    def restart(self, node: int, entries: Sequence[api.Upstream]) -> None:
+    def restart(self, node: int, entries: Sequence[api.Endpoint]) -> None:
         """A process is killed and begins anew, knowing only the list that it is given."""
         self.lives[node] += 1
         self.requests[node], self.seen[node], self.linked[node] = {}, {}, set()
         self.nodes[node] = Balancer(self.config[node], self.rng.getrandbits(32), self.now)
-        self.tell(node, api.ListKind.CACHED, entries)
+        self.tell(node, api.EndpointUpdateKind.CACHED, entries)
 
     # -- clients --
 
@@ -188,16 +188,16 @@
         request, deadline = f"q{self.sequence}", self.now + t.cls.limit_ns
         self.requests[node][request] = Open(t.cls, deadline, work, tries)
         self.at(deadline, lambda: self._deadline(node, self.lives[node], request))
-        self.give(node, api.Arrival(request, t.cls.name, "", deadline, retry=tries > 0))
+        self.give(node, api.RequestArrived(request, t.cls.name, "", deadline, retry=tries > 0))
 
     def _deadline(self, node: int, life: int, request: str) -> None:
         o = self.requests[node].get(request)
         if o is not None and life == self.lives[node]:
             for a in o.sends:
-                self.end(a, api.Result.TIMEOUT)
+                self.end(a, api.AttemptResult.TIMEOUT)
             if not o.over:
                 o.over = True
-                self.give(node, api.ClientGone(request))
+                self.give(node, api.ClientDisconnected(request))
 
     def _again(self, o: Open) -> None:
         if o.tries < self.client_retries:
@@ -213,42 +213,42 @@
     def give(self, node: int, event: api.Event) -> None:
         life = self.lives[node]
         for a in self.nodes[node].handle(self.now, [event]):
-            if type(a) is api.Send:
+            if type(a) is api.Forward:
                 self._send(node, a)
             elif type(a) is api.SetTimer:
                 self.at(self.now + a.delay_ns, lambda a=a: self._wake(node, life, a.name))  # type: ignore[misc]
-            elif type(a) is api.Refuse or type(a) is api.Fail:
+            elif type(a) is api.Reject or type(a) is api.Fail:
                 o = self.requests[node][a.request]
                 o.over = True
                 self.turned_away += 1
-                if type(a) is api.Refuse:
+                if type(a) is api.Reject:
                     self._again(o)
-            elif type(a) is api.Cancel:
+            elif type(a) is api.CancelAttempt:
                 attempt = self.requests[node][a.request].sends[a.attempt]
-                self.at(self.now, lambda x=attempt: self.end(x, api.Result.CANCELLED))  # type: ignore[misc]
-            elif type(a) is api.Probe:
+                self.at(self.now, lambda x=attempt: self.end(x, api.AttemptResult.CANCELLED))  # type: ignore[misc]
+            elif type(a) is api.CheckHealth:
                 self.at(self.now + MS, lambda u=a.upstream: self._probe(node, life, u))  # type: ignore[misc]
 
     def _wake(self, node: int, life: int, name: str) -> None:
         if life == self.lives[node]:
-            self.give(node, api.Wake(name))
+            self.give(node, api.TimerExpired(name))
 
     def _probe(self, node: int, life: int, upstream: int) -> None:
         m = self.machines[upstream]
         if life == self.lives[node]:
             report = {"inflight": float(m.busy + len(m.queue))}
-            result = api.Result.OK if m.up else api.Result.CONNECT_FAILED
-            self.give(node, api.ProbeResult(upstream, result, MS, report if m.up else None))
+            result = api.AttemptResult.OK if m.up else api.AttemptResult.CONNECT_FAILED
+            self.give(node, api.HealthCheckEnded(upstream, result, MS, report if m.up else None))
 
-    def _send(self, node: int, send: api.Send) -> None:
+    def _send(self, node: int, send: api.Forward) -> None:
         o, m = self.requests[node][send.request], self.machines[send.upstream]
         a = Attempt(node, send.request, len(o.sends), m, self.now, o.work)
         o.sends.append(a)
         fresh = m.entry.id not in self.linked[node]
         if send.timeout_ns:
-            self.at(self.now + send.timeout_ns, lambda: self.end(a, api.Result.TIMEOUT))
+            self.at(self.now + send.timeout_ns, lambda: self.end(a, api.AttemptResult.TIMEOUT))
         if not m.up:
-            self.at(self.now + MS, lambda: self.end(a, api.Result.CONNECT_FAILED))
+            self.at(self.now + MS, lambda: self.end(a, api.AttemptResult.CONNECT_FAILED))
             return
         self.linked[node].add(m.entry.id)
         self.at(self.now + (MS if fresh else MS // 4), lambda: self._reach(a, 0.25 * fresh))
@@ -258,13 +258,13 @@
     def _reach(self, a: Attempt, handshake: float) -> None:
         m = a.machine
         if not m.up:
-            return self.end(a, api.Result.RESET)
+            return self.end(a, api.AttemptResult.RESET)
         told = self.seen[a.node].get(m.entry.id) == m.entry.started_ns
         m.book.append((self.now, a.work + handshake, told))
         if m.spoils and self.rng.random() < m.spoils:
-            self.at(self.now + MS // 4, lambda: self.end(a, api.Result.ERROR))
+            self.at(self.now + MS // 4, lambda: self.end(a, api.AttemptResult.ERROR))
         elif len(m.queue) >= m.room:
-            self.at(self.now + MS // 4, lambda: self.end(a, api.Result.FULL))
+            self.at(self.now + MS // 4, lambda: self.end(a, api.AttemptResult.REJECTED))
         else:
             m.queue.append(a)
             self._work(m)
@@ -281,25 +281,25 @@
         m = a.machine
         if m.up and m.entry.started_ns == start:
             m.busy -= 1
-            self.end(a, api.Result.OK)
+            self.end(a, api.AttemptResult.OK)
             self._work(m)
 
-    def end(self, a: Attempt, result: api.Result) -> None:
+    def end(self, a: Attempt, result: api.AttemptResult) -> None:
         o = self.requests[a.node].get(a.request)
         if a.over or o is None or o.sends[a.number] is not a:
             return
         a.over = True
-        if result is api.Result.OK and not o.over:
+        if result is api.AttemptResult.OK and not o.over:
             o.over = True
             self.served += 1
         report = (
             {"inflight": float(a.machine.busy + len(a.machine.queue))}
-            if result is api.Result.OK and self.config[a.node].reports_in_answers
+            if result is api.AttemptResult.OK and self.config[a.node].reports_in_answers
             else None
         )
         self.give(
             a.node,
-            api.Outcome(
+            api.AttemptEnded(
                 a.request, a.number, a.machine.entry.id, result, self.now - a.sent_ns, o.over, report
             ),
         )
--- a/tests/sockets.py
+++ b/tests/sockets.py
@@ -199,7 +199,7 @@
 
     def ids(self) -> list[int]:
         """The numbers of the upstreams, as last listed whole."""
-        lists = [e for e in self.of(api.ListUpdate) if e.kind is not api.ListKind.DELTA]
+        lists = [e for e in self.of(api.EndpointUpdate) if e.kind is not api.EndpointUpdateKind.DELTA]
         return [u.id for u in lists[-1].upstreams]
 
 
@@ -216,12 +216,12 @@
         self.batches.append((batch, actions))
         return actions
 
-    def answer_to(self, kind: api.ListKind) -> list[api.Action] | None:
+    def answer_to(self, kind: api.EndpointUpdateKind) -> list[api.Action] | None:
         """What the module said when it was first told of such a list."""
         told = (
             said
             for events, said in self.batches
-            if any(isinstance(e, api.ListUpdate) and e.kind is kind for e in events)
+            if any(isinstance(e, api.EndpointUpdate) and e.kind is kind for e in events)
         )
         return next(told, None)
 
@@ -233,9 +233,13 @@
         rules=api.Rules(ask_within_ns=40 * MS) if asked else api.Rules(),
         classes={
             "read": api.RequestClass("read", limit_ns=limit_ns),
-            "pay": api.RequestClass("pay", api.Effect.UNSAFE, limit_ns=limit_ns),
+            "pay": api.RequestClass("pay", api.Idempotency.NON_IDEMPOTENT, limit_ns=limit_ns),
             "book": api.RequestClass(
-                "book", api.Effect.KEYED, window_ns=1000 * MS, aim_ns=5000 * MS, limit_ns=limit_ns
+                "book",
+                api.Idempotency.IDEMPOTENCY_KEY,
+                window_ns=1000 * MS,
+                aim_ns=5000 * MS,
+                limit_ns=limit_ns,
             ),
         },
         limits=api.Limits(**{"max_attempts": 3, "connect_timeout_ns": 2000 * MS, **limits}),
--- a/tests/test_adapter.py
+++ b/tests/test_adapter.py
@@ -213,15 +213,19 @@
     }
     known = read_settings(raw)
     look = known.classes["look"]
-    assert (look.zones, look.kinds, look.scope) == (frozenset({"north"}), frozenset({"big"}), api.Scope.CELL)
+    assert (look.zones, look.kinds, look.scope) == (
+        frozenset({"north"}),
+        frozenset({"big"}),
+        api.DeduplicationScope.CELL,
+    )
     assert (look.aim_stretch, look.limit_ns, look.window_ns) == (1.5, 9, 7)
     assert known.rules.full_unproven and known.rules.answer_grace_ns == 3
-    assert known.weights is api.Weights.LIVE and known.over_share_worth == 0.2 and known.retries_marked
+    assert known.weights is api.WeightSource.LIVE and known.over_share_worth == 0.2 and known.retries_marked
     assert not known.reports_in_answers and known.zones == ("north", "south")
     assert (known.prices.connection, known.prices.list_lines, known.prices.late_fail) == (0.03, 0.5, 0.02)
     assert (known.limits.conn_idle_ns, known.limits.max_streams, known.limits.max_open) == (6, 8, 10)
     row = {"upstream": 5, "class_of_host": "big", "scale": 0.25, "up_since_ns": 3, "cohort": 2}
-    assert read_upstream(row) == api.Upstream(5, cell=2, weight=0.25, started_ns=3, kind="big")
+    assert read_upstream(row) == api.Endpoint(5, cell=2, weight=0.25, started_ns=3, kind="big")
 
 
 def test_starts_as_the_deploy_file_says() -> None:
--- a/tests/test_cold.py
+++ b/tests/test_cold.py
@@ -18,17 +18,19 @@
 RULES = api.Rules(cold_from=0.3, cold_ns=8800 * MS, fall_multiple=2.5, overload_for_ns=SECOND)
 LIMITS = api.Limits(max_attempts=5, may_cancel=True, retry_after=True)
 READ = api.RequestClass("read", aim_ns=400 * MS, late_worth=0.2, limit_ns=800 * MS)
-PAY = api.RequestClass("pay", api.Effect.UNSAFE, aim_ns=400 * MS, late_worth=0.2, limit_ns=800 * MS)
+PAY = api.RequestClass(
+    "pay", api.Idempotency.NON_IDEMPOTENT, aim_ns=400 * MS, late_worth=0.2, limit_ns=800 * MS
+)
 SWITCH = api.RequestClass(
     "switch",
-    api.Effect.KEYED,
-    api.Scope.ZONE,
+    api.Idempotency.IDEMPOTENCY_KEY,
+    api.DeduplicationScope.ZONE,
     window_ns=1200 * MS,
     aim_ns=400 * MS,
     late_worth=0.2,
     limit_ns=2 * SECOND,
 )
-CELL = replace(SWITCH, name="cell", scope=api.Scope.CELL)
+CELL = replace(SWITCH, name="cell", scope=api.DeduplicationScope.CELL)
 SLOW = api.RequestClass("slow", aim_ns=2 * SECOND, late_worth=0.2, limit_ns=4 * SECOND)
 LARGE = replace(READ, name="large", kinds=frozenset({"large"}))
 ZONES = ("east", "west", "north", "south")
@@ -79,7 +81,7 @@
         for node in range(count):
             fleet.tell(
                 node,
-                api.ListKind.CACHED,
+                api.EndpointUpdateKind.CACHED,
                 [m.entry for m in machines if m not in starting and chance.random() >= self.differ],
             )
         fleet.stop(cold)
@@ -92,7 +94,7 @@
                 for node in range(count):
                     fleet.restart(node, [m.entry for m in machines])
             else:
-                fleet.tell_all(api.ListKind.DELTA, entries)
+                fleet.tell_all(api.EndpointUpdateKind.DELTA, entries)
             fleet.run(self.after / len(cold) if self.after_each_other else 0)
         fleet.run(self.after)
         return max(m.pressure(RULES) for m in cold), fleet
@@ -100,9 +102,9 @@
     def machines(self) -> list[Machine]:
         return [
             Machine(
-                api.Upstream(
+                api.Endpoint(
                     1 + i,
-                    api.State.READY,
+                    api.EndpointStatus.READY,
                     self.zones[i % len(self.zones)],
                     i // 6,
                     kind=self.kinds[i % len(self.kinds)],
--- a/tests/test_gone.py
+++ b/tests/test_gone.py
@@ -62,7 +62,7 @@
     def handle(self, now: int, events: Iterable[api.Event]) -> list[api.Action]:
         actions = list(self.module.handle(now, events))
         for action in actions:
-            if type(action) is api.Send:
+            if type(action) is api.Forward:
                 if self.when == "decided" and (action.request, self.sends[action.request]) == (
                     self.request,
                     self.attempt,
@@ -227,14 +227,14 @@
 
         def react(event: api.Event) -> Iterable[api.Action]:
             first, second = script.ids()
-            if isinstance(event, api.Arrival):
+            if isinstance(event, api.RequestArrived):
                 return [
-                    api.Send(event.request, second)
+                    api.Forward(event.request, second)
                     if event.request == "1"
-                    else api.Send(event.request, first, 50 * MS if end == "timeout" else 0)
+                    else api.Forward(event.request, first, 50 * MS if end == "timeout" else 0)
                 ]
-            again = isinstance(event, api.Wake if when == "read" else api.Outcome)
-            return [api.Send("2", second)] if again and module.sends["2"] == 1 else ()
+            again = isinstance(event, api.TimerExpired if when == "read" else api.AttemptEnded)
+            return [api.Forward("2", second)] if again and module.sends["2"] == 1 else ()
 
         script = Script(react)
         module = Late(script, when, request="2", attempt=1)
@@ -247,13 +247,13 @@
             if when != "read":
                 await module.goes(leave, mine, client)
             mine.send(request("/read/left"))
-            await until(lambda: len(script.of(api.Outcome)) >= 2)
+            await until(lambda: len(script.of(api.AttemptEnded)) >= 2)
             if when == "read":
                 await module.goes(leave, mine, client)
-                client.node.feed(api.Wake("again"))
-            await until(lambda: script.of(api.ClientGone) and len(script.of(api.Outcome)) >= 3)
+                client.node.feed(api.TimerExpired("again"))
+            await until(lambda: script.of(api.ClientDisconnected) and len(script.of(api.AttemptEnded)) >= 3)
             script.react = lambda e: (
-                [api.Send(e.request, script.ids()[1])] if isinstance(e, api.Arrival) else ()
+                [api.Forward(e.request, script.ids()[1])] if isinstance(e, api.RequestArrived) else ()
             )
             await served(client)
             assert sent(other) == ["/read/first", "/read/barrier"]
@@ -302,24 +302,27 @@
                 mine.send(request("/read/first"))
             await until(lambda: len(upstream.got) == 6)
             all_came.set()
-            await until(lambda: len(script.of(api.Outcome)) == 6)  # a kept connection for each
+            await until(lambda: len(script.of(api.AttemptEnded)) == 6)  # a kept connection for each
             script.react = lambda event: ()
             for i, mine in enumerate(clients):
                 mine.send(request(f"/read/{i}"))
-                await until(lambda i=i: len(script.of(api.Arrival)) == 7 + i)  # type: ignore[misc]
+                await until(lambda i=i: len(script.of(api.RequestArrived)) == 7 + i)  # type: ignore[misc]
 
             def react(event: api.Event) -> Iterable[api.Action]:
-                if not isinstance(event, api.Wake):
+                if not isinstance(event, api.TimerExpired):
                     return ()
                 for mine in clients[::2]:
                     leave(mine)
                 time.sleep(1.2 * BREAK_S)  # the batch: nothing is read meanwhile
-                return [api.Send(arrived.request, script.ids()[0]) for arrived in script.of(api.Arrival)[6:]]
+                return [
+                    api.Forward(arrived.request, script.ids()[0])
+                    for arrived in script.of(api.RequestArrived)[6:]
+                ]
 
             script.react = react
-            client.node.feed(api.Wake("token"))
-            await until(lambda: len(script.of(api.Outcome)) == 12)
-            assert len(script.of(api.ClientGone)) == 3
+            client.node.feed(api.TimerExpired("token"))
+            await until(lambda: len(script.of(api.AttemptEnded)) == 12)
+            assert len(script.of(api.ClientDisconnected)) == 3
             assert sorted(sent(upstream)[6:]) == ["/read/1", "/read/3", "/read/5"]
             for mine in clients:
                 mine.close()
@@ -345,7 +348,7 @@
             script.react = lambda event: send_first(script, event)
             await module.goes(leave, mine, client)
             mine.send(request("/read/left"))
-            await until(lambda: script.of(api.ClientGone))
+            await until(lambda: script.of(api.ClientDisconnected))
             await nothing_but(upstream, client, script, before=int(kept))
             assert upstream.opened == 1 and not upstream.closed  # that of the last request, the same if kept
             mine.close()
@@ -367,7 +370,7 @@
             leave(mine)
             assert side.left  # the kernel knows, the loop does not
             if mine.fileno() != -1:  # a half-close: it still reads
-                while len(script.of(api.Arrival)) < 2:
+                while len(script.of(api.RequestArrived)) < 2:
                     await asyncio.get_running_loop().sock_recv(mine, 1 << 16)
             await until(lambda: side not in client.node.server._connections)
             await nothing_but(upstream, client, script, before=1)
@@ -389,12 +392,14 @@
             mine = await connected(client)
             mine.send(request("/read/left"))
             await until(lambda: upstream.got)
-            script.react = lambda e: [api.Send("1", script.ids()[1])] if isinstance(e, api.Wake) else ()
+            script.react = lambda e: (
+                [api.Forward("1", script.ids()[1])] if isinstance(e, api.TimerExpired) else ()
+            )
             await module.goes(leave, mine, client)
-            client.node.feed(api.Wake("overdue"))
-            await until(lambda: script.of(api.ClientGone) and len(script.of(api.Outcome)) == 2)
-            results = {o.result for o in script.of(api.Outcome)}
-            assert results == {api.Result.CANCELLED, api.Result.MOOT}
+            client.node.feed(api.TimerExpired("overdue"))
+            await until(lambda: script.of(api.ClientDisconnected) and len(script.of(api.AttemptEnded)) == 2)
+            results = {o.result for o in script.of(api.AttemptEnded)}
+            assert results == {api.AttemptResult.CANCELLED, api.AttemptResult.NOT_SENT}
             upstream.answer = answers(200)
             await nothing_but(upstream, client, script, before=1)
             assert sent(upstream) == ["/read/left", "/read/barrier"] and not other.got
@@ -431,23 +436,23 @@
     desk.advance(due - 1 - desk.now)
     assert len(desk.sends["rslow"]) == 1
     desk.now = due
-    leave: list[api.Event] = [api.ClientGone("rslow")] * gone
-    wake = api.Wake(str(desk.balancer.timer))
+    leave: list[api.Event] = [api.ClientDisconnected("rslow")] * gone
+    wake = api.TimerExpired(str(desk.balancer.timer))
     said = desk.give(*([*leave, wake] if gone_first else [wake, *leave]))
-    assert (api.Cancel("rslow", 0) in said) == gone
+    assert (api.CancelAttempt("rslow", 0) in said) == gone
     desk.advance(600 * MS)
     assert len(desk.sends["rslow"]) == (1 if gone else 2)  # a copy of it was due
 
 
-@pytest.mark.parametrize("result", [r for r in api.Result if r is not api.Result.OK])
+@pytest.mark.parametrize("result", [r for r in api.AttemptResult if r is not api.AttemptResult.OK])
 @pytest.mark.parametrize("gone_first", [False, True])
 @pytest.mark.parametrize("copies", [False, True])
 def test_an_attempt_ends_and_the_leave_is_told_in_one_batch(
-    result: api.Result, gone_first: bool, copies: bool
+    result: api.AttemptResult, gone_first: bool, copies: bool
 ) -> None:
     desk = desk_with_one_slow(second_copies=copies)
     desk.now += 10 * MS
-    leave, end = api.ClientGone("rslow"), desk.result("rslow", 0, result)
+    leave, end = api.ClientDisconnected("rslow"), desk.result("rslow", 0, result)
     desk.give(leave, end) if gone_first else desk.give(end, leave)
     desk.advance(600 * MS)
     assert len(desk.sends["rslow"]) == 1
@@ -459,8 +464,8 @@
     desk = desk_with_one_slow()
     desk.advance(150 * MS)
     assert len(desk.sends["rslow"]) == 2
-    desk.give(api.ClientGone("rslow"))
+    desk.give(api.ClientDisconnected("rslow"))
     for number in (first, 1 - first):
-        desk.finish("rslow", api.Result.CONNECT_FAILED, number)
+        desk.finish("rslow", api.AttemptResult.CONNECT_FAILED, number)
     desk.advance(600 * MS)
     assert len(desk.sends["rslow"]) == 2 and "rslow" not in desk.balancer.requests
--- a/tests/test_lists.py
+++ b/tests/test_lists.py
@@ -131,12 +131,12 @@
     assert steps == (size - 1) // STRIDE
 
 
-def told(script: Script, first: int = 1) -> list[api.ListUpdate]:
-    return script.of(api.ListUpdate)[first:]
+def told(script: Script, first: int = 1) -> list[api.EndpointUpdate]:
+    return script.of(api.EndpointUpdate)[first:]
 
 
-def states(script: Script) -> dict[int, api.State]:
-    return {u.id: u.state for update in script.of(api.ListUpdate) for u in update.upstreams}
+def states(script: Script) -> dict[int, api.EndpointStatus]:
+    return {u.id: u.state for update in script.of(api.EndpointUpdate) for u in update.upstreams}
 
 
 def test_a_long_list_is_put_in_force_in_slices_and_requests_go_on() -> None:
@@ -149,8 +149,8 @@
                 turns += 1
             assert turns >= 1000 // SLICE  # so many turns of the loop were others' too
             assert max(len(list(update.upstreams)) for update in told(script)) <= SLICE
-            assert {update.kind for update in told(script)} == {api.ListKind.DELTA}
-            gone = {number for number, state in states(script).items() if state is api.State.GONE}
+            assert {update.kind for update in told(script)} == {api.EndpointUpdateKind.DELTA}
+            gone = {number for number, state in states(script).items() if state is api.EndpointStatus.REMOVED}
             assert gone == {number_of("s0"), number_of("s1")}  # s2 is in both
             assert set(client.node._held) == {number_of(f"s{i}") for i in range(2, 1002)}
             assert not client.node._hub.pools  # no connections, nor a place for any, where nothing is sent
@@ -175,9 +175,9 @@
             names = ("s499", "s498", "new")
             assert [u.id for u in told(script)[-1].upstreams] == [number_of(name) for name in names]
             await until(lambda: balancer._applying is None)
-            assert states(script)[number_of("s499")] is api.State.DRAINING
-            assert states(script)[number_of("s498")] is api.State.GONE
-            assert states(script)[number_of("new")] is api.State.READY and len(balancer._held) == 500
+            assert states(script)[number_of("s499")] is api.EndpointStatus.DRAINING
+            assert states(script)[number_of("s498")] is api.EndpointStatus.REMOVED
+            assert states(script)[number_of("new")] is api.EndpointStatus.READY and len(balancer._held) == 500
             assert not {number_of("s499"), number_of("s498")} & set(balancer.upstreams())
             balancer._listed(listing(whole(300, 5)))  # a newer whole list counts again
             await until(lambda: balancer._applying is None)
@@ -226,7 +226,7 @@
             assert [r.getMessage() for r in caplog.records] == [
                 f"discovery: a list of over {len(long) - 1} bytes is turned down; the old list stays"
             ]
-            assert len(balancer.upstreams()) == 3 and len(script.of(api.ListUpdate)) == 1
+            assert len(balancer.upstreams()) == 3 and len(script.of(api.EndpointUpdate)) == 1
             registry.broken = b""
             registry.change("s9", port=9)  # what is not too long is heard
             await until(lambda: number_of("s9") in balancer.upstreams())
@@ -250,7 +250,7 @@
         upstream = await Upstream(part).start()
         try:
             for rate, put_off in ((1000.0, 3.0), (0.0, 0.0)):
-                ended: list[api.Result] = []
+                ended: list[api.AttemptResult] = []
                 pool = Pool(Hub(2, 2.0, 0.0, least_rate=rate), (HOST, upstream.port))
                 exchange = pool.exchange(
                     b"GET / HTTP/1.1\r\n\r\n",
@@ -264,7 +264,7 @@
                     await until(lambda e=exchange, b=before: e._timer.when() > b)  # type: ignore[misc]
                 assert exchange._timer.when() - before == pytest.approx(put_off)  # type: ignore[union-attr]
                 go.set()
-                await until(lambda ended=ended: ended == [api.Result.OK])  # type: ignore[misc]
+                await until(lambda ended=ended: ended == [api.AttemptResult.OK])  # type: ignore[misc]
                 go.clear()
                 pool.close_idle()
         finally:
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -19,19 +19,23 @@
 from tests.bench import MS, SECOND, START, Desk, arrival, settings
 
 ZONES = [f"z{i}" for i in range(8)]
-ZONE = api.RequestClass("zone", api.Effect.KEYED, api.Scope.ZONE, window_ns=400 * MS, aim_ns=300 * MS)
-CELL = api.RequestClass("cell", api.Effect.KEYED, api.Scope.CELL, window_ns=400 * MS, aim_ns=300 * MS)
+ZONE = api.RequestClass(
+    "zone", api.Idempotency.IDEMPOTENCY_KEY, api.DeduplicationScope.ZONE, window_ns=400 * MS, aim_ns=300 * MS
+)
+CELL = api.RequestClass(
+    "cell", api.Idempotency.IDEMPOTENCY_KEY, api.DeduplicationScope.CELL, window_ns=400 * MS, aim_ns=300 * MS
+)
 READ = api.RequestClass("read", aim_ns=300 * MS)
 FOUND = (frozenset({"z1", "z2"}), frozenset({"large"}))  # a placement
 
 
-def fleet(count: int, seed: int = 1) -> list[api.Upstream]:
+def fleet(count: int, seed: int = 1) -> list[api.Endpoint]:
     """Upstreams of random ids over eight zones, a hundred to a cell."""
     rng = random.Random(seed)
     return [
-        api.Upstream(
+        api.Endpoint(
             rng.getrandbits(64),
-            api.State.READY,
+            api.EndpointStatus.READY,
             ZONES[i % 8],
             i // 800,
             1.0,
@@ -55,7 +59,7 @@
     )
 
 
-def table(config: api.Settings, upstreams: Iterable[api.Upstream]) -> Membership:
+def table(config: api.Settings, upstreams: Iterable[api.Endpoint]) -> Membership:
     made = Membership(config)
     made.placements += [Placement(None, None), Placement(*FOUND)]
     for upstream in upstreams:
@@ -86,9 +90,16 @@
 
 
 ENTRIES = st.builds(
-    api.Upstream,
+    api.Endpoint,
     st.integers(0, 60).map(lambda i: mixed(i, 9)),
-    st.sampled_from([api.State.READY, api.State.READY, api.State.DRAINING, api.State.GONE]),
+    st.sampled_from(
+        [
+            api.EndpointStatus.READY,
+            api.EndpointStatus.READY,
+            api.EndpointStatus.DRAINING,
+            api.EndpointStatus.REMOVED,
+        ]
+    ),
     st.sampled_from(ZONES[:3]),
     st.integers(0, 2),
     st.sampled_from([1.0, 2.5]),
@@ -100,22 +111,25 @@
 @hyp(max_examples=150, deadline=None, derandomize=True)
 @given(st.lists(st.tuples(st.booleans(), st.lists(ENTRIES, max_size=40)), max_size=8), st.booleans())
 def test_the_table_is_what_the_last_word_on_each_upstream_makes_it(
-    updates: list[tuple[bool, list[api.Upstream]]], zonal: bool
+    updates: list[tuple[bool, list[api.Endpoint]]], zonal: bool
 ) -> None:
     # Guards against a table that depends on how it came about: lists, changes, drains, returns, doubles.
     config = replace(site(40, zonal), zones=ZONES[:3])
-    balancer, last = Balancer(config, 1, START), dict[int, api.Upstream]()
+    balancer, last = Balancer(config, 1, START), dict[int, api.Endpoint]()
     for whole, entries in updates:
-        kind = api.ListKind.FULL if whole else api.ListKind.DELTA
-        balancer.handle(START, [api.ListUpdate(kind, entries)])
+        kind = api.EndpointUpdateKind.FULL if whole else api.EndpointUpdateKind.DELTA
+        balancer.handle(START, [api.EndpointUpdate(kind, entries)])
         last = ({} if whole else last) | {e.id: e for e in entries}
-    made, known = balancer.fleet.membership, [e for e in last.values() if e.state is not api.State.GONE]
+    made, known = (
+        balancer.fleet.membership,
+        [e for e in last.values() if e.state is not api.EndpointStatus.REMOVED],
+    )
     nothing = Balancer(config, 2, START)
-    nothing.handle(START, [api.ListUpdate(api.ListKind.FULL, sorted(known, reverse=True))])
+    nothing.handle(START, [api.EndpointUpdate(api.EndpointUpdateKind.FULL, sorted(known, reverse=True))])
     assert shown(made) == shown(nothing.fleet.membership)
     orders = [[[s.id for s in pool.order] for pool in b.fleet.pools.values()] for b in (balancer, nothing)]
     assert orders[0] == orders[1]
-    assert set(orders[0][0]) == {e.id for e in known if e.state is api.State.READY}
+    assert set(orders[0][0]) == {e.id for e in known if e.state is api.EndpointStatus.READY}
     assert all(s.entry == last[i] for i, s in balancer.fleet.servers.items())
 
 
@@ -170,7 +184,7 @@
     """What 40 changes of one upstream each, and a look each, do at a fleet of that size."""
     upstreams, now = fleet(count), START
     balancer = Balancer(site(8800, me=5), 1, now)
-    balancer.handle(now, [api.ListUpdate(api.ListKind.FULL, upstreams)])
+    balancer.handle(now, [api.EndpointUpdate(api.EndpointUpdateKind.FULL, upstreams)])
     done: Counter[str] = Counter()
     real = {name: getattr(membership_module, name) for name in ("mixed", "unmixed", "stretch")}
 
@@ -187,9 +201,11 @@
     rng = random.Random(4)
     for _ in range(20):
         upstream = rng.choice(upstreams)
-        for state in (api.State.DRAINING, api.State.READY):
+        for state in (api.EndpointStatus.DRAINING, api.EndpointStatus.READY):
             now += SECOND
-            balancer.handle(now, [api.ListUpdate(api.ListKind.DELTA, [upstream._replace(state=state)])])
+            balancer.handle(
+                now, [api.EndpointUpdate(api.EndpointUpdateKind.DELTA, [upstream._replace(state=state)])]
+            )
             done["known in full"] = max(done["known in full"], len(balancer.fleet.servers))
     monkeypatch.undo()
     return done, balancer
@@ -210,10 +226,12 @@
 def test_a_second_whole_list_that_says_the_same_makes_nothing_anew(monkeypatch: pytest.MonkeyPatch) -> None:
     upstreams = fleet(5000)
     balancer = Balancer(site(8800), 1, START)
-    balancer.handle(START, [api.ListUpdate(api.ListKind.FULL, upstreams)])
+    balancer.handle(START, [api.EndpointUpdate(api.EndpointUpdateKind.FULL, upstreams)])
     rows, servers = dict(balancer.fleet.membership.profiles), dict(balancer.fleet.servers)
     monkeypatch.setattr(membership_module, "mixed", None)  # it would be called for any change of a ring
-    balancer.handle(START + SECOND, [api.ListUpdate(api.ListKind.FULL, list(reversed(upstreams)))])
+    balancer.handle(
+        START + SECOND, [api.EndpointUpdate(api.EndpointUpdateKind.FULL, list(reversed(upstreams)))]
+    )
     assert all(balancer.fleet.membership.profiles[i] is row for i, row in rows.items())
     assert balancer.fleet.servers == servers
 
@@ -252,12 +270,14 @@
 def test_a_keyed_retry_finds_its_group_in_a_large_fleet(cls: api.RequestClass) -> None:
     # Guards against a retry that finds no upstream of its cell, of a hundred, among the few in use.
     desk = Desk(site(8800, me=3), servers=0)
-    desk.give(api.ListUpdate(api.ListKind.CACHED, fleet(30_000)))
+    desk.give(api.EndpointUpdate(api.EndpointUpdateKind.CACHED, fleet(30_000)))
     again = 0
     for i in range(60):
         desk.give(arrival(i, desk.now, cls))
         desk.now += 5 * MS
-        desk.finish(f"r{i}", api.Result.RESET)  # the checker proves that a further send keeps to the group
+        desk.finish(
+            f"r{i}", api.AttemptResult.RESET
+        )  # the checker proves that a further send keeps to the group
         again += len(desk.sends[f"r{i}"]) > 1
         desk.now += 5 * MS
         if f"r{i}" not in desk.answer:
@@ -272,12 +292,12 @@
 def test_an_upstream_that_left_the_subset_is_not_sent_to_by_one_who_asked_it() -> None:
     # Guards against a request that asked it for its load, and an old entry that no drain reaches any more.
     desk = Desk(site(8800, me=3), servers=0)
-    desk.give(api.ListUpdate(api.ListKind.CACHED, fleet(2000)))
+    desk.give(api.EndpointUpdate(api.EndpointUpdateKind.CACHED, fleet(2000)))
     fleet_of = desk.balancer.fleet
     asked = fleet_of.any.order[0]
     others = [u for u in fleet(2000, seed=9) if u.id != asked.id]
-    desk.give(api.ListUpdate(api.ListKind.FULL, [*others, asked.entry._replace(zone="z7")]))
+    desk.give(api.EndpointUpdate(api.EndpointUpdateKind.FULL, [*others, asked.entry._replace(zone="z7")]))
     if asked.id not in fleet_of.used:
         assert not fleet_of.fit(asked, desk.now) and asked.id not in fleet_of.servers
-    desk.give(api.ListUpdate(api.ListKind.FULL, others))
+    desk.give(api.EndpointUpdate(api.EndpointUpdateKind.FULL, others))
     assert not fleet_of.fit(asked, desk.now) and asked.id not in fleet_of.servers
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -14,7 +14,7 @@
 import pytest
 
 from loadbalancer import interface as api
-from loadbalancer.interface import Result
+from loadbalancer.interface import AttemptResult
 from loadbalancer.net.node import MODULE_EARLY_NS, NODE_EARLY_NS, REST_S, Config, Node, leave_s
 from loadbalancer.policy import Balancer
 from tests.sockets import (
@@ -45,15 +45,15 @@
     """Each request goes to the first upstream; what follows its outcome is up to the test."""
 
     def react(event: api.Event) -> Iterable[api.Action]:
-        if isinstance(event, api.Arrival):
-            return [api.Send(event.request, script.ids()[0], timeout_ns)]
+        if isinstance(event, api.RequestArrived):
+            return [api.Forward(event.request, script.ids()[0], timeout_ns)]
         return then(event)
 
     script.react = react
 
 
 def fails_unserved(event: api.Event) -> Iterable[api.Action]:
-    if isinstance(event, api.Outcome) and not event.complete:
+    if isinstance(event, api.AttemptEnded) and not event.complete:
         return [api.Fail(event.request)]
     return ()
 
@@ -86,12 +86,12 @@
             assert (seen.headers["req-id"], seen.headers["idempotency-key"]) == ("9b1f03aa", "k1")
             assert 4000 < int(seen.headers["req-deadline-ms"]) <= 5000
             assert "x-hop" not in seen.headers
-        arrival = script.of(api.Arrival)[0]
+        arrival = script.of(api.RequestArrived)[0]
         assert (arrival.class_name, arrival.tenant, arrival.key) == ("pay", "acme", "7f3a")
         assert arrival.cost_hint_ns == 1_200_000 and arrival.retry
         assert time.monotonic_ns() + 5000 * MS - arrival.deadline_ns > 0
-        outcome = script.of(api.Outcome)[0]
-        assert (outcome.result, outcome.attempt, outcome.complete) == (Result.OK, 0, True)
+        outcome = script.of(api.AttemptEnded)[0]
+        assert (outcome.result, outcome.attempt, outcome.complete) == (AttemptResult.OK, 0, True)
         assert outcome.took_ns > 0
 
     run(test())
@@ -110,7 +110,9 @@
 
 def test_a_refusal_is_told_at_once_with_its_retry_after() -> None:
     async def test() -> None:
-        script = Script(lambda e: [api.Refuse(e.request, 437 * MS)] if isinstance(e, api.Arrival) else ())
+        script = Script(
+            lambda e: [api.Reject(e.request, 437 * MS)] if isinstance(e, api.RequestArrived) else ()
+        )
         async with node(script) as client:
             begun = time.monotonic()
             got = await client.ask(request())
@@ -126,38 +128,47 @@
 @pytest.mark.parametrize(
     ("answer", "result"),
     [
-        (answers(200, b"x"), Result.OK),
-        (answers(500), Result.ERROR),
-        (answers(503, b"", DECLINED), Result.FULL),
-        (answers(504, b"", DECLINED), Result.FULL),
-        (answers(503), Result.ERROR),
-        (answers(404), Result.ERROR),
-        (answers(500, b"", DECLINED), Result.ERROR),
-        (breaks, Result.RESET),
-        (sends_raw(b"no http\r\n"), Result.RESET),
-        (sends_raw(b"HTTP/1.1 200 X\r\nContent-Length: 9\r\n\r\nhalf", close=True), Result.RESET),
-        (answers(200, b"x" * 400_000), Result.OK),
-        (answers(200, b"x" * (1024 * 1024 + 1)), Result.RESET),
-        (sends_raw(b"HTTP/1.1 200 X\r\nContent-Length: 3000000000\r\n\r\nabc"), Result.RESET),
-        (sends_raw(b"HTTP/1.1 200 X\r\nContent-Length: 3\r\nContent-Length: 2\r\n\r\nab"), Result.RESET),
-        (sends_raw(b"HTTP/1.1 200 X\r\nContent-Length: -1\r\n\r\nab"), Result.RESET),
-        (sends_raw(b"HTTP/1.1 200 X\r\nTransfer-Encoding: chunked\r\n\r\n1\r\na\r\nzz\r\n"), Result.RESET),
-        (sends_raw(b"HTTP/1.1 200 X\r\nTransfer-Encoding: gzip, chunked\r\n\r\n0\r\n\r\n"), Result.RESET),
-        (sends_raw(b"HTTP/1.1 OK 200\r\nContent-Length: 1\r\n\r\na"), Result.RESET),
-        (sends_raw(b"ICY 200 OK\r\nContent-Length: 1\r\n\r\na"), Result.RESET),
-        (sends_raw(b"HTTP/1.1 200 X\r\n" + b"X: y\r\n" * 4000), Result.RESET),
-        (sends_raw(b"HTTP/1.1 102 X\r\n\r\n" * 17 + written(200)), Result.RESET),
+        (answers(200, b"x"), AttemptResult.OK),
+        (answers(500), AttemptResult.ERROR),
+        (answers(503, b"", DECLINED), AttemptResult.REJECTED),
+        (answers(504, b"", DECLINED), AttemptResult.REJECTED),
+        (answers(503), AttemptResult.ERROR),
+        (answers(404), AttemptResult.ERROR),
+        (answers(500, b"", DECLINED), AttemptResult.ERROR),
+        (breaks, AttemptResult.RESET),
+        (sends_raw(b"no http\r\n"), AttemptResult.RESET),
+        (sends_raw(b"HTTP/1.1 200 X\r\nContent-Length: 9\r\n\r\nhalf", close=True), AttemptResult.RESET),
+        (answers(200, b"x" * 400_000), AttemptResult.OK),
+        (answers(200, b"x" * (1024 * 1024 + 1)), AttemptResult.RESET),
+        (sends_raw(b"HTTP/1.1 200 X\r\nContent-Length: 3000000000\r\n\r\nabc"), AttemptResult.RESET),
+        (
+            sends_raw(b"HTTP/1.1 200 X\r\nContent-Length: 3\r\nContent-Length: 2\r\n\r\nab"),
+            AttemptResult.RESET,
+        ),
+        (sends_raw(b"HTTP/1.1 200 X\r\nContent-Length: -1\r\n\r\nab"), AttemptResult.RESET),
+        (
+            sends_raw(b"HTTP/1.1 200 X\r\nTransfer-Encoding: chunked\r\n\r\n1\r\na\r\nzz\r\n"),
+            AttemptResult.RESET,
+        ),
+        (
+            sends_raw(b"HTTP/1.1 200 X\r\nTransfer-Encoding: gzip, chunked\r\n\r\n0\r\n\r\n"),
+            AttemptResult.RESET,
+        ),
+        (sends_raw(b"HTTP/1.1 OK 200\r\nContent-Length: 1\r\n\r\na"), AttemptResult.RESET),
+        (sends_raw(b"ICY 200 OK\r\nContent-Length: 1\r\n\r\na"), AttemptResult.RESET),
+        (sends_raw(b"HTTP/1.1 200 X\r\n" + b"X: y\r\n" * 4000), AttemptResult.RESET),
+        (sends_raw(b"HTTP/1.1 102 X\r\n\r\n" * 17 + written(200)), AttemptResult.RESET),
     ],
 )
-def test_what_comes_back_is_the_outcome(answer: Answer, result: Result) -> None:
+def test_what_comes_back_is_the_outcome(answer: Answer, result: AttemptResult) -> None:
     async def test() -> None:
         upstream = await Upstream(answer).start()
         script = Script()
         sends_first(script, fails_unserved)
         async with node(script, upstream) as client:
             got = await client.ask(request())
-            assert got.status == (200 if result is Result.OK else 504)
-            assert [o.result for o in script.of(api.Outcome)] == [result]
+            assert got.status == (200 if result is AttemptResult.OK else 504)
+            assert [o.result for o in script.of(api.AttemptEnded)] == [result]
             assert len(upstream.got) == 1  # nothing is sent again by itself
 
     run(test())
@@ -173,7 +184,7 @@
             for number in (1, 2):
                 assert (await client.ask(request())).body == b"mine"
                 assert upstream.opened == len(upstream.got) == number and not client.node._hub.idle
-            assert [o.result for o in script.of(api.Outcome)] == [Result.OK] * 2
+            assert [o.result for o in script.of(api.AttemptEnded)] == [AttemptResult.OK] * 2
 
     run(test())
 
@@ -198,7 +209,7 @@
                 return
             writers[0].write(written(200, b"first"))  # once more, when the next request is there
             await writers[0].drain()
-            await until(lambda: upstream.closed or len(script.of(api.Outcome)) > 1)
+            await until(lambda: upstream.closed or len(script.of(api.AttemptEnded)) > 1)
             writer.write(written(200, b"second"))
 
         upstream = await Upstream(answer).start()
@@ -252,8 +263,10 @@
         async with node(script, upstream, in_answers=True) as client:
             for number in (1, 2):
                 assert (await client.ask(request())).body == b"it"
-                await until(lambda number=number: len(script.of(api.Outcome)) == number)  # type: ignore[misc]
-            assert [(o.result, o.report) for o in script.of(api.Outcome)] == [(Result.OK, heard)] * 2
+                await until(lambda number=number: len(script.of(api.AttemptEnded)) == number)  # type: ignore[misc]
+            assert [(o.result, o.report) for o in script.of(api.AttemptEnded)] == [
+                (AttemptResult.OK, heard)
+            ] * 2
 
     run(test())
 
@@ -261,10 +274,12 @@
 def test_probes_leave_places_for_attempts() -> None:
     async def test() -> None:
         upstream = await Upstream(silent).start()
-        script = Script(lambda e: [api.Probe(script.ids()[0])] * 20 if isinstance(e, api.Wake) else ())
+        script = Script(
+            lambda e: [api.CheckHealth(script.ids()[0])] * 20 if isinstance(e, api.TimerExpired) else ()
+        )
         async with node(script, upstream) as client:
             client.node._hub.capacity = 16
-            client.node.feed(api.Wake("now"))
+            client.node.feed(api.TimerExpired("now"))
             assert client.node._hub.open <= 14
             sends_first(script)
             await client.send(request())
@@ -309,7 +324,7 @@
             busy = [client.another() for _ in range(8)]
             for other in busy:
                 await other.send(request())
-            await until(lambda: len(script.of(api.Arrival)) == len(busy))
+            await until(lambda: len(script.of(api.RequestArrived)) == len(busy))
             late = [client.another() for _ in range(2)]
             for other in late:
                 await other.send(request())
@@ -319,12 +334,12 @@
             await looked.wait()  # the drain has come to the backlog
             monkeypatch.undo()
             script.react = fails_all
-            client.node.feed(api.Wake("now"))
+            client.node.feed(api.TimerExpired("now"))
             for other in (*busy, *late):
                 got = await other.read()
                 assert got.status == 504 and got.headers["connection"] == "close"
             await draining
-            assert len(script.of(api.Arrival)) == len(busy) + len(late)
+            assert len(script.of(api.RequestArrived)) == len(busy) + len(late)
 
     run(test())
 
@@ -366,9 +381,9 @@
 
 
 def fails_all(event: api.Event) -> Iterable[api.Action]:
-    if isinstance(event, api.Wake):
+    if isinstance(event, api.TimerExpired):
         return [api.Fail(str(number)) for number in range(1, 9)]
-    return [api.Fail(event.request)] if isinstance(event, api.Arrival) else ()
+    return [api.Fail(event.request)] if isinstance(event, api.RequestArrived) else ()
 
 
 @pytest.mark.parametrize("kept", [False, True])
@@ -440,7 +455,7 @@
         sends_first(script, fails_unserved)
         async with node(script, upstream) as client:
             assert (await client.ask(request())).status == 504
-            assert [o.result for o in script.of(api.Outcome)] == [Result.CONNECT_FAILED]
+            assert [o.result for o in script.of(api.AttemptEnded)] == [AttemptResult.CONNECT_FAILED]
 
     run(test())
 
@@ -454,7 +469,7 @@
             await client.send(request())
             hold_connections(monkeypatch, asyncio.Event())
             assert (await client.read()).status == 504
-            assert [o.result for o in script.of(api.Outcome)] == [Result.CONNECT_FAILED]
+            assert [o.result for o in script.of(api.AttemptEnded)] == [AttemptResult.CONNECT_FAILED]
 
     run(test())
 
@@ -473,12 +488,12 @@
         async with node(script, known_list=known(port)) as client:
             pool = client.node._pool(next(iter(client.node.upstreams())))
             assert pool is not None
-            ended: list[Result] = []
+            ended: list[AttemptResult] = []
             exchange = pool.exchange(b"x" * 50_000_000, None, lambda result, response: ended.append(result))
             await until(lambda: held and not exchange.waiting)
             held[0].transport.abort()
             await until(lambda: ended)
-            assert ended == [Result.CONNECT_FAILED]
+            assert ended == [AttemptResult.CONNECT_FAILED]
         server.close()
 
     run(test())
@@ -499,9 +514,9 @@
         script = Script()
 
         def again(event: api.Event) -> Iterable[api.Action]:
-            if isinstance(event, api.Outcome) and event.result is Result.TIMEOUT:
+            if isinstance(event, api.AttemptEnded) and event.result is AttemptResult.TIMEOUT:
                 release.set()
-                return [api.Send(event.request, event.upstream)]
+                return [api.Forward(event.request, event.upstream)]
             return ()
 
         sends_first(script, again, timeout_ns=30 * MS)
@@ -509,9 +524,9 @@
             assert (await client.ask(request())).body == b"fresh"
             assert upstream.opened == 2
             await until(lambda: upstream.closed == 1)
-            assert [(o.result, o.attempt) for o in script.of(api.Outcome)] == [
-                (Result.TIMEOUT, 0),
-                (Result.OK, 1),
+            assert [(o.result, o.attempt) for o in script.of(api.AttemptEnded)] == [
+                (AttemptResult.TIMEOUT, 0),
+                (AttemptResult.OK, 1),
             ]
 
     run(test())
@@ -526,7 +541,7 @@
             script = Script()
 
             def look(event: api.Event) -> Iterable[api.Action]:
-                if isinstance(event, api.Outcome) and event.result is Result.TIMEOUT:
+                if isinstance(event, api.AttemptEnded) and event.result is AttemptResult.TIMEOUT:
                     ended.append(accepted[0].recv(65536))  # an end, where nothing else is to be read
                     return [api.Fail(event.request)]
                 return ()
@@ -548,14 +563,17 @@
     async def test() -> None:
         upstream = await Upstream(silent).start()
         script = Script()
-        sends_first(script, lambda e: [api.Cancel("1", 0)] if isinstance(e, api.Wake) else fails_unserved(e))
+        sends_first(
+            script,
+            lambda e: [api.CancelAttempt("1", 0)] if isinstance(e, api.TimerExpired) else fails_unserved(e),
+        )
         async with node(script, upstream) as client:
             await client.send(request())
             await until(lambda: upstream.got)
-            client.node.feed(api.Wake("now"))
+            client.node.feed(api.TimerExpired("now"))
             assert (await client.read()).status == 504
             await until(lambda: upstream.closed == 1)
-            assert [o.result for o in script.of(api.Outcome)] == [Result.CANCELLED]
+            assert [o.result for o in script.of(api.AttemptEnded)] == [AttemptResult.CANCELLED]
 
     run(test())
 
@@ -581,22 +599,26 @@
         script = Script()
 
         def react(event: api.Event) -> Iterable[api.Action]:
-            if isinstance(event, api.Arrival):
+            if isinstance(event, api.RequestArrived):
                 to = script.ids()[0]
-                return [api.Send(event.request, to), api.Send(event.request, to)]
-            if isinstance(event, api.Wake):
-                return [api.Fail("1"), api.Fail("1"), api.Send("1", script.ids()[0])]
+                return [api.Forward(event.request, to), api.Forward(event.request, to)]
+            if isinstance(event, api.TimerExpired):
+                return [api.Fail("1"), api.Fail("1"), api.Forward("1", script.ids()[0])]
             return ()
 
         script.react = react
         async with node(script, upstream) as client:
             await client.send(request())
             await until(lambda: upstream.got)
-            client.node.feed(api.Wake("now"))
+            client.node.feed(api.TimerExpired("now"))
             assert (await client.read()).status == 504
             await until(lambda: upstream.closed == 1)
-            outcomes = {(o.attempt, o.result, o.complete) for o in script.of(api.Outcome)}
-            assert outcomes == {(1, Result.MOOT, False), (0, Result.CANCELLED, True), (0, Result.MOOT, True)}
+            outcomes = {(o.attempt, o.result, o.complete) for o in script.of(api.AttemptEnded)}
+            assert outcomes == {
+                (1, AttemptResult.NOT_SENT, False),
+                (0, AttemptResult.CANCELLED, True),
+                (0, AttemptResult.NOT_SENT, True),
+            }
             assert len(upstream.got) == 1 and script.deepest == 1
             assert (await client.ask(b"GET /health/ready HTTP/1.1\r\n\r\n")).status == 200  # one answer only
 
@@ -613,8 +635,10 @@
             await until(lambda: upstream.got)
             client.close()
             await until(lambda: upstream.closed == 1)
-            assert script.of(api.ClientGone) == [api.ClientGone("1")]
-            assert [(o.result, o.complete) for o in script.of(api.Outcome)] == [(Result.CANCELLED, True)]
+            assert script.of(api.ClientDisconnected) == [api.ClientDisconnected("1")]
+            assert [(o.result, o.complete) for o in script.of(api.AttemptEnded)] == [
+                (AttemptResult.CANCELLED, True)
+            ]
             assert not client.node._calls and not client.node._by_client
 
     run(test())
@@ -627,7 +651,7 @@
             begun = time.monotonic()
             assert (await client.ask(request(deadline_ms=80))).status == 504
             assert time.monotonic() - begun > 0.05
-            assert script.of(api.ClientGone) == [api.ClientGone("1")]
+            assert script.of(api.ClientDisconnected) == [api.ClientDisconnected("1")]
 
     run(test())
 
@@ -638,20 +662,20 @@
         script = Script()
 
         def react(event: api.Event) -> Iterable[api.Action]:
-            if isinstance(event, api.Arrival):
+            if isinstance(event, api.RequestArrived):
                 timeout = event.deadline_ns - time.monotonic_ns()
                 time.sleep(0.02)  # the process gets no core for a while
-                return [api.Send(event.request, script.ids()[0], timeout), api.SetTimer(timeout, "end")]
-            if isinstance(event, api.Outcome) and event.result is Result.TIMEOUT:
-                return [api.Refuse(event.request)]
+                return [api.Forward(event.request, script.ids()[0], timeout), api.SetTimer(timeout, "end")]
+            if isinstance(event, api.AttemptEnded) and event.result is AttemptResult.TIMEOUT:
+                return [api.Reject(event.request)]
             return ()
 
         script.react = react
         async with node(script, upstream) as client:
             assert (await client.ask(request(deadline_ms=150))).status == 503
-            assert [o.result for o in script.of(api.Outcome)] == [Result.TIMEOUT]
-            await until(lambda: script.of(api.Wake))
-            assert not script.of(api.ClientGone)
+            assert [o.result for o in script.of(api.AttemptEnded)] == [AttemptResult.TIMEOUT]
+            await until(lambda: script.of(api.TimerExpired))
+            assert not script.of(api.ClientDisconnected)
 
     run(test())
 
@@ -659,9 +683,9 @@
 def test_a_fault_of_the_module_does_not_stop_the_node() -> None:
     async def test() -> None:
         def react(event: api.Event) -> Iterable[api.Action]:
-            if isinstance(event, api.Arrival) and event.request == "1":
+            if isinstance(event, api.RequestArrived) and event.request == "1":
                 raise RuntimeError("bug")
-            return [api.Fail(event.request)] if isinstance(event, api.Arrival) else ()
+            return [api.Fail(event.request)] if isinstance(event, api.RequestArrived) else ()
 
         async with node(Script(react)) as client:
             assert (await client.ask(request(deadline_ms=50))).status == 504
@@ -701,12 +725,14 @@
             writer.write(written(200))
 
         def send(event: api.Event) -> Iterable[api.Action]:
-            if isinstance(event, (api.Arrival, api.Outcome)) and len(ends) < attempts:
-                arrival = script.of(api.Arrival)[0]
+            if isinstance(event, (api.RequestArrived, api.AttemptEnded)) and len(ends) < attempts:
+                arrival = script.of(api.RequestArrived)[0]
                 deadline = arrival.deadline_ns + MODULE_EARLY_NS - NODE_EARLY_NS
                 ends.append(client.node._decided_ns + timeout_ns if timeout_ns else deadline)
                 upstreams = script.ids()
-                return [api.Send(arrival.request, upstreams[-1 if len(ends) == attempts else 0], timeout_ns)]
+                return [
+                    api.Forward(arrival.request, upstreams[-1 if len(ends) == attempts else 0], timeout_ns)
+                ]
             return ()
 
         refusing, upstream = await Upstream(silent).start(), await Upstream(answer).start()
@@ -744,14 +770,14 @@
             await client.read()
             hold_connections(monkeypatch, up)
             await client.send(request())
-            await until(lambda: script.of(api.Arrival))
+            await until(lambda: script.of(api.RequestArrived))
             row = {**known(upstream.port)["hosts"][0], "health": health}
             client.node._listed(listing({"seq": 2, "whole": False, "hosts": [row]}))
             assert (await client.read()).status == 504
             up.set()
-            assert [o.result for o in script.of(api.Outcome)] == [Result.MOOT]
+            assert [o.result for o in script.of(api.AttemptEnded)] == [AttemptResult.NOT_SENT]
             assert (await client.ask(request())).status == 504  # nor does a new one go there
-            assert [o.result for o in script.of(api.Outcome)] == [Result.MOOT] * 2
+            assert [o.result for o in script.of(api.AttemptEnded)] == [AttemptResult.NOT_SENT] * 2
             assert not upstream.got
 
     run(test())
@@ -764,8 +790,8 @@
 
 
 def again_unless_over(event: api.Event) -> Iterable[api.Action]:
-    if isinstance(event, api.Outcome) and not event.complete:
-        return [api.Send(event.request, event.upstream)]
+    if isinstance(event, api.AttemptEnded) and not event.complete:
+        return [api.Forward(event.request, event.upstream)]
     return ()
 
 
@@ -782,11 +808,14 @@
             up = asyncio.Event()
             hold_connections(monkeypatch, up)
             await client.send(request())
-            await until(lambda: script.of(api.Arrival))
+            await until(lambda: script.of(api.RequestArrived))
             tell(client.node, 2, dial=f"{HOST}:{new.port}")
             up.set()
             assert (await client.read()).body == b"new"
-            assert [o.result for o in script.of(api.Outcome)] == [Result.MOOT, Result.OK]
+            assert [o.result for o in script.of(api.AttemptEnded)] == [
+                AttemptResult.NOT_SENT,
+                AttemptResult.OK,
+            ]
             assert not old.got and client.node._hub.open == 1
         old.stop()
         new.stop()
@@ -832,12 +861,16 @@
             hold_connections(monkeypatch, up)
             sends_first(script)
             await client.send(request())
-            await until(lambda: script.of(api.Arrival))
+            await until(lambda: script.of(api.RequestArrived))
             tell(client.node, 2, health="removed")
-            assert [o.result for o in script.of(api.Outcome)] == [Result.MOOT]  # before it is back
+            assert [o.result for o in script.of(api.AttemptEnded)] == [
+                AttemptResult.NOT_SENT
+            ]  # before it is back
             tell(client.node, 3, dial=f"{HOST}:{upstream.port}")
-            script.react = lambda e: [api.Send("1", script.ids()[0])] if isinstance(e, api.Wake) else ()
-            client.node.feed(api.Wake("again"))
+            script.react = lambda e: (
+                [api.Forward("1", script.ids()[0])] if isinstance(e, api.TimerExpired) else ()
+            )
+            client.node.feed(api.TimerExpired("again"))
             up.set()
             assert (await client.read()).body == b"it"
             assert len(upstream.got) == 1 and client.node._hub.open == 1
@@ -874,11 +907,11 @@
             transport = pool.idle[0]._transport
             assert transport is not None
             transport.close()  # what the transport does on an end; the pool hears of it a turn later
-            ended: list[Result] = []
+            ended: list[AttemptResult] = []
             pool.exchange(b"GET /read HTTP/1.1\r\n\r\n", None, lambda result, response: ended.append(result))
             assert not ended
             await until(lambda: ended)
-            assert ended == [Result.OK] and upstream.opened == 2
+            assert ended == [AttemptResult.OK] and upstream.opened == 2
 
     run(test())
 
@@ -899,17 +932,22 @@
         async with node(script, upstream) as client:
             assert (await client.ask(request())).status == 200
             rests(client.node)
-            script.react = lambda e: [api.Send("2", script.ids()[0])] if isinstance(e, api.Wake) else ()
+            script.react = lambda e: (
+                [api.Forward("2", script.ids()[0])] if isinstance(e, api.TimerExpired) else ()
+            )
             await client.send(request("/pay", method="POST"))
-            await until(lambda: len(script.of(api.Arrival)) == 2)
+            await until(lambda: len(script.of(api.RequestArrived)) == 2)
             side = writers[0].transport.get_extra_info("socket")
             if stray:
                 os.write(side.fileno(), stray)
             else:
                 side.shutdown(socket.SHUT_WR)
-            client.node.feed(api.Wake("token"))  # in the same turn
+            client.node.feed(api.TimerExpired("token"))  # in the same turn
             assert (await client.read()).body == b"mine"
-            assert upstream.opened == 2 and [o.result for o in script.of(api.Outcome)] == [Result.OK] * 2
+            assert (
+                upstream.opened == 2
+                and [o.result for o in script.of(api.AttemptEnded)] == [AttemptResult.OK] * 2
+            )
 
     run(test())
 
@@ -933,7 +971,7 @@
                 await client.send(b"")
                 monkeypatch.setattr(loop, "create_connection", create_connection)
                 assert (await client.ask(request("/pay", method="POST"))).status == 504
-                assert [o.result for o in script.of(api.Outcome)] == [Result.CONNECT_FAILED]
+                assert [o.result for o in script.of(api.AttemptEnded)] == [AttemptResult.CONNECT_FAILED]
 
     run(test())
 
@@ -961,10 +999,10 @@
                 else:
                     mine.shutdown(socket.SHUT_WR)
             time.sleep(0.15)  # and the attempt's time is over, all in one turn
-            await until(lambda: script.of(api.Outcome))
+            await until(lambda: script.of(api.AttemptEnded))
             await until(lambda: not client.node._calls)
-            assert len(script.of(api.Outcome)) == 1 and len(upstream.got) == 1
-            assert len(script.of(api.ClientGone)) <= 1
+            assert len(script.of(api.AttemptEnded)) == 1 and len(upstream.got) == 1
+            assert len(script.of(api.ClientDisconnected)) <= 1
             sends_first(script)
             upstream.answer = answers(200, b"next")
             assert (await client.ask(request())).body == b"next"  # no late answer meets it
@@ -986,7 +1024,7 @@
             client.node._hub.capacity = 7
             assert (await client.ask(request())).status == 504
             assert client.node._hub.open == 7
-            assert [o.result for o in script.of(api.Outcome)] == [Result.CONNECT_FAILED]
+            assert [o.result for o in script.of(api.AttemptEnded)] == [AttemptResult.CONNECT_FAILED]
             for other in others:
                 other.close()
             await until(lambda: client.node._hub.open == 0)
@@ -1023,7 +1061,7 @@
 
 
 def heard(script: Script, probes: int) -> bool:
-    return len(script.of(api.ProbeResult)) == probes
+    return len(script.of(api.HealthCheckEnded)) == probes
 
 
 def test_an_idle_connection_makes_place_for_one_elsewhere() -> None:
@@ -1042,7 +1080,7 @@
 
 
 def sends_to(script: Script, number: int, event: api.Event) -> Iterable[api.Action]:
-    return [api.Send(event.request, script.ids()[number])] if isinstance(event, api.Arrival) else ()
+    return [api.Forward(event.request, script.ids()[number])] if isinstance(event, api.RequestArrived) else ()
 
 
 def test_probes_bring_reports() -> None:
@@ -1055,21 +1093,23 @@
             await answers(statuses[i], bodies[i])(upstream.got[-1], writer)
 
         upstream = await Upstream(stats).start()
-        script = Script(lambda e: [api.Probe(script.ids()[0])] if isinstance(e, api.Wake) else ())
+        script = Script(
+            lambda e: [api.CheckHealth(script.ids()[0])] if isinstance(e, api.TimerExpired) else ()
+        )
         async with node(script, upstream) as client:
             for i in range(4):
-                client.node.feed(api.Wake("now"))
+                client.node.feed(api.TimerExpired("now"))
                 await until(partial(heard, script, i + 1))
-            script.react = lambda e: [api.Probe(99)] if isinstance(e, api.Wake) else ()
-            client.node.feed(api.Wake("now"))
+            script.react = lambda e: [api.CheckHealth(99)] if isinstance(e, api.TimerExpired) else ()
+            client.node.feed(api.TimerExpired("now"))
         assert upstream.got[0].first == "GET /stats HTTP/1.1" and upstream.opened == 1
-        results = [(p.result, p.report) for p in script.of(api.ProbeResult)]
+        results = [(p.result, p.report) for p in script.of(api.HealthCheckEnded)]
         assert results == [
-            (Result.OK, {"inflight": 3.0, "queue": 1.0}),
-            (Result.FULL, None),
-            (Result.OK, None),
-            (Result.OK, {}),
-            (Result.CONNECT_FAILED, None),
+            (AttemptResult.OK, {"inflight": 3.0, "queue": 1.0}),
+            (AttemptResult.REJECTED, None),
+            (AttemptResult.OK, None),
+            (AttemptResult.OK, {}),
+            (AttemptResult.CONNECT_FAILED, None),
         ]
 
     run(test())
@@ -1077,10 +1117,10 @@
 
 def test_timers_come_back_by_name() -> None:
     async def test() -> None:
-        script = Script(lambda e: [api.SetTimer(2 * MS, "next")] if e == api.Wake("first") else ())
+        script = Script(lambda e: [api.SetTimer(2 * MS, "next")] if e == api.TimerExpired("first") else ())
         async with node(script) as client:
-            client.node.feed(api.Wake("first"))
-            await until(lambda: api.Wake("next") in script.events)
+            client.node.feed(api.TimerExpired("first"))
+            await until(lambda: api.TimerExpired("next") in script.events)
 
     run(test())
 
@@ -1111,13 +1151,21 @@
             nodes.append(Node(config, script))
             await nodes[-1].start()
         scripts[0].react = lambda e: (
-            [api.Tell(b"one", 1), api.Tell(b"all"), api.Tell(b"x", 9), api.Tell(b"x" * 257)]
-            if isinstance(e, api.Wake)
+            [
+                api.SendGossip(b"one", 1),
+                api.SendGossip(b"all"),
+                api.SendGossip(b"x", 9),
+                api.SendGossip(b"x" * 257),
+            ]
+            if isinstance(e, api.TimerExpired)
             else ()
         )
-        nodes[0].feed(api.Wake("now"))
-        await until(lambda: len(scripts[1].of(api.PeerMessage)) == 2)
-        assert set(scripts[1].of(api.PeerMessage)) == {api.PeerMessage(0, b"one"), api.PeerMessage(0, b"all")}
+        nodes[0].feed(api.TimerExpired("now"))
+        await until(lambda: len(scripts[1].of(api.GossipReceived)) == 2)
+        assert set(scripts[1].of(api.GossipReceived)) == {
+            api.GossipReceived(0, b"one"),
+            api.GossipReceived(0, b"all"),
+        }
         for n in nodes:
             n.close()
 
--- a/tests/test_return.py
+++ b/tests/test_return.py
@@ -41,22 +41,22 @@
 ANSWER_S = 1.0  # of that, for the call that brings it, and as a margin
 REFUSED_S, DECLINED_S, UNANSWERED_S = 0.0, 2.0, 3.0  # how long a call takes to fail, at most
 
-FAILED, SILENT = api.ListKind.FAILED, api.ListKind.SILENT
+FAILED, SILENT = api.EndpointUpdateKind.FAILED, api.EndpointUpdateKind.WATCH_TIMED_OUT
 
 
-def calls(seed: int, failing: Iterator[tuple[float, api.ListKind]], until_s: float) -> list[float]:
+def calls(seed: int, failing: Iterator[tuple[float, api.EndpointUpdateKind]], until_s: float) -> list[float]:
     """When the module calls a discovery where each call fails so many seconds later."""
     balancer, now, times = Balancer(settings(discovery_push=False), seed, START), START, []
-    due: list[tuple[int, api.Event]] = [(START, api.ListUpdate(api.ListKind.CACHED))]
+    due: list[tuple[int, api.Event]] = [(START, api.EndpointUpdate(api.EndpointUpdateKind.CACHED))]
     while now < START + until_s * SECOND:
         now, event = due.pop(due.index(min(due, key=lambda d: d[0])))
         for action in balancer.handle(now, [event]):
             if isinstance(action, api.SetTimer):
-                due.append((now + action.delay_ns, api.Wake(action.name)))
-            elif action == api.Subscribe(True):
+                due.append((now + action.delay_ns, api.TimerExpired(action.name)))
+            elif action == api.WatchEndpoints(True):
                 times.append((now - START) / SECOND)
                 takes_s, kind = next(failing)
-                due.append((now + int(takes_s * SECOND), api.ListUpdate(kind)))
+                due.append((now + int(takes_s * SECOND), api.EndpointUpdate(kind)))
     return times
 
 
@@ -72,7 +72,7 @@
     ],
 )
 def test_the_next_call_comes_in_time_however_long_discovery_was_away(
-    fails: list[tuple[float, api.ListKind]],
+    fails: list[tuple[float, api.EndpointUpdateKind]],
 ) -> None:
     # At worst discovery is back just after a call went out, which fails all the same: the next one must
     # bring the news. The pause alone grew to 8 s.
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -33,14 +33,14 @@
 
 def test_served_request_needs_nothing_more() -> None:
     desk = Desk()
-    assert len(of(api.Send, desk.give(arrival(1, desk.now)))) == 1
+    assert len(of(api.Forward, desk.give(arrival(1, desk.now)))) == 1
     assert not of(api.Fail, desk.finish("r1")) and desk.answer["r1"] == "served"
 
 
 @pytest.mark.parametrize("cls", [READ, PAY, CELL, ANY])
 def test_no_server_known_is_refused_in_time(cls: api.RequestClass) -> None:
     desk = Desk(servers=0)
-    desk.give(api.ListUpdate(api.ListKind.CACHED), arrival(1, desk.now, cls))
+    desk.give(api.EndpointUpdate(api.EndpointUpdateKind.CACHED), arrival(1, desk.now, cls))
     desk.advance(600 * MS)
     assert desk.answer["r1"] == "refused"
 
@@ -48,7 +48,10 @@
 def test_all_draining_is_refused_in_time() -> None:
     desk = Desk()
     desk.give(
-        api.ListUpdate(api.ListKind.DELTA, [u._replace(state=api.State.DRAINING) for u in upstreams(6)])
+        api.EndpointUpdate(
+            api.EndpointUpdateKind.DELTA,
+            [u._replace(state=api.EndpointStatus.DRAINING) for u in upstreams(6)],
+        )
     )
     desk.give(arrival(1, desk.now, PAY))
     desk.advance(600 * MS)
@@ -62,8 +65,8 @@
     assert desk.answer["r1"] == "failed" and len(desk.sends["r1"]) == 1
 
 
-@pytest.mark.parametrize("result", [api.Result.FULL, api.Result.CONNECT_FAILED])
-def test_unsafe_request_that_never_ran_is_sent_again(result: api.Result) -> None:
+@pytest.mark.parametrize("result", [api.AttemptResult.REJECTED, api.AttemptResult.CONNECT_FAILED])
+def test_unsafe_request_that_never_ran_is_sent_again(result: api.AttemptResult) -> None:
     desk = Desk()
     desk.give(arrival(1, desk.now, PAY))
     desk.now += MS
@@ -71,8 +74,10 @@
     assert len(desk.sends["r1"]) == 2
 
 
-@pytest.mark.parametrize("result", [api.Result.ERROR, api.Result.RESET, api.Result.CANCELLED])
-def test_unsafe_request_that_may_have_run_is_failed(result: api.Result) -> None:
+@pytest.mark.parametrize(
+    "result", [api.AttemptResult.ERROR, api.AttemptResult.RESET, api.AttemptResult.CANCELLED]
+)
+def test_unsafe_request_that_may_have_run_is_failed(result: api.AttemptResult) -> None:
     desk = Desk()
     desk.give(arrival(1, desk.now, PAY))
     desk.now += MS
@@ -84,20 +89,22 @@
 def test_placement_binds_every_attempt(cls: api.RequestClass) -> None:
     # Guards against a class going where it may not, on retries too: the checker asserts it for each send.
     desk = Desk(servers=0)
-    desk.give(api.ListUpdate(api.ListKind.CACHED, mixed_fleet(12)))
+    desk.give(api.EndpointUpdate(api.EndpointUpdateKind.CACHED, mixed_fleet(12)))
     for i in range(60):
         desk.give(arrival(i, desk.now, cls))
         desk.now += 5 * MS
         for request, number in desk.out():
             if request not in desk.answer:
-                desk.give(desk.result(request, number, (api.Result.FULL, api.Result.OK)[i % 2]))
+                desk.give(
+                    desk.result(request, number, (api.AttemptResult.REJECTED, api.AttemptResult.OK)[i % 2])
+                )
     assert len(desk.sends) > 20
 
 
 def test_placement_holds_when_its_upstreams_are_gone_and_does_not_stop_others() -> None:
     desk = Desk(servers=0)
     west = [u for u in mixed_fleet(12) if u.zone == "west"]
-    desk.give(api.ListUpdate(api.ListKind.CACHED, west))
+    desk.give(api.EndpointUpdate(api.EndpointUpdateKind.CACHED, west))
     desk.give(arrival("near", desk.now, NEAR), arrival("read", desk.now, READ))
     assert "rread" in desk.sends and "rnear" not in desk.sends
     desk.advance(600 * MS)
@@ -115,7 +122,7 @@
     desk = Desk(settings(rules=api.Rules(cold_ns=4 * SECOND, full_unproven=unproven)))
     desk.give(arrival(1, desk.now, cls))
     desk.now += MS
-    desk.finish("r1", api.Result.FULL)
+    desk.finish("r1", api.AttemptResult.REJECTED)
     assert desk.answer.get("r1") == answer and len(desk.sends["r1"]) == (1 if answer else 2)
 
 
@@ -125,7 +132,7 @@
     for _ in range(3):
         desk.now += MS
         if "r1" not in desk.answer:
-            desk.finish("r1", api.Result.FULL)
+            desk.finish("r1", api.AttemptResult.REJECTED)
     desk.advance(600 * MS)
     assert desk.answer["r1"] == "refused" and len(desk.sends["r1"]) <= 3
 
@@ -154,7 +161,10 @@
 def test_drained_upstream_gets_nothing_new() -> None:
     desk = Desk()
     desk.give(
-        api.ListUpdate(api.ListKind.DELTA, [u._replace(state=api.State.DRAINING) for u in upstreams(5)])
+        api.EndpointUpdate(
+            api.EndpointUpdateKind.DELTA,
+            [u._replace(state=api.EndpointStatus.DRAINING) for u in upstreams(5)],
+        )
     )
     for i in range(20):
         desk.give(arrival(i, desk.now))
@@ -166,7 +176,7 @@
 
 def test_missing_from_a_full_list_is_gone() -> None:
     desk = Desk()
-    desk.give(api.ListUpdate(api.ListKind.FULL, upstreams(1)))
+    desk.give(api.EndpointUpdate(api.EndpointUpdateKind.FULL, upstreams(1)))
     for i in range(5):
         desk.give(arrival(i, desk.now))
         desk.finish(f"r{i}")
@@ -175,7 +185,7 @@
 
 def test_cold_upstreams_get_one_request_at_a_time() -> None:
     desk = Desk(servers=0)
-    desk.give(api.ListUpdate(api.ListKind.CACHED, upstreams(4, started_ns=START - MS)))
+    desk.give(api.EndpointUpdate(api.EndpointUpdateKind.CACHED, upstreams(4, started_ns=START - MS)))
     for i in range(40):
         desk.give(arrival(i, desk.now))
         desk.advance(5 * MS)
@@ -191,7 +201,7 @@
     sent = []
     for proxies in (1, 40):
         desk = Desk(settings(replicas_of_me=proxies), servers=0)
-        desk.give(api.ListUpdate(api.ListKind.CACHED, upstreams(6, started_ns=START - MS)))
+        desk.give(api.EndpointUpdate(api.EndpointUpdateKind.CACHED, upstreams(6, started_ns=START - MS)))
         for i in range(100):
             desk.give(arrival(i, desk.now))
             desk.advance(5 * MS)
@@ -209,10 +219,15 @@
 def test_asks_the_drawn_upstreams_and_sends_to_the_lightest() -> None:
     # With many proxies own counts say little: the upstreams' own word decides.
     desk = probing()
-    asked = [a.upstream for a in desk.give(arrival(1, desk.now)) if isinstance(a, api.Probe)]
+    asked = [a.upstream for a in desk.give(arrival(1, desk.now)) if isinstance(a, api.CheckHealth)]
     assert asked and "r1" not in desk.sends
     desk.now += MS
-    desk.give(*(api.ProbeResult(u, api.Result.OK, MS, {"inflight": float(i)}) for i, u in enumerate(asked)))
+    desk.give(
+        *(
+            api.HealthCheckEnded(u, api.AttemptResult.OK, MS, {"inflight": float(i)})
+            for i, u in enumerate(asked)
+        )
+    )
     assert desk.sends["r1"][0][0].id == asked[0]
 
 
@@ -228,16 +243,16 @@
     desk = probing(servers=1)
     counts = []
     for number in range(4):
-        counts.append(sum(isinstance(a, api.Probe) for a in desk.give(arrival(number, desk.now))))
+        counts.append(sum(isinstance(a, api.CheckHealth) for a in desk.give(arrival(number, desk.now))))
         desk.now += 2 * MS
     assert counts == [1, 0, 0, 1]
 
 
 def test_refuses_when_all_asked_upstreams_would_answer_late() -> None:
     desk = probing()
-    asked = [a.upstream for a in desk.give(arrival(1, desk.now)) if isinstance(a, api.Probe)]
+    asked = [a.upstream for a in desk.give(arrival(1, desk.now)) if isinstance(a, api.CheckHealth)]
     desk.now += MS
-    desk.give(*(api.ProbeResult(u, api.Result.OK, MS, {"inflight": 500.0}) for u in asked))
+    desk.give(*(api.HealthCheckEnded(u, api.AttemptResult.OK, MS, {"inflight": 500.0}) for u in asked))
     assert desk.answer["r1"] == "refused"
 
 
@@ -246,7 +261,7 @@
     desk = probing(servers=1)
     desk.balancer.fleet.servers[1].pace = 9.0
     desk.give(arrival(1, desk.now, wait_ns=100 * MS))
-    desk.give(api.ProbeResult(1, api.Result.OK, MS, {"inflight": 0.0}))
+    desk.give(api.HealthCheckEnded(1, api.AttemptResult.OK, MS, {"inflight": 0.0}))
     assert len(desk.sends["r1"]) == 1
 
 
@@ -256,7 +271,7 @@
     for config in (dear, settings(limits=limits, report_columns=("util",))):
         desk = Desk(config)
         desk.give(arrival(1, desk.now))
-        assert "r1" in desk.sends and not of(api.Probe, desk.log)
+        assert "r1" in desk.sends and not of(api.CheckHealth, desk.log)
 
 
 def test_what_stands_still_together_is_one_strike() -> None:
@@ -293,14 +308,14 @@
     desk = Desk(servers=4)
     for i in range(40):
         desk.give(arrival(i, desk.now))
-        desk.finish(f"r{i}", api.Result.RESET)
+        desk.finish(f"r{i}", api.AttemptResult.RESET)
         desk.finish(f"r{i}")
     assert sum(desk.balancer.rate.bad.values()) <= 1  # the first break of all is the upstream's own
 
 
 def test_an_attempt_ends_at_the_aim_where_late_is_worth_nothing() -> None:
     desk = Desk()
-    sends = [a for a in desk.give(arrival(1, desk.now, READ)) if isinstance(a, api.Send)]
+    sends = [a for a in desk.give(arrival(1, desk.now, READ)) if isinstance(a, api.Forward)]
     assert sends[0].timeout_ns == READ.aim_ns
 
 
@@ -309,7 +324,7 @@
     subsets: list[int] = []
     for me in range(10):
         b = Balancer(settings(me=me, replicas_of_me=10), 1, START)
-        b.handle(START, [api.ListUpdate(api.ListKind.FULL, upstreams(100))])
+        b.handle(START, [api.EndpointUpdate(api.EndpointUpdateKind.FULL, upstreams(100))])
         subsets += [s.id for s in b.fleet.any.order[: b.fleet.any.subset]]
     assert sorted(subsets) == list(range(1, 101))
 
@@ -319,7 +334,7 @@
     sizes = {}
     for proxies in (3, 20, 400):
         b = Balancer(settings(me=1, replicas_of_me=proxies), 1, START)
-        b.handle(START, [api.ListUpdate(api.ListKind.FULL, upstreams(30))])
+        b.handle(START, [api.EndpointUpdate(api.EndpointUpdateKind.FULL, upstreams(30))])
         sizes[proxies] = b.fleet.any.subset
     assert sizes == {3: 10, 20: 9, 400: 4}
 
@@ -335,7 +350,7 @@
 
 def test_a_class_with_much_time_keeps_the_queue_short_for_one_with_little() -> None:
     # Incident i31aba8: requests with two seconds to spare filled the line, and quick ones never got in.
-    slow = api.RequestClass("slow", api.Effect.SAFE, aim_ns=20 * SECOND)
+    slow = api.RequestClass("slow", api.Idempotency.IDEMPOTENT, aim_ns=20 * SECOND)
     desk = Desk(settings(classes={"slow": slow, "read": READ}), servers=1)
     for i in range(200):
         desk.give(arrival(i, desk.now, slow, wait_ns=20 * SECOND))
@@ -369,7 +384,12 @@
 
 def test_client_gone_ends_the_request() -> None:
     desk = Desk()
-    desk.give(arrival(1, desk.now), api.ClientGone("r1"), api.ClientGone("r1"), api.ClientGone("unknown"))
+    desk.give(
+        arrival(1, desk.now),
+        api.ClientDisconnected("r1"),
+        api.ClientDisconnected("r1"),
+        api.ClientDisconnected("unknown"),
+    )
     desk.advance(600 * MS)
     assert desk.answer["r1"] == "gone"
 
@@ -377,21 +397,21 @@
 def test_late_and_unknown_outcomes_are_harmless() -> None:
     desk = Desk()
     desk.give(arrival(1, desk.now))
-    late = desk.result("r1", 0, api.Result.OK)
+    late = desk.result("r1", 0, api.AttemptResult.OK)
     desk.give(late)
     desk.balancer.handle(desk.now, [late, late._replace(request="unknown"), late._replace(upstream=99)])
 
 
 def test_ask_mode_subscribes_and_backs_off() -> None:
     desk = Desk(settings(discovery_push=False))
-    assert not of(api.Subscribe, desk.log)
+    assert not of(api.WatchEndpoints, desk.log)
     desk.advance(5 * SECOND)
-    assert len(of(api.Subscribe, desk.log)) == 1
+    assert len(of(api.WatchEndpoints, desk.log)) == 1
     gaps, last = [], desk.now
     for _ in range(4):
-        desk.give(api.ListUpdate(api.ListKind.FAILED))
-        before = len(of(api.Subscribe, desk.log))
-        while len(of(api.Subscribe, desk.log)) == before:
+        desk.give(api.EndpointUpdate(api.EndpointUpdateKind.FAILED))
+        before = len(of(api.WatchEndpoints, desk.log))
+        while len(of(api.WatchEndpoints, desk.log)) == before:
             desk.advance(50 * MS)
             assert desk.now - last < 20 * SECOND
         gaps.append(desk.now - last)
@@ -405,17 +425,19 @@
     desk = Desk(settings(limits=limits))
     desk.give(arrival(1, desk.now, ANY, wait_ns=2 * SECOND))
     desk.now += gone_ms * MS
-    assert bool(of(api.Send, desk.finish("r1", api.Result.RESET))) is again
+    assert bool(of(api.Forward, desk.finish("r1", api.AttemptResult.RESET))) is again
 
 
 def test_a_watch_that_fell_silent_is_asked_for_again_at_once() -> None:
     desk = Desk(settings(discovery_push=False))
     desk.advance(5 * SECOND)
     for _ in range(3):
-        assert api.Subscribe(True) in desk.give(api.ListUpdate(api.ListKind.SILENT))
+        assert api.WatchEndpoints(True) in desk.give(
+            api.EndpointUpdate(api.EndpointUpdateKind.WATCH_TIMED_OUT)
+        )
     # Silence is no failure: the pause after one is as short as ever.
-    assert api.Subscribe(True) not in desk.give(api.ListUpdate(api.ListKind.FAILED))
-    assert api.Subscribe(True) in desk.advance(1500 * MS)
+    assert api.WatchEndpoints(True) not in desk.give(api.EndpointUpdate(api.EndpointUpdateKind.FAILED))
+    assert api.WatchEndpoints(True) in desk.advance(1500 * MS)
 
 
 def test_spread_of_first_calls() -> None:
@@ -429,7 +451,7 @@
 def test_push_mode_never_calls_discovery() -> None:
     desk = Desk()
     desk.advance(5 * SECOND)
-    assert not of(api.Subscribe, desk.log)
+    assert not of(api.WatchEndpoints, desk.log)
 
 
 def test_no_tenants_and_unknown_class_work() -> None:
@@ -440,8 +462,8 @@
     b.handle(
         START,
         [
-            api.ListUpdate(api.ListKind.FULL, upstreams(2)),
-            api.Arrival("x", "never-named", "nobody", START + SECOND),
+            api.EndpointUpdate(api.EndpointUpdateKind.FULL, upstreams(2)),
+            api.RequestArrived("x", "never-named", "nobody", START + SECOND),
         ],
     )
 
@@ -450,11 +472,11 @@
     desk = Desk(servers=0)
     desk.give(*(arrival(i, desk.now) for i in range(30)))
     desk.advance(600 * MS)
-    told = {a.retry_after_ns for a in desk.log if isinstance(a, api.Refuse)}
+    told = {a.retry_after_ns for a in desk.log if isinstance(a, api.Reject)}
     assert len(told) > 20
 
 
-RESULTS = [api.Result.OK] * 6 + [r for r in api.Result if r is not api.Result.TIMEOUT]
+RESULTS = [api.AttemptResult.OK] * 6 + [r for r in api.AttemptResult if r is not api.AttemptResult.TIMEOUT]
 
 
 @hyp(derandomize=True, deadline=None, max_examples=120)
@@ -476,7 +498,7 @@
         0,
     )
     pool = mixed_fleet(servers)
-    desk.give(api.ListUpdate(api.ListKind.CACHED, pool))
+    desk.give(api.EndpointUpdate(api.EndpointUpdateKind.CACHED, pool))
     for number in range(rng.randint(5, 120)):
         for _ in range(rng.choice([0, 1, 1, 2, 12])):
             cls = rng.choice([READ, PAY, CELL, ANY, NEAR, BIG])
@@ -497,15 +519,17 @@
         if rng.random() < 0.1:
             open_ones = [r for r in desk.cls if r not in desk.answer]
             if open_ones:
-                desk.give(api.ClientGone(rng.choice(open_ones)))
+                desk.give(api.ClientDisconnected(rng.choice(open_ones)))
         if rng.random() < 0.1:
             i = rng.randrange(len(pool))
             started = desk.now if rng.random() < 0.5 else pool[i].started_ns
-            pool[i] = pool[i]._replace(state=rng.choice(list(api.State)), started_ns=started)
-            kind = rng.choice([api.ListKind.DELTA, api.ListKind.FULL, api.ListKind.CACHED])
-            desk.give(api.ListUpdate(kind, [pool[i]] if kind is api.ListKind.DELTA else pool))
+            pool[i] = pool[i]._replace(state=rng.choice(list(api.EndpointStatus)), started_ns=started)
+            kind = rng.choice(
+                [api.EndpointUpdateKind.DELTA, api.EndpointUpdateKind.FULL, api.EndpointUpdateKind.CACHED]
+            )
+            desk.give(api.EndpointUpdate(kind, [pool[i]] if kind is api.EndpointUpdateKind.DELTA else pool))
         if not push and rng.random() < 0.05:
-            desk.give(api.ListUpdate(api.ListKind.FAILED))
+            desk.give(api.EndpointUpdate(api.EndpointUpdateKind.FAILED))
         desk.advance(rng.choice([0, 1, 10, 50]) * MS)
     desk.advance(2 * SECOND)
     assert set(desk.answer) == set(desk.cls)
@@ -513,11 +537,11 @@
 
 def near_subset(
     zone: str, me: int, proxies: int, prices: api.Prices, servers: int = 24
-) -> list[api.Upstream]:
+) -> list[api.Endpoint]:
     b = Balancer(
         settings(me=me, replicas_of_me=proxies, zone=zone, zones=("east", "west"), prices=prices), 1, START
     )
-    b.handle(START, [api.ListUpdate(api.ListKind.FULL, mixed_fleet(servers))])
+    b.handle(START, [api.EndpointUpdate(api.EndpointUpdateKind.FULL, mixed_fleet(servers))])
     return [s.entry for s in b.fleet.any.order[: b.fleet.any.subset]]
 
 
@@ -548,21 +572,21 @@
 
 def test_a_blocked_queue_reaches_one_beyond_the_subset() -> None:
     desk = Desk(settings(prices=api.Prices(connection=0.03), replicas_of_me=40), servers=0)
-    desk.give(api.ListUpdate(api.ListKind.CACHED, upstreams(12)))
+    desk.give(api.EndpointUpdate(api.EndpointUpdateKind.CACHED, upstreams(12)))
     for i in range(60):
         desk.give(arrival(i, desk.now, wait_ns=SECOND))
         desk.advance(20 * MS)
     assert len({u.id for sent in desk.sends.values() for u, _ in sent}) == 2
 
 
-def live(weights: list[float]) -> api.ListUpdate:
+def live(weights: list[float]) -> api.EndpointUpdate:
     pairs = zip(upstreams(len(weights)), weights, strict=True)
-    return api.ListUpdate(api.ListKind.DELTA, [u._replace(weight=w) for u, w in pairs])
+    return api.EndpointUpdate(api.EndpointUpdateKind.DELTA, [u._replace(weight=w) for u, w in pairs])
 
 
 def test_live_weights_tell_the_lighter_upstream() -> None:
     # With one request in flight at most, own counts say nothing: the list's figure decides.
-    desk = Desk(settings(weights=api.Weights.LIVE), servers=2)
+    desk = Desk(settings(weights=api.WeightSource.LIVE), servers=2)
     desk.give(live([1.0, 1.0]), live([0.1, 0.5]))
     for i in range(12):
         desk.give(arrival(i, desk.now))
@@ -572,7 +596,7 @@
 
 
 def test_an_old_report_says_nothing() -> None:
-    desk = Desk(settings(weights=api.Weights.LIVE), servers=1)
+    desk = Desk(settings(weights=api.WeightSource.LIVE), servers=1)
     desk.give(live([1.0]), live([0.001]))
     desk.give(arrival(1, desk.now))
     assert desk.answer["r1"] == "refused"
@@ -608,7 +632,9 @@
         desk.give(arrival(i, desk.now))
         desk.now += 20 * MS
         upstream = desk.sends[f"r{i}"][0][0].id
-        desk.give(api.Outcome(f"r{i}", 0, upstream, api.Result.OK, 20 * MS, True, {"inflight": load}))
+        desk.give(
+            api.AttemptEnded(f"r{i}", 0, upstream, api.AttemptResult.OK, 20 * MS, True, {"inflight": load})
+        )
     assert [desk.answer[f"r{i}"] for i in range(6)] == ["served"] * 6
 
 
@@ -617,7 +643,7 @@
     desk = Desk(servers=2)
     desk.give(arrival(1, desk.now))
     sent = desk.sends["r1"][0][0].id
-    balancer, good = desk.balancer, desk.result("r1", 0, api.Result.OK)
+    balancer, good = desk.balancer, desk.result("r1", 0, api.AttemptResult.OK)
     balancer.handle(
         desk.now,
         [
@@ -636,7 +662,7 @@
 def test_upstreams_long_gone_are_forgotten() -> None:
     desk = Desk(servers=0)
     for i in range(50):
-        desk.give(api.ListUpdate(api.ListKind.FULL, upstreams(3, first=1 + 3 * i)))
+        desk.give(api.EndpointUpdate(api.EndpointUpdateKind.FULL, upstreams(3, first=1 + 3 * i)))
         desk.give(arrival(i, desk.now))
         desk.finish(f"r{i}")
         desk.advance(SECOND)
@@ -670,10 +696,10 @@
 
 def test_an_upstream_that_goes_while_an_answer_is_lost_there_is_kept_until_that_is_over() -> None:
     desk = overdue_at_one(True)
-    desk.give(api.ListUpdate(api.ListKind.FULL, upstreams(2, first=2)))
-    desk.finish("rlost", api.Result.CONNECT_FAILED)
+    desk.give(api.EndpointUpdate(api.EndpointUpdateKind.FULL, upstreams(2, first=2)))
+    desk.finish("rlost", api.AttemptResult.CONNECT_FAILED)
     assert desk.answer["rlost"] == "refused" and set(desk.balancer.fleet.servers) == {1, 2, 3}
-    desk.give(api.ListUpdate(api.ListKind.FULL, upstreams(1, first=2)))
+    desk.give(api.EndpointUpdate(api.EndpointUpdateKind.FULL, upstreams(1, first=2)))
     assert set(desk.balancer.fleet.servers) == {2}
 
 
--- a/tests/test_throttle.py
+++ b/tests/test_throttle.py
@@ -173,7 +173,7 @@
     """What counts against the rate when a request's one attempt ends with its time."""
     config = bench_settings(tenants={"ash": api.Tenant("ash")}, limits=api.Limits(max_attempts=1))
     balancer = Balancer(config, 1, START)
-    balancer.handle(START, [api.ListUpdate(api.ListKind.FULL, upstreams(6))])
+    balancer.handle(START, [api.EndpointUpdate(api.EndpointUpdateKind.FULL, upstreams(6))])
     t = balancer.throttles["ash"]
     t.set_rate(rate_a_second, START)
     t.u, t.credit = t.hold, 0.0  # no token: the request waits for one
@@ -182,12 +182,12 @@
         due.sort(key=lambda it: it[0])
         now, event = due.pop(0)
         for action in balancer.handle(now, [event]):
-            if isinstance(action, api.Send):
-                outcome = api.Outcome("r1", 0, action.upstream, api.Result.TIMEOUT, 1)
+            if isinstance(action, api.Forward):
+                outcome = api.AttemptEnded("r1", 0, action.upstream, api.AttemptResult.TIMEOUT, 1)
                 due.append((now + action.timeout_ns, outcome))
             elif isinstance(action, api.SetTimer):
-                due.append((now + action.delay_ns, api.Wake(action.name)))
-        if isinstance(event, api.Outcome):
+                due.append((now + action.delay_ns, api.TimerExpired(action.name)))
+        if isinstance(event, api.AttemptEnded):
             return sum(balancer.rate.bad.values())
     raise AssertionError("never ended")
 
@@ -200,7 +200,7 @@
 def cut_with(load: float, reported: bool = True) -> bool:
     """Is R cut when half the attempts fail and upstreams hold so many requests?"""
     balancer = Balancer(bench_settings(), 1, START)
-    balancer.handle(START, [api.ListUpdate(api.ListKind.FULL, upstreams(6))])
+    balancer.handle(START, [api.EndpointUpdate(api.EndpointUpdateKind.FULL, upstreams(6))])
     for server in balancer.fleet.servers.values():
         server.hear(load if reported else None, START)
     rate, now = balancer.rate, START + FEEDBACK_NS
@@ -230,12 +230,12 @@
         accrue(throttle, now)
 
     monkeypatch.setattr(Throttle, "accrue", counted)
-    balancer.handle(now, [api.ListUpdate(api.ListKind.FULL, upstreams(6))])
+    balancer.handle(now, [api.EndpointUpdate(api.EndpointUpdateKind.FULL, upstreams(6))])
     for i in range(200):
         now += FEEDBACK_NS // 10
         for action in balancer.handle(now, [arrival(i, now, tenant=f"t{i % 20}")]):
-            if isinstance(action, api.Send):
-                served = api.Outcome(action.request, 0, action.upstream, api.Result.OK, 1, True)
+            if isinstance(action, api.Forward):
+                served = api.AttemptEnded(action.request, 0, action.upstream, api.AttemptResult.OK, 1, True)
                 balancer.handle(now, [served])
     monkeypatch.undo()
     return len(balancer.throttles), worked
