--- a/loadbalancer/adapter.py
+++ b/loadbalancer/adapter.py
@@ -12,7 +12,7 @@
 import json
 import sys
 from collections.abc import Callable, Sequence
-from typing import Any, TypeGuard
+from typing import TypeGuard, assert_never
 
 from loadbalancer import interface as api
 from loadbalancer.config import Json, read_settings
@@ -119,24 +119,40 @@
         _whole(e, "origin_peer"), base64.b64decode(e["blob"], validate=True)
     ),
 }
-WRITE: dict[type, Callable[[Any], Json]] = {
-    api.Forward: lambda a: {
-        "t": "submit_to",
-        "ticket": a.request,
-        "upstream": a.upstream,
-        "timeout_ns": a.timeout_ns,
-    },
-    api.Reject: lambda a: {"t": "push_back", "ticket": a.request, "backoff_ns": a.retry_after_ns},
-    api.Fail: lambda a: {"t": "finish_error", "ticket": a.request},
-    api.CancelAttempt: lambda a: {"t": "retract", "ticket": a.request, "attempt": a.attempt},
-    api.CheckHealth: lambda a: {"t": "sample", "upstream": a.upstream},
-    api.SendGossip: lambda a: {"t": "announce", "dst": a.peer, "blob": base64.b64encode(a.data).decode()},
-    api.CloseIdleConnections: lambda a: {"t": "close", "upstream": a.upstream},
-    api.WatchEndpoints: lambda a: {"t": "track", "active": a.on},
-    api.FetchEndpoints: lambda a: {"t": "fetch"},
-    api.SetTimer: lambda a: {"t": "schedule", "wait_ns": a.delay_ns, "name": a.name},
-    api.LogMessage: lambda a: {"t": "write_log", "message": a.text},
-}
+
+
+def _command(action: api.Action) -> Json:
+    """An action as a command of the wire (WIRE, Actions), but for the number of its balancer."""
+    match action:
+        case api.Forward(request_id, endpoint_id, timeout_ns):
+            return {
+                "t": "submit_to",
+                "ticket": request_id,
+                "upstream": endpoint_id,
+                "timeout_ns": timeout_ns,
+            }
+        case api.Reject(request_id, retry_after_ns):
+            return {"t": "push_back", "ticket": request_id, "backoff_ns": retry_after_ns}
+        case api.Fail(request_id):
+            return {"t": "finish_error", "ticket": request_id}
+        case api.CancelAttempt(request_id, attempt):
+            return {"t": "retract", "ticket": request_id, "attempt": attempt}
+        case api.CheckHealth(endpoint_id):
+            return {"t": "sample", "upstream": endpoint_id}
+        case api.SendGossip(data, recipient):
+            return {"t": "announce", "dst": recipient, "blob": base64.b64encode(data).decode()}
+        case api.CloseIdleConnections(endpoint_id):
+            return {"t": "close", "upstream": endpoint_id}
+        case api.WatchEndpoints(watch):
+            return {"t": "track", "active": watch}
+        case api.FetchEndpoints():
+            return {"t": "fetch"}
+        case api.SetTimer(delay_ns, name):
+            return {"t": "schedule", "wait_ns": delay_ns, "name": name}
+        case api.LogMessage(text):
+            return {"t": "write_log", "message": text}
+        case _:
+            assert_never(action)
 
 
 class Host:
@@ -206,7 +222,7 @@
     def _run(self, number: int, now: int, events: list[api.Event], commands: list[Json]) -> None:
         try:
             for action in self.balancers[number].handle(now, events):
-                command = WRITE[type(action)](action)
+                command = _command(action)
                 command["balancer"] = number
                 commands.append(command)
         except Exception as error:
--- a/loadbalancer/interface.py
+++ b/loadbalancer/interface.py
@@ -74,52 +74,54 @@
 @dataclass(frozen=True, slots=True)
 class RequestClass:
     name: str
-    effect: Idempotency = Idempotency.IDEMPOTENT
-    scope: DeduplicationScope = DeduplicationScope.ALL
-    window_ns: int = 0  # keyed: how long repeats are dropped, from the first send that may have run
-    aim_ns: int = 1_000_000_000  # an answer within this earns the full worth
-    worth: float = 1.0
-    late_worth: float = 0.0  # share of the worth for an answer after the aim
+    idempotency: Idempotency = Idempotency.IDEMPOTENT
+    deduplication_scope: DeduplicationScope = DeduplicationScope.ALL
+    deduplication_window_ns: int = (
+        0  # keyed: how long repeats are dropped, from the first send that may have run
+    )
+    latency_objective_ns: int = 1_000_000_000  # an answer within this earns the full worth
+    priority_weight: float = 1.0
+    late_weight_factor: float = 0.0  # share of the worth for an answer after the aim
     stream: bool = False
-    aim_stretch: float = 0.0  # the aim grows by this multiple of the request's own work
-    limit_ns: int = 0  # the client's whole wait over all its tries; 0: not told
-    zones: frozenset[str] | None = None  # placement: the sole zones it may be sent to; None: any
-    kinds: frozenset[str] | None = None  # and the sole kinds of machine
+    latency_objective_stretch: float = 0.0  # the aim grows by this multiple of the request's own work
+    client_timeout_ns: int = 0  # the client's whole wait over all its tries; 0: not told
+    allowed_zones: frozenset[str] | None = None  # placement: the sole zones it may be sent to; None: any
+    allowed_machine_types: frozenset[str] | None = None  # and the sole kinds of machine
 
 
 @dataclass(frozen=True, slots=True)
 class Tenant:
     name: str
-    share: float = 1.0
+    quota_share: float = 1.0
     quota_per_s: float = 0.0  # over all proxies; 0: not told
 
 
 @dataclass(frozen=True, slots=True)
 class Limits:
     max_attempts: int = 1
-    second_copies: bool = False
-    may_cancel: bool = False
-    probes: bool = False
-    peers: bool = False
+    hedging: bool = False
+    cancellation: bool = False
+    health_checks: bool = False
+    gossip: bool = False
     retry_after: bool = False
     max_retry_after_ns: int = 1_000_000_000
     connect_timeout_ns: int = 250_000_000
-    conn_idle_ns: int = 0  # idle connections are closed after this; 0: not told
-    max_streams: int = 1  # attempts that one connection carries at once
-    max_open: int = 0  # requests a proxy may hold open; 0: not told
+    connection_idle_timeout_ns: int = 0  # idle connections are closed after this; 0: not told
+    max_streams_per_connection: int = 1  # attempts that one connection carries at once
+    max_pending_requests: int = 0  # requests a proxy may hold open; 0: not told
     cpu_us_per_s: int = 0  # CPU a proxy may use; 0: no limit told
     cpu_us_per_request: float = 0.0
 
 
 @dataclass(frozen=True, slots=True)
 class Rules:
-    stop_sending_within_ns: int = 1_000_000_000  # sends to a draining upstream must end within this
-    ask_within_ns: int = 10_000_000_000  # without news for this long, a proxy counts as told
-    cold_from: float = 0.3  # a started upstream begins at this share of its capacity
-    cold_ns: int = 0  # and is warm after this
-    fall_multiple: float = 3.0  # sent more than this many times what it can do
-    overload_for_ns: int = 2_000_000_000  # for this long, it falls over
-    full_unproven: bool = False  # turned away as full is no proof that it never ran
+    drain_notice_ns: int = 1_000_000_000  # sends to a draining upstream must end within this
+    poll_interval_ns: int = 10_000_000_000  # without news for this long, a proxy counts as told
+    slow_start_initial_capacity: float = 0.3  # a started upstream begins at this share of its capacity
+    slow_start_ns: int = 0  # and is warm after this
+    overload_factor: float = 3.0  # sent more than this many times what it can do
+    overload_window_ns: int = 2_000_000_000  # for this long, it falls over
+    rejected_may_have_run: bool = False  # turned away as full is no proof that it never ran
     answer_grace_ns: int = 0  # a final answer this long after the deadline still counts
 
 
@@ -127,43 +129,43 @@
 class Prices:
     cross_zone: float = 0.0
     waste: float = 0.0
-    probe: float = 0.0
-    peer: float = 0.0
+    health_check: float = 0.0
+    gossip: float = 0.0
     connection: float = 0.0
     handshake: float = 0.0
-    late_fail: float = 0.0
-    list_lines: float = 0.0
+    late_failure: float = 0.0
+    endpoint_list: float = 0.0
 
 
 @dataclass(frozen=True, slots=True)
 class Settings:
-    me: int = 0
-    replicas_of_me: int = 1
+    proxy_index: int = 0
+    proxy_count: int = 1
     zone: str = ""
     zones: Sequence[str] = ()
-    discovery_push: bool = True  # list changes come by themselves
-    classes: Mapping[str, RequestClass] = field(default_factory=dict)
+    discovery_pushes: bool = True  # list changes come by themselves
+    request_classes: Mapping[str, RequestClass] = field(default_factory=dict)
     tenants: Mapping[str, Tenant] = field(default_factory=dict)
     limits: Limits = field(default_factory=Limits)
     rules: Rules = field(default_factory=Rules)
     prices: Prices = field(default_factory=Prices)
-    report_columns: Sequence[str] = ()  # what load reports hold
-    reports_in_answers: bool = False
-    weights: WeightSource = WeightSource.NONE
-    over_share_worth: float = 1.0  # worth of traffic beyond a tenant's share
-    retries_marked: bool = False  # clients flag their retries
+    load_report_columns: Sequence[str] = ()  # what load reports hold
+    load_reports_in_responses: bool = False
+    weight_source: WeightSource = WeightSource.NONE
+    over_quota_weight: float = 1.0  # worth of traffic beyond a tenant's share
+    client_retries_marked: bool = False  # clients flag their retries
 
 
 class Endpoint(NamedTuple):
     """An entry of the upstream list."""
 
     id: int
-    state: EndpointStatus = EndpointStatus.READY
+    status: EndpointStatus = EndpointStatus.READY
     zone: str = ""
     cell: int = 0
     weight: float = 1.0
     started_ns: int = 0  # clock time of its last start; 0: long ago
-    kind: str = ""
+    machine_type: str = ""
 
 
 # ---- events --------------------------------------------------------------------------------------------
@@ -171,51 +173,51 @@
 
 class EndpointUpdate(NamedTuple):
     kind: EndpointUpdateKind
-    upstreams: Iterable[Endpoint] = ()  # taken once
+    endpoints: Iterable[Endpoint] = ()  # taken once
 
 
 class RequestArrived(NamedTuple):
     """A client's request; the proxy now owes it one final answer."""
 
-    request: str
+    request_id: str
     class_name: str
     tenant: str
     deadline_ns: int
     cost_hint_ns: int = 0
-    key: str = ""
-    retry: bool = False
+    idempotency_key: str = ""
+    is_retry: bool = False
 
 
 class AttemptEnded(NamedTuple):
     """How one attempt ended; every Send gets exactly one."""
 
-    request: str
+    request_id: str
     attempt: int
-    upstream: int
+    endpoint_id: int
     result: AttemptResult
-    took_ns: int
-    complete: bool = False  # the request is over
-    report: Mapping[str, float] | None = None
+    elapsed_ns: int
+    request_complete: bool = False  # the request is over
+    load_report: Mapping[str, float] | None = None
 
 
 class ResponseStarted(NamedTuple):
     """A streamed answer has begun; the request's deadline no longer runs."""
 
-    request: str
+    request_id: str
     attempt: int
-    upstream: int
-    took_ns: int
+    endpoint_id: int
+    elapsed_ns: int
 
 
 class ClientDisconnected(NamedTuple):
-    request: str
+    request_id: str
 
 
 class HealthCheckEnded(NamedTuple):
-    upstream: int
+    endpoint_id: int
     result: AttemptResult
-    took_ns: int
-    report: Mapping[str, float] | None = None
+    elapsed_ns: int
+    load_report: Mapping[str, float] | None = None
 
 
 class GossipReceived(NamedTuple):
@@ -246,46 +248,46 @@
 class Forward(NamedTuple):
     """Start an attempt. A request's attempts are numbered from 0 in the order of their sends."""
 
-    request: str
-    upstream: int
+    request_id: str
+    endpoint_id: int
     timeout_ns: int = 0  # 0: until the client gives up
 
 
 class Reject(NamedTuple):
     """Final answer: turned away; trying again is harmless."""
 
-    request: str
+    request_id: str
     retry_after_ns: int = 0
 
 
 class Fail(NamedTuple):
     """Final answer: failed, with no promise about its effect."""
 
-    request: str
+    request_id: str
 
 
 class CancelAttempt(NamedTuple):
-    request: str
+    request_id: str
     attempt: int
 
 
 class CheckHealth(NamedTuple):
-    upstream: int
+    endpoint_id: int
 
 
 class SendGossip(NamedTuple):
     data: bytes
-    peer: int = -1  # -1: all peers
+    recipient: int = -1  # -1: all peers
 
 
 class CloseIdleConnections(NamedTuple):
     """Close this proxy's idle connections to an upstream."""
 
-    upstream: int
+    endpoint_id: int
 
 
 class WatchEndpoints(NamedTuple):
-    on: bool = True
+    watch: bool = True
 
 
 class FetchEndpoints(NamedTuple):
--- a/loadbalancer/membership.py
+++ b/loadbalancer/membership.py
@@ -124,9 +124,9 @@
         self.settings = settings
         self.profiles: dict[int, Profile] = {}
         self.placements: list[Placement] = []
-        prices, scopes = settings.prices, {c.scope for c in settings.classes.values()}
+        prices, scopes = settings.prices, {c.deduplication_scope for c in settings.request_classes.values()}
         # With fewer proxies than zones, zones without one would be left idle.
-        enough = settings.replicas_of_me >= len(settings.zones)
+        enough = settings.proxy_count >= len(settings.zones)
         self.zonal = prices.connection > 0 < prices.cross_zone and enough
         self._zoned, self._celled = (
             self.zonal or api.DeduplicationScope.ZONE in scopes,
@@ -208,7 +208,7 @@
         Many proxies cut the ring into segments by key: a stretch begins by rank in its segment, even with its
         neighbours' whatever the keys, and a change moves those of one segment alone, by one upstream."""
         settings, whole = self.settings, placement.ring
-        me, proxies, zones = settings.me, max(1, settings.replicas_of_me), max(1, len(settings.zones))
+        me, proxies, zones = settings.proxy_index, max(1, settings.proxy_count), max(1, len(settings.zones))
         many = proxies >= MANY
         ring = placement.by_zone.get(settings.zone, whole) if self.zonal else whole
         if len(ring) < SUBSET[1]:
@@ -246,7 +246,7 @@
     def _first(self, ring: SortedList[Key], place: float, proxies: int) -> int:
         """The rank at which a stretch begins. Each proxy goes over to more segments at a length of the ring
         of its own, so that no change of the list moves many at once."""
-        turn = len(ring) * 2 ** (mixed(self.settings.me, 1) / WORD)
+        turn = len(ring) * 2 ** (mixed(self.settings.proxy_index, 1) / WORD)
         segments = 1 << max(0, min(proxies // SEGMENT[0], int(turn) // SEGMENT[1]).bit_length() - 1)
         number = int(place * segments)
         low, high = (ring.bisect_left(WORD // segments * (number + i)) for i in (0, 1))
--- a/loadbalancer/net/node.py
+++ b/loadbalancer/net/node.py
@@ -84,7 +84,7 @@
 
 def leave_s(classes: Iterable[api.RequestClass]) -> float:
     """How long after SIGTERM a balancer may go on: what SIGKILL finds open has no answer."""
-    longest = max((c.limit_ns / SECOND or LONGEST_S for c in classes), default=LONGEST_S)
+    longest = max((c.client_timeout_ns / SECOND or LONGEST_S for c in classes), default=LONGEST_S)
     return min(longest, LONGEST_S) + KILL_S - EXIT_S
 
 
@@ -114,7 +114,7 @@
         self._rested_s = 0.0  # not ready before, by the loop's clock
         self._sweep: asyncio.TimerHandle | None = None
         room = max(8, (config.sockets - RESERVED_DESCRIPTORS) // 2)
-        self._hub = Hub(room, limits.connect_timeout_ns / SECOND, limits.conn_idle_ns / SECOND)
+        self._hub = Hub(room, limits.connect_timeout_ns / SECOND, limits.connection_idle_timeout_ns / SECOND)
         self.server = Server(self, room)
         self._held: dict[int, Packed | None] = {}  # where listed upstreams are; None: they take nothing new
         self._applying: asyncio.Task[None] | None = None  # puts long lists in force, in slices
@@ -123,14 +123,14 @@
         self._discovery = Discovery(
             config.discovery,
             self._reader,
-            config.settings.discovery_push,
+            config.settings.discovery_pushes,
             random.Random(config.seed + 1),
             self._listed,
             min(MAX_LIST, config.memory_bytes // MEMORY_PART or MAX_LIST),
         )
-        self._peers = Peers(config.peers, config.peers_all, config.settings.me, self._peer_message)
+        self._peers = Peers(config.peers, config.peers_all, config.settings.proxy_index, self._peer_message)
         self._module = module
-        self._probe_path = b"/stats" if config.settings.report_columns else b"/health/live"
+        self._probe_path = b"/stats" if config.settings.load_report_columns else b"/health/live"
 
     # -- start and end --
 
@@ -140,7 +140,7 @@
         self._take_known()
         if self.config.peer_listen is not None:
             await self._loop.create_datagram_endpoint(lambda: self._peers, self.config.peer_listen)
-        if self.config.settings.discovery_push:
+        if self.config.settings.discovery_pushes:
             self._discovery.watch()
         self._sweep_idle()
         return self.server.listen(*self.config.listen)
@@ -176,7 +176,7 @@
 
     async def drain(self) -> None:
         """A planned end: go on with what still comes, answer all of it, then close everything."""
-        end = self._loop.time() + leave_s(self.config.settings.classes.values())
+        end = self._loop.time() + leave_s(self.config.settings.request_classes.values())
         self._stopping = self.server.draining = True
         await asyncio.sleep(LATE_ARRIVALS_S)
         # What lies in the backlog or has come in part is taken too; an answer is whole with its last byte.
@@ -237,18 +237,18 @@
             case api.Reject():
                 self._refuse(action)
             case api.Fail():
-                self._final(action.request, 504)
+                self._final(action.request_id, 504)
             case api.CancelAttempt():
                 self._cancel(action)
             case api.CheckHealth():
-                self._probe(action.upstream)
+                self._probe(action.endpoint_id)
             case api.SendGossip():
-                self._peers.tell(action.data, action.peer)
+                self._peers.tell(action.data, action.recipient)
             case api.CloseIdleConnections():
-                if (pool := self._hub.pools.get(action.upstream)) is not None:
+                if (pool := self._hub.pools.get(action.endpoint_id)) is not None:
                     pool.close_idle()
             case api.WatchEndpoints():
-                if action.on:
+                if action.watch:
                     self._discovery.watch()
                 else:
                     self._discovery.unwatch()
@@ -267,20 +267,20 @@
     def take(self, client: ClientConnection, request: Message, received_ns: int) -> None:
         """A client's request: refused here only if it can't be understood or there is no room."""
         name = request.target[1:].partition(b"?")[0].partition(b"/")[0].decode("latin-1")
-        cls = self.config.settings.classes.get(name)
+        cls = self.config.settings.request_classes.get(name)
         wait_ms = whole_number(request.header(b"req-deadline-ms"))
         ids = [value for key, value in request.headers if key == b"req-id"]
         if request.method not in METHODS.values():
             client.answer(405, [(b"Allow", b"GET, POST")])
         elif cls is None or len(ids) != 1 or not ids[0] or not wait_ms or b"#" in request.target:
             client.answer(400)
-        elif request.method != METHODS[cls.effect]:
-            client.answer(405, [(b"Allow", METHODS[cls.effect])])
+        elif request.method != METHODS[cls.idempotency]:
+            client.answer(405, [(b"Allow", METHODS[cls.idempotency])])
         elif request.method == b"GET" and request.body:
             client.answer(400)  # an upstream reads no body there and would take it for the next request
         elif ids[0] in self._ids:
             client.answer(409)  # whose answer would it be?
-        elif self._limits.max_open and len(self._calls) >= self._limits.max_open:
+        elif self._limits.max_pending_requests and len(self._calls) >= self._limits.max_pending_requests:
             client.answer(503, [(b"Retry-After", FULL_RETRY_S)])
         else:
             deadline = received_ns + min(wait_ms, LONGEST_DEADLINE_MS) * MS
@@ -322,7 +322,7 @@
         headers = []
         if action.retry_after_ns > 0:
             headers.append((b"Retry-After", b"%.3f" % (action.retry_after_ns / SECOND)))
-        self._final(action.request, 503, headers)
+        self._final(action.request_id, 503, headers)
 
     def _final(self, request: str, status: int, headers: Headers = ()) -> None:
         call = self._calls.get(request)
@@ -350,9 +350,9 @@
 
     def _send(self, action: api.Forward) -> None:
         now = time.monotonic_ns()
-        call = self._calls.get(action.request)
+        call = self._calls.get(action.request_id)
         number = call.sends if call is not None else 0
-        pool = self._pool(action.upstream)
+        pool = self._pool(action.endpoint_id)
         # A stall since the decision must not push the time-out past the deadline: the module is told in time.
         end = call.deadline_ns - NODE_EARLY_NS if call is not None else now
         if action.timeout_ns:
@@ -369,14 +369,14 @@
         ):
             self.feed(
                 api.AttemptEnded(
-                    action.request, number, action.upstream, api.AttemptResult.NOT_SENT, 0, call is None
+                    action.request_id, number, action.endpoint_id, api.AttemptResult.NOT_SENT, 0, call is None
                 )
             )
             return
         call.out = Exchange(
             pool,
             partial(self._serialize_attempt, call.request, end),
-            self._when_ended(call, number, action.upstream, now),
+            self._when_ended(call, number, action.endpoint_id, now),
             wanted=lambda: self._wanted(call),
             rest_s=REST_S,
         )
@@ -406,7 +406,7 @@
             if result is api.AttemptResult.OK and response is not None:
                 headers = [(k, v) for k, v in response.end_to_end() if k != b"srv-load"]
                 self._finish(call, 200, headers, response.body)
-            report = self._report(response) if self.config.settings.reports_in_answers else None
+            report = self._report(response) if self.config.settings.load_reports_in_responses else None
             self.feed(api.AttemptEnded(call.id, number, upstream, result, took, call.over, report))
 
         return ended
@@ -415,7 +415,7 @@
         return load_report(response.header(b"srv-load")) if response is not None else None
 
     def _cancel(self, action: api.CancelAttempt) -> None:
-        call = self._calls.get(action.request)
+        call = self._calls.get(action.request_id)
         if call is not None and call.out is not None and action.attempt == call.sends - 1:
             call.out.finish(api.AttemptResult.CANCELLED)
 
--- a/loadbalancer/policy.py
+++ b/loadbalancer/policy.py
@@ -71,7 +71,7 @@
         """Note its outcome. "Full" proves nothing where upstreams also drop what they had begun."""
         self.result = result
         self.may_have_run = result not in api.NEVER_RAN or (
-            result is api.AttemptResult.REJECTED and rules.full_unproven
+            result is api.AttemptResult.REJECTED and rules.rejected_may_have_run
         )
 
 
@@ -109,36 +109,36 @@
             or not self.pool.admits(server.entry)
         ):
             return False
-        if server.entry.state is not api.EndpointStatus.READY or self.out >= (
-            2 if limits.second_copies else 1
-        ):
+        if server.entry.status is not api.EndpointStatus.READY or self.out >= (2 if limits.hedging else 1):
             return False
         risky = [a for a in self.attempts if a.may_have_run]
-        if not risky or self.cls.effect is api.Idempotency.IDEMPOTENT:
+        if not risky or self.cls.idempotency is api.Idempotency.IDEMPOTENT:
             return True
         up_ns = now + limits.connect_timeout_ns  # it may go out as late as this, if it needs a new connection
         fresh = (
-            self.cls.effect is api.Idempotency.IDEMPOTENCY_KEY
-            and up_ns - risky[0].sent_ns < self.cls.window_ns
+            self.cls.idempotency is api.Idempotency.IDEMPOTENCY_KEY
+            and up_ns - risky[0].sent_ns < self.cls.deduplication_window_ns
         )
         return fresh and all(self._same_group(a.server, server) for a in risky)
 
     def may_refuse(self) -> bool:
         everywhere = (
-            self.cls.effect is api.Idempotency.IDEMPOTENCY_KEY
-            and self.cls.scope is api.DeduplicationScope.ALL
+            self.cls.idempotency is api.Idempotency.IDEMPOTENCY_KEY
+            and self.cls.deduplication_scope is api.DeduplicationScope.ALL
         )
         return (
-            self.cls.effect is api.Idempotency.IDEMPOTENT
+            self.cls.idempotency is api.Idempotency.IDEMPOTENT
             or everywhere
             or not any(a.may_have_run for a in self.attempts)
         )
 
     def _same_group(self, x: Server, y: Server) -> bool:
-        if self.cls.scope is api.DeduplicationScope.ALL:
+        if self.cls.deduplication_scope is api.DeduplicationScope.ALL:
             return True
         a, b = x.entry, y.entry
-        return a.zone == b.zone and (self.cls.scope is api.DeduplicationScope.ZONE or a.cell == b.cell)
+        return a.zone == b.zone and (
+            self.cls.deduplication_scope is api.DeduplicationScope.ZONE or a.cell == b.cell
+        )
 
 
 class Throttle:
@@ -221,12 +221,14 @@
         self.tenants = settings.tenants or {"": api.Tenant("")}
         self.other = next(iter(self.tenants))  # who is not known passes for this one
         self.rng, self.now, self.aim_ns = rng, now, aim_ns
-        self.rate = Rate(self.values(), now, sum(max(1e-6, t.share) for t in self.tenants.values()))
+        self.rate = Rate(self.values(), now, sum(max(1e-6, t.quota_share) for t in self.tenants.values()))
 
     def __missing__(self, name: str) -> Throttle:
         if name not in self.tenants:
             return self[self.other]
-        self[name] = made = Throttle(max(1e-6, self.tenants[name].share), self.rng, self.now, self.aim_ns)
+        self[name] = made = Throttle(
+            max(1e-6, self.tenants[name].quota_share), self.rng, self.now, self.aim_ns
+        )
         made.set_rate(self.rate.of_silent(made.weight), self.now)
         return made
 
@@ -362,7 +364,7 @@
     blocked_ns: int = 0  # the queue found no upstream since
 
     def admits(self, entry: api.Endpoint) -> bool:
-        return self.placement.admits(entry.zone, entry.kind)
+        return self.placement.admits(entry.zone, entry.machine_type)
 
 
 class Fleet:
@@ -375,12 +377,12 @@
         self.used: set[int] = set()  # in the order of a pool
         self.pools: dict[tuple[frozenset[str] | None, frozenset[str] | None], Pool] = {}
         self.any = self.pool(api.RequestClass(""))
-        for cls in settings.classes.values():
+        for cls in settings.request_classes.values():
             self.pool(cls)
         self.looks = (
-            settings.limits.probes
-            and "inflight" in settings.report_columns
-            and settings.prices.probe * (LOOKS + 1) <= LOOK_PRICE
+            settings.limits.health_checks
+            and "inflight" in settings.load_report_columns
+            and settings.prices.health_check * (LOOKS + 1) <= LOOK_PRICE
         )
         self.sizes: dict[str, float] = {}  # kind -> largest weight seen, that of an idle one
         self.ended = self.broke = 0.0  # over the upstreams in use, see Server
@@ -388,7 +390,7 @@
         self.borne = 0.0  # own attempts a second that a warm upstream is seen to bear
 
     def pool(self, cls: api.RequestClass) -> Pool:
-        key = (cls.zones, cls.kinds)
+        key = (cls.allowed_zones, cls.allowed_machine_types)
         if key not in self.pools:
             self.pools[key] = Pool(Placement(*key))
             self.membership.placements.append(self.pools[key].placement)
@@ -396,16 +398,16 @@
 
     def learn(self, update: api.EndpointUpdate, now: int) -> list[Server]:
         """Take a list; which cold upstreams are new in the subset of this proxy?"""
-        membership, live = self.membership, self.settings.weights is api.WeightSource.LIVE
+        membership, live = self.membership, self.settings.weight_source is api.WeightSource.LIVE
         missing = set(membership.profiles) if update.kind is not api.EndpointUpdateKind.DELTA else set()
         kept = {s for s in self.servers.values() if s.own}
         had = len(kept)
-        for entry in update.upstreams:
+        for entry in update.endpoints:
             missing.discard(entry.id)
             membership.put(entry)
             if live and 0 < entry.weight < LOAD_MAX:
                 # A live weight is size / (1 + requests held a core): every proxy sees the fleet's load.
-                self.sizes[entry.kind] = max(self.sizes.get(entry.kind, 0.0), entry.weight)
+                self.sizes[entry.machine_type] = max(self.sizes.get(entry.machine_type, 0.0), entry.weight)
             s = self.servers.get(entry.id)
             if s is not None:
                 if entry.started_ns != s.entry.started_ns:
@@ -417,7 +419,7 @@
             membership.drop(number)
             if number in self.servers:
                 s = self.servers[number]
-                s.entry = s.entry._replace(state=api.EndpointStatus.REMOVED)  # missing from a whole list
+                s.entry = s.entry._replace(status=api.EndpointStatus.REMOVED)  # missing from a whole list
         if membership.settle():
             self._arrange_all(now)
         elif len(kept) == had:  # only weights have changed, as they do all the time
@@ -425,14 +427,14 @@
         return [s for s in self.servers.values() if s.own and s not in kept and self.cold(s, now)]
 
     def _weigh(self, s: Server, now: int) -> None:
-        if self.settings.weights is api.WeightSource.LIVE and 0 < s.entry.weight < LOAD_MAX:
-            s.hear(self.sizes[s.entry.kind] / s.entry.weight - 1, now)
+        if self.settings.weight_source is api.WeightSource.LIVE and 0 < s.entry.weight < LOAD_MAX:
+            s.hear(self.sizes[s.entry.machine_type] / s.entry.weight - 1, now)
 
     def server(self, number: int, now: int) -> Server:
         """What is known of a listed upstream in full, from now on."""
         if number not in self.servers:
             self.servers[number] = s = Server(number, self.membership.entry(number))
-            s.rank = mixed(number, self.settings.me + 1)
+            s.rank = mixed(number, self.settings.proxy_index + 1)
             self._weigh(s, now)
         return self.servers[number]
 
@@ -462,7 +464,7 @@
         """Nothing is kept in full of upstreams that are not used and hold nothing of ours. What still knows
         one, as a request that has asked it, finds it gone: no news reaches it any more."""
         for s in [s for i, s in self.servers.items() if not (i in self.used or s.inflight or s.late)]:
-            s.entry = s.entry._replace(state=api.EndpointStatus.REMOVED)
+            s.entry = s.entry._replace(status=api.EndpointStatus.REMOVED)
             del self.servers[s.id]
 
     def group(self, pool: Pool, like: Server, scope: api.DeduplicationScope, now: int) -> list[Server]:
@@ -475,19 +477,22 @@
         return [self.server(number, now) for number in found if number not in self.used]
 
     def cold(self, s: Server, now: int) -> bool:
-        return bool(s.entry.started_ns) and now - s.entry.started_ns < self.settings.rules.cold_ns
+        return bool(s.entry.started_ns) and now - s.entry.started_ns < self.settings.rules.slow_start_ns
 
     def cold_gap_ns(self, s: Server, now: int) -> int:
         """Rule 4: the least time between sends to a cold upstream, so that all whose subset it is in stay,
         together, inside what it can bear now. A warm one bears what it is seen to bear, or what
         upstreams finish: the slope `each` is flattened by late reports, and promises several times that."""
         rules = self.settings.rules
-        part = rules.cold_from + (1 - rules.cold_from) * (now - s.entry.started_ns) / rules.cold_ns
+        part = (
+            rules.slow_start_initial_capacity
+            + (1 - rules.slow_start_initial_capacity) * (now - s.entry.started_ns) / rules.slow_start_ns
+        )
         # Others may have it in the subset of another pool: all pools that it is in count.
         sharers = sum(p.sharers for p in self.pools.values() if p.admits(s.entry))
-        sharers = max(1.0, min(self.settings.replicas_of_me, sharers))
+        sharers = max(1.0, min(self.settings.proxy_count, sharers))
         bears = max(self.borne, SECOND / self.crowding.alone / sharers)
-        return int(SECOND / (COLD_PART * rules.fall_multiple * part * bears))
+        return int(SECOND / (COLD_PART * rules.overload_factor * part * bears))
 
     def limit_of(self, s: Server, now: int) -> int:
         if not s.own:  # other proxies fill it, and own counts say little of it
@@ -498,7 +503,7 @@
 
     def fit(self, s: Server, now: int) -> bool:
         return (
-            s.entry.state is api.EndpointStatus.READY
+            s.entry.status is api.EndpointStatus.READY
             and now >= s.not_before_ns
             and s.inflight < self.limit_of(s, now)
         )
@@ -546,7 +551,9 @@
     def crowded(self, now: int) -> bool:
         """Do upstreams have more than they can work on, by what they last reported? Unknown counts as yes."""
         told = [
-            s.load for s in self.servers.values() if s.entry.state is api.EndpointStatus.READY and s.told(now)
+            s.load
+            for s in self.servers.values()
+            if s.entry.status is api.EndpointStatus.READY and s.told(now)
         ]
         return not told or sum(told) >= CROWDED * len(told)
 
@@ -591,7 +598,7 @@
     def expected(self, r: Request) -> float:
         if r.hint:
             return self.taken.get("", 1.0) * r.hint
-        return self.taken.get(r.cls.name, r.cls.aim_ns / 8)
+        return self.taken.get(r.cls.name, r.cls.latency_objective_ns / 8)
 
     def note(self, r: Request, a: Attempt, took: int) -> None:
         server = a.server
@@ -666,12 +673,16 @@
     def __init__(self, settings: api.Settings, seed: int, now: int) -> None:
         self.settings = settings
         self.rng = random.Random(seed)
-        self.patience_ns = min((c.aim_ns for c in settings.classes.values()), default=SECOND)
+        self.patience_ns = min(
+            (c.latency_objective_ns for c in settings.request_classes.values()), default=SECOND
+        )
         self.throttles = Gates(settings, self.rng, now, self.patience_ns)
         self.rate = self.throttles.rate
         self.crowding = Crowding()
         # Until something is seen to finish, as long as the slowest class is expected to take.
-        self.crowding.alone = max((c.aim_ns for c in settings.classes.values()), default=SECOND) / 8
+        self.crowding.alone = (
+            max((c.latency_objective_ns for c in settings.request_classes.values()), default=SECOND) / 8
+        )
         self.fleet = Fleet(settings, self.crowding, self.rng)
         self.requests: dict[str, Request] = {}
         self.due: list[tuple[int, int, str, Request | Throttle | None, int]] = []  # by time
@@ -680,9 +691,9 @@
         self.actions: list[api.Action] = []
         self.checked_ns = now
         self.silent = False  # the last call to discovery ended in silence
-        self.subscribed = settings.discovery_push
+        self.subscribed = settings.discovery_pushes
         if not self.subscribed:
-            self._later(now + int(self.rng.random() * settings.rules.ask_within_ns / 4), "subscribe", None)
+            self._later(now + int(self.rng.random() * settings.rules.poll_interval_ns / 4), "subscribe", None)
 
     def handle(self, now: int, events: Iterable[api.Event]) -> list[api.Action]:
         self.actions, self.throttles.now = [], now
@@ -693,14 +704,14 @@
                 self._arrival(e, now)
             elif type(e) is api.AttemptEnded:
                 self._outcome(e, now)
-            elif type(e) is api.ClientDisconnected and e.request in self.requests:
-                self._end(self.requests[e.request], now)
+            elif type(e) is api.ClientDisconnected and e.request_id in self.requests:
+                self._end(self.requests[e.request_id], now)
             elif type(e) is api.EndpointUpdate:
                 self._list(e, now)
             elif type(e) is api.HealthCheckEnded:
                 self._probed(e, now)
-            elif type(e) is api.ResponseStarted and e.request in self.requests:
-                self.requests[e.request].begun = True
+            elif type(e) is api.ResponseStarted and e.request_id in self.requests:
+                self.requests[e.request_id].begun = True
             elif type(e) is api.TimerExpired and e.name == str(self.timer):
                 self.timer_ns = 0  # by its name, not the clock: a timer may come a little early
         while self.due and self.due[0][0] <= now:
@@ -733,21 +744,21 @@
         heapq.heappush(self.due, (at, self.count, what, about, extra))
 
     def _arrival(self, e: api.RequestArrived, now: int) -> None:
-        if e.request in self.requests:
+        if e.request_id in self.requests:
             return  # an id is never reused: the first one stands
         throttle = self.throttles[e.tenant]
-        cls = self.settings.classes.get(e.class_name) or api.RequestClass(
+        cls = self.settings.request_classes.get(e.class_name) or api.RequestClass(
             e.class_name, api.Idempotency.NON_IDEMPOTENT
         )
-        aim = min(now + cls.aim_ns, e.deadline_ns)
-        r = Request(e.request, cls, self.fleet.pool(cls), throttle, e.deadline_ns, aim, e.cost_hint_ns)
+        aim = min(now + cls.latency_objective_ns, e.deadline_ns)
+        r = Request(e.request_id, cls, self.fleet.pool(cls), throttle, e.deadline_ns, aim, e.cost_hint_ns)
         self.requests[r.id] = r
         need = self.crowding.expected(r) * (1 + self.crowding.spread)
         r.give_up_ns = max(r.aim_ns - int(need), now + (r.deadline_ns - now) // 4)
         self._later(r.give_up_ns, "give up", r)  # whatever comes, a request that waits is looked at then
         self.rate.arrived(now)
         # Marked retries take spare tokens only: they must not starve fresh work.
-        answer = throttle.spare(now) if e.retry else throttle.offer(r, now)
+        answer = throttle.spare(now) if e.is_retry else throttle.offer(r, now)
         if answer is False:
             self._refuse(r, now)
         elif answer is None:
@@ -758,7 +769,7 @@
 
     def _admit(self, r: Request, now: int) -> None:
         r.place = ""
-        r.hurried = r.stood or 2 * (r.aim_ns - now) < r.cls.aim_ns
+        r.hurried = r.stood or 2 * (r.aim_ns - now) < r.cls.latency_objective_ns
         part = OVER_PART if r.tenant.over else QUEUE_PART  # over-share traffic is refused first
         # A class with much time must not make the queue too long for those with little.
         spare = min(r.give_up_ns - now, self.patience_ns)
@@ -781,9 +792,9 @@
             self._later(now + LOOK_NS, "look", r)
 
     def _probed(self, e: api.HealthCheckEnded, now: int) -> None:
-        server = self.fleet.servers.get(e.upstream)
-        if server is not None and e.report is not None:
-            server.hear(e.report.get("inflight"), now)
+        server = self.fleet.servers.get(e.endpoint_id)
+        if server is not None and e.load_report is not None:
+            server.hear(e.load_report.get("inflight"), now)
         elif server is not None and e.result is api.AttemptResult.RESET and server.deaf_ns < server.asked_ns:
             # Its connection broke, as any may: asked once more, or its request would wait for nothing. Harm:
             # one more look at each upstream that breaks all it is sent.
@@ -791,8 +802,8 @@
             self.actions.append(api.CheckHealth(server.id))
 
     def _outcome(self, e: api.AttemptEnded, now: int) -> None:
-        server = self.fleet.servers.get(e.upstream)
-        r = self.requests.get(e.request)
+        server = self.fleet.servers.get(e.endpoint_id)
+        r = self.requests.get(e.request_id)
         if r is None or server is None or not 0 <= e.attempt < len(r.attempts):
             return  # long over, or never sent: nothing is booked
         a = r.attempts[e.attempt]
@@ -800,13 +811,13 @@
             return
         a.learn(e.result, self.settings.rules)
         self.crowding.held(server, now)
-        if e.report and "inflight" in e.report:
-            server.hear(e.report["inflight"] + 1, now)  # this one leaves it below
+        if e.load_report and "inflight" in e.load_report:
+            server.hear(e.load_report["inflight"] + 1, now)  # this one leaves it below
         apart = e.result not in UNSEEN and self.fleet.ends(server, e.result is api.AttemptResult.RESET)
         if e.result is api.AttemptResult.OK:
             server.answered_ns = max(server.answered_ns, a.sent_ns)
             if not r.stood:
-                self.crowding.note(r, a, e.took_ns)
+                self.crowding.note(r, a, e.elapsed_ns)
             if server.own:
                 self.crowding.done[min(server.inflight, LIMIT_MAX + 1)] += 1
             self.rate.good += now <= r.aim_ns
@@ -823,7 +834,7 @@
             self.rate.bad[server.id] += e.result is not api.AttemptResult.TIMEOUT or not r.hurried
             if e.result is api.AttemptResult.TIMEOUT:
                 # It would have taken longer: what is cut off must not flatten the slope.
-                self.crowding.crowd(a, max(1.3 * e.took_ns, self.crowding.time(a.load)))
+                self.crowding.crowd(a, max(1.3 * e.elapsed_ns, self.crowding.time(a.load)))
             busy = e.result in (api.AttemptResult.REJECTED, api.AttemptResult.TIMEOUT)
             self._eject(server, now, self._pause(a) if busy else SECOND / 4)
         else:
@@ -831,7 +842,7 @@
         server.late -= a.late
         server.inflight -= not a.late
         server.load = max(0.0, server.load - 1)
-        if e.complete:
+        if e.request_complete:
             self._end(r, now)
         elif not r.over and not r.out and not r.begun:
             self._again(r, now)
@@ -875,12 +886,12 @@
         first = next((a for a in r.attempts if a.may_have_run), None)
         if (
             first is None
-            or r.cls.effect is api.Idempotency.IDEMPOTENT
-            or r.cls.scope is api.DeduplicationScope.ALL
+            or r.cls.idempotency is api.Idempotency.IDEMPOTENT
+            or r.cls.deduplication_scope is api.DeduplicationScope.ALL
         ):
             return None
         near = [s for s in r.pool.order if r._same_group(s, first.server)]
-        return near + self.fleet.group(r.pool, first.server, r.cls.scope, now)
+        return near + self.fleet.group(r.pool, first.server, r.cls.deduplication_scope, now)
 
     def _refuse(self, r: Request, now: int) -> None:
         """The final answer of a request that is not served: refused if that is true, else failed."""
@@ -897,7 +908,7 @@
         elif r.place == "queued":
             r.pool.queue.remove(r)
         r.place, r.over = "", True
-        if self.settings.limits.may_cancel:
+        if self.settings.limits.cancellation:
             for i, a in enumerate(r.attempts):
                 if a.result is None:
                     self.actions.append(api.CancelAttempt(r.id, i))
@@ -912,7 +923,7 @@
             self.subscribed, failed = False, e.kind is api.EndpointUpdateKind.FAILED
             # What a silent watch missed counts as told a second after it is found out: one more call at once.
             urgent, self.silent = failed and self.silent, not failed
-            most, out = min(ASK_NS, self.settings.rules.ask_within_ns * 0.8), now - self.asked_ns
+            most, out = min(ASK_NS, self.settings.rules.poll_interval_ns * 0.8), now - self.asked_ns
             most = max(most / 3, most - out) if out < ASK_NS else most
             wait = failed * most * self.rng.uniform(0.67 if self.failures else 0.1, 1.0)
             wait = min(wait, URGENT_NS * self.rng.random()) if urgent else wait
@@ -956,7 +967,7 @@
             self.crowding.held(a.server, now)
             a.late, a.server.inflight, a.server.late = True, a.server.inflight - 1, a.server.late + 1
         # Where a cancel stops nothing, the first attempt runs on and a copy only adds to the load.
-        if r.pool.queue or now + a.expected > r.aim_ns or not self.settings.limits.may_cancel:
+        if r.pool.queue or now + a.expected > r.aim_ns or not self.settings.limits.cancellation:
             return
         server = self.fleet.pick(r.pool, now, self._choices(r, now))
         if server and r.may_send(server, now, self.settings.limits) and r.tenant.spare(now):
@@ -1008,7 +1019,7 @@
             # The budget is in requests of mean work: a dear one takes the place of several.
             self._space(server, now, max(1.0, self.crowding.expected(r) / self.crowding.mean))
         # Where a late answer is worth nothing, an attempt ends at the aim and leaves its place to another.
-        timeout = 0 if r.cls.late_worth or r.cls.stream else max(1, r.aim_ns - now)
+        timeout = 0 if r.cls.late_weight_factor or r.cls.stream else max(1, r.aim_ns - now)
         self.actions.append(api.Forward(r.id, server.id, timeout))
         overdue = now + int(expected * (1.3 + 3 * self.crowding.spread))
         self._later(overdue, "overdue", r, len(r.attempts) - 1)
--- a/scale_test/evenness.py
+++ b/scale_test/evenness.py
@@ -20,8 +20,8 @@
     prices = api.Prices(connection=0.03, cross_zone=0.02) if zones else api.Prices()
     for me in range(balancers):
         table.settings = api.Settings(
-            me=me,
-            replicas_of_me=balancers,
+            proxy_index=me,
+            proxy_count=balancers,
             zones=zones,
             prices=prices,
             zone=zones[me % len(zones)] if zones else "",
@@ -39,7 +39,7 @@
     plan = Plan(upstreams=upstreams)
     zones = [zone_name(i) for i in range(plan.zones)] if zoned else []
     prices = api.Prices(connection=0.03, cross_zone=0.02) if zoned else api.Prices()
-    table = Membership(api.Settings(replicas_of_me=balancers, zones=zones, prices=prices))
+    table = Membership(api.Settings(proxy_count=balancers, zones=zones, prices=prices))
     table.placements.append(Placement(None, None))
     ids = [number_of(f"s-{i:08x}") for i in range(upstreams)]
     for i, number in enumerate(ids):
--- a/scale_test/hollow.py
+++ b/scale_test/hollow.py
@@ -33,7 +33,7 @@
         done = time.monotonic_ns()
         for event in events:
             if isinstance(event, api.EndpointUpdate) and event.kind is api.EndpointUpdateKind.DELTA:
-                self.changes.append((begun, done, len(list(event.upstreams))))
+                self.changes.append((begun, done, len(list(event.endpoints))))
         return actions
 
 
@@ -73,7 +73,7 @@
         for told in nodes:
             begun = time.monotonic_ns()
             base = read_config(config)  # read anew each time: a real balancer shares no text with another
-            settings = replace(base.settings, me=told["me"], zone=told["zone"])
+            settings = replace(base.settings, proxy_index=told["me"], zone=told["zone"])
             module = Watched(Balancer(settings, told["seed"], time.monotonic_ns()))
             node = WatchedNode(
                 replace(
--- a/scale_test/slopes.py
+++ b/scale_test/slopes.py
@@ -143,7 +143,7 @@
             []
             if send is None
             else self.give(
-                api.AttemptEnded(send.request, 0, send.upstream, api.AttemptResult.OK, 10**7, True),
+                api.AttemptEnded(send.request_id, 0, send.endpoint_id, api.AttemptResult.OK, 10**7, True),
                 later_ns=10**4,
             )
         )
@@ -153,7 +153,9 @@
 
         def serve() -> None:
             for i in range(turns):
-                self.end(self.ask(f"c{i}" if f"c{i}" in self.balancer.settings.classes else "c0", f"t{i}"))
+                self.end(
+                    self.ask(f"c{i}" if f"c{i}" in self.balancer.settings.request_classes else "c0", f"t{i}")
+                )
 
         return spent(serve, 3)[0] / turns
 
--- a/tests/bench.py
+++ b/tests/bench.py
@@ -14,31 +14,41 @@
 SECOND = 1000 * MS
 START = 5 * SECOND
 
-READ = api.RequestClass("read", api.Idempotency.IDEMPOTENT, aim_ns=300 * MS)
-PAY = api.RequestClass("pay", api.Idempotency.NON_IDEMPOTENT, aim_ns=300 * MS)
+READ = api.RequestClass("read", api.Idempotency.IDEMPOTENT, latency_objective_ns=300 * MS)
+PAY = api.RequestClass("pay", api.Idempotency.NON_IDEMPOTENT, latency_objective_ns=300 * MS)
 CELL = api.RequestClass(
-    "cell", api.Idempotency.IDEMPOTENCY_KEY, api.DeduplicationScope.CELL, window_ns=400 * MS, aim_ns=300 * MS
+    "cell",
+    api.Idempotency.IDEMPOTENCY_KEY,
+    api.DeduplicationScope.CELL,
+    deduplication_window_ns=400 * MS,
+    latency_objective_ns=300 * MS,
 )
 ANY = api.RequestClass(
-    "any", api.Idempotency.IDEMPOTENCY_KEY, api.DeduplicationScope.ALL, window_ns=400 * MS, aim_ns=300 * MS
+    "any",
+    api.Idempotency.IDEMPOTENCY_KEY,
+    api.DeduplicationScope.ALL,
+    deduplication_window_ns=400 * MS,
+    latency_objective_ns=300 * MS,
+)
+NEAR = api.RequestClass(
+    "near", api.Idempotency.IDEMPOTENT, latency_objective_ns=300 * MS, allowed_zones=frozenset({"east"})
 )
-NEAR = api.RequestClass("near", api.Idempotency.IDEMPOTENT, aim_ns=300 * MS, zones=frozenset({"east"}))
 BIG = api.RequestClass(
     "big",
     api.Idempotency.IDEMPOTENCY_KEY,
     api.DeduplicationScope.ZONE,
-    window_ns=400 * MS,
-    aim_ns=300 * MS,
-    kinds=frozenset({"large"}),
+    deduplication_window_ns=400 * MS,
+    latency_objective_ns=300 * MS,
+    allowed_machine_types=frozenset({"large"}),
 )
 
 
 def settings(**changes: object) -> api.Settings:
     base: dict[str, object] = {
-        "classes": {c.name: c for c in (READ, PAY, CELL, ANY, NEAR, BIG)},
+        "request_classes": {c.name: c for c in (READ, PAY, CELL, ANY, NEAR, BIG)},
         "tenants": {"ash": api.Tenant("ash", 0.5), "birch": api.Tenant("birch", 0.5)},
-        "limits": api.Limits(max_attempts=3, second_copies=True, may_cancel=True, retry_after=True),
-        "rules": api.Rules(cold_ns=4 * SECOND),
+        "limits": api.Limits(max_attempts=3, hedging=True, cancellation=True, retry_after=True),
+        "rules": api.Rules(slow_start_ns=4 * SECOND),
         "zone": "east",
     }
     return api.Settings(**{**base, **changes})  # type: ignore[arg-type]
@@ -54,7 +64,7 @@
 def mixed_fleet(count: int, started_ns: int = 0) -> list[api.Endpoint]:
     """Upstreams over two zones and two kinds."""
     return [
-        u._replace(zone=("east", "west")[i % 2], kind=("large", "small")[i // 2 % 2])
+        u._replace(zone=("east", "west")[i % 2], machine_type=("large", "small")[i // 2 % 2])
         for i, u in enumerate(upstreams(count, 1, started_ns))
     ]
 
@@ -67,7 +77,7 @@
     wait_ns: int = 500 * MS,
     retry: bool = False,
 ) -> api.RequestArrived:
-    return api.RequestArrived(f"r{number}", cls.name, tenant, now + wait_ns, retry=retry)
+    return api.RequestArrived(f"r{number}", cls.name, tenant, now + wait_ns, is_retry=retry)
 
 
 class Desk:
@@ -139,25 +149,25 @@
 
     def _event(self, e: api.Event) -> None:
         if isinstance(e, api.RequestArrived):
-            self.cls[e.request] = self.config.classes[e.class_name]
-            self.deadline[e.request] = e.deadline_ns
-        elif isinstance(e, api.AttemptEnded) and e.request in self.cls:
-            self.results[e.request, e.attempt] = e.result
-            if e.result is api.AttemptResult.OK and e.request not in self.answer:
-                self.answer[e.request] = "served"
-            if e.complete:
-                self.told_over.add(e.request)
+            self.cls[e.request_id] = self.config.request_classes[e.class_name]
+            self.deadline[e.request_id] = e.deadline_ns
+        elif isinstance(e, api.AttemptEnded) and e.request_id in self.cls:
+            self.results[e.request_id, e.attempt] = e.result
+            if e.result is api.AttemptResult.OK and e.request_id not in self.answer:
+                self.answer[e.request_id] = "served"
+            if e.request_complete:
+                self.told_over.add(e.request_id)
         elif isinstance(e, api.ClientDisconnected):
-            self.answer.setdefault(e.request, "gone")
-            self.told_over.add(e.request)
+            self.answer.setdefault(e.request_id, "gone")
+            self.told_over.add(e.request_id)
         elif isinstance(e, api.EndpointUpdate):
             if e.kind in (api.EndpointUpdateKind.FULL, api.EndpointUpdateKind.CACHED):
-                self.list = {i: u._replace(state=api.EndpointStatus.REMOVED) for i, u in self.list.items()}
-            self.list |= {u.id: u for u in e.upstreams}
+                self.list = {i: u._replace(status=api.EndpointStatus.REMOVED) for i, u in self.list.items()}
+            self.list |= {u.id: u for u in e.endpoints}
 
     def _risky(self, request: str) -> list[tuple[api.Endpoint, int]]:
         proofs = set(api.NEVER_RAN)
-        if self.config.rules.full_unproven:
+        if self.config.rules.rejected_may_have_run:
             proofs.discard(api.AttemptResult.REJECTED)
         return [
             s
@@ -169,23 +179,26 @@
         if isinstance(a, api.Forward):
             self._send(a)
         elif isinstance(a, api.Reject):
-            cls, risky = self.cls[a.request], self._risky(a.request)
+            cls, risky = self.cls[a.request_id], self._risky(a.request_id)
             harmless = (
-                cls.effect is api.Idempotency.IDEMPOTENT
+                cls.idempotency is api.Idempotency.IDEMPOTENT
                 or not risky
-                or (cls.effect is api.Idempotency.IDEMPOTENCY_KEY and cls.scope is api.DeduplicationScope.ALL)
+                or (
+                    cls.idempotency is api.Idempotency.IDEMPOTENCY_KEY
+                    and cls.deduplication_scope is api.DeduplicationScope.ALL
+                )
             )
-            assert harmless, f"{a.request} refused though it may have run"
-            self._final(a.request, "refused")
+            assert harmless, f"{a.request_id} refused though it may have run"
+            self._final(a.request_id, "refused")
             assert 0 <= a.retry_after_ns <= self.config.limits.max_retry_after_ns
         elif isinstance(a, api.Fail):
-            self._final(a.request, "failed")
+            self._final(a.request_id, "failed")
         elif isinstance(a, api.CancelAttempt):
-            assert self.config.limits.may_cancel and a.attempt < len(self.sends[a.request])
+            assert self.config.limits.cancellation and a.attempt < len(self.sends[a.request_id])
         elif isinstance(a, api.CheckHealth):
-            assert self.config.limits.probes and a.upstream in self.list
+            assert self.config.limits.health_checks and a.endpoint_id in self.list
         elif isinstance(a, api.SendGossip):
-            assert self.config.limits.peers and len(a.data) <= 256
+            assert self.config.limits.gossip and len(a.data) <= 256
         elif isinstance(a, api.SetTimer):
             assert a.delay_ns > 0
             self.timers.append((self.now + a.delay_ns, a.name))
@@ -197,23 +210,29 @@
         self.answer[request] = answer
 
     def _send(self, a: api.Forward) -> None:
-        request, upstream = a.request, self.list[a.upstream]
-        cls, limits, risky = self.cls[request], self.config.limits, self._risky(a.request)
+        request, upstream = a.request_id, self.list[a.endpoint_id]
+        cls, limits, risky = self.cls[request], self.config.limits, self._risky(a.request_id)
         assert request not in self.answer and request not in self.told_over, f"{request} sent after its end"
-        assert upstream.state is api.EndpointStatus.READY, f"{request} sent to a draining or gone upstream"
-        assert cls.zones is None or upstream.zone in cls.zones, f"{request} sent outside its zones"
-        assert cls.kinds is None or upstream.kind in cls.kinds, f"{request} sent to a kind not open to it"
+        assert upstream.status is api.EndpointStatus.READY, f"{request} sent to a draining or gone upstream"
+        assert cls.allowed_zones is None or upstream.zone in cls.allowed_zones, (
+            f"{request} sent outside its zones"
+        )
+        assert cls.allowed_machine_types is None or upstream.machine_type in cls.allowed_machine_types, (
+            f"{request} sent to a kind not open to it"
+        )
         sent = self.sends.setdefault(request, [])
         assert len(sent) < limits.max_attempts
         out = sum((request, i) not in self.results for i in range(len(sent)))
-        assert out < (2 if limits.second_copies else 1), f"{request}: {out} attempts out already"
-        if risky and cls.effect is api.Idempotency.NON_IDEMPOTENT:
+        assert out < (2 if limits.hedging else 1), f"{request}: {out} attempts out already"
+        if risky and cls.idempotency is api.Idempotency.NON_IDEMPOTENT:
             raise AssertionError(f"{request} is unsafe, may have run and is sent again")
-        if risky and cls.effect is api.Idempotency.IDEMPOTENCY_KEY:
-            assert self.now - risky[0][1] <= cls.window_ns, f"{request} repeated after its window"
-            if cls.scope is api.DeduplicationScope.CELL:
+        if risky and cls.idempotency is api.Idempotency.IDEMPOTENCY_KEY:
+            assert self.now - risky[0][1] <= cls.deduplication_window_ns, (
+                f"{request} repeated after its window"
+            )
+            if cls.deduplication_scope is api.DeduplicationScope.CELL:
                 assert all((u.zone, u.cell) == (upstream.zone, upstream.cell) for u, _ in risky)
-            if cls.scope is api.DeduplicationScope.ZONE:
+            if cls.deduplication_scope is api.DeduplicationScope.ZONE:
                 assert all(u.zone == upstream.zone for u, _ in risky)
         sent.append((upstream, self.now))
 
--- a/tests/fleet.py
+++ b/tests/fleet.py
@@ -35,9 +35,12 @@
 
     def part(self, now: int, rules: api.Rules) -> float:
         start = self.entry.started_ns
-        if not start or now - start >= rules.cold_ns:
+        if not start or now - start >= rules.slow_start_ns:
             return 1.0
-        return rules.cold_from + (1 - rules.cold_from) * max(0, now - start) / rules.cold_ns
+        return (
+            rules.slow_start_initial_capacity
+            + (1 - rules.slow_start_initial_capacity) * max(0, now - start) / rules.slow_start_ns
+        )
 
     def pressure(self, rules: api.Rules) -> float:
         """The most that came in any window, against what its budget and chance allow; over 1 it falls.
@@ -49,12 +52,12 @@
         book = sorted(self.book)
         for at, work, knew in book:
             total, told = total + work, told + work * knew
-            while book[first][0] <= at - rules.overload_for_ns:
+            while book[first][0] <= at - rules.overload_window_ns:
                 total, told = total - book[first][1], told - book[first][1] * book[first][2]
                 first += 1
-            if book[first][0] - self.entry.started_ns < rules.cold_ns and told > total * 2 / 3:
+            if book[first][0] - self.entry.started_ns < rules.slow_start_ns and told > total * 2 / 3:
                 part = self.part(book[first][0], rules)
-                budget = rules.fall_multiple * self.rate * part * rules.overload_for_ns / SECOND
+                budget = rules.overload_factor * self.rate * part * rules.overload_window_ns / SECOND
                 worst = max(worst, total / (budget + 2 * budget**0.5))
         return worst
 
@@ -146,7 +149,7 @@
     def start(self, machines: Sequence[Machine]) -> list[api.Endpoint]:
         """They start now, cold; nobody has been told yet."""
         for m in machines:
-            m.entry = m.entry._replace(started_ns=self.now, state=api.EndpointStatus.READY)
+            m.entry = m.entry._replace(started_ns=self.now, status=api.EndpointStatus.READY)
             m.up, m.busy, m.queue = True, 0, deque()
             m.book = []
             for linked in self.linked:
@@ -157,7 +160,7 @@
         """They crash: what they hold breaks."""
         for m in machines:
             m.up, m.queue = False, deque()
-            m.entry = m.entry._replace(state=api.EndpointStatus.REMOVED)
+            m.entry = m.entry._replace(status=api.EndpointStatus.REMOVED)
         for open_requests in self.requests:
             for o in list(open_requests.values()):
                 for a in o.sends:
@@ -185,10 +188,10 @@
 
     def _ask(self, node: int, t: Traffic, work: float, tries: int) -> None:
         self.sequence += 1
-        request, deadline = f"q{self.sequence}", self.now + t.cls.limit_ns
+        request, deadline = f"q{self.sequence}", self.now + t.cls.client_timeout_ns
         self.requests[node][request] = Open(t.cls, deadline, work, tries)
         self.at(deadline, lambda: self._deadline(node, self.lives[node], request))
-        self.give(node, api.RequestArrived(request, t.cls.name, "", deadline, retry=tries > 0))
+        self.give(node, api.RequestArrived(request, t.cls.name, "", deadline, is_retry=tries > 0))
 
     def _deadline(self, node: int, life: int, request: str) -> None:
         o = self.requests[node].get(request)
@@ -218,16 +221,16 @@
             elif type(a) is api.SetTimer:
                 self.at(self.now + a.delay_ns, lambda a=a: self._wake(node, life, a.name))  # type: ignore[misc]
             elif type(a) is api.Reject or type(a) is api.Fail:
-                o = self.requests[node][a.request]
+                o = self.requests[node][a.request_id]
                 o.over = True
                 self.turned_away += 1
                 if type(a) is api.Reject:
                     self._again(o)
             elif type(a) is api.CancelAttempt:
-                attempt = self.requests[node][a.request].sends[a.attempt]
+                attempt = self.requests[node][a.request_id].sends[a.attempt]
                 self.at(self.now, lambda x=attempt: self.end(x, api.AttemptResult.CANCELLED))  # type: ignore[misc]
             elif type(a) is api.CheckHealth:
-                self.at(self.now + MS, lambda u=a.upstream: self._probe(node, life, u))  # type: ignore[misc]
+                self.at(self.now + MS, lambda u=a.endpoint_id: self._probe(node, life, u))  # type: ignore[misc]
 
     def _wake(self, node: int, life: int, name: str) -> None:
         if life == self.lives[node]:
@@ -241,8 +244,8 @@
             self.give(node, api.HealthCheckEnded(upstream, result, MS, report if m.up else None))
 
     def _send(self, node: int, send: api.Forward) -> None:
-        o, m = self.requests[node][send.request], self.machines[send.upstream]
-        a = Attempt(node, send.request, len(o.sends), m, self.now, o.work)
+        o, m = self.requests[node][send.request_id], self.machines[send.endpoint_id]
+        a = Attempt(node, send.request_id, len(o.sends), m, self.now, o.work)
         o.sends.append(a)
         fresh = m.entry.id not in self.linked[node]
         if send.timeout_ns:
@@ -294,7 +297,7 @@
             self.served += 1
         report = (
             {"inflight": float(a.machine.busy + len(a.machine.queue))}
-            if result is api.AttemptResult.OK and self.config[a.node].reports_in_answers
+            if result is api.AttemptResult.OK and self.config[a.node].load_reports_in_responses
             else None
         )
         self.give(
--- a/tests/sockets.py
+++ b/tests/sockets.py
@@ -200,7 +200,7 @@
     def ids(self) -> list[int]:
         """The numbers of the upstreams, as last listed whole."""
         lists = [e for e in self.of(api.EndpointUpdate) if e.kind is not api.EndpointUpdateKind.DELTA]
-        return [u.id for u in lists[-1].upstreams]
+        return [u.id for u in lists[-1].endpoints]
 
 
 @dataclass
@@ -228,22 +228,22 @@
 
 def settings(in_answers: bool = False, asked: bool = False, limit_ns: int = 0, **limits: Any) -> api.Settings:
     return api.Settings(
-        reports_in_answers=in_answers,
-        discovery_push=not asked,
-        rules=api.Rules(ask_within_ns=40 * MS) if asked else api.Rules(),
-        classes={
-            "read": api.RequestClass("read", limit_ns=limit_ns),
-            "pay": api.RequestClass("pay", api.Idempotency.NON_IDEMPOTENT, limit_ns=limit_ns),
+        load_reports_in_responses=in_answers,
+        discovery_pushes=not asked,
+        rules=api.Rules(poll_interval_ns=40 * MS) if asked else api.Rules(),
+        request_classes={
+            "read": api.RequestClass("read", client_timeout_ns=limit_ns),
+            "pay": api.RequestClass("pay", api.Idempotency.NON_IDEMPOTENT, client_timeout_ns=limit_ns),
             "book": api.RequestClass(
                 "book",
                 api.Idempotency.IDEMPOTENCY_KEY,
-                window_ns=1000 * MS,
-                aim_ns=5000 * MS,
-                limit_ns=limit_ns,
+                deduplication_window_ns=1000 * MS,
+                latency_objective_ns=5000 * MS,
+                client_timeout_ns=limit_ns,
             ),
         },
         limits=api.Limits(**{"max_attempts": 3, "connect_timeout_ns": 2000 * MS, **limits}),
-        report_columns=("inflight",),
+        load_report_columns=("inflight",),
     )
 
 
--- a/tests/test_adapter.py
+++ b/tests/test_adapter.py
@@ -212,20 +212,36 @@
         "limits": {"conn_idle_ns": 6, "max_streams": 8, "max_open": 10, "cpu_us_per_s": 12},
     }
     known = read_settings(raw)
-    look = known.classes["look"]
-    assert (look.zones, look.kinds, look.scope) == (
+    look = known.request_classes["look"]
+    assert (look.allowed_zones, look.allowed_machine_types, look.deduplication_scope) == (
         frozenset({"north"}),
         frozenset({"big"}),
         api.DeduplicationScope.CELL,
     )
-    assert (look.aim_stretch, look.limit_ns, look.window_ns) == (1.5, 9, 7)
-    assert known.rules.full_unproven and known.rules.answer_grace_ns == 3
-    assert known.weights is api.WeightSource.LIVE and known.over_share_worth == 0.2 and known.retries_marked
-    assert not known.reports_in_answers and known.zones == ("north", "south")
-    assert (known.prices.connection, known.prices.list_lines, known.prices.late_fail) == (0.03, 0.5, 0.02)
-    assert (known.limits.conn_idle_ns, known.limits.max_streams, known.limits.max_open) == (6, 8, 10)
+    assert (look.latency_objective_stretch, look.client_timeout_ns, look.deduplication_window_ns) == (
+        1.5,
+        9,
+        7,
+    )
+    assert known.rules.rejected_may_have_run and known.rules.answer_grace_ns == 3
+    assert (
+        known.weight_source is api.WeightSource.LIVE
+        and known.over_quota_weight == 0.2
+        and known.client_retries_marked
+    )
+    assert not known.load_reports_in_responses and known.zones == ("north", "south")
+    assert (known.prices.connection, known.prices.endpoint_list, known.prices.late_failure) == (
+        0.03,
+        0.5,
+        0.02,
+    )
+    assert (
+        known.limits.connection_idle_timeout_ns,
+        known.limits.max_streams_per_connection,
+        known.limits.max_pending_requests,
+    ) == (6, 8, 10)
     row = {"upstream": 5, "class_of_host": "big", "scale": 0.25, "up_since_ns": 3, "cohort": 2}
-    assert read_upstream(row) == api.Endpoint(5, cell=2, weight=0.25, started_ns=3, kind="big")
+    assert read_upstream(row) == api.Endpoint(5, cell=2, weight=0.25, started_ns=3, machine_type="big")
 
 
 def test_starts_as_the_deploy_file_says() -> None:
--- a/tests/test_cold.py
+++ b/tests/test_cold.py
@@ -15,24 +15,34 @@
 from tests.bench import MS, SECOND
 from tests.fleet import FleetModel, Machine, Traffic
 
-RULES = api.Rules(cold_from=0.3, cold_ns=8800 * MS, fall_multiple=2.5, overload_for_ns=SECOND)
-LIMITS = api.Limits(max_attempts=5, may_cancel=True, retry_after=True)
-READ = api.RequestClass("read", aim_ns=400 * MS, late_worth=0.2, limit_ns=800 * MS)
+RULES = api.Rules(
+    slow_start_initial_capacity=0.3, slow_start_ns=8800 * MS, overload_factor=2.5, overload_window_ns=SECOND
+)
+LIMITS = api.Limits(max_attempts=5, cancellation=True, retry_after=True)
+READ = api.RequestClass(
+    "read", latency_objective_ns=400 * MS, late_weight_factor=0.2, client_timeout_ns=800 * MS
+)
 PAY = api.RequestClass(
-    "pay", api.Idempotency.NON_IDEMPOTENT, aim_ns=400 * MS, late_worth=0.2, limit_ns=800 * MS
+    "pay",
+    api.Idempotency.NON_IDEMPOTENT,
+    latency_objective_ns=400 * MS,
+    late_weight_factor=0.2,
+    client_timeout_ns=800 * MS,
 )
 SWITCH = api.RequestClass(
     "switch",
     api.Idempotency.IDEMPOTENCY_KEY,
     api.DeduplicationScope.ZONE,
-    window_ns=1200 * MS,
-    aim_ns=400 * MS,
-    late_worth=0.2,
-    limit_ns=2 * SECOND,
+    deduplication_window_ns=1200 * MS,
+    latency_objective_ns=400 * MS,
+    late_weight_factor=0.2,
+    client_timeout_ns=2 * SECOND,
+)
+CELL = replace(SWITCH, name="cell", deduplication_scope=api.DeduplicationScope.CELL)
+SLOW = api.RequestClass(
+    "slow", latency_objective_ns=2 * SECOND, late_weight_factor=0.2, client_timeout_ns=4 * SECOND
 )
-CELL = replace(SWITCH, name="cell", scope=api.DeduplicationScope.CELL)
-SLOW = api.RequestClass("slow", aim_ns=2 * SECOND, late_worth=0.2, limit_ns=4 * SECOND)
-LARGE = replace(READ, name="large", kinds=frozenset({"large"}))
+LARGE = replace(READ, name="large", allowed_machine_types=frozenset({"large"}))
 ZONES = ("east", "west", "north", "south")
 COUNTS = (4, 20, 30, 200)
 
@@ -75,7 +85,7 @@
             shares,
         )
         machines = list(fleet.machines.values())
-        cold = [m for m in machines if (m.entry.zone, m.entry.kind) == (self.zones[0], self.kinds[0])]
+        cold = [m for m in machines if (m.entry.zone, m.entry.machine_type) == (self.zones[0], self.kinds[0])]
         cold = cold[: max(1, int(len(machines) * self.cold))]
         starting = set(cold)
         for node in range(count):
@@ -107,7 +117,7 @@
                     api.EndpointStatus.READY,
                     self.zones[i % len(self.zones)],
                     i // 6,
-                    kind=self.kinds[i % len(self.kinds)],
+                    machine_type=self.kinds[i % len(self.kinds)],
                 ),
                 self.rate,
                 self.cores,
@@ -118,22 +128,22 @@
 
     def config(self, count: int) -> list[api.Settings]:
         one = api.Settings(
-            replicas_of_me=count,
+            proxy_count=count,
             zones=self.zones,
             rules=RULES,
             limits=self.limits,
             prices=self.prices,
-            classes={t.cls.name: t.cls for t in self.traffic},
-            retries_marked=True,
-            reports_in_answers=self.reports,
-            report_columns=("inflight",) if self.reports else (),
+            request_classes={t.cls.name: t.cls for t in self.traffic},
+            client_retries_marked=True,
+            load_reports_in_responses=self.reports,
+            load_report_columns=("inflight",) if self.reports else (),
         )
-        return [replace(one, me=i, zone=self.zones[i % len(self.zones)]) for i in range(count)]
+        return [replace(one, proxy_index=i, zone=self.zones[i % len(self.zones)]) for i in range(count)]
 
 
 PRICES = api.Prices(connection=0.03, cross_zone=0.025, handshake=0.03)
-COPIES = replace(LIMITS, second_copies=True)
-LOOKS = replace(COPIES, probes=True)
+COPIES = replace(LIMITS, hedging=True)
+LOOKS = replace(COPIES, health_checks=True)
 DEAR = (Traffic(READ, 0.85), Traffic(LARGE, 0.15, 6.0))
 DEAR_TOO = (Traffic(READ, 0.8), Traffic(LARGE, 0.2, 4.0))
 KINDS = ("large", "small")
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -250,8 +250,8 @@
         async with node(script, registry=registry, known_list=known(1, 2, 3)) as client:
             await until(lambda: len(client.node.upstreams()) == 2)  # s2 is gone, s0 is still there
             assert {port for _, port in client.node.upstreams().values()} == {1, 2}
-            told = [u for e in script.of(api.EndpointUpdate)[1:] for u in e.upstreams]
-            assert {u.id for u in told if u.state is api.EndpointStatus.REMOVED} == {number_of("s2")}
+            told = [u for e in script.of(api.EndpointUpdate)[1:] for u in e.endpoints]
+            assert {u.id for u in told if u.status is api.EndpointStatus.REMOVED} == {number_of("s2")}
             # What is known of s0 stays to the letter: nothing else is told of it, and it is where it was.
             assert number_of("s0") not in {u.id for u in told}
             assert client.node.upstreams()[number_of("s0")] == (HOST, 1)
@@ -261,7 +261,7 @@
     again = read({"seq": 2, "whole": True, "hosts": [entry("s0", health="odd"), entry("s1", 2)]})
     assert again.unread == [number_of("s0")] and list(again.numbers) == [number_of("s1")]
     gone = read({"seq": 3, "whole": False, "hosts": [entry("s0", health="removed", dial="")]})
-    assert [e.upstream.state for e in gone.entries] == [api.EndpointStatus.REMOVED]
+    assert [e.upstream.status for e in gone.entries] == [api.EndpointStatus.REMOVED]
     empty = read({"seq": 4, "whole": True, "hosts": []})
     assert not list(empty.entries) and not empty.unread and empty.whole
 
@@ -310,7 +310,7 @@
             registry.change("s9", dial="127.0.0.1:9")
             await until(lambda: len(script.of(api.EndpointUpdate)) == 2 and len(registry.calls) == 2)
             update = script.of(api.EndpointUpdate)[1]
-            assert update.kind is api.EndpointUpdateKind.DELTA and [u.zone for u in update.upstreams] == [
+            assert update.kind is api.EndpointUpdateKind.DELTA and [u.zone for u in update.endpoints] == [
                 "east"
             ]
             assert asking == [True]
@@ -340,7 +340,7 @@
             await until(lambda: registry.calls)
             registry.change("s0", health="draining")
             await until(lambda: len(script.of(api.EndpointUpdate)) == 2)
-            assert list(script.of(api.EndpointUpdate)[1].upstreams)[0].state is api.EndpointStatus.DRAINING
+            assert list(script.of(api.EndpointUpdate)[1].endpoints)[0].status is api.EndpointStatus.DRAINING
             assert time.monotonic() - registry.calls[0][0] < TOLD_S
 
     run(test())
@@ -442,7 +442,7 @@
         u.id
         for u in [e for e in script.of(api.EndpointUpdate) if e.kind is api.EndpointUpdateKind.FULL][
             -1
-        ].upstreams
+        ].endpoints
     ]
 
 
@@ -674,7 +674,7 @@
 
 def states(script: Script) -> list[api.EndpointStatus]:
     """What the module has been told of the one upstream, in order."""
-    return [u.state for e in script.of(api.EndpointUpdate) for u in e.upstreams]
+    return [u.status for e in script.of(api.EndpointUpdate) for u in e.endpoints]
 
 
 def test_an_older_list_at_a_hand_over_does_not_undo_a_drain() -> None:
--- a/tests/test_gone.py
+++ b/tests/test_gone.py
@@ -63,12 +63,12 @@
         actions = list(self.module.handle(now, events))
         for action in actions:
             if type(action) is api.Forward:
-                if self.when == "decided" and (action.request, self.sends[action.request]) == (
+                if self.when == "decided" and (action.request_id, self.sends[action.request_id]) == (
                     self.request,
                     self.attempt,
                 ):
                     self.happen()
-                self.sends[action.request] += 1
+                self.sends[action.request_id] += 1
         return actions
 
     def happen(self) -> None:
@@ -167,10 +167,10 @@
 
         monkeypatch.setattr("loadbalancer.policy.LOOK_NS", int(PATIENCE_S * 1000) * MS)
         monkeypatch.setattr("loadbalancer.net.node.PROBE_TIMEOUT_S", PATIENCE_S)
-        upstream, balancer = await Upstream(answer).start(), real(probes=True)
+        upstream, balancer = await Upstream(answer).start(), real(health_checks=True)
         module = Late(balancer, when)
         module.watch(monkeypatch, upstream)
-        async with node(module, upstream, probes=True) as client:
+        async with node(module, upstream, health_checks=True) as client:
             mine = await connected(client)
             mine.send(request("/read/left"))
             await until(lambda: upstream.got)  # a look, and the request waits for what it says
@@ -229,9 +229,9 @@
             first, second = script.ids()
             if isinstance(event, api.RequestArrived):
                 return [
-                    api.Forward(event.request, second)
-                    if event.request == "1"
-                    else api.Forward(event.request, first, 50 * MS if end == "timeout" else 0)
+                    api.Forward(event.request_id, second)
+                    if event.request_id == "1"
+                    else api.Forward(event.request_id, first, 50 * MS if end == "timeout" else 0)
                 ]
             again = isinstance(event, api.TimerExpired if when == "read" else api.AttemptEnded)
             return [api.Forward("2", second)] if again and module.sends["2"] == 1 else ()
@@ -253,7 +253,7 @@
                 client.node.feed(api.TimerExpired("again"))
             await until(lambda: script.of(api.ClientDisconnected) and len(script.of(api.AttemptEnded)) >= 3)
             script.react = lambda e: (
-                [api.Forward(e.request, script.ids()[1])] if isinstance(e, api.RequestArrived) else ()
+                [api.Forward(e.request_id, script.ids()[1])] if isinstance(e, api.RequestArrived) else ()
             )
             await served(client)
             assert sent(other) == ["/read/first", "/read/barrier"]
@@ -315,7 +315,7 @@
                     leave(mine)
                 time.sleep(1.2 * BREAK_S)  # the batch: nothing is read meanwhile
                 return [
-                    api.Forward(arrived.request, script.ids()[0])
+                    api.Forward(arrived.request_id, script.ids()[0])
                     for arrived in script.of(api.RequestArrived)[6:]
                 ]
 
@@ -388,7 +388,7 @@
         upstream, other = await Upstream(silent).start(), await Upstream(answers(200)).start()
         script = Script(lambda event: send_first(script, event))
         module = Late(script, when, attempt=1)
-        async with node(module, upstream, other, second_copies=allowed, may_cancel=True) as client:
+        async with node(module, upstream, other, hedging=allowed, cancellation=True) as client:
             mine = await connected(client)
             mine.send(request("/read/left"))
             await until(lambda: upstream.got)
@@ -414,7 +414,7 @@
 
 def desk_with_one_slow(**limits: bool) -> bench.Desk:
     """One attempt is out; its upstream has been known to answer sooner than this one will."""
-    allowed = api.Limits(max_attempts=4, **{"second_copies": True, "may_cancel": True, **limits})
+    allowed = api.Limits(max_attempts=4, **{"hedging": True, "cancellation": True, **limits})
     desk = bench.Desk(bench.settings(limits=allowed))
     for i in range(20):
         desk.give(bench.arrival(i, desk.now))
@@ -450,7 +450,7 @@
 def test_an_attempt_ends_and_the_leave_is_told_in_one_batch(
     result: api.AttemptResult, gone_first: bool, copies: bool
 ) -> None:
-    desk = desk_with_one_slow(second_copies=copies)
+    desk = desk_with_one_slow(hedging=copies)
     desk.now += 10 * MS
     leave, end = api.ClientDisconnected("rslow"), desk.result("rslow", 0, result)
     desk.give(leave, end) if gone_first else desk.give(end, leave)
--- a/tests/test_leaves.py
+++ b/tests/test_leaves.py
@@ -59,7 +59,7 @@
 
 
 def send_first(script: Script, event: api.Event) -> Iterable[api.Action]:
-    return [api.Forward(event.request, script.ids()[0])] if isinstance(event, api.RequestArrived) else ()
+    return [api.Forward(event.request_id, script.ids()[0])] if isinstance(event, api.RequestArrived) else ()
 
 
 async def nothing_but(upstream: Upstream, client: Client, script: Script, before: int = 0) -> None:
@@ -171,9 +171,9 @@
             mine = await connected(client)
 
             def react(event: api.Event) -> Iterable[api.Action]:
-                if isinstance(event, api.AttemptEnded) and same_turn and not event.complete:
+                if isinstance(event, api.AttemptEnded) and same_turn and not event.request_complete:
                     leave(mine)
-                    return [api.Forward(event.request, event.upstream)]
+                    return [api.Forward(event.request_id, event.endpoint_id)]
                 if isinstance(event, api.TimerExpired):
                     return [api.Forward("1", script.ids()[0])]
                 return send_first(script, event)
--- a/tests/test_lists.py
+++ b/tests/test_lists.py
@@ -136,7 +136,7 @@
 
 
 def states(script: Script) -> dict[int, api.EndpointStatus]:
-    return {u.id: u.state for update in script.of(api.EndpointUpdate) for u in update.upstreams}
+    return {u.id: u.status for update in script.of(api.EndpointUpdate) for u in update.endpoints}
 
 
 def test_a_long_list_is_put_in_force_in_slices_and_requests_go_on() -> None:
@@ -148,7 +148,7 @@
                 await asyncio.sleep(0)
                 turns += 1
             assert turns >= 1000 // SLICE  # so many turns of the loop were others' too
-            assert max(len(list(update.upstreams)) for update in told(script)) <= SLICE
+            assert max(len(list(update.endpoints)) for update in told(script)) <= SLICE
             assert {update.kind for update in told(script)} == {api.EndpointUpdateKind.DELTA}
             gone = {number for number, state in states(script).items() if state is api.EndpointStatus.REMOVED}
             assert gone == {number_of("s0"), number_of("s1")}  # s2 is in both
@@ -173,7 +173,7 @@
             balancer._listed(listing(last))  # in force at once
             assert balancer._applying is not None
             names = ("s499", "s498", "new")
-            assert [u.id for u in told(script)[-1].upstreams] == [number_of(name) for name in names]
+            assert [u.id for u in told(script)[-1].endpoints] == [number_of(name) for name in names]
             await until(lambda: balancer._applying is None)
             assert states(script)[number_of("s499")] is api.EndpointStatus.DRAINING
             assert states(script)[number_of("s498")] is api.EndpointStatus.REMOVED
@@ -193,7 +193,7 @@
             for version, count in ((2, 700), (3, 2)):
                 client.node._listed(listing(whole(count, version)))
                 await until(lambda: client.node._applying is None)
-            assert max(len(list(update.upstreams)) for update in told(script)) <= SLICE
+            assert max(len(list(update.endpoints)) for update in told(script)) <= SLICE
             assert len(client.node._held) == 2
 
     run(test())
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -20,12 +20,20 @@
 
 ZONES = [f"z{i}" for i in range(8)]
 ZONE = api.RequestClass(
-    "zone", api.Idempotency.IDEMPOTENCY_KEY, api.DeduplicationScope.ZONE, window_ns=400 * MS, aim_ns=300 * MS
+    "zone",
+    api.Idempotency.IDEMPOTENCY_KEY,
+    api.DeduplicationScope.ZONE,
+    deduplication_window_ns=400 * MS,
+    latency_objective_ns=300 * MS,
 )
 CELL = api.RequestClass(
-    "cell", api.Idempotency.IDEMPOTENCY_KEY, api.DeduplicationScope.CELL, window_ns=400 * MS, aim_ns=300 * MS
+    "cell",
+    api.Idempotency.IDEMPOTENCY_KEY,
+    api.DeduplicationScope.CELL,
+    deduplication_window_ns=400 * MS,
+    latency_objective_ns=300 * MS,
 )
-READ = api.RequestClass("read", aim_ns=300 * MS)
+READ = api.RequestClass("read", latency_objective_ns=300 * MS)
 FOUND = (frozenset({"z1", "z2"}), frozenset({"large"}))  # a placement
 
 
@@ -49,12 +57,12 @@
 def site(proxies: int, zonal: bool = False, me: int = 0, **more: object) -> api.Settings:
     prices = api.Prices(connection=0.03, cross_zone=0.02) if zonal else api.Prices()
     return settings(
-        me=me,
-        replicas_of_me=proxies,
+        proxy_index=me,
+        proxy_count=proxies,
         zone=ZONES[me % 8],
         zones=ZONES,
         prices=prices,
-        classes={c.name: c for c in (READ, ZONE, CELL)},
+        request_classes={c.name: c for c in (READ, ZONE, CELL)},
         **more,
     )
 
@@ -122,14 +130,14 @@
         last = ({} if whole else last) | {e.id: e for e in entries}
     made, known = (
         balancer.fleet.membership,
-        [e for e in last.values() if e.state is not api.EndpointStatus.REMOVED],
+        [e for e in last.values() if e.status is not api.EndpointStatus.REMOVED],
     )
     nothing = Balancer(config, 2, START)
     nothing.handle(START, [api.EndpointUpdate(api.EndpointUpdateKind.FULL, sorted(known, reverse=True))])
     assert shown(made) == shown(nothing.fleet.membership)
     orders = [[[s.id for s in pool.order] for pool in b.fleet.pools.values()] for b in (balancer, nothing)]
     assert orders[0] == orders[1]
-    assert set(orders[0][0]) == {e.id for e in known if e.state is api.EndpointStatus.READY}
+    assert set(orders[0][0]) == {e.id for e in known if e.status is api.EndpointStatus.READY}
     assert all(s.entry == last[i] for i, s in balancer.fleet.servers.items())
 
 
@@ -204,7 +212,7 @@
         for state in (api.EndpointStatus.DRAINING, api.EndpointStatus.READY):
             now += SECOND
             balancer.handle(
-                now, [api.EndpointUpdate(api.EndpointUpdateKind.DELTA, [upstream._replace(state=state)])]
+                now, [api.EndpointUpdate(api.EndpointUpdateKind.DELTA, [upstream._replace(status=state)])]
             )
             done["known in full"] = max(done["known in full"], len(balancer.fleet.servers))
     monkeypatch.undo()
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -46,15 +46,15 @@
 
     def react(event: api.Event) -> Iterable[api.Action]:
         if isinstance(event, api.RequestArrived):
-            return [api.Forward(event.request, script.ids()[0], timeout_ns)]
+            return [api.Forward(event.request_id, script.ids()[0], timeout_ns)]
         return then(event)
 
     script.react = react
 
 
 def fails_unserved(event: api.Event) -> Iterable[api.Action]:
-    if isinstance(event, api.AttemptEnded) and not event.complete:
-        return [api.Fail(event.request)]
+    if isinstance(event, api.AttemptEnded) and not event.request_complete:
+        return [api.Fail(event.request_id)]
     return ()
 
 
@@ -87,12 +87,12 @@
             assert 4000 < int(seen.headers["req-deadline-ms"]) <= 5000
             assert "x-hop" not in seen.headers
         arrival = script.of(api.RequestArrived)[0]
-        assert (arrival.class_name, arrival.tenant, arrival.key) == ("pay", "acme", "7f3a")
-        assert arrival.cost_hint_ns == 1_200_000 and arrival.retry
+        assert (arrival.class_name, arrival.tenant, arrival.idempotency_key) == ("pay", "acme", "7f3a")
+        assert arrival.cost_hint_ns == 1_200_000 and arrival.is_retry
         assert time.monotonic_ns() + 5000 * MS - arrival.deadline_ns > 0
         outcome = script.of(api.AttemptEnded)[0]
-        assert (outcome.result, outcome.attempt, outcome.complete) == (AttemptResult.OK, 0, True)
-        assert outcome.took_ns > 0
+        assert (outcome.result, outcome.attempt, outcome.request_complete) == (AttemptResult.OK, 0, True)
+        assert outcome.elapsed_ns > 0
 
     run(test())
 
@@ -100,7 +100,7 @@
 def test_the_real_module_serves() -> None:
     async def test() -> None:
         upstream = await Upstream(answers(200, b'{"inflight": 1}')).start()
-        async with node(Balancer(settings(probes=True), 1, time.monotonic_ns()), upstream) as client:
+        async with node(Balancer(settings(health_checks=True), 1, time.monotonic_ns()), upstream) as client:
             for _ in range(3):
                 assert (await client.ask(request())).status == 200
         assert sum(g.first.startswith("GET /read") for g in upstream.got) == 3
@@ -111,7 +111,7 @@
 def test_a_refusal_is_told_at_once_with_its_retry_after() -> None:
     async def test() -> None:
         script = Script(
-            lambda e: [api.Reject(e.request, 437 * MS)] if isinstance(e, api.RequestArrived) else ()
+            lambda e: [api.Reject(e.request_id, 437 * MS)] if isinstance(e, api.RequestArrived) else ()
         )
         async with node(script) as client:
             begun = time.monotonic()
@@ -264,7 +264,7 @@
             for number in (1, 2):
                 assert (await client.ask(request())).body == b"it"
                 await until(lambda number=number: len(script.of(api.AttemptEnded)) == number)  # type: ignore[misc]
-            assert [(o.result, o.report) for o in script.of(api.AttemptEnded)] == [
+            assert [(o.result, o.load_report) for o in script.of(api.AttemptEnded)] == [
                 (AttemptResult.OK, heard)
             ] * 2
 
@@ -357,7 +357,7 @@
     ],
 )
 def test_a_drain_is_over_before_the_soonest_kill(limits_ms: list[int], leaves_s: float) -> None:
-    classes = [api.RequestClass(str(ms), limit_ns=ms * MS) for ms in limits_ms]
+    classes = [api.RequestClass(str(ms), client_timeout_ns=ms * MS) for ms in limits_ms]
     assert leave_s(classes) == pytest.approx(leaves_s)
 
 
@@ -383,7 +383,7 @@
 def fails_all(event: api.Event) -> Iterable[api.Action]:
     if isinstance(event, api.TimerExpired):
         return [api.Fail(str(number)) for number in range(1, 9)]
-    return [api.Fail(event.request)] if isinstance(event, api.RequestArrived) else ()
+    return [api.Fail(event.request_id)] if isinstance(event, api.RequestArrived) else ()
 
 
 @pytest.mark.parametrize("kept", [False, True])
@@ -516,7 +516,7 @@
         def again(event: api.Event) -> Iterable[api.Action]:
             if isinstance(event, api.AttemptEnded) and event.result is AttemptResult.TIMEOUT:
                 release.set()
-                return [api.Forward(event.request, event.upstream)]
+                return [api.Forward(event.request_id, event.endpoint_id)]
             return ()
 
         sends_first(script, again, timeout_ns=30 * MS)
@@ -543,7 +543,7 @@
             def look(event: api.Event) -> Iterable[api.Action]:
                 if isinstance(event, api.AttemptEnded) and event.result is AttemptResult.TIMEOUT:
                     ended.append(accepted[0].recv(65536))  # an end, where nothing else is to be read
-                    return [api.Fail(event.request)]
+                    return [api.Fail(event.request_id)]
                 return ()
 
             sends_first(script, look, timeout_ns=30 * MS)
@@ -601,7 +601,7 @@
         def react(event: api.Event) -> Iterable[api.Action]:
             if isinstance(event, api.RequestArrived):
                 to = script.ids()[0]
-                return [api.Forward(event.request, to), api.Forward(event.request, to)]
+                return [api.Forward(event.request_id, to), api.Forward(event.request_id, to)]
             if isinstance(event, api.TimerExpired):
                 return [api.Fail("1"), api.Fail("1"), api.Forward("1", script.ids()[0])]
             return ()
@@ -613,7 +613,7 @@
             client.node.feed(api.TimerExpired("now"))
             assert (await client.read()).status == 504
             await until(lambda: upstream.closed == 1)
-            outcomes = {(o.attempt, o.result, o.complete) for o in script.of(api.AttemptEnded)}
+            outcomes = {(o.attempt, o.result, o.request_complete) for o in script.of(api.AttemptEnded)}
             assert outcomes == {
                 (1, AttemptResult.NOT_SENT, False),
                 (0, AttemptResult.CANCELLED, True),
@@ -636,7 +636,7 @@
             client.close()
             await until(lambda: upstream.closed == 1)
             assert script.of(api.ClientDisconnected) == [api.ClientDisconnected("1")]
-            assert [(o.result, o.complete) for o in script.of(api.AttemptEnded)] == [
+            assert [(o.result, o.request_complete) for o in script.of(api.AttemptEnded)] == [
                 (AttemptResult.CANCELLED, True)
             ]
             assert not client.node._calls and not client.node._by_client
@@ -665,9 +665,9 @@
             if isinstance(event, api.RequestArrived):
                 timeout = event.deadline_ns - time.monotonic_ns()
                 time.sleep(0.02)  # the process gets no core for a while
-                return [api.Forward(event.request, script.ids()[0], timeout), api.SetTimer(timeout, "end")]
+                return [api.Forward(event.request_id, script.ids()[0], timeout), api.SetTimer(timeout, "end")]
             if isinstance(event, api.AttemptEnded) and event.result is AttemptResult.TIMEOUT:
-                return [api.Reject(event.request)]
+                return [api.Reject(event.request_id)]
             return ()
 
         script.react = react
@@ -683,9 +683,9 @@
 def test_a_fault_of_the_module_does_not_stop_the_node() -> None:
     async def test() -> None:
         def react(event: api.Event) -> Iterable[api.Action]:
-            if isinstance(event, api.RequestArrived) and event.request == "1":
+            if isinstance(event, api.RequestArrived) and event.request_id == "1":
                 raise RuntimeError("bug")
-            return [api.Fail(event.request)] if isinstance(event, api.RequestArrived) else ()
+            return [api.Fail(event.request_id)] if isinstance(event, api.RequestArrived) else ()
 
         async with node(Script(react)) as client:
             assert (await client.ask(request(deadline_ms=50))).status == 504
@@ -731,7 +731,7 @@
                 ends.append(client.node._decided_ns + timeout_ns if timeout_ns else deadline)
                 upstreams = script.ids()
                 return [
-                    api.Forward(arrival.request, upstreams[-1 if len(ends) == attempts else 0], timeout_ns)
+                    api.Forward(arrival.request_id, upstreams[-1 if len(ends) == attempts else 0], timeout_ns)
                 ]
             return ()
 
@@ -790,8 +790,8 @@
 
 
 def again_unless_over(event: api.Event) -> Iterable[api.Action]:
-    if isinstance(event, api.AttemptEnded) and not event.complete:
-        return [api.Forward(event.request, event.upstream)]
+    if isinstance(event, api.AttemptEnded) and not event.request_complete:
+        return [api.Forward(event.request_id, event.endpoint_id)]
     return ()
 
 
@@ -883,7 +883,7 @@
         upstream = await Upstream(answers(200)).start()
         script = Script()
         sends_first(script)
-        async with node(script, upstream, conn_idle_ns=15_000 * MS) as client:
+        async with node(script, upstream, connection_idle_timeout_ns=15_000 * MS) as client:
             for opened in (1, 1, 2):
                 assert (await client.ask(request())).status == 200
                 rests(client.node)
@@ -1080,7 +1080,9 @@
 
 
 def sends_to(script: Script, number: int, event: api.Event) -> Iterable[api.Action]:
-    return [api.Forward(event.request, script.ids()[number])] if isinstance(event, api.RequestArrived) else ()
+    return (
+        [api.Forward(event.request_id, script.ids()[number])] if isinstance(event, api.RequestArrived) else ()
+    )
 
 
 def test_probes_bring_reports() -> None:
@@ -1103,7 +1105,7 @@
             script.react = lambda e: [api.CheckHealth(99)] if isinstance(e, api.TimerExpired) else ()
             client.node.feed(api.TimerExpired("now"))
         assert upstream.got[0].first == "GET /stats HTTP/1.1" and upstream.opened == 1
-        results = [(p.result, p.report) for p in script.of(api.HealthCheckEnded)]
+        results = [(p.result, p.load_report) for p in script.of(api.HealthCheckEnded)]
         assert results == [
             (AttemptResult.OK, {"inflight": 3.0, "queue": 1.0}),
             (AttemptResult.REJECTED, None),
@@ -1143,7 +1145,7 @@
                 (HOST, 1),
                 i,
                 1024,
-                api.Settings(me=i, replicas_of_me=2),
+                api.Settings(proxy_index=i, proxy_count=2),
                 peer_listen=addresses[i],
                 peers=addresses,
                 peers_all=addresses[1],
--- a/tests/test_return.py
+++ b/tests/test_return.py
@@ -46,7 +46,7 @@
 
 def calls(seed: int, failing: Iterator[tuple[float, api.EndpointUpdateKind]], until_s: float) -> list[float]:
     """When the module calls a discovery where each call fails so many seconds later."""
-    balancer, now, times = Balancer(settings(discovery_push=False), seed, START), START, []
+    balancer, now, times = Balancer(settings(discovery_pushes=False), seed, START), START, []
     due: list[tuple[int, api.Event]] = [(START, api.EndpointUpdate(api.EndpointUpdateKind.CACHED))]
     while now < START + until_s * SECOND:
         now, event = due.pop(due.index(min(due, key=lambda d: d[0])))
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -50,7 +50,7 @@
     desk.give(
         api.EndpointUpdate(
             api.EndpointUpdateKind.DELTA,
-            [u._replace(state=api.EndpointStatus.DRAINING) for u in upstreams(6)],
+            [u._replace(status=api.EndpointStatus.DRAINING) for u in upstreams(6)],
         )
     )
     desk.give(arrival(1, desk.now, PAY))
@@ -119,7 +119,7 @@
     cls: api.RequestClass, unproven: bool, answer: str | None
 ) -> None:
     # Guards against a second effect where upstreams also drop what they had begun.
-    desk = Desk(settings(rules=api.Rules(cold_ns=4 * SECOND, full_unproven=unproven)))
+    desk = Desk(settings(rules=api.Rules(slow_start_ns=4 * SECOND, rejected_may_have_run=unproven)))
     desk.give(arrival(1, desk.now, cls))
     desk.now += MS
     desk.finish("r1", api.AttemptResult.REJECTED)
@@ -163,7 +163,7 @@
     desk.give(
         api.EndpointUpdate(
             api.EndpointUpdateKind.DELTA,
-            [u._replace(state=api.EndpointStatus.DRAINING) for u in upstreams(5)],
+            [u._replace(status=api.EndpointStatus.DRAINING) for u in upstreams(5)],
         )
     )
     for i in range(20):
@@ -200,7 +200,7 @@
     # Guards against forty proxies that each send a cold upstream a little, and together push it over.
     sent = []
     for proxies in (1, 40):
-        desk = Desk(settings(replicas_of_me=proxies), servers=0)
+        desk = Desk(settings(proxy_count=proxies), servers=0)
         desk.give(api.EndpointUpdate(api.EndpointUpdateKind.CACHED, upstreams(6, started_ns=START - MS)))
         for i in range(100):
             desk.give(arrival(i, desk.now))
@@ -212,14 +212,14 @@
 
 
 def probing(servers: int = 6) -> Desk:
-    limits = api.Limits(max_attempts=3, probes=True, may_cancel=True)
-    return Desk(settings(limits=limits, report_columns=("inflight", "queue")), servers=servers)
+    limits = api.Limits(max_attempts=3, health_checks=True, cancellation=True)
+    return Desk(settings(limits=limits, load_report_columns=("inflight", "queue")), servers=servers)
 
 
 def test_asks_the_drawn_upstreams_and_sends_to_the_lightest() -> None:
     # With many proxies own counts say little: the upstreams' own word decides.
     desk = probing()
-    asked = [a.upstream for a in desk.give(arrival(1, desk.now)) if isinstance(a, api.CheckHealth)]
+    asked = [a.endpoint_id for a in desk.give(arrival(1, desk.now)) if isinstance(a, api.CheckHealth)]
     assert asked and "r1" not in desk.sends
     desk.now += MS
     desk.give(
@@ -250,7 +250,7 @@
 
 def test_refuses_when_all_asked_upstreams_would_answer_late() -> None:
     desk = probing()
-    asked = [a.upstream for a in desk.give(arrival(1, desk.now)) if isinstance(a, api.CheckHealth)]
+    asked = [a.endpoint_id for a in desk.give(arrival(1, desk.now)) if isinstance(a, api.CheckHealth)]
     desk.now += MS
     desk.give(*(api.HealthCheckEnded(u, api.AttemptResult.OK, MS, {"inflight": 500.0}) for u in asked))
     assert desk.answer["r1"] == "refused"
@@ -266,9 +266,9 @@
 
 
 def test_dear_or_blind_probes_are_not_used() -> None:
-    limits = api.Limits(max_attempts=3, probes=True)
-    dear = settings(limits=limits, report_columns=("inflight",), prices=api.Prices(probe=0.05))
-    for config in (dear, settings(limits=limits, report_columns=("util",))):
+    limits = api.Limits(max_attempts=3, health_checks=True)
+    dear = settings(limits=limits, load_report_columns=("inflight",), prices=api.Prices(health_check=0.05))
+    for config in (dear, settings(limits=limits, load_report_columns=("util",))):
         desk = Desk(config)
         desk.give(arrival(1, desk.now))
         assert "r1" in desk.sends and not of(api.CheckHealth, desk.log)
@@ -316,14 +316,14 @@
 def test_an_attempt_ends_at_the_aim_where_late_is_worth_nothing() -> None:
     desk = Desk()
     sends = [a for a in desk.give(arrival(1, desk.now, READ)) if isinstance(a, api.Forward)]
-    assert sends[0].timeout_ns == READ.aim_ns
+    assert sends[0].timeout_ns == READ.latency_objective_ns
 
 
 def test_every_upstream_is_in_some_subset() -> None:
     # Each proxy takes its own stretch of one ring that all compute alike.
     subsets: list[int] = []
     for me in range(10):
-        b = Balancer(settings(me=me, replicas_of_me=10), 1, START)
+        b = Balancer(settings(proxy_index=me, proxy_count=10), 1, START)
         b.handle(START, [api.EndpointUpdate(api.EndpointUpdateKind.FULL, upstreams(100))])
         subsets += [s.id for s in b.fleet.any.order[: b.fleet.any.subset]]
     assert sorted(subsets) == list(range(1, 101))
@@ -333,7 +333,7 @@
     # Incident ib66e0d: in everybody's subset an upstream holds what nobody's own count shows.
     sizes = {}
     for proxies in (3, 20, 400):
-        b = Balancer(settings(me=1, replicas_of_me=proxies), 1, START)
+        b = Balancer(settings(proxy_index=1, proxy_count=proxies), 1, START)
         b.handle(START, [api.EndpointUpdate(api.EndpointUpdateKind.FULL, upstreams(30))])
         sizes[proxies] = b.fleet.any.subset
     assert sizes == {3: 10, 20: 9, 400: 4}
@@ -350,8 +350,8 @@
 
 def test_a_class_with_much_time_keeps_the_queue_short_for_one_with_little() -> None:
     # Incident i31aba8: requests with two seconds to spare filled the line, and quick ones never got in.
-    slow = api.RequestClass("slow", api.Idempotency.IDEMPOTENT, aim_ns=20 * SECOND)
-    desk = Desk(settings(classes={"slow": slow, "read": READ}), servers=1)
+    slow = api.RequestClass("slow", api.Idempotency.IDEMPOTENT, latency_objective_ns=20 * SECOND)
+    desk = Desk(settings(request_classes={"slow": slow, "read": READ}), servers=1)
     for i in range(200):
         desk.give(arrival(i, desk.now, slow, wait_ns=20 * SECOND))
         desk.advance(10 * MS)
@@ -399,11 +399,11 @@
     desk.give(arrival(1, desk.now))
     late = desk.result("r1", 0, api.AttemptResult.OK)
     desk.give(late)
-    desk.balancer.handle(desk.now, [late, late._replace(request="unknown"), late._replace(upstream=99)])
+    desk.balancer.handle(desk.now, [late, late._replace(request_id="unknown"), late._replace(endpoint_id=99)])
 
 
 def test_ask_mode_subscribes_and_backs_off() -> None:
-    desk = Desk(settings(discovery_push=False))
+    desk = Desk(settings(discovery_pushes=False))
     assert not of(api.WatchEndpoints, desk.log)
     desk.advance(5 * SECOND)
     assert len(of(api.WatchEndpoints, desk.log)) == 1
@@ -416,7 +416,7 @@
             assert desk.now - last < 20 * SECOND
         gaps.append(desk.now - last)
         last = desk.now
-    assert gaps[0] < gaps[2] and max(gaps) <= desk.config.rules.ask_within_ns
+    assert gaps[0] < gaps[2] and max(gaps) <= desk.config.rules.poll_interval_ns
 
 
 @pytest.mark.parametrize(("gone_ms", "again"), [(140, True), (160, False)])
@@ -429,7 +429,7 @@
 
 
 def test_a_watch_that_fell_silent_is_asked_for_again_at_once() -> None:
-    desk = Desk(settings(discovery_push=False))
+    desk = Desk(settings(discovery_pushes=False))
     desk.advance(5 * SECOND)
     for _ in range(3):
         assert api.WatchEndpoints(True) in desk.give(
@@ -443,7 +443,7 @@
 def test_spread_of_first_calls() -> None:
     delays = set()
     for seed in range(10):
-        b = Balancer(settings(discovery_push=False), seed, START)
+        b = Balancer(settings(discovery_pushes=False), seed, START)
         delays |= {a.delay_ns // (50 * MS) for a in b.handle(START, []) if isinstance(a, api.SetTimer)}
     assert len(delays) > 5
 
@@ -485,15 +485,15 @@
     rng = random.Random(seed)
     limits = api.Limits(
         max_attempts=rng.choice([1, 2, 3, 5]),
-        second_copies=copies,
-        may_cancel=rng.random() < 0.7,
+        hedging=copies,
+        cancellation=rng.random() < 0.7,
         retry_after=True,
-        probes=True,
-        peers=True,
+        health_checks=True,
+        gossip=True,
     )
-    rules = api.Rules(cold_ns=4 * SECOND, full_unproven=rng.random() < 0.5)
+    rules = api.Rules(slow_start_ns=4 * SECOND, rejected_may_have_run=rng.random() < 0.5)
     desk = Desk(
-        settings(limits=limits, discovery_push=push, replicas_of_me=rng.choice([1, 3, 40]), rules=rules),
+        settings(limits=limits, discovery_pushes=push, proxy_count=rng.choice([1, 3, 40]), rules=rules),
         seed,
         0,
     )
@@ -523,7 +523,7 @@
         if rng.random() < 0.1:
             i = rng.randrange(len(pool))
             started = desk.now if rng.random() < 0.5 else pool[i].started_ns
-            pool[i] = pool[i]._replace(state=rng.choice(list(api.EndpointStatus)), started_ns=started)
+            pool[i] = pool[i]._replace(status=rng.choice(list(api.EndpointStatus)), started_ns=started)
             kind = rng.choice(
                 [api.EndpointUpdateKind.DELTA, api.EndpointUpdateKind.FULL, api.EndpointUpdateKind.CACHED]
             )
@@ -539,7 +539,9 @@
     zone: str, me: int, proxies: int, prices: api.Prices, servers: int = 24
 ) -> list[api.Endpoint]:
     b = Balancer(
-        settings(me=me, replicas_of_me=proxies, zone=zone, zones=("east", "west"), prices=prices), 1, START
+        settings(proxy_index=me, proxy_count=proxies, zone=zone, zones=("east", "west"), prices=prices),
+        1,
+        START,
     )
     b.handle(START, [api.EndpointUpdate(api.EndpointUpdateKind.FULL, mixed_fleet(servers))])
     return [s.entry for s in b.fleet.any.order[: b.fleet.any.subset]]
@@ -571,7 +573,7 @@
 
 
 def test_a_blocked_queue_reaches_one_beyond_the_subset() -> None:
-    desk = Desk(settings(prices=api.Prices(connection=0.03), replicas_of_me=40), servers=0)
+    desk = Desk(settings(prices=api.Prices(connection=0.03), proxy_count=40), servers=0)
     desk.give(api.EndpointUpdate(api.EndpointUpdateKind.CACHED, upstreams(12)))
     for i in range(60):
         desk.give(arrival(i, desk.now, wait_ns=SECOND))
@@ -586,7 +588,7 @@
 
 def test_live_weights_tell_the_lighter_upstream() -> None:
     # With one request in flight at most, own counts say nothing: the list's figure decides.
-    desk = Desk(settings(weights=api.WeightSource.LIVE), servers=2)
+    desk = Desk(settings(weight_source=api.WeightSource.LIVE), servers=2)
     desk.give(live([1.0, 1.0]), live([0.1, 0.5]))
     for i in range(12):
         desk.give(arrival(i, desk.now))
@@ -596,7 +598,7 @@
 
 
 def test_an_old_report_says_nothing() -> None:
-    desk = Desk(settings(weights=api.WeightSource.LIVE), servers=1)
+    desk = Desk(settings(weight_source=api.WeightSource.LIVE), servers=1)
     desk.give(live([1.0]), live([0.001]))
     desk.give(arrival(1, desk.now))
     assert desk.answer["r1"] == "refused"
@@ -649,8 +651,8 @@
         [
             good._replace(attempt=3),
             good._replace(attempt=-1),
-            good._replace(upstream=99),
-            good._replace(upstream=3 - sent),
+            good._replace(endpoint_id=99),
+            good._replace(endpoint_id=3 - sent),
             arrival(1, desk.now),
         ],
     )
@@ -671,7 +673,7 @@
 
 def overdue_at_one(later_ones_answered: bool) -> Desk:
     """One upstream takes two at once and owes the first answer for long, whatever it does with later ones."""
-    desk = Desk(settings(limits=api.Limits(may_cancel=True)), servers=1)
+    desk = Desk(settings(limits=api.Limits(cancellation=True)), servers=1)
     desk.balancer.crowding.limit = 2
     desk.give(arrival("lost", desk.now, wait_ns=SECOND))
     for i in range(20):
@@ -736,7 +738,7 @@
 
 @pytest.mark.parametrize("may_cancel", [True, False])
 def test_a_second_copy_is_sent_only_where_the_first_can_be_stopped(may_cancel: bool) -> None:
-    limits = api.Limits(max_attempts=3, second_copies=True, may_cancel=may_cancel)
+    limits = api.Limits(max_attempts=3, hedging=True, cancellation=may_cancel)
     desk = Desk(settings(limits=limits))
     for i in range(20):
         desk.give(arrival(i, desk.now))
--- a/tests/test_server.py
+++ b/tests/test_server.py
@@ -18,7 +18,7 @@
 
 
 def fails_all(event: api.Event) -> Iterable[api.Action]:
-    return [api.Fail(event.request)] if isinstance(event, api.RequestArrived) else ()
+    return [api.Fail(event.request_id)] if isinstance(event, api.RequestArrived) else ()
 
 
 @pytest.mark.parametrize(
@@ -96,7 +96,7 @@
 
 def test_over_max_open_is_refused() -> None:
     async def test() -> None:
-        async with node(Script(), max_open=1) as client:
+        async with node(Script(), max_pending_requests=1) as client:
             await client.send(request())
             await until(lambda: client.node._calls)
             got = await client.another().ask(request())
--- a/tests/test_throttle.py
+++ b/tests/test_throttle.py
@@ -150,8 +150,11 @@
 def test_nobody_is_held_past_a_quarter_of_the_shortest_aim() -> None:
     # Guards against a short aim being spent in the buffer: who leaves it then comes too late (event8052).
     for aim_ms in (100, 150, 400):
-        classes = {"read": api.RequestClass("read", aim_ns=aim_ms * MS), "slow": api.RequestClass("slow")}
-        desk = Desk(bench_settings(classes=classes, tenants={"ash": api.Tenant("ash")}))
+        classes = {
+            "read": api.RequestClass("read", latency_objective_ns=aim_ms * MS),
+            "slow": api.RequestClass("slow"),
+        }
+        desk = Desk(bench_settings(request_classes=classes, tenants={"ash": api.Tenant("ash")}))
         t = desk.balancer.throttles["ash"]
         t.set_rate(400.0, desk.now)
         assert 0 < t.hold / t.rate <= 0.25 * aim_ms / 1000 + 1 / t.rate
@@ -183,7 +186,7 @@
         now, event = due.pop(0)
         for action in balancer.handle(now, [event]):
             if isinstance(action, api.Forward):
-                outcome = api.AttemptEnded("r1", 0, action.upstream, api.AttemptResult.TIMEOUT, 1)
+                outcome = api.AttemptEnded("r1", 0, action.endpoint_id, api.AttemptResult.TIMEOUT, 1)
                 due.append((now + action.timeout_ns, outcome))
             elif isinstance(action, api.SetTimer):
                 due.append((now + action.delay_ns, api.TimerExpired(action.name)))
@@ -235,7 +238,9 @@
         now += FEEDBACK_NS // 10
         for action in balancer.handle(now, [arrival(i, now, tenant=f"t{i % 20}")]):
             if isinstance(action, api.Forward):
-                served = api.AttemptEnded(action.request, 0, action.upstream, api.AttemptResult.OK, 1, True)
+                served = api.AttemptEnded(
+                    action.request_id, 0, action.endpoint_id, api.AttemptResult.OK, 1, True
+                )
                 balancer.handle(now, [served])
     monkeypatch.undo()
     return len(balancer.throttles), worked
--- a/tests/test_trouble.py
+++ b/tests/test_trouble.py
@@ -89,7 +89,7 @@
         monkeypatch.setattr("loadbalancer.policy.LOOK_NS", 4 * SECOND)
         monkeypatch.setattr("loadbalancer.net.node.PROBE_TIMEOUT_S", 4.0)
         upstream = await Upstream(answer).start()
-        async with node(Balancer(settings(probes=True), 1, time.monotonic_ns()), upstream) as client:
+        async with node(Balancer(settings(health_checks=True), 1, time.monotonic_ns()), upstream) as client:
             begun = time.monotonic_ns()
             assert (await client.ask(request())).status == 200
             assert looks == 2 and time.monotonic_ns() - begun < 2 * SECOND
