--- a/loadbalancer/__init__.py
+++ b/loadbalancer/__init__.py
@@ -1,5 +1,5 @@
 """loadbalancer: the decisions of an HTTP load balancer run as a bank of proxies."""
 
-from loadbalancer.policy import Balancer
+from loadbalancer.policy.balancer import Balancer
 
 __all__ = ["Balancer"]
--- a/loadbalancer/__main__.py
+++ b/loadbalancer/__main__.py
@@ -1,4 +1,4 @@
-"""One real balancer: reads its configuration, runs the node, ends on a signal.
+"""One real balancer: reads its configuration, runs the proxy, ends on a signal.
 
 RELAY_CONFIG=config.json python -m loadbalancer
 """
@@ -12,35 +12,18 @@
 import signal
 import sys
 import time
-from collections.abc import Generator
-from typing import Any, cast
-
-from loadbalancer.config import read_settings
-from loadbalancer.net.lists import (
-    BadList,
-    Listing,
-    Rows,
-    read_address,
-    read_beside,
-    run_through,
-    unix_offset_ns,
-)
-from loadbalancer.net.node import Config, Node
-from loadbalancer.policy import Balancer
+from typing import cast
 
-log = logging.getLogger(__name__)
+from loadbalancer.configuration import BadConfig, Config, config_steps, read_config
+from loadbalancer.policy.balancer import Balancer
+from loadbalancer.proxy.proxy import Node
 
+log = logging.getLogger(__name__)
 LINES_A_SECOND = 20
-CHUNK = 16 * 1024  # bytes of a configuration that are read at a stretch
-MB = 1024 * 1024
 REST_MAX_S = 1.0  # with little of a processor, serving slowly beats not serving
 STOP_LATE_S = 0.15  # a stop may come so long after the time was spent
 
 
-class BadConfig(Exception):
-    """The configuration is missing or can't be used."""
-
-
 class RateLimit(logging.Filter):
     """Lets so many log lines a second through, and says how many it kept back."""
 
@@ -59,51 +42,6 @@
         return self._lines <= LINES_A_SECOND
 
 
-def config_steps(path: str, with_known: bool = True) -> Generator[None, None, Config]:
-    """Read a configuration, in steps where its list is long; BadConfig says what is wrong with it."""
-    rows = Rows(unix_offset_ns())
-    try:
-        with open(path, "rb") as file:
-            raw = yield from read_beside(iter(lambda: file.read(CHUNK), b""), "known", rows)
-    except OSError as error:
-        raise BadConfig(f"{path}: {error.strerror}") from None
-    except BadList as error:
-        raise BadConfig(f"{path}: {error}") from None
-    try:
-        known = rows.done() if rows.begun and with_known else None
-    except BadList as error:
-        raise BadConfig(f"{path}: known: {error}") from None
-    try:
-        return _config(raw, known)
-    except KeyError as error:
-        raise BadConfig(f"{path}: {error} is missing") from None
-    except (ValueError, TypeError, AttributeError, OverflowError) as error:
-        raise BadConfig(f"{path}: {error}") from None
-
-
-def read_config(path: str) -> Config:
-    return run_through(config_steps(path))
-
-
-def _config(raw: Any, known: Listing | None) -> Config:
-    peer_listen, peers_all = raw.get("peer_listen"), raw.get("peers_all")
-    limits = raw.get("limits") or {}
-    return Config(
-        name=str(raw["name"]),
-        listen=read_address(raw["listen"]),
-        discovery=read_address(raw["discovery"]),
-        seed=int.from_bytes(str(raw["seed"]).encode(), "big"),
-        sockets=int(limits.get("sockets") or 1024),
-        settings=read_settings(raw["settings"]),
-        known=known,
-        peer_listen=read_address(peer_listen) if peer_listen else None,
-        peers=[read_address(a) for a in raw.get("peers") or ()],
-        peers_all=read_address(peers_all) if peers_all else None,
-        cores=float(limits.get("cores") or 0.0),
-        memory_bytes=int(float(limits.get("memory_mb") or 0) * MB),
-    )
-
-
 async def reload(path: str, old: Config, node: Node) -> None:
     """Take up a new configuration as far as that goes without a start; a bad one changes nothing."""
     steps = config_steps(path, with_known=False)
--- /dev/null
+++ b/loadbalancer/proxy/connection_pool.py
@@ -0,0 +1,109 @@
+"""Connections to upstreams, kept between uses, and the limits that all of them share."""
+
+from __future__ import annotations
+
+import asyncio
+import time
+from dataclasses import dataclass, field
+
+from loadbalancer.proxy.addresses import Address
+from loadbalancer.proxy.http import MAX_ANSWER
+from loadbalancer.proxy.upstream import Connection, Done, Exchange
+
+IDLE_DEFAULT_S = 10.0  # where the settings do not say how long an upstream keeps a connection
+IDLE_PART = 0.8  # of that time; later, closing and the next request may cross
+KEPT_IDLE = 8  # to one upstream: each takes a place in its table, but a new one costs it work and time
+
+
+@dataclass(slots=True, eq=False)
+class Pool:
+    """The connections to one address; those between uses, the last used one last."""
+
+    hub: Hub
+    address: Address
+    ready: bool = True  # it may be sent something new
+    open: int = 0  # connections, also those that are only coming up
+    idle: list[Connection] = field(default_factory=list)
+
+    def exchange(self, data: bytes, timeout_s: float | None, done: Done, spare: int = 0) -> Exchange:
+        """Begin an exchange whose request tells no time left, so that it may be built beforehand."""
+        exchange = Exchange(self, lambda: data, done, spare)
+        exchange.start(None if timeout_s is None else asyncio.get_running_loop().time() + timeout_s)
+        return exchange
+
+    def reuse(self) -> Connection | None:
+        self.hub.expire()
+        now = time.monotonic()
+        for connection in reversed(self.idle.copy()):
+            if connection.rested_at <= now:
+                self.drop(connection)
+                if connection.usable:
+                    return connection
+                connection.close()
+        return None
+
+    def keep(self, connection: Connection, rest_s: float) -> None:
+        if not self.ready:
+            connection.close()
+            return
+        connection.idle_since = time.monotonic()
+        connection.rested_at = connection.idle_since + rest_s
+        self.idle.append(connection)
+        self.hub.idle[connection] = None
+        if len(self.idle) > KEPT_IDLE:
+            self.idle[0].close()
+
+    def drop(self, connection: Connection) -> None:
+        if connection in self.idle:
+            self.idle.remove(connection)
+            del self.hub.idle[connection]
+
+    def close_idle(self) -> None:
+        while self.idle:
+            self.idle[-1].close()
+
+    def retire(self) -> None:
+        """Nothing new goes to this address, and no connection to it is kept."""
+        self.ready = False
+        self.close_idle()
+
+
+class Hub:
+    """What all pools share: the limits, and the count of connections."""
+
+    def __init__(
+        self,
+        capacity: int,
+        connect_timeout_s: float,
+        conn_idle_s: float,
+        max_body: int = MAX_ANSWER,
+        least_rate: float = 0.0,
+    ) -> None:
+        self.least_rate = least_rate  # bytes a second of an answer that put off its time-out; 0: it stands
+        self.capacity = capacity
+        self.connect_timeout_s = connect_timeout_s
+        self.idle_s = conn_idle_s * IDLE_PART or IDLE_DEFAULT_S
+        self.max_body = max_body
+        self.open = 0  # connections, also those that are only coming up
+        self.pools: dict[int, Pool] = {}  # of the upstreams that have been sent something of late
+        self.idle: dict[Connection, None] = {}  # of all pools, the longest so first
+
+    def make_place(self, spare: int = 0) -> bool:
+        """Is there room for one more connection? An idle one is given up for it."""
+        if self.open < self.capacity - spare:
+            return True
+        oldest = next(iter(self.idle), None)
+        if oldest is not None:
+            oldest.close()
+        return oldest is not None
+
+    def expire(self) -> None:
+        """Close what has been idle for so long that its upstream may be closing it too."""
+        latest = time.monotonic() - self.idle_s
+        while self.idle and next(iter(self.idle)).idle_since < latest:
+            next(iter(self.idle)).close()
+
+    def forget(self) -> None:
+        """Keep no pool without a connection: upstreams come and go, and only a few are in use."""
+        for number in [number for number, pool in self.pools.items() if not pool.open]:
+            del self.pools[number]
--- a/loadbalancer/net/discovery.py
+++ b/loadbalancer/proxy/discovery_client.py
@@ -1,4 +1,4 @@
-"""The list of upstreams: reading it, and keeping a watch on it."""
+"""TODO"""
 
 from __future__ import annotations
 
@@ -9,13 +9,14 @@
 from contextlib import closing
 from typing import Literal, cast
 
-from loadbalancer import interface as api
-from loadbalancer.net.http import Message, write_request
-from loadbalancer.net.lists import BadList, Listing, Reader
-from loadbalancer.net.upstream import Address, Hub, Pool
+from loadbalancer.messages import AttemptResult, EndpointUpdateKind
+from loadbalancer.proxy.addresses import Address
+from loadbalancer.proxy.connection_pool import Hub, Pool
+from loadbalancer.proxy.endpoint_list import Listing, Reader
+from loadbalancer.proxy.errors import BadList
+from loadbalancer.proxy.http import Message, write_request
 
 log = logging.getLogger(__name__)
-
 LIST_PATH = "/registry/instances"
 MAX_LIST, MEMORY_PART = 32 * 1024 * 1024, 4  # most bytes of a list, and most of the memory limit: a quarter
 LEAST_RATE = 4_000_000  # bytes a second of a long answer that put off its time-out
@@ -34,10 +35,7 @@
 HANDOVER_WAIT_S = 3.0
 EMPTY_S = 0.02  # an agent that answers at once with nothing must not be asked without pause
 FIRST_RETRY_S, LAST_RETRY_S = 0.05, 1.0
-
-Told = (
-    Listing | Literal[api.EndpointUpdateKind.FAILED, api.EndpointUpdateKind.WATCH_TIMED_OUT]
-)  # what ends a call
+Told = Listing | Literal[EndpointUpdateKind.FAILED, EndpointUpdateKind.WATCH_TIMED_OUT]  # what ends a call
 Steps = Generator[None, None, Listing]
 
 
@@ -56,9 +54,9 @@
         if self._reading is not None:
             self._reading.cancel()
 
-    def _answered(self, result: api.AttemptResult, response: Message | None) -> None:
-        self._source.refuses = result is api.AttemptResult.CONNECT_FAILED
-        if result is not api.AttemptResult.OK or response is None or response.status != 200:
+    def _answered(self, result: AttemptResult, response: Message | None) -> None:
+        self._source.refuses = result is AttemptResult.CONNECT_FAILED
+        if result is not AttemptResult.OK or response is None or response.status != 200:
             if self._exchange.too_large:
                 log.warning(
                     "discovery: a list of over %d bytes is turned down; the old list stays",
@@ -66,9 +64,9 @@
                 )
             log.info("discovery: call failed: %s %s", result.value, response.status if response else "")
             self._done(
-                api.EndpointUpdateKind.WATCH_TIMED_OUT
-                if result is api.AttemptResult.TIMEOUT
-                else api.EndpointUpdateKind.FAILED
+                EndpointUpdateKind.WATCH_TIMED_OUT
+                if result is AttemptResult.TIMEOUT
+                else EndpointUpdateKind.FAILED
             )
         else:
             steps = self._source.reader.steps(response.body)
@@ -93,7 +91,7 @@
             return cast(Listing, end.value)
         except BadList as error:
             log.warning("discovery: %.120s", error)
-            return api.EndpointUpdateKind.FAILED
+            return EndpointUpdateKind.FAILED
         return None
 
 
@@ -229,7 +227,7 @@
             self._handover_retry = asyncio.get_running_loop().call_later(
                 self._pause_s(self._handover_failures), self._ask_successor
             )
-            self._fail_deferred(api.EndpointUpdateKind.FAILED if isinstance(listing, Listing) else listing)
+            self._fail_deferred(EndpointUpdateKind.FAILED if isinstance(listing, Listing) else listing)
             return
         self._end_call()
         if self._fetch is not None:  # what the whole list was asked for, this one answers
--- a/loadbalancer/net/server.py
+++ b/loadbalancer/proxy/downstream.py
@@ -1,4 +1,4 @@
-"""The side of the clients: listening, their connections, and `/health/ready`."""
+"""TODO"""
 
 from __future__ import annotations
 
@@ -10,11 +10,10 @@
 from collections.abc import Iterator
 from typing import Protocol, cast
 
-from loadbalancer.net.http import Headers, Message, MessageReader, write_response
-from loadbalancer.net.look import CLOSED, UNREAD, shows
+from loadbalancer.proxy.http import Headers, Message, MessageReader, write_response
+from loadbalancer.proxy.socket_state import CLOSED, UNREAD, shows
 
 log = logging.getLogger(__name__)
-
 READY_PATH = b"/health/ready"
 BACKLOG = 1024
 ACCEPTS = 16  # connections accepted before other work gets its turn
--- a/loadbalancer/net/lists.py
+++ b/loadbalancer/proxy/endpoint_list.py
@@ -1,10 +1,9 @@
-"""Lists of upstreams: read piece by piece, so that nothing waits for a long one, and held compactly."""
+"""Endpoint lists: parsed piece by piece, so that nothing waits for a long one, and held compactly."""
 
 from __future__ import annotations
 
 import hashlib
 import logging
-import socket
 import time
 from array import array
 from collections.abc import Generator, Iterable, Iterator
@@ -17,63 +16,32 @@
 import ijson
 from ijson.backends.yajl2_c import basic_parse_coro
 
-from loadbalancer import interface as api
-from loadbalancer.membership import Profile
-from loadbalancer.net.host_numbers import HostNumbers
-from loadbalancer.net.upstream import Address
+from loadbalancer.messages import Endpoint, EndpointStatus
+from loadbalancer.proxy.addresses import NOWHERE, Address, Packed, pack_address, unpack_address
+from loadbalancer.proxy.errors import BadList
+from loadbalancer.state.endpoint_table import Profile
+from loadbalancer.state.host_numbers import HostNumbers
 
 log = logging.getLogger(__name__)
-
 MS = 1_000_000
 STRIDE = 4096  # bytes read at a stretch, some thirty rows: what waits meanwhile waits under a millisecond
 STATES = {
-    "up": api.EndpointStatus.READY,
-    "draining": api.EndpointStatus.DRAINING,
-    "removed": api.EndpointStatus.REMOVED,
+    "up": EndpointStatus.READY,
+    "draining": EndpointStatus.DRAINING,
+    "removed": EndpointStatus.REMOVED,
 }
 STARTS, ENDS = frozenset({"start_map", "start_array"}), frozenset({"end_map", "end_array"})
-NOWHERE: Address = ("", 0)
 FINGERPRINT = b"fingerprint"  # makes the second hash of a name independent of the first
-
 T = TypeVar("T")
-Packed = int | Address  # an IPv4 address and port in one number: a third of what they take apart
 Event = tuple[str, object]  # of the JSON parser
 
 
-class BadList(ValueError):
-    """What discovery said can't be read."""
-
-
 @cache
 def unix_offset_ns() -> int:
     """From the module's clock to Unix time; one for the process, that equal starts stay equal."""
     return time.time_ns() - time.monotonic_ns()
 
 
-def read_address(text: str) -> Address:
-    """An IP address and a port. A name is none: looking it up would block, and there is no DNS."""
-    return unpack_address(pack_address(text))
-
-
-def pack_address(text: str) -> Packed:
-    host, _, port = text.rpartition(":")
-    host = host.strip("[]")
-    six = ":" in host
-    try:
-        number = socket.inet_pton(socket.AF_INET6 if six else socket.AF_INET, host)
-    except (OSError, ValueError):
-        port = ""
-    if not (port.isascii() and port.isdigit() and int(port) <= 65535):
-        raise BadList(f"no address: {text!r:.80}")
-    return (host, int(port)) if six else int.from_bytes(number, "big") << 16 | int(port)
-
-
-def unpack_address(packed: Packed) -> Address:
-    if isinstance(packed, int):
-        return socket.inet_ntoa((packed >> 16).to_bytes(4, "big")), packed & 0xFFFF
-    return packed
-
-
 def number_of(host: str) -> int:
     """A number below 2^64, the same in every process and whatever else is listed: that two of 160,000 hosts
     have the same has a chance of one in a thousand millions. `HostNumbers` gives one of them another then."""
@@ -86,7 +54,7 @@
 
 
 class Entry(NamedTuple):
-    upstream: api.Endpoint
+    upstream: Endpoint
     address: Address
 
 
@@ -112,7 +80,7 @@
     @property
     def entries(self) -> Iterator[Entry]:
         for number, profile, address in zip(self.numbers, self.profiles, self.addresses, strict=True):
-            yield Entry(api.Endpoint(number, *profile), unpack_address(address))
+            yield Entry(Endpoint(number, *profile), unpack_address(address))
 
 
 class Rows:
@@ -202,7 +170,7 @@
                 raise BadList("an entry's figures are no numbers")
             # No start lies in the future: clocks differ a little, and what is younger than new has no warmth.
             started = min(born_ms * MS - self._offset_ns, time.monotonic_ns()) if born_ms > 0 else 0
-            address = NOWHERE if state is api.EndpointStatus.REMOVED else pack_address(str(row.get("dial")))
+            address = NOWHERE if state is EndpointStatus.REMOVED else pack_address(str(row.get("dial")))
             weight = alike.setdefault(float(weight), float(weight))
             profile = (
                 state,
@@ -224,10 +192,10 @@
         self.listing.profiles.append(alike.setdefault(profile, profile))
         self.listing.addresses.append(address)
 
-    def _number(self, host: str, state: api.EndpointStatus) -> int | None:
+    def _number(self, host: str, state: EndpointStatus) -> int | None:
         """None for the end of a host that is not known, where another host holds its number: it must stay."""
         preferred, fingerprint = number_of(host), fingerprint_of(host)
-        if state is api.EndpointStatus.REMOVED:
+        if state is EndpointStatus.REMOVED:
             return self._host_numbers.find(preferred, fingerprint)
         return self._host_numbers.assign(preferred, fingerprint)
 
--- /dev/null
+++ b/loadbalancer/proxy/errors.py
@@ -0,0 +1,7 @@
+"""Errors of what discovery or the configuration says."""
+
+from __future__ import annotations
+
+
+class BadList(ValueError):
+    """What discovery said can't be read."""
--- a/loadbalancer/net/peers.py
+++ b/loadbalancer/proxy/gossip.py
@@ -1,4 +1,4 @@
-"""Short messages between balancers, over UDP."""
+"""TODO"""
 
 from __future__ import annotations
 
@@ -7,10 +7,9 @@
 from collections.abc import Callable, Sequence
 from typing import cast
 
-from loadbalancer.net.upstream import Address
+from loadbalancer.proxy.addresses import Address
 
 log = logging.getLogger(__name__)
-
 MAX_MESSAGE = 256
 
 
--- a/loadbalancer/net/http.py
+++ b/loadbalancer/proxy/http.py
@@ -1,4 +1,4 @@
-"""HTTP/1.1 messages: parsing, writing and their limits. No sockets."""
+"""TODO"""
 
 from __future__ import annotations
 
@@ -40,7 +40,6 @@
     503: "Service Unavailable",
     504: "Gateway Timeout",
 }
-
 Headers = Iterable[tuple[bytes, bytes]]
 
 
--- a/loadbalancer/net/node.py
+++ b/loadbalancer/proxy/proxy.py
@@ -1,4 +1,4 @@
-"""The driver: it feeds what happens to the module and carries out what the module decides."""
+"""The proxy: it feeds what happens to the policy and carries out what the policy decides."""
 
 from __future__ import annotations
 
@@ -8,26 +8,54 @@
 import time
 from collections import deque
 from collections.abc import Callable, Iterable, Iterator
-from dataclasses import dataclass, field
+from dataclasses import dataclass
 from functools import partial
 from typing import Protocol, assert_never
 
-from loadbalancer import interface as api
-from loadbalancer.net.discovery import MAX_LIST, MEMORY_PART, Discovery, Told
-from loadbalancer.net.http import Headers, Message, load_report, whole_number, write_request
-from loadbalancer.net.lists import Listing, Packed, Reader, unix_offset_ns, unpack_address
-from loadbalancer.net.peers import Peers
-from loadbalancer.net.server import ClientConnection, Server
-from loadbalancer.net.upstream import Address, Exchange, Hub, Pool
+from loadbalancer.configuration import Config
+from loadbalancer.messages import (
+    Action,
+    AttemptEnded,
+    AttemptResult,
+    CancelAttempt,
+    CheckHealth,
+    ClientDisconnected,
+    CloseIdleConnections,
+    Endpoint,
+    EndpointStatus,
+    EndpointUpdate,
+    EndpointUpdateKind,
+    Event,
+    Fail,
+    FetchEndpoints,
+    Forward,
+    GossipReceived,
+    HealthCheckEnded,
+    LogMessage,
+    Reject,
+    RequestArrived,
+    SendGossip,
+    SetTimer,
+    TimerExpired,
+    WatchEndpoints,
+)
+from loadbalancer.proxy.addresses import Address, Packed, unpack_address
+from loadbalancer.proxy.connection_pool import Hub, Pool
+from loadbalancer.proxy.discovery_client import MAX_LIST, MEMORY_PART, Discovery, Told
+from loadbalancer.proxy.downstream import ClientConnection, Server
+from loadbalancer.proxy.endpoint_list import Listing, Reader, unix_offset_ns
+from loadbalancer.proxy.gossip import Peers
+from loadbalancer.proxy.http import Headers, Message, load_report, whole_number, write_request
+from loadbalancer.proxy.upstream import Exchange
+from loadbalancer.settings import Idempotency, RequestClass
 
 log = logging.getLogger(__name__)
-
 MS = 1_000_000
 SECOND = 1000 * MS
 METHODS = {
-    api.Idempotency.IDEMPOTENT: b"GET",
-    api.Idempotency.IDEMPOTENCY_KEY: b"POST",
-    api.Idempotency.NON_IDEMPOTENT: b"POST",
+    Idempotency.IDEMPOTENT: b"GET",
+    Idempotency.IDEMPOTENCY_KEY: b"POST",
+    Idempotency.NON_IDEMPOTENT: b"POST",
 }
 MODULE_EARLY_NS = 4 * MS  # the module's deadline comes so much before the client's, for the way back
 NODE_EARLY_NS = 3 * MS // 2  # and the node's own, for what the module left open
@@ -50,24 +78,6 @@
 EXIT_S = 0.2  # before that, whatever is still open is answered: time for the answers to go out
 
 
-@dataclass(frozen=True, slots=True)
-class Config:
-    """What a balancer is told at its start."""
-
-    name: str
-    listen: Address
-    discovery: Address
-    seed: int
-    sockets: int
-    settings: api.Settings
-    known: Listing | None = None  # the last known list
-    peer_listen: Address | None = None
-    peers: list[Address] = field(default_factory=list)
-    peers_all: Address | None = None
-    cores: float = 0.0  # share of a processor; 0: not told
-    memory_bytes: int = 0  # limit of the process; 0: not told
-
-
 @dataclass(slots=True, eq=False)
 class Call:
     """A request that was taken and is not answered yet."""
@@ -82,7 +92,7 @@
     over: bool = False
 
 
-def leave_s(classes: Iterable[api.RequestClass]) -> float:
+def leave_s(classes: Iterable[RequestClass]) -> float:
     """How long after SIGTERM a balancer may go on: what SIGKILL finds open has no answer."""
     longest = max((c.client_timeout_ns / SECOND or LONGEST_S for c in classes), default=LONGEST_S)
     return min(longest, LONGEST_S) + KILL_S - EXIT_S
@@ -91,7 +101,7 @@
 class Module(Protocol):
     """What decides: the `Balancer` of `loadbalancer/policy.py`."""
 
-    def handle(self, now: int, events: Iterable[api.Event]) -> list[api.Action]: ...
+    def handle(self, now: int, events: Iterable[Event]) -> list[Action]: ...
 
 
 class Node:
@@ -107,7 +117,7 @@
         self._ids: set[bytes] = set()  # that clients gave to their open requests
         self._count = 0
         self._probes = 0
-        self._events: list[api.Event] = []
+        self._events: list[Event] = []
         self._feeding = False
         self._decided_ns = 0  # the clock as the module last read it: what it gives as a time counts from then
         self._stopping = False
@@ -146,14 +156,14 @@
         return self.server.listen(*self.config.listen)
 
     def _take_known(self) -> None:
-        known: Iterable[api.Endpoint] = ()
+        known: Iterable[Endpoint] = ()
         if self.config.known is not None:
             listing = self._reader.accept(self.config.known)
             self._discovery.take_known(listing)
             known = self._taken(listing)  # noted as the module goes through it, or a long list stood twice
             if len(listing) <= SLICE:
                 known = list(known)
-        self.feed(api.EndpointUpdate(api.EndpointUpdateKind.CACHED, known))
+        self.feed(EndpointUpdate(EndpointUpdateKind.CACHED, known))
         if self.config.known is not None:
             for _ in known:
                 pass  # what the module has left
@@ -208,7 +218,7 @@
 
     # -- the module --
 
-    def feed(self, *events: api.Event) -> None:
+    def feed(self, *events: Event) -> None:
         """Hand events over; those raised while actions are carried out wait for their turn."""
         self._events += events
         if self._feeding:
@@ -222,7 +232,7 @@
         finally:
             self._feeding = False
 
-    def _decide(self, batch: list[api.Event]) -> list[api.Action]:
+    def _decide(self, batch: list[Event]) -> list[Action]:
         self._decided_ns = time.monotonic_ns()
         try:
             return self._module.handle(self._decided_ns, batch)
@@ -230,34 +240,34 @@
             log.exception("the module failed on %.200r", batch)
             return []
 
-    def _carry_out(self, action: api.Action) -> None:
+    def _carry_out(self, action: Action) -> None:
         match action:
-            case api.Forward():
+            case Forward():
                 self._send(action)
-            case api.Reject():
+            case Reject():
                 self._refuse(action)
-            case api.Fail():
+            case Fail():
                 self._final(action.request_id, 504)
-            case api.CancelAttempt():
+            case CancelAttempt():
                 self._cancel(action)
-            case api.CheckHealth():
+            case CheckHealth():
                 self._probe(action.endpoint_id)
-            case api.SendGossip():
+            case SendGossip():
                 self._peers.tell(action.data, action.recipient)
-            case api.CloseIdleConnections():
+            case CloseIdleConnections():
                 if (pool := self._hub.pools.get(action.endpoint_id)) is not None:
                     pool.close_idle()
-            case api.WatchEndpoints():
+            case WatchEndpoints():
                 if action.watch:
                     self._discovery.watch()
                 else:
                     self._discovery.unwatch()
-            case api.FetchEndpoints():
+            case FetchEndpoints():
                 self._discovery.fetch()
-            case api.SetTimer():
+            case SetTimer():
                 due = (self._decided_ns + action.delay_ns) / SECOND
-                self._loop.call_at(due, self.feed, api.TimerExpired(action.name))
-            case api.LogMessage():
+                self._loop.call_at(due, self.feed, TimerExpired(action.name))
+            case LogMessage():
                 log.info("module: %s", action.text)
             case _:
                 assert_never(action)
@@ -296,7 +306,7 @@
         key = next((c[5:] for c in cookies if c.startswith("user=")), "")
         cost_us = whole_number(request.header(b"req-cost")) or 0
         self.feed(
-            api.RequestArrived(
+            RequestArrived(
                 call.id,
                 name,
                 request.header(b"req-owner").decode("latin-1"),
@@ -309,16 +319,16 @@
 
     def _out_of_time(self, call: Call) -> None:
         self._finish(call, 504)
-        self.feed(api.ClientDisconnected(call.id))
+        self.feed(ClientDisconnected(call.id))
 
     def gone(self, client: ClientConnection) -> None:
         """The client has closed its connection: nobody waits for the answer."""
         call = self._by_client.get(client)
         if call is not None:
             self._drop(call)
-            self.feed(api.ClientDisconnected(call.id))
+            self.feed(ClientDisconnected(call.id))
 
-    def _refuse(self, action: api.Reject) -> None:
+    def _refuse(self, action: Reject) -> None:
         headers = []
         if action.retry_after_ns > 0:
             headers.append((b"Retry-After", b"%.3f" % (action.retry_after_ns / SECOND)))
@@ -344,11 +354,11 @@
         del self._by_client[call.client]
         self._ids.discard(call.request.header(b"req-id"))
         if call.out is not None:
-            call.out.finish(api.AttemptResult.CANCELLED)
+            call.out.finish(AttemptResult.CANCELLED)
 
     # -- attempts --
 
-    def _send(self, action: api.Forward) -> None:
+    def _send(self, action: Forward) -> None:
         now = time.monotonic_ns()
         call = self._calls.get(action.request_id)
         number = call.sends if call is not None else 0
@@ -368,8 +378,8 @@
             or number >= self._limits.max_attempts
         ):
             self.feed(
-                api.AttemptEnded(
-                    action.request_id, number, action.endpoint_id, api.AttemptResult.NOT_SENT, 0, call is None
+                AttemptEnded(
+                    action.request_id, number, action.endpoint_id, AttemptResult.NOT_SENT, 0, call is None
                 )
             )
             return
@@ -397,44 +407,44 @@
 
     def _when_ended(
         self, call: Call, number: int, upstream: int, sent_ns: int
-    ) -> Callable[[api.AttemptResult, Message | None], None]:
-        def ended(result: api.AttemptResult, response: Message | None) -> None:
+    ) -> Callable[[AttemptResult, Message | None], None]:
+        def ended(result: AttemptResult, response: Message | None) -> None:
             call.out = None
             took = time.monotonic_ns() - sent_ns
             if response is not None:
                 result = _judged(response)
-            if result is api.AttemptResult.OK and response is not None:
+            if result is AttemptResult.OK and response is not None:
                 headers = [(k, v) for k, v in response.end_to_end() if k != b"srv-load"]
                 self._finish(call, 200, headers, response.body)
             report = self._report(response) if self.config.settings.load_reports_in_responses else None
-            self.feed(api.AttemptEnded(call.id, number, upstream, result, took, call.over, report))
+            self.feed(AttemptEnded(call.id, number, upstream, result, took, call.over, report))
 
         return ended
 
     def _report(self, response: Message | None) -> dict[str, float] | None:
         return load_report(response.header(b"srv-load")) if response is not None else None
 
-    def _cancel(self, action: api.CancelAttempt) -> None:
+    def _cancel(self, action: CancelAttempt) -> None:
         call = self._calls.get(action.request_id)
         if call is not None and call.out is not None and action.attempt == call.sends - 1:
-            call.out.finish(api.AttemptResult.CANCELLED)
+            call.out.finish(AttemptResult.CANCELLED)
 
     # -- probes, lists, peers --
 
     def _probe(self, upstream: int) -> None:
         pool, now = self._pool(upstream), time.monotonic_ns()
         if pool is None or self._probes >= MAX_PROBES:
-            self.feed(api.HealthCheckEnded(upstream, api.AttemptResult.CONNECT_FAILED, 0))
+            self.feed(HealthCheckEnded(upstream, AttemptResult.CONNECT_FAILED, 0))
             return
         self._probes += 1
 
-        def ended(result: api.AttemptResult, response: Message | None) -> None:
+        def ended(result: AttemptResult, response: Message | None) -> None:
             self._probes -= 1
             report = None
             if response is not None:
-                result = api.AttemptResult.OK if response.status == 200 else api.AttemptResult.REJECTED
+                result = AttemptResult.OK if response.status == 200 else AttemptResult.REJECTED
                 report = load_report(response.body)
-            self.feed(api.HealthCheckEnded(upstream, result, time.monotonic_ns() - now, report))
+            self.feed(HealthCheckEnded(upstream, result, time.monotonic_ns() - now, report))
 
         host = "{}:{}".format(*pool.address).encode()
         pool.exchange(
@@ -446,7 +456,7 @@
 
     def _listed(self, listing: Told) -> None:
         if not isinstance(listing, Listing):
-            self.feed(api.EndpointUpdate(listing))
+            self.feed(EndpointUpdate(listing))
         elif len(listing) > SLICE or (
             listing.whole and (listing.unread or self._long or len(self._held) > 2 * SLICE)
         ):
@@ -459,9 +469,7 @@
                 older.overtaken.update(listing.numbers)
             if listing.whole:
                 self._note_gone(self._held.keys() - set(listing.numbers))
-            self._apply(
-                upstreams, api.EndpointUpdateKind.FULL if listing.whole else api.EndpointUpdateKind.DELTA
-            )
+            self._apply(upstreams, EndpointUpdateKind.FULL if listing.whole else EndpointUpdateKind.DELTA)
 
     async def _apply_long(self) -> None:
         """Put long lists in force in slices, as changes, so that requests go on meanwhile."""
@@ -481,28 +489,26 @@
             for first in range(0, len(missing), SLICE):
                 gone = [n for n in missing[first : first + SLICE] if n not in listing.overtaken]
                 self._note_gone(gone)
-                self._apply([api.Endpoint(number, api.EndpointStatus.REMOVED) for number in gone])
+                self._apply([Endpoint(number, EndpointStatus.REMOVED) for number in gone])
                 await asyncio.sleep(0)
             self._long.popleft()
         self._applying = None
 
-    def _apply(
-        self, upstreams: list[api.Endpoint], kind: api.EndpointUpdateKind = api.EndpointUpdateKind.DELTA
-    ) -> None:
+    def _apply(self, upstreams: list[Endpoint], kind: EndpointUpdateKind = EndpointUpdateKind.DELTA) -> None:
         self._call_off_waiting()
-        self.feed(api.EndpointUpdate(kind, upstreams))
+        self.feed(EndpointUpdate(kind, upstreams))
 
-    def _taken(self, listing: Listing, first: int = 0, end: int | None = None) -> Iterator[api.Endpoint]:
+    def _taken(self, listing: Listing, first: int = 0, end: int | None = None) -> Iterator[Endpoint]:
         """These of a listing's upstreams for the module; where they are is noted on the way."""
         for i in range(first, len(listing) if end is None else min(end, len(listing))):
             number, profile, address = listing.numbers[i], listing.profiles[i], listing.addresses[i]
             if number in listing.overtaken:
                 continue
-            if profile[0] is api.EndpointStatus.REMOVED:
+            if profile[0] is EndpointStatus.REMOVED:
                 self._note_gone([number])
             else:
-                self._note(number, address if profile[0] is api.EndpointStatus.READY else None)
-            yield api.Endpoint(number, *profile)
+                self._note(number, address if profile[0] is EndpointStatus.READY else None)
+            yield Endpoint(number, *profile)
 
     def _note(self, number: int, address: Packed | None) -> None:
         if self._held.get(number, 0) != address:
@@ -532,16 +538,16 @@
         """No first byte may go to an upstream that drains or is gone, also not when its connection is up."""
         for call in list(self._calls.values()):
             if call.out is not None and call.out.waiting and not call.out.pool.ready:
-                call.out.finish(api.AttemptResult.NOT_SENT)
+                call.out.finish(AttemptResult.NOT_SENT)
 
     def _peer_message(self, sender: int, data: bytes) -> None:
-        self.feed(api.GossipReceived(sender, data))
+        self.feed(GossipReceived(sender, data))
 
 
-def _judged(response: Message) -> api.AttemptResult:
+def _judged(response: Message) -> AttemptResult:
     """An attempt's result by what came back: only a marked 503 or 504 proves that it never ran."""
     if response.status == 200:
-        return api.AttemptResult.OK
+        return AttemptResult.OK
     if response.status in (503, 504) and response.header(b"srv-declined") == b"1":
-        return api.AttemptResult.REJECTED
-    return api.AttemptResult.ERROR
+        return AttemptResult.REJECTED
+    return AttemptResult.ERROR
--- a/loadbalancer/net/look.py
+++ b/loadbalancer/proxy/socket_state.py
@@ -1,4 +1,4 @@
-"""What has happened to a socket by now, though the loop may come to it only later."""
+"""TODO"""
 
 from __future__ import annotations
 
--- a/loadbalancer/adapter.py
+++ b/loadbalancer/simulator_adapter.py
@@ -1,6 +1,6 @@
 """The adapter: hosts many balancers on the simulator's wire. It translates and decides nothing.
 
-    python -m loadbalancer.adapter < batches > replies
+    python -m loadbalancer.simulator_adapter < batches > replies
 
 One JSON object a line each way. A line that is not a batch ends the process with a message on standard
 error and exit status 2; an exception inside a balancer is reported as that balancer's `fault`.
@@ -14,26 +14,52 @@
 from collections.abc import Callable, Sequence
 from typing import TypeGuard, assert_never
 
-from loadbalancer import interface as api
-from loadbalancer.config import Json, read_settings
-from loadbalancer.policy import Balancer
+from loadbalancer.messages import (
+    Action,
+    AttemptEnded,
+    AttemptResult,
+    CancelAttempt,
+    CheckHealth,
+    ClientDisconnected,
+    CloseIdleConnections,
+    Endpoint,
+    EndpointStatus,
+    EndpointUpdate,
+    EndpointUpdateKind,
+    Event,
+    Fail,
+    FetchEndpoints,
+    Forward,
+    GossipReceived,
+    HealthCheckEnded,
+    LogMessage,
+    Reject,
+    RequestArrived,
+    ResponseStarted,
+    SendGossip,
+    SetTimer,
+    TimerExpired,
+    WatchEndpoints,
+)
+from loadbalancer.policy.balancer import Balancer
+from loadbalancer.settings import Json, read_settings
 
 RESULTS = {
-    "delivered": api.AttemptResult.OK,
-    "app_error": api.AttemptResult.ERROR,
-    "shed": api.AttemptResult.REJECTED,
-    "expired": api.AttemptResult.TIMEOUT,
-    "dial_failed": api.AttemptResult.CONNECT_FAILED,
-    "dropped": api.AttemptResult.RESET,
-    "revoked": api.AttemptResult.CANCELLED,
-    "unused": api.AttemptResult.NOT_SENT,
+    "delivered": AttemptResult.OK,
+    "app_error": AttemptResult.ERROR,
+    "shed": AttemptResult.REJECTED,
+    "expired": AttemptResult.TIMEOUT,
+    "dial_failed": AttemptResult.CONNECT_FAILED,
+    "dropped": AttemptResult.RESET,
+    "revoked": AttemptResult.CANCELLED,
+    "unused": AttemptResult.NOT_SENT,
 }
-STATES = {0: api.EndpointStatus.REMOVED, 1: api.EndpointStatus.READY, 2: api.EndpointStatus.DRAINING}
+STATES = {0: EndpointStatus.REMOVED, 1: EndpointStatus.READY, 2: EndpointStatus.DRAINING}
 LISTS = {
-    0: api.EndpointUpdateKind.DELTA,
-    1: api.EndpointUpdateKind.FULL,
-    2: api.EndpointUpdateKind.CACHED,
-    3: api.EndpointUpdateKind.FAILED,
+    0: EndpointUpdateKind.DELTA,
+    1: EndpointUpdateKind.FULL,
+    2: EndpointUpdateKind.CACHED,
+    3: EndpointUpdateKind.FAILED,
 }
 
 
@@ -41,8 +67,8 @@
     """The input is not what the wire allows."""
 
 
-def read_upstream(row: Json) -> api.Endpoint:
-    return api.Endpoint(
+def read_upstream(row: Json) -> Endpoint:
+    return Endpoint(
         row["upstream"],
         STATES[row.get("availability", 1)],
         row.get("locality") or "",
@@ -80,8 +106,8 @@
     return report
 
 
-def _arrival(e: Json) -> api.Event:
-    return api.RequestArrived(
+def _arrival(e: Json) -> Event:
+    return RequestArrived(
         _text(e, "ticket"),
         _text(e, "kind"),
         str(e.get("user_group") or ""),
@@ -92,8 +118,8 @@
     )
 
 
-def _outcome(e: Json) -> api.Event:
-    return api.AttemptEnded(
+def _outcome(e: Json) -> Event:
+    return AttemptEnded(
         _text(e, "ticket"),
         _whole(e, "attempt"),
         _whole(e, "upstream"),
@@ -104,52 +130,50 @@
     )
 
 
-READ: dict[str, Callable[[Json], api.Event]] = {
+READ: dict[str, Callable[[Json], Event]] = {
     "submit": _arrival,
     "returned": _outcome,
-    "timer": lambda e: api.TimerExpired(_text(e, "name")),
-    "dropped": lambda e: api.ClientDisconnected(_text(e, "ticket")),
-    "accepted": lambda e: api.ResponseStarted(
+    "timer": lambda e: TimerExpired(_text(e, "name")),
+    "dropped": lambda e: ClientDisconnected(_text(e, "ticket")),
+    "accepted": lambda e: ResponseStarted(
         _text(e, "ticket"), _whole(e, "attempt"), _whole(e, "upstream"), e.get("took_ns") or 0
     ),
-    "probe_result": lambda e: api.HealthCheckEnded(
+    "probe_result": lambda e: HealthCheckEnded(
         _whole(e, "upstream"), RESULTS[e["result"]], e.get("took_ns") or 0, _metrics(e)
     ),
-    "message": lambda e: api.GossipReceived(
-        _whole(e, "origin_peer"), base64.b64decode(e["blob"], validate=True)
-    ),
+    "message": lambda e: GossipReceived(_whole(e, "origin_peer"), base64.b64decode(e["blob"], validate=True)),
 }
 
 
-def _command(action: api.Action) -> Json:
+def _command(action: Action) -> Json:
     """An action as a command of the wire (WIRE, Actions), but for the number of its balancer."""
     match action:
-        case api.Forward(request_id, endpoint_id, timeout_ns):
+        case Forward(request_id, endpoint_id, timeout_ns):
             return {
                 "t": "submit_to",
                 "ticket": request_id,
                 "upstream": endpoint_id,
                 "timeout_ns": timeout_ns,
             }
-        case api.Reject(request_id, retry_after_ns):
+        case Reject(request_id, retry_after_ns):
             return {"t": "push_back", "ticket": request_id, "backoff_ns": retry_after_ns}
-        case api.Fail(request_id):
+        case Fail(request_id):
             return {"t": "finish_error", "ticket": request_id}
-        case api.CancelAttempt(request_id, attempt):
+        case CancelAttempt(request_id, attempt):
             return {"t": "retract", "ticket": request_id, "attempt": attempt}
-        case api.CheckHealth(endpoint_id):
+        case CheckHealth(endpoint_id):
             return {"t": "sample", "upstream": endpoint_id}
-        case api.SendGossip(data, recipient):
+        case SendGossip(data, recipient):
             return {"t": "announce", "dst": recipient, "blob": base64.b64encode(data).decode()}
-        case api.CloseIdleConnections(endpoint_id):
+        case CloseIdleConnections(endpoint_id):
             return {"t": "close", "upstream": endpoint_id}
-        case api.WatchEndpoints(watch):
+        case WatchEndpoints(watch):
             return {"t": "track", "active": watch}
-        case api.FetchEndpoints():
+        case FetchEndpoints():
             return {"t": "fetch"}
-        case api.SetTimer(delay_ns, name):
+        case SetTimer(delay_ns, name):
             return {"t": "schedule", "wait_ns": delay_ns, "name": name}
-        case api.LogMessage(text):
+        case LogMessage(text):
             return {"t": "write_log", "message": text}
         case _:
             assert_never(action)
@@ -160,7 +184,7 @@
 
     def __init__(self) -> None:
         self.balancers: dict[int, Balancer] = {}
-        self.lists: dict[int, Sequence[api.Endpoint]] = {}
+        self.lists: dict[int, Sequence[Endpoint]] = {}
 
     def batch(self, line: str) -> str:
         try:
@@ -177,7 +201,7 @@
         if not isinstance(happened, list):
             raise Malformed("batch without the array happened")
         # A balancer's events are gathered and handed over together, so that it sees all that a batch brings.
-        waiting: dict[int, list[api.Event]] = {}
+        waiting: dict[int, list[Event]] = {}
         commands: list[Json] = []
         for event in happened:
             try:
@@ -190,7 +214,7 @@
             self._run(number_of, now, events, commands)
         return json.dumps({"round": number, "cmds": commands}, separators=(",", ":"))
 
-    def _take(self, event: Json, now: int, waiting: dict[int, list[api.Event]], commands: list[Json]) -> None:
+    def _take(self, event: Json, now: int, waiting: dict[int, list[Event]], commands: list[Json]) -> None:
         kind = event["t"]
         if kind == "directory":
             self.lists[event["buffer"]] = [read_upstream(row) for row in event["rows_in"]]
@@ -212,14 +236,14 @@
             raise Malformed(f"event {kind} for balancer {number}, which was not started")
         if kind == "membership":
             form = LISTS[event["form"]]
-            rows = () if form is api.EndpointUpdateKind.FAILED else self.lists[event["buffer"]]
-            waiting.setdefault(number, []).append(api.EndpointUpdate(form, rows))
+            rows = () if form is EndpointUpdateKind.FAILED else self.lists[event["buffer"]]
+            waiting.setdefault(number, []).append(EndpointUpdate(form, rows))
         elif kind in READ:
             waiting.setdefault(number, []).append(READ[kind](event))
         else:
             raise Malformed(f"unknown event {kind!r}")
 
-    def _run(self, number: int, now: int, events: list[api.Event], commands: list[Json]) -> None:
+    def _run(self, number: int, now: int, events: list[Event], commands: list[Json]) -> None:
         try:
             for action in self.balancers[number].handle(now, events):
                 command = _command(action)
--- a/scale_test/evenness.py
+++ b/scale_test/evenness.py
@@ -6,9 +6,11 @@
 
 import click
 
-from loadbalancer import interface as api
-from loadbalancer.membership import Membership, Placement
-from loadbalancer.net.lists import number_of
+from loadbalancer.messages import Endpoint
+from loadbalancer.policy.subsetting import choose_subset
+from loadbalancer.proxy.endpoint_list import number_of
+from loadbalancer.settings import Prices, Settings
+from loadbalancer.state.endpoint_table import Membership, Placement
 from scale_test.plan import Plan, zone_name
 
 Subsets = list[frozenset[int]]
@@ -17,16 +19,16 @@
 def subsets(table: Membership, balancers: int, zones: list[str]) -> Subsets:
     """Of each of so many balancers, spread over the zones in turn."""
     found = []
-    prices = api.Prices(connection=0.03, cross_zone=0.02) if zones else api.Prices()
+    prices = Prices(connection=0.03, cross_zone=0.02) if zones else Prices()
     for me in range(balancers):
-        table.settings = api.Settings(
+        table.settings = Settings(
             proxy_index=me,
             proxy_count=balancers,
             zones=zones,
             prices=prices,
             zone=zones[me % len(zones)] if zones else "",
         )
-        found.append(frozenset(table.subset(table.placements[0]).own))
+        found.append(frozenset(choose_subset(table, table.placements[0]).own))
     return found
 
 
@@ -38,12 +40,12 @@
 def figures(upstreams: int, balancers: int, zoned: bool) -> dict[str, float]:
     plan = Plan(upstreams=upstreams)
     zones = [zone_name(i) for i in range(plan.zones)] if zoned else []
-    prices = api.Prices(connection=0.03, cross_zone=0.02) if zoned else api.Prices()
-    table = Membership(api.Settings(proxy_count=balancers, zones=zones, prices=prices))
+    prices = Prices(connection=0.03, cross_zone=0.02) if zoned else Prices()
+    table = Membership(Settings(proxy_count=balancers, zones=zones, prices=prices))
     table.placements.append(Placement(None, None))
     ids = [number_of(f"s-{i:08x}") for i in range(upstreams)]
     for i, number in enumerate(ids):
-        table.put(api.Endpoint(number, zone=zone_name(plan.zone_of(i)), cell=i // 100))
+        table.put(Endpoint(number, zone=zone_name(plan.zone_of(i)), cell=i // 100))
     table.settle()
     before = subsets(table, balancers, zones)
     shares, sizes = Counter(key for subset in before for key in subset), [len(s) for s in before]
--- a/scale_test/hollow.py
+++ b/scale_test/hollow.py
@@ -9,12 +9,12 @@
 from dataclasses import replace
 from typing import Any
 
-from loadbalancer import interface as api
-from loadbalancer.__main__ import read_config
-from loadbalancer.net.discovery import Told
-from loadbalancer.net.lists import Listing
-from loadbalancer.net.node import Config, Node
-from loadbalancer.policy import Balancer
+from loadbalancer.configuration import Config, read_config
+from loadbalancer.messages import Action, EndpointUpdate, EndpointUpdateKind, Event
+from loadbalancer.policy.balancer import Balancer
+from loadbalancer.proxy.discovery_client import Told
+from loadbalancer.proxy.endpoint_list import Listing
+from loadbalancer.proxy.proxy import Node
 from scale_test.part import serve
 from scale_test.report import NEVER_NS
 
@@ -26,13 +26,13 @@
         self._module = module
         self.changes: list[tuple[int, int, int]] = []  # begun, done; how many rows
 
-    def handle(self, now: int, events: Iterable[api.Event]) -> list[api.Action]:
+    def handle(self, now: int, events: Iterable[Event]) -> list[Action]:
         events = list(events)
         begun = time.monotonic_ns()
         actions = self._module.handle(now, events)
         done = time.monotonic_ns()
         for event in events:
-            if isinstance(event, api.EndpointUpdate) and event.kind is api.EndpointUpdateKind.DELTA:
+            if isinstance(event, EndpointUpdate) and event.kind is EndpointUpdateKind.DELTA:
                 self.changes.append((begun, done, len(list(event.endpoints))))
         return actions
 
--- a/scale_test/slopes.py
+++ b/scale_test/slopes.py
@@ -29,10 +29,20 @@
 import click
 import orjson
 
-from loadbalancer import interface as api
-from loadbalancer.config import read_settings
-from loadbalancer.net.lists import Reader
-from loadbalancer.policy import Balancer
+from loadbalancer.messages import (
+    Action,
+    AttemptEnded,
+    AttemptResult,
+    Endpoint,
+    EndpointUpdate,
+    EndpointUpdateKind,
+    Event,
+    Forward,
+    RequestArrived,
+)
+from loadbalancer.policy.balancer import Balancer
+from loadbalancer.proxy.endpoint_list import Reader
+from loadbalancer.settings import read_settings
 
 S, HOST, SERVICE = 10**9, "127.0.0.1", 23  # ns a second; loopback; upstreams a service: 160,000 in 7,000
 QUIET_S = 4.0  # for which a real balancer is watched with nothing to do
@@ -86,7 +96,7 @@
     }
 
 
-def read_list(text: bytes, reader: Any = None) -> tuple[Any, list[api.Endpoint]]:
+def read_list(text: bytes, reader: Any = None) -> tuple[Any, list[Endpoint]]:
     """All that is used of the list reader: the reader (kept, as a balancer keeps it), and what it gave."""
     reader = reader or Reader(0)
     return reader, [e.upstream for e in reader.read(text).entries]
@@ -129,21 +139,21 @@
     def __init__(self, balancer: Balancer) -> None:
         self.balancer, self.now, self.count = balancer, S, 0
 
-    def give(self, *events: api.Event, later_ns: int = 10**6) -> list[api.Action]:
+    def give(self, *events: Event, later_ns: int = 10**6) -> list[Action]:
         self.now += later_ns
         return self.balancer.handle(self.now, events)
 
-    def ask(self, cls: str = "c0", tenant: str = "t0", later_ns: int = 10**4) -> api.Forward | None:
+    def ask(self, cls: str = "c0", tenant: str = "t0", later_ns: int = 10**4) -> Forward | None:
         self.count += 1
-        arrival = api.RequestArrived(str(self.count), cls, tenant, self.now + 60 * S)
-        return next((a for a in self.give(arrival, later_ns=later_ns) if isinstance(a, api.Forward)), None)
+        arrival = RequestArrived(str(self.count), cls, tenant, self.now + 60 * S)
+        return next((a for a in self.give(arrival, later_ns=later_ns) if isinstance(a, Forward)), None)
 
-    def end(self, send: api.Forward | None) -> list[api.Action]:
+    def end(self, send: Forward | None) -> list[Action]:
         return (
             []
             if send is None
             else self.give(
-                api.AttemptEnded(send.request_id, 0, send.endpoint_id, api.AttemptResult.OK, 10**7, True),
+                AttemptEnded(send.request_id, 0, send.endpoint_id, AttemptResult.OK, 10**7, True),
                 later_ns=10**4,
             )
         )
@@ -173,8 +183,8 @@
         taken = [look() for _ in range(times)]
         return {"look_s": statistics.mean(taken), "look_top_s": max(taken)}
 
-    def full(self, upstreams: Sequence[api.Endpoint]) -> Clock:
-        self.give(api.EndpointUpdate(api.EndpointUpdateKind.FULL, upstreams))
+    def full(self, upstreams: Sequence[Endpoint]) -> Clock:
+        self.give(EndpointUpdate(EndpointUpdateKind.FULL, upstreams))
         return self
 
 
@@ -199,7 +209,7 @@
         health = ("up", "draining")[number % 2 == 0]
         news = orjson.dumps(listed([{**r, "health": health} for r in rows[: size * 40 : 40]], number, False))
         return news, spent(
-            lambda: clock.give(api.EndpointUpdate(api.EndpointUpdateKind.DELTA, read_list(news, reader)[1]))
+            lambda: clock.give(EndpointUpdate(EndpointUpdateKind.DELTA, read_list(news, reader)[1]))
         )[0]
 
     news = [change(1) for _ in range(4)]
@@ -224,7 +234,7 @@
 def settings_of(raw: Json) -> Figures:
     text = orjson.dumps(raw)
     balancer, figures = kept(lambda: Balancer(read_settings(json.loads(text)), 1, S), "start")
-    clock = Clock(balancer).full([api.Endpoint(i + 1) for i in range(10)])
+    clock = Clock(balancer).full([Endpoint(i + 1) for i in range(10)])
     return figures | {"config_b": len(text), **clock.looks(), "request_s": clock.request_s()}
 
 
@@ -243,7 +253,7 @@
     raw = raw_settings() | {"replicas_of_me": 1, "zones": [], "prices": {}}
     raw["profiles"][0]["aim_ns"] = 60 * S
     settings = read_settings(raw)
-    clock = Clock(Balancer(settings, 1, S)).full([api.Endpoint(i + 1) for i in range(4 * n)])
+    clock = Clock(Balancer(settings, 1, S)).full([Endpoint(i + 1) for i in range(4 * n)])
     sends, figures = kept(
         lambda: [clock.ask(later_ns=2 * 10**5) for _ in range(n)],
         "arrive",
--- a/tests/fleet.py
+++ b/tests/fleet.py
@@ -14,8 +14,27 @@
 from dataclasses import dataclass, field
 from itertools import accumulate
 
-from loadbalancer import interface as api
-from loadbalancer.policy import Balancer
+from loadbalancer.messages import (
+    AttemptEnded,
+    AttemptResult,
+    CancelAttempt,
+    CheckHealth,
+    ClientDisconnected,
+    Endpoint,
+    EndpointStatus,
+    EndpointUpdate,
+    EndpointUpdateKind,
+    Event,
+    Fail,
+    Forward,
+    HealthCheckEnded,
+    Reject,
+    RequestArrived,
+    SetTimer,
+    TimerExpired,
+)
+from loadbalancer.policy.balancer import Balancer
+from loadbalancer.settings import RequestClass, Rules, Settings
 from tests.bench import MS, SECOND, START
 
 
@@ -23,7 +42,7 @@
 class Machine:
     """An upstream: `cores` workers before one queue, that turns away what is over `room`."""
 
-    entry: api.Endpoint
+    entry: Endpoint
     rate: float  # requests of mean work a second, warm
     cores: int = 2
     room: int = 40
@@ -33,7 +52,7 @@
     queue: deque[Attempt] = field(default_factory=deque)
     book: list[tuple[int, float, bool]] = field(default_factory=list)  # when, work, was it told
 
-    def part(self, now: int, rules: api.Rules) -> float:
+    def part(self, now: int, rules: Rules) -> float:
         start = self.entry.started_ns
         if not start or now - start >= rules.slow_start_ns:
             return 1.0
@@ -42,7 +61,7 @@
             + (1 - rules.slow_start_initial_capacity) * max(0, now - start) / rules.slow_start_ns
         )
 
-    def pressure(self, rules: api.Rules) -> float:
+    def pressure(self, rules: Rules) -> float:
         """The most that came in any window, against what its budget and chance allow; over 1 it falls.
 
         The budget is that of the window's first moment. Falls of which a third or more came from balancers
@@ -75,7 +94,7 @@
 
 @dataclass
 class Open:
-    cls: api.RequestClass
+    cls: RequestClass
     deadline_ns: int
     work: float
     tries: int
@@ -87,7 +106,7 @@
 class Traffic:
     """Classes with their share of the requests and their work, in requests of mean work."""
 
-    cls: api.RequestClass
+    cls: RequestClass
     share: float = 1.0
     work: float = 1.0
 
@@ -97,7 +116,7 @@
         self,
         count: int,
         machines: Sequence[Machine],
-        config: Sequence[api.Settings],
+        config: Sequence[Settings],
         traffic: Sequence[Traffic],
         rate: float,
         seed: int,
@@ -137,43 +156,43 @@
 
     # -- discovery --
 
-    def tell(self, node: int, kind: api.EndpointUpdateKind, entries: Sequence[api.Endpoint]) -> None:
+    def tell(self, node: int, kind: EndpointUpdateKind, entries: Sequence[Endpoint]) -> None:
         for e in entries:
             self.seen[node][e.id] = e.started_ns
-        self.give(node, api.EndpointUpdate(kind, list(entries)))
+        self.give(node, EndpointUpdate(kind, list(entries)))
 
-    def tell_all(self, kind: api.EndpointUpdateKind, entries: Sequence[api.Endpoint]) -> None:
+    def tell_all(self, kind: EndpointUpdateKind, entries: Sequence[Endpoint]) -> None:
         for node in range(self.count):
             self.tell(node, kind, entries)
 
-    def start(self, machines: Sequence[Machine]) -> list[api.Endpoint]:
+    def start(self, machines: Sequence[Machine]) -> list[Endpoint]:
         """They start now, cold; nobody has been told yet."""
         for m in machines:
-            m.entry = m.entry._replace(started_ns=self.now, status=api.EndpointStatus.READY)
+            m.entry = m.entry._replace(started_ns=self.now, status=EndpointStatus.READY)
             m.up, m.busy, m.queue = True, 0, deque()
             m.book = []
             for linked in self.linked:
                 linked.discard(m.entry.id)
         return [m.entry for m in machines]
 
-    def stop(self, machines: Sequence[Machine]) -> list[api.Endpoint]:
+    def stop(self, machines: Sequence[Machine]) -> list[Endpoint]:
         """They crash: what they hold breaks."""
         for m in machines:
             m.up, m.queue = False, deque()
-            m.entry = m.entry._replace(status=api.EndpointStatus.REMOVED)
+            m.entry = m.entry._replace(status=EndpointStatus.REMOVED)
         for open_requests in self.requests:
             for o in list(open_requests.values()):
                 for a in o.sends:
                     if not a.over and not a.machine.up:
-                        self.at(self.now, lambda a=a: self.end(a, api.AttemptResult.RESET))  # type: ignore[misc]
+                        self.at(self.now, lambda a=a: self.end(a, AttemptResult.RESET))  # type: ignore[misc]
         return [m.entry for m in machines]
 
-    def restart(self, node: int, entries: Sequence[api.Endpoint]) -> None:
+    def restart(self, node: int, entries: Sequence[Endpoint]) -> None:
         """A process is killed and begins anew, knowing only the list that it is given."""
         self.lives[node] += 1
         self.requests[node], self.seen[node], self.linked[node] = {}, {}, set()
         self.nodes[node] = Balancer(self.config[node], self.rng.getrandbits(32), self.now)
-        self.tell(node, api.EndpointUpdateKind.CACHED, entries)
+        self.tell(node, EndpointUpdateKind.CACHED, entries)
 
     # -- clients --
 
@@ -191,16 +210,16 @@
         request, deadline = f"q{self.sequence}", self.now + t.cls.client_timeout_ns
         self.requests[node][request] = Open(t.cls, deadline, work, tries)
         self.at(deadline, lambda: self._deadline(node, self.lives[node], request))
-        self.give(node, api.RequestArrived(request, t.cls.name, "", deadline, is_retry=tries > 0))
+        self.give(node, RequestArrived(request, t.cls.name, "", deadline, is_retry=tries > 0))
 
     def _deadline(self, node: int, life: int, request: str) -> None:
         o = self.requests[node].get(request)
         if o is not None and life == self.lives[node]:
             for a in o.sends:
-                self.end(a, api.AttemptResult.TIMEOUT)
+                self.end(a, AttemptResult.TIMEOUT)
             if not o.over:
                 o.over = True
-                self.give(node, api.ClientDisconnected(request))
+                self.give(node, ClientDisconnected(request))
 
     def _again(self, o: Open) -> None:
         if o.tries < self.client_retries:
@@ -213,45 +232,45 @@
 
     # -- balancers --
 
-    def give(self, node: int, event: api.Event) -> None:
+    def give(self, node: int, event: Event) -> None:
         life = self.lives[node]
         for a in self.nodes[node].handle(self.now, [event]):
-            if type(a) is api.Forward:
+            if type(a) is Forward:
                 self._send(node, a)
-            elif type(a) is api.SetTimer:
+            elif type(a) is SetTimer:
                 self.at(self.now + a.delay_ns, lambda a=a: self._wake(node, life, a.name))  # type: ignore[misc]
-            elif type(a) is api.Reject or type(a) is api.Fail:
+            elif type(a) is Reject or type(a) is Fail:
                 o = self.requests[node][a.request_id]
                 o.over = True
                 self.turned_away += 1
-                if type(a) is api.Reject:
+                if type(a) is Reject:
                     self._again(o)
-            elif type(a) is api.CancelAttempt:
+            elif type(a) is CancelAttempt:
                 attempt = self.requests[node][a.request_id].sends[a.attempt]
-                self.at(self.now, lambda x=attempt: self.end(x, api.AttemptResult.CANCELLED))  # type: ignore[misc]
-            elif type(a) is api.CheckHealth:
+                self.at(self.now, lambda x=attempt: self.end(x, AttemptResult.CANCELLED))  # type: ignore[misc]
+            elif type(a) is CheckHealth:
                 self.at(self.now + MS, lambda u=a.endpoint_id: self._probe(node, life, u))  # type: ignore[misc]
 
     def _wake(self, node: int, life: int, name: str) -> None:
         if life == self.lives[node]:
-            self.give(node, api.TimerExpired(name))
+            self.give(node, TimerExpired(name))
 
     def _probe(self, node: int, life: int, upstream: int) -> None:
         m = self.machines[upstream]
         if life == self.lives[node]:
             report = {"inflight": float(m.busy + len(m.queue))}
-            result = api.AttemptResult.OK if m.up else api.AttemptResult.CONNECT_FAILED
-            self.give(node, api.HealthCheckEnded(upstream, result, MS, report if m.up else None))
+            result = AttemptResult.OK if m.up else AttemptResult.CONNECT_FAILED
+            self.give(node, HealthCheckEnded(upstream, result, MS, report if m.up else None))
 
-    def _send(self, node: int, send: api.Forward) -> None:
+    def _send(self, node: int, send: Forward) -> None:
         o, m = self.requests[node][send.request_id], self.machines[send.endpoint_id]
         a = Attempt(node, send.request_id, len(o.sends), m, self.now, o.work)
         o.sends.append(a)
         fresh = m.entry.id not in self.linked[node]
         if send.timeout_ns:
-            self.at(self.now + send.timeout_ns, lambda: self.end(a, api.AttemptResult.TIMEOUT))
+            self.at(self.now + send.timeout_ns, lambda: self.end(a, AttemptResult.TIMEOUT))
         if not m.up:
-            self.at(self.now + MS, lambda: self.end(a, api.AttemptResult.CONNECT_FAILED))
+            self.at(self.now + MS, lambda: self.end(a, AttemptResult.CONNECT_FAILED))
             return
         self.linked[node].add(m.entry.id)
         self.at(self.now + (MS if fresh else MS // 4), lambda: self._reach(a, 0.25 * fresh))
@@ -261,13 +280,13 @@
     def _reach(self, a: Attempt, handshake: float) -> None:
         m = a.machine
         if not m.up:
-            return self.end(a, api.AttemptResult.RESET)
+            return self.end(a, AttemptResult.RESET)
         told = self.seen[a.node].get(m.entry.id) == m.entry.started_ns
         m.book.append((self.now, a.work + handshake, told))
         if m.spoils and self.rng.random() < m.spoils:
-            self.at(self.now + MS // 4, lambda: self.end(a, api.AttemptResult.ERROR))
+            self.at(self.now + MS // 4, lambda: self.end(a, AttemptResult.ERROR))
         elif len(m.queue) >= m.room:
-            self.at(self.now + MS // 4, lambda: self.end(a, api.AttemptResult.REJECTED))
+            self.at(self.now + MS // 4, lambda: self.end(a, AttemptResult.REJECTED))
         else:
             m.queue.append(a)
             self._work(m)
@@ -284,25 +303,25 @@
         m = a.machine
         if m.up and m.entry.started_ns == start:
             m.busy -= 1
-            self.end(a, api.AttemptResult.OK)
+            self.end(a, AttemptResult.OK)
             self._work(m)
 
-    def end(self, a: Attempt, result: api.AttemptResult) -> None:
+    def end(self, a: Attempt, result: AttemptResult) -> None:
         o = self.requests[a.node].get(a.request)
         if a.over or o is None or o.sends[a.number] is not a:
             return
         a.over = True
-        if result is api.AttemptResult.OK and not o.over:
+        if result is AttemptResult.OK and not o.over:
             o.over = True
             self.served += 1
         report = (
             {"inflight": float(a.machine.busy + len(a.machine.queue))}
-            if result is api.AttemptResult.OK and self.config[a.node].load_reports_in_responses
+            if result is AttemptResult.OK and self.config[a.node].load_reports_in_responses
             else None
         )
         self.give(
             a.node,
-            api.AttemptEnded(
+            AttemptEnded(
                 a.request, a.number, a.machine.entry.id, result, self.now - a.sent_ns, o.over, report
             ),
         )
--- a/tests/sockets.py
+++ b/tests/sockets.py
@@ -11,9 +11,11 @@
 from dataclasses import dataclass, field
 from typing import Any, TypeVar
 
-from loadbalancer import interface as api
-from loadbalancer.net.lists import Listing, Reader, unix_offset_ns
-from loadbalancer.net.node import Config, Module, Node
+from loadbalancer.configuration import Config
+from loadbalancer.messages import Action, EndpointUpdate, EndpointUpdateKind, Event
+from loadbalancer.proxy.endpoint_list import Listing, Reader, unix_offset_ns
+from loadbalancer.proxy.proxy import Module, Node
+from loadbalancer.settings import Idempotency, Limits, RequestClass, Rules, Settings
 
 HOST = "127.0.0.1"
 PATIENCE_S = 10.0  # a test that waits longer has failed
@@ -180,12 +182,12 @@
 class Script:
     """Stands in for the module: notes the events, and does what the test says."""
 
-    react: Callable[[api.Event], Iterable[api.Action]] = lambda event: ()
-    events: list[api.Event] = field(default_factory=list)
+    react: Callable[[Event], Iterable[Action]] = lambda event: ()
+    events: list[Event] = field(default_factory=list)
     entered: int = 0
     deepest: int = 0
 
-    def handle(self, now: int, events: Iterable[api.Event]) -> list[api.Action]:
+    def handle(self, now: int, events: Iterable[Event]) -> list[Action]:
         self.entered += 1
         self.deepest = max(self.deepest, self.entered)
         self.events += events
@@ -199,7 +201,7 @@
 
     def ids(self) -> list[int]:
         """The numbers of the upstreams, as last listed whole."""
-        lists = [e for e in self.of(api.EndpointUpdate) if e.kind is not api.EndpointUpdateKind.DELTA]
+        lists = [e for e in self.of(EndpointUpdate) if e.kind is not EndpointUpdateKind.DELTA]
         return [u.id for u in lists[-1].endpoints]
 
 
@@ -208,41 +210,41 @@
     """A module, and what it was told and said, batch by batch."""
 
     module: Module
-    batches: list[tuple[list[api.Event], list[api.Action]]] = field(default_factory=list)
+    batches: list[tuple[list[Event], list[Action]]] = field(default_factory=list)
 
-    def handle(self, now: int, events: Iterable[api.Event]) -> list[api.Action]:
+    def handle(self, now: int, events: Iterable[Event]) -> list[Action]:
         batch = list(events)
         actions = list(self.module.handle(now, batch))
         self.batches.append((batch, actions))
         return actions
 
-    def answer_to(self, kind: api.EndpointUpdateKind) -> list[api.Action] | None:
+    def answer_to(self, kind: EndpointUpdateKind) -> list[Action] | None:
         """What the module said when it was first told of such a list."""
         told = (
             said
             for events, said in self.batches
-            if any(isinstance(e, api.EndpointUpdate) and e.kind is kind for e in events)
+            if any(isinstance(e, EndpointUpdate) and e.kind is kind for e in events)
         )
         return next(told, None)
 
 
-def settings(in_answers: bool = False, asked: bool = False, limit_ns: int = 0, **limits: Any) -> api.Settings:
-    return api.Settings(
+def settings(in_answers: bool = False, asked: bool = False, limit_ns: int = 0, **limits: Any) -> Settings:
+    return Settings(
         load_reports_in_responses=in_answers,
         discovery_pushes=not asked,
-        rules=api.Rules(poll_interval_ns=40 * MS) if asked else api.Rules(),
+        rules=Rules(poll_interval_ns=40 * MS) if asked else Rules(),
         request_classes={
-            "read": api.RequestClass("read", client_timeout_ns=limit_ns),
-            "pay": api.RequestClass("pay", api.Idempotency.NON_IDEMPOTENT, client_timeout_ns=limit_ns),
-            "book": api.RequestClass(
+            "read": RequestClass("read", client_timeout_ns=limit_ns),
+            "pay": RequestClass("pay", Idempotency.NON_IDEMPOTENT, client_timeout_ns=limit_ns),
+            "book": RequestClass(
                 "book",
-                api.Idempotency.IDEMPOTENCY_KEY,
+                Idempotency.IDEMPOTENCY_KEY,
                 deduplication_window_ns=1000 * MS,
                 latency_objective_ns=5000 * MS,
                 client_timeout_ns=limit_ns,
             ),
         },
-        limits=api.Limits(**{"max_attempts": 3, "connect_timeout_ns": 2000 * MS, **limits}),
+        limits=Limits(**{"max_attempts": 3, "connect_timeout_ns": 2000 * MS, **limits}),
         load_report_columns=("inflight",),
     )
 
--- a/tests/test_adapter.py
+++ b/tests/test_adapter.py
@@ -12,9 +12,9 @@
 
 import pytest
 
-from loadbalancer import interface as api
-from loadbalancer.adapter import read_upstream
-from loadbalancer.config import read_settings
+from loadbalancer.messages import Endpoint
+from loadbalancer.settings import DeduplicationScope, WeightSource, read_settings
+from loadbalancer.simulator_adapter import read_upstream
 
 Json = dict[str, Any]
 SETTINGS: Json = {
@@ -36,7 +36,7 @@
 
 def run(lines: list[str], hash_seed: str = "0") -> subprocess.CompletedProcess[str]:
     return subprocess.run(
-        [sys.executable, "-m", "loadbalancer.adapter"],
+        [sys.executable, "-m", "loadbalancer.simulator_adapter"],
         input="".join(f"{x}\n" for x in lines),
         capture_output=True,
         text=True,
@@ -216,7 +216,7 @@
     assert (look.allowed_zones, look.allowed_machine_types, look.deduplication_scope) == (
         frozenset({"north"}),
         frozenset({"big"}),
-        api.DeduplicationScope.CELL,
+        DeduplicationScope.CELL,
     )
     assert (look.latency_objective_stretch, look.client_timeout_ns, look.deduplication_window_ns) == (
         1.5,
@@ -225,7 +225,7 @@
     )
     assert known.rules.rejected_may_have_run and known.rules.answer_grace_ns == 3
     assert (
-        known.weight_source is api.WeightSource.LIVE
+        known.weight_source is WeightSource.LIVE
         and known.over_quota_weight == 0.2
         and known.client_retries_marked
     )
@@ -241,7 +241,7 @@
         known.limits.max_pending_requests,
     ) == (6, 8, 10)
     row = {"upstream": 5, "class_of_host": "big", "scale": 0.25, "up_since_ns": 3, "cohort": 2}
-    assert read_upstream(row) == api.Endpoint(5, cell=2, weight=0.25, started_ns=3, machine_type="big")
+    assert read_upstream(row) == Endpoint(5, cell=2, weight=0.25, started_ns=3, machine_type="big")
 
 
 def test_starts_as_the_deploy_file_says() -> None:
--- a/tests/test_cold.py
+++ b/tests/test_cold.py
@@ -11,35 +11,42 @@
 
 import pytest
 
-from loadbalancer import interface as api
+from loadbalancer.messages import Endpoint, EndpointStatus, EndpointUpdateKind
+from loadbalancer.settings import (
+    DeduplicationScope,
+    Idempotency,
+    Limits,
+    Prices,
+    RequestClass,
+    Rules,
+    Settings,
+)
 from tests.bench import MS, SECOND
 from tests.fleet import FleetModel, Machine, Traffic
 
-RULES = api.Rules(
+RULES = Rules(
     slow_start_initial_capacity=0.3, slow_start_ns=8800 * MS, overload_factor=2.5, overload_window_ns=SECOND
 )
-LIMITS = api.Limits(max_attempts=5, cancellation=True, retry_after=True)
-READ = api.RequestClass(
-    "read", latency_objective_ns=400 * MS, late_weight_factor=0.2, client_timeout_ns=800 * MS
-)
-PAY = api.RequestClass(
+LIMITS = Limits(max_attempts=5, cancellation=True, retry_after=True)
+READ = RequestClass("read", latency_objective_ns=400 * MS, late_weight_factor=0.2, client_timeout_ns=800 * MS)
+PAY = RequestClass(
     "pay",
-    api.Idempotency.NON_IDEMPOTENT,
+    Idempotency.NON_IDEMPOTENT,
     latency_objective_ns=400 * MS,
     late_weight_factor=0.2,
     client_timeout_ns=800 * MS,
 )
-SWITCH = api.RequestClass(
+SWITCH = RequestClass(
     "switch",
-    api.Idempotency.IDEMPOTENCY_KEY,
-    api.DeduplicationScope.ZONE,
+    Idempotency.IDEMPOTENCY_KEY,
+    DeduplicationScope.ZONE,
     deduplication_window_ns=1200 * MS,
     latency_objective_ns=400 * MS,
     late_weight_factor=0.2,
     client_timeout_ns=2 * SECOND,
 )
-CELL = replace(SWITCH, name="cell", deduplication_scope=api.DeduplicationScope.CELL)
-SLOW = api.RequestClass(
+CELL = replace(SWITCH, name="cell", deduplication_scope=DeduplicationScope.CELL)
+SLOW = RequestClass(
     "slow", latency_objective_ns=2 * SECOND, late_weight_factor=0.2, client_timeout_ns=4 * SECOND
 )
 LARGE = replace(READ, name="large", allowed_machine_types=frozenset({"large"}))
@@ -60,8 +67,8 @@
     began: bool = False  # the processes have just started too, and have no measure of their own
     room: int = 40
     spoils: float = 0.0  # share of requests that the cold ones answer at once with an error
-    limits: api.Limits = LIMITS
-    prices: api.Prices = api.Prices()
+    limits: Limits = LIMITS
+    prices: Prices = Prices()
     zones: Sequence[str] = ("east",)
     reports: bool = False
     cores: int = 2
@@ -91,7 +98,7 @@
         for node in range(count):
             fleet.tell(
                 node,
-                api.EndpointUpdateKind.CACHED,
+                EndpointUpdateKind.CACHED,
                 [m.entry for m in machines if m not in starting and chance.random() >= self.differ],
             )
         fleet.stop(cold)
@@ -104,7 +111,7 @@
                 for node in range(count):
                     fleet.restart(node, [m.entry for m in machines])
             else:
-                fleet.tell_all(api.EndpointUpdateKind.DELTA, entries)
+                fleet.tell_all(EndpointUpdateKind.DELTA, entries)
             fleet.run(self.after / len(cold) if self.after_each_other else 0)
         fleet.run(self.after)
         return max(m.pressure(RULES) for m in cold), fleet
@@ -112,9 +119,9 @@
     def machines(self) -> list[Machine]:
         return [
             Machine(
-                api.Endpoint(
+                Endpoint(
                     1 + i,
-                    api.EndpointStatus.READY,
+                    EndpointStatus.READY,
                     self.zones[i % len(self.zones)],
                     i // 6,
                     machine_type=self.kinds[i % len(self.kinds)],
@@ -126,8 +133,8 @@
             for i in range(self.upstreams)
         ]
 
-    def config(self, count: int) -> list[api.Settings]:
-        one = api.Settings(
+    def config(self, count: int) -> list[Settings]:
+        one = Settings(
             proxy_count=count,
             zones=self.zones,
             rules=RULES,
@@ -141,7 +148,7 @@
         return [replace(one, proxy_index=i, zone=self.zones[i % len(self.zones)]) for i in range(count)]
 
 
-PRICES = api.Prices(connection=0.03, cross_zone=0.025, handshake=0.03)
+PRICES = Prices(connection=0.03, cross_zone=0.025, handshake=0.03)
 COPIES = replace(LIMITS, hedging=True)
 LOOKS = replace(COPIES, health_checks=True)
 DEAR = (Traffic(READ, 0.85), Traffic(LARGE, 0.15, 6.0))
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -8,11 +8,22 @@
 
 import pytest
 
-from loadbalancer import interface as api
-from loadbalancer.net.host_numbers import SEGMENTS, HostNumbers
-from loadbalancer.net.lists import BadList, Listing, Reader, number_of
-from loadbalancer.net.node import Node
-from loadbalancer.policy import Balancer
+from loadbalancer.messages import (
+    Action,
+    Endpoint,
+    EndpointStatus,
+    EndpointUpdate,
+    EndpointUpdateKind,
+    Event,
+    FetchEndpoints,
+    TimerExpired,
+    WatchEndpoints,
+)
+from loadbalancer.policy.balancer import Balancer
+from loadbalancer.proxy.endpoint_list import Listing, Reader, number_of
+from loadbalancer.proxy.errors import BadList
+from loadbalancer.proxy.proxy import Node
+from loadbalancer.state.host_numbers import SEGMENTS, HostNumbers
 from tests.sockets import (
     HOST,
     Answer,
@@ -50,7 +61,7 @@
 
 
 def test_hosts_that_collide_get_different_numbers(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr("loadbalancer.net.lists.number_of", lambda host: 7)
+    monkeypatch.setattr("loadbalancer.proxy.endpoint_list.number_of", lambda host: 7)
     listing = read({"seq": 1, "whole": True, "hosts": [entry("a", 80), entry("b", 81)]})
     assert len(set(listing.numbers)) == 2
 
@@ -60,7 +71,7 @@
 
 @pytest.fixture
 def colliding(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr("loadbalancer.net.lists.number_of", lambda host: SHARED)
+    monkeypatch.setattr("loadbalancer.proxy.endpoint_list.number_of", lambda host: SHARED)
 
 
 def changed(version: int, *hosts: object, whole: bool = False) -> Json:
@@ -212,9 +223,7 @@
         Reader(5),
     )
     by_port = {e.address[1]: e.upstream for e in listing.entries}
-    assert by_port[80]._replace(id=1) == api.Endpoint(
-        1, api.EndpointStatus.DRAINING, "west", 3, 0.5, 1_999_995, "m"
-    )
+    assert by_port[80]._replace(id=1) == Endpoint(1, EndpointStatus.DRAINING, "west", 3, 0.5, 1_999_995, "m")
     assert by_port[81].started_ns == 0 and (listing.version, listing.whole) == (7, True)
 
 
@@ -250,18 +259,18 @@
         async with node(script, registry=registry, known_list=known(1, 2, 3)) as client:
             await until(lambda: len(client.node.upstreams()) == 2)  # s2 is gone, s0 is still there
             assert {port for _, port in client.node.upstreams().values()} == {1, 2}
-            told = [u for e in script.of(api.EndpointUpdate)[1:] for u in e.endpoints]
-            assert {u.id for u in told if u.status is api.EndpointStatus.REMOVED} == {number_of("s2")}
+            told = [u for e in script.of(EndpointUpdate)[1:] for u in e.endpoints]
+            assert {u.id for u in told if u.status is EndpointStatus.REMOVED} == {number_of("s2")}
             # What is known of s0 stays to the letter: nothing else is told of it, and it is where it was.
             assert number_of("s0") not in {u.id for u in told}
             assert client.node.upstreams()[number_of("s0")] == (HOST, 1)
-            assert all(e.kind is api.EndpointUpdateKind.DELTA for e in script.of(api.EndpointUpdate)[1:])
+            assert all(e.kind is EndpointUpdateKind.DELTA for e in script.of(EndpointUpdate)[1:])
 
     run(test())
     again = read({"seq": 2, "whole": True, "hosts": [entry("s0", health="odd"), entry("s1", 2)]})
     assert again.unread == [number_of("s0")] and list(again.numbers) == [number_of("s1")]
     gone = read({"seq": 3, "whole": False, "hosts": [entry("s0", health="removed", dial="")]})
-    assert [e.upstream.status for e in gone.entries] == [api.EndpointStatus.REMOVED]
+    assert [e.upstream.status for e in gone.entries] == [EndpointStatus.REMOVED]
     empty = read({"seq": 4, "whole": True, "hosts": []})
     assert not list(empty.entries) and not empty.unread and empty.whole
 
@@ -297,27 +306,25 @@
     async def test() -> None:
         registry, asking = Registry(), []
 
-        def react(event: api.Event) -> tuple[()]:
-            if isinstance(event, api.EndpointUpdate) and event.kind is api.EndpointUpdateKind.DELTA:
+        def react(event: Event) -> tuple[()]:
+            if isinstance(event, EndpointUpdate) and event.kind is EndpointUpdateKind.DELTA:
                 asking.append(client.node._discovery._call is not None)  # before the change is acted on
             return ()
 
         script = Script(react)
         async with node(script, registry=registry, known_list=known(5)) as client:
-            assert script.of(api.EndpointUpdate)[0].kind is api.EndpointUpdateKind.CACHED
+            assert script.of(EndpointUpdate)[0].kind is EndpointUpdateKind.CACHED
             await until(lambda: registry.calls)
             assert registry.calls[0][1].startswith("/registry/instances?after=1&wait_ms=")
             registry.change("s9", dial="127.0.0.1:9")
-            await until(lambda: len(script.of(api.EndpointUpdate)) == 2 and len(registry.calls) == 2)
-            update = script.of(api.EndpointUpdate)[1]
-            assert update.kind is api.EndpointUpdateKind.DELTA and [u.zone for u in update.endpoints] == [
-                "east"
-            ]
+            await until(lambda: len(script.of(EndpointUpdate)) == 2 and len(registry.calls) == 2)
+            update = script.of(EndpointUpdate)[1]
+            assert update.kind is EndpointUpdateKind.DELTA and [u.zone for u in update.endpoints] == ["east"]
             assert asking == [True]
             assert registry.calls[1][1].startswith("/registry/instances?after=2&")
             assert len(client.node._held) == 2 == len(client.node.upstreams())
             registry.change("s9", health="removed")
-            await until(lambda: len(script.of(api.EndpointUpdate)) == 3)
+            await until(lambda: len(script.of(EndpointUpdate)) == 3)
             assert len(client.node._held) == 1 == len(client.node.upstreams())
 
     run(test())
@@ -339,8 +346,8 @@
         async with node(script, registry=registry, known_list=known(5)):
             await until(lambda: registry.calls)
             registry.change("s0", health="draining")
-            await until(lambda: len(script.of(api.EndpointUpdate)) == 2)
-            assert list(script.of(api.EndpointUpdate)[1].endpoints)[0].status is api.EndpointStatus.DRAINING
+            await until(lambda: len(script.of(EndpointUpdate)) == 2)
+            assert list(script.of(EndpointUpdate)[1].endpoints)[0].status is EndpointStatus.DRAINING
             assert time.monotonic() - registry.calls[0][0] < TOLD_S
 
     run(test())
@@ -352,8 +359,8 @@
     # Guards against a drain told on such a watch being unknown still when it counts as told: a pause as
     # after a call that failed, of 0.5 to 1.5 s, is as long as all the time that is left then.
     async def test() -> None:
-        monkeypatch.setattr("loadbalancer.net.discovery.ASKED_WAIT_MS", 20)
-        monkeypatch.setattr("loadbalancer.net.discovery.OVERDUE_S", 0.02)
+        monkeypatch.setattr("loadbalancer.proxy.discovery_client.ASKED_WAIT_MS", 20)
+        monkeypatch.setattr("loadbalancer.proxy.discovery_client.OVERDUE_S", 0.02)
         registry = Registry()
         heard: Answer = registry.upstream.answer
 
@@ -369,9 +376,7 @@
         async with node(module, registry=registry, known_list=known(5), asked=True) as client:
             assert client.node.upstreams()
             await until(lambda: not client.node.upstreams())
-            assert api.WatchEndpoints(True) in (
-                module.answer_to(api.EndpointUpdateKind.WATCH_TIMED_OUT) or []
-            )
+            assert WatchEndpoints(True) in (module.answer_to(EndpointUpdateKind.WATCH_TIMED_OUT) or [])
 
     run(test())
 
@@ -394,7 +399,7 @@
         async with node(script, registry=registry, known_list=known(5)) as client:
             await until(lambda: len(registry.calls) >= 3)
             assert registry.calls[2][0] - registry.calls[0][0] > 0.1  # it backs off
-            assert len(script.of(api.EndpointUpdate)) == 1 and len(client.node._held) == 1
+            assert len(script.of(EndpointUpdate)) == 1 and len(client.node._held) == 1
             registry.broken = b""
             registry.change("s9", dial="127.0.0.1:9")
             await until(lambda: len(client.node.upstreams()) == 2)
@@ -414,22 +419,22 @@
 
 def test_the_module_ends_the_watch_and_fetches_the_whole_list() -> None:
     async def test() -> None:
-        steps: dict[str, api.Action] = {
-            "off": api.WatchEndpoints(False),
-            "on": api.WatchEndpoints(True),
-            "fetch": api.FetchEndpoints(),
+        steps: dict[str, Action] = {
+            "off": WatchEndpoints(False),
+            "on": WatchEndpoints(True),
+            "fetch": FetchEndpoints(),
         }
         registry = Registry()
-        script = Script(lambda e: [steps[e.name]] if isinstance(e, api.TimerExpired) else ())
+        script = Script(lambda e: [steps[e.name]] if isinstance(e, TimerExpired) else ())
         async with node(script, registry=registry, known_list=known(5)) as client:
             await until(lambda: registry.calls)
-            client.node.feed(api.TimerExpired("off"))
+            client.node.feed(TimerExpired("off"))
             assert client.node._discovery._source.pool.hub.open == 0
-            client.node.feed(api.TimerExpired("on"))
+            client.node.feed(TimerExpired("on"))
             await until(lambda: len(registry.calls) == 2)
-            client.node.feed(api.TimerExpired("fetch"))
-            await until(lambda: len(script.of(api.EndpointUpdate)) == 2)
-            assert script.of(api.EndpointUpdate)[1].kind is api.EndpointUpdateKind.FULL
+            client.node.feed(TimerExpired("fetch"))
+            await until(lambda: len(script.of(EndpointUpdate)) == 2)
+            assert script.of(EndpointUpdate)[1].kind is EndpointUpdateKind.FULL
             assert not client.node._held and not client.node._hub.pools
             assert registry.calls[2][1] == "/registry/instances"
 
@@ -440,9 +445,7 @@
     """The numbers of upstreams in the last whole list."""
     return [
         u.id
-        for u in [e for e in script.of(api.EndpointUpdate) if e.kind is api.EndpointUpdateKind.FULL][
-            -1
-        ].endpoints
+        for u in [e for e in script.of(EndpointUpdate) if e.kind is EndpointUpdateKind.FULL][-1].endpoints
     ]
 
 
@@ -567,17 +570,17 @@
 
 def asks() -> Script:
     """A module that asks for the watch, or for the whole list, when it is woken so."""
-    steps: dict[str, api.Action] = {"watch": api.WatchEndpoints(True), "fetch": api.FetchEndpoints()}
-    return Script(lambda e: [steps[e.name]] if isinstance(e, api.TimerExpired) else ())
+    steps: dict[str, Action] = {"watch": WatchEndpoints(True), "fetch": FetchEndpoints()}
+    return Script(lambda e: [steps[e.name]] if isinstance(e, TimerExpired) else ())
 
 
 def failures(script: Script) -> int:
-    return sum(e.kind is api.EndpointUpdateKind.FAILED for e in script.of(api.EndpointUpdate))
+    return sum(e.kind is EndpointUpdateKind.FAILED for e in script.of(EndpointUpdate))
 
 
 async def closes_in_handover(old: Registry, new: Registry, client: Client, script: Script) -> None:
     """The node goes over to a new address, and the old one ends its watch and listens no more."""
-    client.node.feed(api.TimerExpired("watch"))
+    client.node.feed(TimerExpired("watch"))
     await until(lambda: old.calls)
     client.node.move_discovery((HOST, new.upstream.port))
     await until(lambda: new.upstream.got)
@@ -597,10 +600,10 @@
         async with node(script, registry=old, known_list=known(5), asked=True) as client:
             discovery = client.node._discovery
             await closes_in_handover(old, new, client, script)
-            client.node.feed(api.TimerExpired("watch"))
+            client.node.feed(TimerExpired("watch"))
             await until(lambda: discovery._call is None)  # refused
-            client.node.feed(api.TimerExpired("watch"))
-            client.node.feed(api.TimerExpired("fetch"))
+            client.node.feed(TimerExpired("watch"))
+            client.node.feed(TimerExpired("fetch"))
             assert discovery._call is None and discovery._fetch is None
             assert failures(script) == 1
             release.set()
@@ -622,7 +625,7 @@
             await closes_in_handover(old, new, client, script)
 
             async def is_told_once(told: int) -> None:
-                client.node.feed(api.TimerExpired("watch"))
+                client.node.feed(TimerExpired("watch"))
                 await until(lambda: failures(script) == told)
                 ended = len(new.calls)
                 await until(lambda: len(new.calls) >= ended + 2)
@@ -646,7 +649,7 @@
         holds_first_list(new)
         async with node(script, registry=old, known_list=known(5), asked=True) as client:
             await closes_in_handover(old, new, client, script)
-            client.node.feed(api.TimerExpired(asked))
+            client.node.feed(TimerExpired(asked))
             await until(lambda: client.node._discovery._source.refuses)
             client.node.move_discovery((HOST, old.upstream.port))
             await until(lambda: failures(script) >= 2)  # it is still closed, and is asked
@@ -672,9 +675,9 @@
     return release
 
 
-def states(script: Script) -> list[api.EndpointStatus]:
+def states(script: Script) -> list[EndpointStatus]:
     """What the module has been told of the one upstream, in order."""
-    return [u.status for e in script.of(api.EndpointUpdate) for u in e.endpoints]
+    return [u.status for e in script.of(EndpointUpdate) for u in e.endpoints]
 
 
 def test_an_older_list_at_a_hand_over_does_not_undo_a_drain() -> None:
@@ -690,14 +693,14 @@
             client.node.move_discovery((HOST, new.upstream.port))
             await until(lambda: new.calls)
             old.change("s0", health="draining")
-            await until(lambda: states(script)[-1] is api.EndpointStatus.DRAINING)
+            await until(lambda: states(script)[-1] is EndpointStatus.DRAINING)
             release.set()
             await until(lambda: len(new.calls) == 2)  # what it said is read, and it is asked once more
-            assert states(script) == [api.EndpointStatus.READY, api.EndpointStatus.DRAINING]
+            assert states(script) == [EndpointStatus.READY, EndpointStatus.DRAINING]
             assert not client.node.upstreams()
             new.rows["s0"]["health"], new.version = "draining", 2
             await until(lambda: client.node._discovery._successor is None)
-            assert api.EndpointStatus.READY not in states(script)[1:]
+            assert EndpointStatus.READY not in states(script)[1:]
         new.upstream.stop()
 
     run(test())
@@ -708,16 +711,16 @@
         registry = Registry()
         registry.rows = {"s0": entry("s0", 5)}
         release = holds_first_list(registry)
-        script = Script(lambda e: [api.FetchEndpoints()] if isinstance(e, api.TimerExpired) else ())
+        script = Script(lambda e: [FetchEndpoints()] if isinstance(e, TimerExpired) else ())
         async with node(script, registry=registry, known_list=known(5)) as client:
             await until(lambda: registry.calls)
-            client.node.feed(api.TimerExpired("fetch"))
+            client.node.feed(TimerExpired("fetch"))
             await until(lambda: len(registry.calls) == 2)
             registry.change("s0", health="draining")
-            await until(lambda: states(script)[-1] is api.EndpointStatus.DRAINING)
+            await until(lambda: states(script)[-1] is EndpointStatus.DRAINING)
             release.set()
             await until(lambda: client.node._discovery._fetch is None)
-            assert states(script) == [api.EndpointStatus.READY, api.EndpointStatus.DRAINING]
+            assert states(script) == [EndpointStatus.READY, EndpointStatus.DRAINING]
             assert not client.node.upstreams()
 
     run(test())
--- a/tests/test_gone.py
+++ b/tests/test_gone.py
@@ -15,9 +15,20 @@
 
 import pytest
 
-from loadbalancer import interface as api
-from loadbalancer.net.node import Module
-from loadbalancer.policy import Balancer
+from loadbalancer.messages import (
+    Action,
+    AttemptEnded,
+    AttemptResult,
+    CancelAttempt,
+    ClientDisconnected,
+    Event,
+    Forward,
+    RequestArrived,
+    TimerExpired,
+)
+from loadbalancer.policy.balancer import Balancer
+from loadbalancer.proxy.proxy import Module
+from loadbalancer.settings import Limits
 from tests import bench
 from tests.sockets import (
     HOST,
@@ -59,10 +70,10 @@
         self.happens: Callable[[], None] | None = None
         self.sends: Counter[str] = Counter()
 
-    def handle(self, now: int, events: Iterable[api.Event]) -> list[api.Action]:
+    def handle(self, now: int, events: Iterable[Event]) -> list[Action]:
         actions = list(self.module.handle(now, events))
         for action in actions:
-            if type(action) is api.Forward:
+            if type(action) is Forward:
                 if self.when == "decided" and (action.request_id, self.sends[action.request_id]) == (
                     self.request,
                     self.attempt,
@@ -87,7 +98,7 @@
                 self.happen()
             return made
 
-        monkeypatch.setattr("loadbalancer.net.node.REST_S", 0.0 if self.when == "decided" else 60.0)
+        monkeypatch.setattr("loadbalancer.proxy.proxy.REST_S", 0.0 if self.when == "decided" else 60.0)
         if self.when == "connected":
             monkeypatch.setattr(loop, "create_connection", create_connection)
 
@@ -165,8 +176,8 @@
             else:
                 writer.write(written(200))
 
-        monkeypatch.setattr("loadbalancer.policy.LOOK_NS", int(PATIENCE_S * 1000) * MS)
-        monkeypatch.setattr("loadbalancer.net.node.PROBE_TIMEOUT_S", PATIENCE_S)
+        monkeypatch.setattr("loadbalancer.policy.balancer.LOOK_NS", int(PATIENCE_S * 1000) * MS)
+        monkeypatch.setattr("loadbalancer.proxy.proxy.PROBE_TIMEOUT_S", PATIENCE_S)
         upstream, balancer = await Upstream(answer).start(), real(health_checks=True)
         module = Late(balancer, when)
         module.watch(monkeypatch, upstream)
@@ -225,16 +236,16 @@
     async def test() -> None:
         upstream, other = await Upstream(ENDS.get(end, silent)).start(), await Upstream(answers(200)).start()
 
-        def react(event: api.Event) -> Iterable[api.Action]:
+        def react(event: Event) -> Iterable[Action]:
             first, second = script.ids()
-            if isinstance(event, api.RequestArrived):
+            if isinstance(event, RequestArrived):
                 return [
-                    api.Forward(event.request_id, second)
+                    Forward(event.request_id, second)
                     if event.request_id == "1"
-                    else api.Forward(event.request_id, first, 50 * MS if end == "timeout" else 0)
+                    else Forward(event.request_id, first, 50 * MS if end == "timeout" else 0)
                 ]
-            again = isinstance(event, api.TimerExpired if when == "read" else api.AttemptEnded)
-            return [api.Forward("2", second)] if again and module.sends["2"] == 1 else ()
+            again = isinstance(event, TimerExpired if when == "read" else AttemptEnded)
+            return [Forward("2", second)] if again and module.sends["2"] == 1 else ()
 
         script = Script(react)
         module = Late(script, when, request="2", attempt=1)
@@ -247,13 +258,13 @@
             if when != "read":
                 await module.goes(leave, mine, client)
             mine.send(request("/read/left"))
-            await until(lambda: len(script.of(api.AttemptEnded)) >= 2)
+            await until(lambda: len(script.of(AttemptEnded)) >= 2)
             if when == "read":
                 await module.goes(leave, mine, client)
-                client.node.feed(api.TimerExpired("again"))
-            await until(lambda: script.of(api.ClientDisconnected) and len(script.of(api.AttemptEnded)) >= 3)
+                client.node.feed(TimerExpired("again"))
+            await until(lambda: script.of(ClientDisconnected) and len(script.of(AttemptEnded)) >= 3)
             script.react = lambda e: (
-                [api.Forward(e.request_id, script.ids()[1])] if isinstance(e, api.RequestArrived) else ()
+                [Forward(e.request_id, script.ids()[1])] if isinstance(e, RequestArrived) else ()
             )
             await served(client)
             assert sent(other) == ["/read/first", "/read/barrier"]
@@ -269,7 +280,7 @@
     monkeypatch: pytest.MonkeyPatch, leave: Leave, kept: bool
 ) -> None:
     async def test() -> None:
-        monkeypatch.setattr("loadbalancer.net.node.REST_S", 0.0)
+        monkeypatch.setattr("loadbalancer.proxy.proxy.REST_S", 0.0)
         upstream = await Upstream(answers(200)).start()
         script = Script(lambda event: send_first(script, event))
         async with node(script, upstream) as client:
@@ -287,7 +298,7 @@
 @LEAVES
 def test_the_loop_is_busy_with_a_long_batch(monkeypatch: pytest.MonkeyPatch, leave: Leave) -> None:
     async def test() -> None:
-        monkeypatch.setattr("loadbalancer.net.node.REST_S", 0.0)
+        monkeypatch.setattr("loadbalancer.proxy.proxy.REST_S", 0.0)
         all_came = asyncio.Event()
 
         async def answer(got: Got, writer: Writer) -> None:
@@ -302,27 +313,26 @@
                 mine.send(request("/read/first"))
             await until(lambda: len(upstream.got) == 6)
             all_came.set()
-            await until(lambda: len(script.of(api.AttemptEnded)) == 6)  # a kept connection for each
+            await until(lambda: len(script.of(AttemptEnded)) == 6)  # a kept connection for each
             script.react = lambda event: ()
             for i, mine in enumerate(clients):
                 mine.send(request(f"/read/{i}"))
-                await until(lambda i=i: len(script.of(api.RequestArrived)) == 7 + i)  # type: ignore[misc]
+                await until(lambda i=i: len(script.of(RequestArrived)) == 7 + i)  # type: ignore[misc]
 
-            def react(event: api.Event) -> Iterable[api.Action]:
-                if not isinstance(event, api.TimerExpired):
+            def react(event: Event) -> Iterable[Action]:
+                if not isinstance(event, TimerExpired):
                     return ()
                 for mine in clients[::2]:
                     leave(mine)
                 time.sleep(1.2 * BREAK_S)  # the batch: nothing is read meanwhile
                 return [
-                    api.Forward(arrived.request_id, script.ids()[0])
-                    for arrived in script.of(api.RequestArrived)[6:]
+                    Forward(arrived.request_id, script.ids()[0]) for arrived in script.of(RequestArrived)[6:]
                 ]
 
             script.react = react
-            client.node.feed(api.TimerExpired("token"))
-            await until(lambda: len(script.of(api.AttemptEnded)) == 12)
-            assert len(script.of(api.ClientDisconnected)) == 3
+            client.node.feed(TimerExpired("token"))
+            await until(lambda: len(script.of(AttemptEnded)) == 12)
+            assert len(script.of(ClientDisconnected)) == 3
             assert sorted(sent(upstream)[6:]) == ["/read/1", "/read/3", "/read/5"]
             for mine in clients:
                 mine.close()
@@ -348,7 +358,7 @@
             script.react = lambda event: send_first(script, event)
             await module.goes(leave, mine, client)
             mine.send(request("/read/left"))
-            await until(lambda: script.of(api.ClientDisconnected))
+            await until(lambda: script.of(ClientDisconnected))
             await nothing_but(upstream, client, script, before=int(kept))
             assert upstream.opened == 1 and not upstream.closed  # that of the last request, the same if kept
             mine.close()
@@ -370,7 +380,7 @@
             leave(mine)
             assert side.left  # the kernel knows, the loop does not
             if mine.fileno() != -1:  # a half-close: it still reads
-                while len(script.of(api.RequestArrived)) < 2:
+                while len(script.of(RequestArrived)) < 2:
                     await asyncio.get_running_loop().sock_recv(mine, 1 << 16)
             await until(lambda: side not in client.node.server._connections)
             await nothing_but(upstream, client, script, before=1)
@@ -392,14 +402,12 @@
             mine = await connected(client)
             mine.send(request("/read/left"))
             await until(lambda: upstream.got)
-            script.react = lambda e: (
-                [api.Forward("1", script.ids()[1])] if isinstance(e, api.TimerExpired) else ()
-            )
+            script.react = lambda e: [Forward("1", script.ids()[1])] if isinstance(e, TimerExpired) else ()
             await module.goes(leave, mine, client)
-            client.node.feed(api.TimerExpired("overdue"))
-            await until(lambda: script.of(api.ClientDisconnected) and len(script.of(api.AttemptEnded)) == 2)
-            results = {o.result for o in script.of(api.AttemptEnded)}
-            assert results == {api.AttemptResult.CANCELLED, api.AttemptResult.NOT_SENT}
+            client.node.feed(TimerExpired("overdue"))
+            await until(lambda: script.of(ClientDisconnected) and len(script.of(AttemptEnded)) == 2)
+            results = {o.result for o in script.of(AttemptEnded)}
+            assert results == {AttemptResult.CANCELLED, AttemptResult.NOT_SENT}
             upstream.answer = answers(200)
             await nothing_but(upstream, client, script, before=1)
             assert sent(upstream) == ["/read/left", "/read/barrier"] and not other.got
@@ -414,7 +422,7 @@
 
 def desk_with_one_slow(**limits: bool) -> bench.Desk:
     """One attempt is out; its upstream has been known to answer sooner than this one will."""
-    allowed = api.Limits(max_attempts=4, **{"hedging": True, "cancellation": True, **limits})
+    allowed = Limits(max_attempts=4, **{"hedging": True, "cancellation": True, **limits})
     desk = bench.Desk(bench.settings(limits=allowed))
     for i in range(20):
         desk.give(bench.arrival(i, desk.now))
@@ -436,23 +444,23 @@
     desk.advance(due - 1 - desk.now)
     assert len(desk.sends["rslow"]) == 1
     desk.now = due
-    leave: list[api.Event] = [api.ClientDisconnected("rslow")] * gone
-    wake = api.TimerExpired(str(desk.balancer.timer))
+    leave: list[Event] = [ClientDisconnected("rslow")] * gone
+    wake = TimerExpired(str(desk.balancer.timer))
     said = desk.give(*([*leave, wake] if gone_first else [wake, *leave]))
-    assert (api.CancelAttempt("rslow", 0) in said) == gone
+    assert (CancelAttempt("rslow", 0) in said) == gone
     desk.advance(600 * MS)
     assert len(desk.sends["rslow"]) == (1 if gone else 2)  # a copy of it was due
 
 
-@pytest.mark.parametrize("result", [r for r in api.AttemptResult if r is not api.AttemptResult.OK])
+@pytest.mark.parametrize("result", [r for r in AttemptResult if r is not AttemptResult.OK])
 @pytest.mark.parametrize("gone_first", [False, True])
 @pytest.mark.parametrize("copies", [False, True])
 def test_an_attempt_ends_and_the_leave_is_told_in_one_batch(
-    result: api.AttemptResult, gone_first: bool, copies: bool
+    result: AttemptResult, gone_first: bool, copies: bool
 ) -> None:
     desk = desk_with_one_slow(hedging=copies)
     desk.now += 10 * MS
-    leave, end = api.ClientDisconnected("rslow"), desk.result("rslow", 0, result)
+    leave, end = ClientDisconnected("rslow"), desk.result("rslow", 0, result)
     desk.give(leave, end) if gone_first else desk.give(end, leave)
     desk.advance(600 * MS)
     assert len(desk.sends["rslow"]) == 1
@@ -464,8 +472,8 @@
     desk = desk_with_one_slow()
     desk.advance(150 * MS)
     assert len(desk.sends["rslow"]) == 2
-    desk.give(api.ClientDisconnected("rslow"))
+    desk.give(ClientDisconnected("rslow"))
     for number in (first, 1 - first):
-        desk.finish("rslow", api.AttemptResult.CONNECT_FAILED, number)
+        desk.finish("rslow", AttemptResult.CONNECT_FAILED, number)
     desk.advance(600 * MS)
     assert len(desk.sends["rslow"]) == 2 and "rslow" not in desk.balancer.requests
--- a/tests/test_leaves.py
+++ b/tests/test_leaves.py
@@ -13,8 +13,17 @@
 
 import pytest
 
-from loadbalancer import interface as api
-from loadbalancer.policy import Balancer
+from loadbalancer.messages import (
+    Action,
+    AttemptEnded,
+    AttemptResult,
+    ClientDisconnected,
+    Event,
+    Forward,
+    RequestArrived,
+    TimerExpired,
+)
+from loadbalancer.policy.balancer import Balancer
 from tests.sockets import (
     HOST,
     Answer,
@@ -58,8 +67,8 @@
     return mine
 
 
-def send_first(script: Script, event: api.Event) -> Iterable[api.Action]:
-    return [api.Forward(event.request_id, script.ids()[0])] if isinstance(event, api.RequestArrived) else ()
+def send_first(script: Script, event: Event) -> Iterable[Action]:
+    return [Forward(event.request_id, script.ids()[0])] if isinstance(event, RequestArrived) else ()
 
 
 async def nothing_but(upstream: Upstream, client: Client, script: Script, before: int = 0) -> None:
@@ -79,17 +88,15 @@
         async with node(script, upstream) as client:
             mine = await connected(client)
             mine.send(request("/read/left"))
-            await until(lambda: script.of(api.RequestArrived))
-            script.react = lambda e: (
-                [api.Forward("1", script.ids()[0])] if isinstance(e, api.TimerExpired) else ()
-            )
+            await until(lambda: script.of(RequestArrived))
+            script.react = lambda e: [Forward("1", script.ids()[0])] if isinstance(e, TimerExpired) else ()
             leave(mine)
             if not same_turn:
-                await until(lambda: script.of(api.ClientDisconnected))
-            client.node.feed(api.TimerExpired("token"))
-            await until(lambda: script.of(api.ClientDisconnected) and script.of(api.AttemptEnded))
+                await until(lambda: script.of(ClientDisconnected))
+            client.node.feed(TimerExpired("token"))
+            await until(lambda: script.of(ClientDisconnected) and script.of(AttemptEnded))
             await nothing_but(upstream, client, script)
-            assert script.of(api.ClientDisconnected) == [api.ClientDisconnected("1")]
+            assert script.of(ClientDisconnected) == [ClientDisconnected("1")]
             mine.close()
 
     run(test())
@@ -102,15 +109,13 @@
         script = Script(lambda event: send_first(script, event))
         async with node(script, upstream) as client:
             assert (await client.ask(request("/read/first"))).status == 200
-            script.react = lambda e: (
-                [api.Forward("2", script.ids()[0])] if isinstance(e, api.TimerExpired) else ()
-            )
+            script.react = lambda e: [Forward("2", script.ids()[0])] if isinstance(e, TimerExpired) else ()
             mine = await connected(client)
             mine.send(request("/read/left"))
-            await until(lambda: len(script.of(api.RequestArrived)) == 2)
+            await until(lambda: len(script.of(RequestArrived)) == 2)
             leave(mine)
-            client.node.feed(api.TimerExpired("token"))
-            await until(lambda: script.of(api.ClientDisconnected))
+            client.node.feed(TimerExpired("token"))
+            await until(lambda: script.of(ClientDisconnected))
             await nothing_but(upstream, client, script, before=1)
             mine.close()
 
@@ -143,12 +148,12 @@
             await until(lambda: upstream.opened)
             if not same_turn:
                 leave(mine)
-                await until(lambda: script.of(api.ClientDisconnected))
+                await until(lambda: script.of(ClientDisconnected))
             up.set()
-            await until(lambda: script.of(api.ClientDisconnected))
+            await until(lambda: script.of(ClientDisconnected))
             monkeypatch.setattr(loop, "create_connection", original)
             await nothing_but(upstream, client, script)
-            assert [o.result for o in script.of(api.AttemptEnded)][0] is api.AttemptResult.CANCELLED
+            assert [o.result for o in script.of(AttemptEnded)][0] is AttemptResult.CANCELLED
             mine.close()
 
     run(test())
@@ -170,22 +175,22 @@
         async with node(script, upstream) as client:
             mine = await connected(client)
 
-            def react(event: api.Event) -> Iterable[api.Action]:
-                if isinstance(event, api.AttemptEnded) and same_turn and not event.request_complete:
+            def react(event: Event) -> Iterable[Action]:
+                if isinstance(event, AttemptEnded) and same_turn and not event.request_complete:
                     leave(mine)
-                    return [api.Forward(event.request_id, event.endpoint_id)]
-                if isinstance(event, api.TimerExpired):
-                    return [api.Forward("1", script.ids()[0])]
+                    return [Forward(event.request_id, event.endpoint_id)]
+                if isinstance(event, TimerExpired):
+                    return [Forward("1", script.ids()[0])]
                 return send_first(script, event)
 
             script.react = react
             mine.send(request("/read/left"))
-            await until(lambda: script.of(api.AttemptEnded))
+            await until(lambda: script.of(AttemptEnded))
             if not same_turn:
                 leave(mine)
-                await until(lambda: script.of(api.ClientDisconnected))
-                client.node.feed(api.TimerExpired("again"))
-            await until(lambda: script.of(api.ClientDisconnected))
+                await until(lambda: script.of(ClientDisconnected))
+                client.node.feed(TimerExpired("again"))
+            await until(lambda: script.of(ClientDisconnected))
             await nothing_but(upstream, client, script, before=1)
             mine.close()
 
@@ -219,9 +224,9 @@
             side = next(iter(client.node.server._connections))
             script.react = lambda event: ()
             mine.send(request("/read/left"))
-            await until(lambda: len(script.of(api.RequestArrived)) == 2)
+            await until(lambda: len(script.of(RequestArrived)) == 2)
             half_close(mine)
-            await until(lambda: script.of(api.ClientDisconnected))
+            await until(lambda: script.of(ClientDisconnected))
             assert side.flushing and side in client.node.server._flushing  # and its time runs
             await nothing_but(upstream, client, script, before=1)
             mine.close()
@@ -239,9 +244,9 @@
             assert side._transport is not None and not side._transport.is_reading()
             mine.send(request("/read/left"))
             half_close(mine)
-            while len(script.of(api.RequestArrived)) < 2:  # reads on until the node does
+            while len(script.of(RequestArrived)) < 2:  # reads on until the node does
                 await asyncio.get_running_loop().sock_recv(mine, 1 << 16)
-            await until(lambda: script.of(api.ClientDisconnected))
+            await until(lambda: script.of(ClientDisconnected))
             await nothing_but(upstream, client, script, before=1)
             mine.close()
 
--- a/tests/test_lists.py
+++ b/tests/test_lists.py
@@ -15,14 +15,17 @@
 from hypothesis import settings as hyp
 from hypothesis import strategies as st
 
-from loadbalancer import interface as api
-from loadbalancer import membership
-from loadbalancer.__main__ import BadConfig, keep_for_good, read_config
-from loadbalancer.net import lists
-from loadbalancer.net.lists import STRIDE, BadList, Listing, Reader, number_of, run_through
-from loadbalancer.net.node import SLICE, Config, Node
-from loadbalancer.net.upstream import Hub, Pool
-from loadbalancer.policy import Balancer
+from loadbalancer.__main__ import keep_for_good
+from loadbalancer.configuration import BadConfig, Config, read_config
+from loadbalancer.messages import AttemptResult, EndpointStatus, EndpointUpdate, EndpointUpdateKind
+from loadbalancer.policy import subsetting
+from loadbalancer.policy.balancer import Balancer
+from loadbalancer.proxy import addresses, endpoint_list
+from loadbalancer.proxy.connection_pool import Hub, Pool
+from loadbalancer.proxy.endpoint_list import STRIDE, Listing, Reader, number_of, run_through
+from loadbalancer.proxy.errors import BadList
+from loadbalancer.proxy.proxy import SLICE, Node
+from loadbalancer.state import endpoint_table
 from tests.sockets import (
     HOST,
     PATIENCE_S,
@@ -91,7 +94,7 @@
     body = json.dumps({key: text[key] for key in order}, indent=indent).encode()
     once = Reader(0).read(body)
     with pytest.MonkeyPatch.context() as patch:
-        patch.setattr(lists, "STRIDE", stride)
+        patch.setattr("loadbalancer.proxy.endpoint_list.STRIDE", stride)
         pieces = run_through(Reader(0).steps(bytearray(body)))
     assert shown(once) == shown(pieces) and (once.version, once.whole) == (4, False)
     named = [row["host"] for row in rows if isinstance(row, dict) and isinstance(row.get("host"), str)]
@@ -131,12 +134,12 @@
     assert steps == (size - 1) // STRIDE
 
 
-def told(script: Script, first: int = 1) -> list[api.EndpointUpdate]:
-    return script.of(api.EndpointUpdate)[first:]
+def told(script: Script, first: int = 1) -> list[EndpointUpdate]:
+    return script.of(EndpointUpdate)[first:]
 
 
-def states(script: Script) -> dict[int, api.EndpointStatus]:
-    return {u.id: u.status for update in script.of(api.EndpointUpdate) for u in update.endpoints}
+def states(script: Script) -> dict[int, EndpointStatus]:
+    return {u.id: u.status for update in script.of(EndpointUpdate) for u in update.endpoints}
 
 
 def test_a_long_list_is_put_in_force_in_slices_and_requests_go_on() -> None:
@@ -149,8 +152,8 @@
                 turns += 1
             assert turns >= 1000 // SLICE  # so many turns of the loop were others' too
             assert max(len(list(update.endpoints)) for update in told(script)) <= SLICE
-            assert {update.kind for update in told(script)} == {api.EndpointUpdateKind.DELTA}
-            gone = {number for number, state in states(script).items() if state is api.EndpointStatus.REMOVED}
+            assert {update.kind for update in told(script)} == {EndpointUpdateKind.DELTA}
+            gone = {number for number, state in states(script).items() if state is EndpointStatus.REMOVED}
             assert gone == {number_of("s0"), number_of("s1")}  # s2 is in both
             assert set(client.node._held) == {number_of(f"s{i}") for i in range(2, 1002)}
             assert not client.node._hub.pools  # no connections, nor a place for any, where nothing is sent
@@ -175,9 +178,9 @@
             names = ("s499", "s498", "new")
             assert [u.id for u in told(script)[-1].endpoints] == [number_of(name) for name in names]
             await until(lambda: balancer._applying is None)
-            assert states(script)[number_of("s499")] is api.EndpointStatus.DRAINING
-            assert states(script)[number_of("s498")] is api.EndpointStatus.REMOVED
-            assert states(script)[number_of("new")] is api.EndpointStatus.READY and len(balancer._held) == 500
+            assert states(script)[number_of("s499")] is EndpointStatus.DRAINING
+            assert states(script)[number_of("s498")] is EndpointStatus.REMOVED
+            assert states(script)[number_of("new")] is EndpointStatus.READY and len(balancer._held) == 500
             assert not {number_of("s499"), number_of("s498")} & set(balancer.upstreams())
             balancer._listed(listing(whole(300, 5)))  # a newer whole list counts again
             await until(lambda: balancer._applying is None)
@@ -226,7 +229,7 @@
             assert [r.getMessage() for r in caplog.records] == [
                 f"discovery: a list of over {len(long) - 1} bytes is turned down; the old list stays"
             ]
-            assert len(balancer.upstreams()) == 3 and len(script.of(api.EndpointUpdate)) == 1
+            assert len(balancer.upstreams()) == 3 and len(script.of(EndpointUpdate)) == 1
             registry.broken = b""
             registry.change("s9", port=9)  # what is not too long is heard
             await until(lambda: number_of("s9") in balancer.upstreams())
@@ -250,7 +253,7 @@
         upstream = await Upstream(part).start()
         try:
             for rate, put_off in ((1000.0, 3.0), (0.0, 0.0)):
-                ended: list[api.AttemptResult] = []
+                ended: list[AttemptResult] = []
                 pool = Pool(Hub(2, 2.0, 0.0, least_rate=rate), (HOST, upstream.port))
                 exchange = pool.exchange(
                     b"GET / HTTP/1.1\r\n\r\n",
@@ -264,7 +267,7 @@
                     await until(lambda e=exchange, b=before: e._timer.when() > b)  # type: ignore[misc]
                 assert exchange._timer.when() - before == pytest.approx(put_off)  # type: ignore[union-attr]
                 go.set()
-                await until(lambda ended=ended: ended == [api.AttemptResult.OK])  # type: ignore[misc]
+                await until(lambda ended=ended: ended == [AttemptResult.OK])  # type: ignore[misc]
                 go.clear()
                 pool.close_idle()
         finally:
@@ -311,7 +314,13 @@
 
         monkeypatch.setattr(module, name, call)
 
-    for module, name in ((lists, "number_of"), (lists, "pack_address"), (membership, "mixed")):
+    for module, name in (
+        (endpoint_list, "number_of"),
+        (endpoint_list, "pack_address"),
+        (addresses, "pack_address"),
+        (endpoint_table, "mixed"),
+        (subsetting, "mixed"),
+    ):
         counted(module, name)
     config = read_config(str(path))
     balancer = Balancer(config.settings, 1, 1)
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -12,38 +12,43 @@
 from hypothesis import settings as hyp
 from hypothesis import strategies as st
 
-from loadbalancer import interface as api
-from loadbalancer import membership as membership_module
-from loadbalancer.membership import MANY, RESERVE, WIDE, Membership, Placement, Subset, mixed, unmixed
-from loadbalancer.policy import SCAN, Balancer
+from loadbalancer.messages import AttemptResult, Endpoint, EndpointStatus, EndpointUpdate, EndpointUpdateKind
+from loadbalancer.policy import subsetting
+from loadbalancer.policy.balancer import Balancer
+from loadbalancer.policy.endpoints import SCAN
+from loadbalancer.policy.subsetting import MANY, WIDE, Subset, choose_subset
+from loadbalancer.settings import DeduplicationScope, Idempotency, Prices, RequestClass, Settings
+from loadbalancer.state import endpoint_table, hash_ring
+from loadbalancer.state.endpoint_table import RESERVE, Membership, Placement
+from loadbalancer.state.hash_ring import mixed, unmixed
 from tests.bench import MS, SECOND, START, Desk, arrival, settings
 
 ZONES = [f"z{i}" for i in range(8)]
-ZONE = api.RequestClass(
+ZONE = RequestClass(
     "zone",
-    api.Idempotency.IDEMPOTENCY_KEY,
-    api.DeduplicationScope.ZONE,
+    Idempotency.IDEMPOTENCY_KEY,
+    DeduplicationScope.ZONE,
     deduplication_window_ns=400 * MS,
     latency_objective_ns=300 * MS,
 )
-CELL = api.RequestClass(
+CELL = RequestClass(
     "cell",
-    api.Idempotency.IDEMPOTENCY_KEY,
-    api.DeduplicationScope.CELL,
+    Idempotency.IDEMPOTENCY_KEY,
+    DeduplicationScope.CELL,
     deduplication_window_ns=400 * MS,
     latency_objective_ns=300 * MS,
 )
-READ = api.RequestClass("read", latency_objective_ns=300 * MS)
+READ = RequestClass("read", latency_objective_ns=300 * MS)
 FOUND = (frozenset({"z1", "z2"}), frozenset({"large"}))  # a placement
 
 
-def fleet(count: int, seed: int = 1) -> list[api.Endpoint]:
+def fleet(count: int, seed: int = 1) -> list[Endpoint]:
     """Upstreams of random ids over eight zones, a hundred to a cell."""
     rng = random.Random(seed)
     return [
-        api.Endpoint(
+        Endpoint(
             rng.getrandbits(64),
-            api.EndpointStatus.READY,
+            EndpointStatus.READY,
             ZONES[i % 8],
             i // 800,
             1.0,
@@ -54,8 +59,8 @@
     ]
 
 
-def site(proxies: int, zonal: bool = False, me: int = 0, **more: object) -> api.Settings:
-    prices = api.Prices(connection=0.03, cross_zone=0.02) if zonal else api.Prices()
+def site(proxies: int, zonal: bool = False, me: int = 0, **more: object) -> Settings:
+    prices = Prices(connection=0.03, cross_zone=0.02) if zonal else Prices()
     return settings(
         proxy_index=me,
         proxy_count=proxies,
@@ -67,7 +72,7 @@
     )
 
 
-def table(config: api.Settings, upstreams: Iterable[api.Endpoint]) -> Membership:
+def table(config: Settings, upstreams: Iterable[Endpoint]) -> Membership:
     made = Membership(config)
     made.placements += [Placement(None, None), Placement(*FOUND)]
     for upstream in upstreams:
@@ -84,7 +89,7 @@
             (list(p.ring), {z: list(ring) for z, ring in p.by_zone.items() if ring}, dict(p.by_cell))
             for p in made.placements
         ],
-        [made.subset(p) for p in made.placements],
+        [choose_subset(made, p) for p in made.placements],
     )
 
 
@@ -93,19 +98,19 @@
     found = []
     for me in range(proxies):
         made.settings = site(proxies, zonal, me)
-        found.append(set(made.subset(made.placements[0]).own))
+        found.append(set(choose_subset(made, made.placements[0]).own))
     return found
 
 
 ENTRIES = st.builds(
-    api.Endpoint,
+    Endpoint,
     st.integers(0, 60).map(lambda i: mixed(i, 9)),
     st.sampled_from(
         [
-            api.EndpointStatus.READY,
-            api.EndpointStatus.READY,
-            api.EndpointStatus.DRAINING,
-            api.EndpointStatus.REMOVED,
+            EndpointStatus.READY,
+            EndpointStatus.READY,
+            EndpointStatus.DRAINING,
+            EndpointStatus.REMOVED,
         ]
     ),
     st.sampled_from(ZONES[:3]),
@@ -119,25 +124,25 @@
 @hyp(max_examples=150, deadline=None, derandomize=True)
 @given(st.lists(st.tuples(st.booleans(), st.lists(ENTRIES, max_size=40)), max_size=8), st.booleans())
 def test_the_table_is_what_the_last_word_on_each_upstream_makes_it(
-    updates: list[tuple[bool, list[api.Endpoint]]], zonal: bool
+    updates: list[tuple[bool, list[Endpoint]]], zonal: bool
 ) -> None:
     # Guards against a table that depends on how it came about: lists, changes, drains, returns, doubles.
     config = replace(site(40, zonal), zones=ZONES[:3])
-    balancer, last = Balancer(config, 1, START), dict[int, api.Endpoint]()
+    balancer, last = Balancer(config, 1, START), dict[int, Endpoint]()
     for whole, entries in updates:
-        kind = api.EndpointUpdateKind.FULL if whole else api.EndpointUpdateKind.DELTA
-        balancer.handle(START, [api.EndpointUpdate(kind, entries)])
+        kind = EndpointUpdateKind.FULL if whole else EndpointUpdateKind.DELTA
+        balancer.handle(START, [EndpointUpdate(kind, entries)])
         last = ({} if whole else last) | {e.id: e for e in entries}
     made, known = (
         balancer.fleet.membership,
-        [e for e in last.values() if e.status is not api.EndpointStatus.REMOVED],
+        [e for e in last.values() if e.status is not EndpointStatus.REMOVED],
     )
     nothing = Balancer(config, 2, START)
-    nothing.handle(START, [api.EndpointUpdate(api.EndpointUpdateKind.FULL, sorted(known, reverse=True))])
+    nothing.handle(START, [EndpointUpdate(EndpointUpdateKind.FULL, sorted(known, reverse=True))])
     assert shown(made) == shown(nothing.fleet.membership)
     orders = [[[s.id for s in pool.order] for pool in b.fleet.pools.values()] for b in (balancer, nothing)]
     assert orders[0] == orders[1]
-    assert set(orders[0][0]) == {e.id for e in known if e.status is api.EndpointStatus.READY}
+    assert set(orders[0][0]) == {e.id for e in known if e.status is EndpointStatus.READY}
     assert all(s.entry == last[i] for i, s in balancer.fleet.servers.items())
 
 
@@ -192,9 +197,11 @@
     """What 40 changes of one upstream each, and a look each, do at a fleet of that size."""
     upstreams, now = fleet(count), START
     balancer = Balancer(site(8800, me=5), 1, now)
-    balancer.handle(now, [api.EndpointUpdate(api.EndpointUpdateKind.FULL, upstreams)])
+    balancer.handle(now, [EndpointUpdate(EndpointUpdateKind.FULL, upstreams)])
     done: Counter[str] = Counter()
-    real = {name: getattr(membership_module, name) for name in ("mixed", "unmixed", "stretch")}
+    modules = (endpoint_table, subsetting)
+    names = ("mixed", "unmixed", "stretch")
+    real = {name: getattr(hash_ring, name) for name in names}
 
     def counted(name: str) -> object:
         def call(*args: object) -> object:
@@ -204,15 +211,16 @@
 
         return call
 
-    for name in real:
-        monkeypatch.setattr(membership_module, name, counted(name))
+    for module in modules:
+        for name in set(names) & set(vars(module)):
+            monkeypatch.setattr(module, name, counted(name))
     rng = random.Random(4)
     for _ in range(20):
         upstream = rng.choice(upstreams)
-        for state in (api.EndpointStatus.DRAINING, api.EndpointStatus.READY):
+        for state in (EndpointStatus.DRAINING, EndpointStatus.READY):
             now += SECOND
             balancer.handle(
-                now, [api.EndpointUpdate(api.EndpointUpdateKind.DELTA, [upstream._replace(status=state)])]
+                now, [EndpointUpdate(EndpointUpdateKind.DELTA, [upstream._replace(status=state)])]
             )
             done["known in full"] = max(done["known in full"], len(balancer.fleet.servers))
     monkeypatch.undo()
@@ -234,12 +242,12 @@
 def test_a_second_whole_list_that_says_the_same_makes_nothing_anew(monkeypatch: pytest.MonkeyPatch) -> None:
     upstreams = fleet(5000)
     balancer = Balancer(site(8800), 1, START)
-    balancer.handle(START, [api.EndpointUpdate(api.EndpointUpdateKind.FULL, upstreams)])
+    balancer.handle(START, [EndpointUpdate(EndpointUpdateKind.FULL, upstreams)])
     rows, servers = dict(balancer.fleet.membership.profiles), dict(balancer.fleet.servers)
-    monkeypatch.setattr(membership_module, "mixed", None)  # it would be called for any change of a ring
-    balancer.handle(
-        START + SECOND, [api.EndpointUpdate(api.EndpointUpdateKind.FULL, list(reversed(upstreams)))]
-    )
+    # It would be called for any change of a ring.
+    monkeypatch.setattr(endpoint_table, "mixed", None)
+    monkeypatch.setattr(subsetting, "mixed", None)
+    balancer.handle(START + SECOND, [EndpointUpdate(EndpointUpdateKind.FULL, list(reversed(upstreams)))])
     assert all(balancer.fleet.membership.profiles[i] is row for i, row in rows.items())
     assert balancer.fleet.servers == servers
 
@@ -260,7 +268,7 @@
     assert len(rack) == 100 and len(zone) == 3750
     for me in range(0, 1650, 8):  # those of the zone
         made.settings = site(1650, zonal, me)
-        subset = made.subset(made.placements[0])
+        subset = choose_subset(made, made.placements[0])
         own, known = ready_left(subset, rack)
         assert own >= 0.8 * len(subset.own) and known >= 0.9 * (WIDE + RESERVE) * 0.8
         if zonal:  # it keeps to its zone while there is one, and knows others beside it
@@ -271,21 +279,19 @@
     for number in zone:
         made.drop(number)
     made.settle()
-    assert len(made.subset(made.placements[0]).own) >= WIDE  # in other zones now
+    assert len(choose_subset(made, made.placements[0]).own) >= WIDE  # in other zones now
 
 
 @pytest.mark.parametrize("cls", [ZONE, CELL])
-def test_a_keyed_retry_finds_its_group_in_a_large_fleet(cls: api.RequestClass) -> None:
+def test_a_keyed_retry_finds_its_group_in_a_large_fleet(cls: RequestClass) -> None:
     # Guards against a retry that finds no upstream of its cell, of a hundred, among the few in use.
     desk = Desk(site(8800, me=3), servers=0)
-    desk.give(api.EndpointUpdate(api.EndpointUpdateKind.CACHED, fleet(30_000)))
+    desk.give(EndpointUpdate(EndpointUpdateKind.CACHED, fleet(30_000)))
     again = 0
     for i in range(60):
         desk.give(arrival(i, desk.now, cls))
         desk.now += 5 * MS
-        desk.finish(
-            f"r{i}", api.AttemptResult.RESET
-        )  # the checker proves that a further send keeps to the group
+        desk.finish(f"r{i}", AttemptResult.RESET)  # the checker proves that a further send keeps to the group
         again += len(desk.sends[f"r{i}"]) > 1
         desk.now += 5 * MS
         if f"r{i}" not in desk.answer:
@@ -300,12 +306,12 @@
 def test_an_upstream_that_left_the_subset_is_not_sent_to_by_one_who_asked_it() -> None:
     # Guards against a request that asked it for its load, and an old entry that no drain reaches any more.
     desk = Desk(site(8800, me=3), servers=0)
-    desk.give(api.EndpointUpdate(api.EndpointUpdateKind.CACHED, fleet(2000)))
+    desk.give(EndpointUpdate(EndpointUpdateKind.CACHED, fleet(2000)))
     fleet_of = desk.balancer.fleet
     asked = fleet_of.any.order[0]
     others = [u for u in fleet(2000, seed=9) if u.id != asked.id]
-    desk.give(api.EndpointUpdate(api.EndpointUpdateKind.FULL, [*others, asked.entry._replace(zone="z7")]))
+    desk.give(EndpointUpdate(EndpointUpdateKind.FULL, [*others, asked.entry._replace(zone="z7")]))
     if asked.id not in fleet_of.used:
         assert not fleet_of.fit(asked, desk.now) and asked.id not in fleet_of.servers
-    desk.give(api.EndpointUpdate(api.EndpointUpdateKind.FULL, others))
+    desk.give(EndpointUpdate(EndpointUpdateKind.FULL, others))
     assert not fleet_of.fit(asked, desk.now) and asked.id not in fleet_of.servers
--- a/tests/test_module.py
+++ b/tests/test_module.py
@@ -19,8 +19,8 @@
 
 
 def test_names_its_interface_at_the_top() -> None:
-    assert "loadbalancer/policy.py" in POLICY
-    assert all("loadbalancer/interface.py" in " ".join(text[:3]) for text in TEXTS.values())
+    assert "loadbalancer/policy/balancer.py" in POLICY
+    assert all("loadbalancer/messages.py" in " ".join(text[:3]) for text in TEXTS.values())
 
 
 def test_reads_no_clock_and_no_unseeded_chance() -> None:
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -13,10 +13,28 @@
 
 import pytest
 
-from loadbalancer import interface as api
-from loadbalancer.interface import AttemptResult
-from loadbalancer.net.node import MODULE_EARLY_NS, NODE_EARLY_NS, REST_S, Config, Node, leave_s
-from loadbalancer.policy import Balancer
+from loadbalancer.configuration import Config
+from loadbalancer.messages import (
+    Action,
+    AttemptEnded,
+    AttemptResult,
+    CancelAttempt,
+    CheckHealth,
+    ClientDisconnected,
+    Event,
+    Fail,
+    Forward,
+    GossipReceived,
+    HealthCheckEnded,
+    Reject,
+    RequestArrived,
+    SendGossip,
+    SetTimer,
+    TimerExpired,
+)
+from loadbalancer.policy.balancer import Balancer
+from loadbalancer.proxy.proxy import MODULE_EARLY_NS, NODE_EARLY_NS, REST_S, Node, leave_s
+from loadbalancer.settings import RequestClass, Settings
 from tests.sockets import (
     HOST,
     MS,
@@ -40,21 +58,21 @@
 
 
 def sends_first(
-    script: Script, then: Callable[[api.Event], Iterable[api.Action]] = lambda e: (), timeout_ns: int = 0
+    script: Script, then: Callable[[Event], Iterable[Action]] = lambda e: (), timeout_ns: int = 0
 ) -> None:
     """Each request goes to the first upstream; what follows its outcome is up to the test."""
 
-    def react(event: api.Event) -> Iterable[api.Action]:
-        if isinstance(event, api.RequestArrived):
-            return [api.Forward(event.request_id, script.ids()[0], timeout_ns)]
+    def react(event: Event) -> Iterable[Action]:
+        if isinstance(event, RequestArrived):
+            return [Forward(event.request_id, script.ids()[0], timeout_ns)]
         return then(event)
 
     script.react = react
 
 
-def fails_unserved(event: api.Event) -> Iterable[api.Action]:
-    if isinstance(event, api.AttemptEnded) and not event.request_complete:
-        return [api.Fail(event.request_id)]
+def fails_unserved(event: Event) -> Iterable[Action]:
+    if isinstance(event, AttemptEnded) and not event.request_complete:
+        return [Fail(event.request_id)]
     return ()
 
 
@@ -86,11 +104,11 @@
             assert (seen.headers["req-id"], seen.headers["idempotency-key"]) == ("9b1f03aa", "k1")
             assert 4000 < int(seen.headers["req-deadline-ms"]) <= 5000
             assert "x-hop" not in seen.headers
-        arrival = script.of(api.RequestArrived)[0]
+        arrival = script.of(RequestArrived)[0]
         assert (arrival.class_name, arrival.tenant, arrival.idempotency_key) == ("pay", "acme", "7f3a")
         assert arrival.cost_hint_ns == 1_200_000 and arrival.is_retry
         assert time.monotonic_ns() + 5000 * MS - arrival.deadline_ns > 0
-        outcome = script.of(api.AttemptEnded)[0]
+        outcome = script.of(AttemptEnded)[0]
         assert (outcome.result, outcome.attempt, outcome.request_complete) == (AttemptResult.OK, 0, True)
         assert outcome.elapsed_ns > 0
 
@@ -110,9 +128,7 @@
 
 def test_a_refusal_is_told_at_once_with_its_retry_after() -> None:
     async def test() -> None:
-        script = Script(
-            lambda e: [api.Reject(e.request_id, 437 * MS)] if isinstance(e, api.RequestArrived) else ()
-        )
+        script = Script(lambda e: [Reject(e.request_id, 437 * MS)] if isinstance(e, RequestArrived) else ())
         async with node(script) as client:
             begun = time.monotonic()
             got = await client.ask(request())
@@ -168,7 +184,7 @@
         async with node(script, upstream) as client:
             got = await client.ask(request())
             assert got.status == (200 if result is AttemptResult.OK else 504)
-            assert [o.result for o in script.of(api.AttemptEnded)] == [result]
+            assert [o.result for o in script.of(AttemptEnded)] == [result]
             assert len(upstream.got) == 1  # nothing is sent again by itself
 
     run(test())
@@ -184,7 +200,7 @@
             for number in (1, 2):
                 assert (await client.ask(request())).body == b"mine"
                 assert upstream.opened == len(upstream.got) == number and not client.node._hub.idle
-            assert [o.result for o in script.of(api.AttemptEnded)] == [AttemptResult.OK] * 2
+            assert [o.result for o in script.of(AttemptEnded)] == [AttemptResult.OK] * 2
 
     run(test())
 
@@ -199,7 +215,7 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     async def test() -> None:
-        monkeypatch.setattr("loadbalancer.net.node.REST_S", 60.0)  # a slow machine changes nothing here
+        monkeypatch.setattr("loadbalancer.proxy.proxy.REST_S", 60.0)  # a slow machine changes nothing here
         writers: list[asyncio.StreamWriter] = []
 
         async def answer(got: Got, writer: asyncio.StreamWriter) -> None:
@@ -209,7 +225,7 @@
                 return
             writers[0].write(written(200, b"first"))  # once more, when the next request is there
             await writers[0].drain()
-            await until(lambda: upstream.closed or len(script.of(api.AttemptEnded)) > 1)
+            await until(lambda: upstream.closed or len(script.of(AttemptEnded)) > 1)
             writer.write(written(200, b"second"))
 
         upstream = await Upstream(answer).start()
@@ -263,8 +279,8 @@
         async with node(script, upstream, in_answers=True) as client:
             for number in (1, 2):
                 assert (await client.ask(request())).body == b"it"
-                await until(lambda number=number: len(script.of(api.AttemptEnded)) == number)  # type: ignore[misc]
-            assert [(o.result, o.load_report) for o in script.of(api.AttemptEnded)] == [
+                await until(lambda number=number: len(script.of(AttemptEnded)) == number)  # type: ignore[misc]
+            assert [(o.result, o.load_report) for o in script.of(AttemptEnded)] == [
                 (AttemptResult.OK, heard)
             ] * 2
 
@@ -274,12 +290,10 @@
 def test_probes_leave_places_for_attempts() -> None:
     async def test() -> None:
         upstream = await Upstream(silent).start()
-        script = Script(
-            lambda e: [api.CheckHealth(script.ids()[0])] * 20 if isinstance(e, api.TimerExpired) else ()
-        )
+        script = Script(lambda e: [CheckHealth(script.ids()[0])] * 20 if isinstance(e, TimerExpired) else ())
         async with node(script, upstream) as client:
             client.node._hub.capacity = 16
-            client.node.feed(api.TimerExpired("now"))
+            client.node.feed(TimerExpired("now"))
             assert client.node._hub.open <= 14
             sends_first(script)
             await client.send(request())
@@ -318,13 +332,13 @@
 def test_what_waits_in_the_backlog_at_a_drain_is_answered_too(monkeypatch: pytest.MonkeyPatch) -> None:
     # Guards against closing to new clients while some of them, accepted by the system, wait for a place.
     async def test() -> None:
-        monkeypatch.setattr("loadbalancer.net.node.LATE_ARRIVALS_S", 0.0)
+        monkeypatch.setattr("loadbalancer.proxy.proxy.LATE_ARRIVALS_S", 0.0)
         script = Script()
         async with node(script, sockets=32 + 16) as client:  # so eight clients
             busy = [client.another() for _ in range(8)]
             for other in busy:
                 await other.send(request())
-            await until(lambda: len(script.of(api.RequestArrived)) == len(busy))
+            await until(lambda: len(script.of(RequestArrived)) == len(busy))
             late = [client.another() for _ in range(2)]
             for other in late:
                 await other.send(request())
@@ -334,12 +348,12 @@
             await looked.wait()  # the drain has come to the backlog
             monkeypatch.undo()
             script.react = fails_all
-            client.node.feed(api.TimerExpired("now"))
+            client.node.feed(TimerExpired("now"))
             for other in (*busy, *late):
                 got = await other.read()
                 assert got.status == 504 and got.headers["connection"] == "close"
             await draining
-            assert len(script.of(api.RequestArrived)) == len(busy) + len(late)
+            assert len(script.of(RequestArrived)) == len(busy) + len(late)
 
     run(test())
 
@@ -357,14 +371,14 @@
     ],
 )
 def test_a_drain_is_over_before_the_soonest_kill(limits_ms: list[int], leaves_s: float) -> None:
-    classes = [api.RequestClass(str(ms), client_timeout_ns=ms * MS) for ms in limits_ms]
+    classes = [RequestClass(str(ms), client_timeout_ns=ms * MS) for ms in limits_ms]
     assert leave_s(classes) == pytest.approx(leaves_s)
 
 
 def test_what_is_open_at_the_end_of_a_drain_is_answered(monkeypatch: pytest.MonkeyPatch) -> None:
     # Guards against leaving to SIGKILL what came late, where the longest deadline is short.
     async def test() -> None:
-        monkeypatch.setattr("loadbalancer.net.node.LATE_ARRIVALS_S", 0.0)
+        monkeypatch.setattr("loadbalancer.proxy.proxy.LATE_ARRIVALS_S", 0.0)
         upstream = await Upstream(silent).start()
         script = Script()
         sends_first(script)
@@ -380,10 +394,10 @@
     run(test())
 
 
-def fails_all(event: api.Event) -> Iterable[api.Action]:
-    if isinstance(event, api.TimerExpired):
-        return [api.Fail(str(number)) for number in range(1, 9)]
-    return [api.Fail(event.request_id)] if isinstance(event, api.RequestArrived) else ()
+def fails_all(event: Event) -> Iterable[Action]:
+    if isinstance(event, TimerExpired):
+        return [Fail(str(number)) for number in range(1, 9)]
+    return [Fail(event.request_id)] if isinstance(event, RequestArrived) else ()
 
 
 @pytest.mark.parametrize("kept", [False, True])
@@ -391,8 +405,8 @@
     monkeypatch: pytest.MonkeyPatch, kept: bool
 ) -> None:
     async def test() -> None:
-        monkeypatch.setattr("loadbalancer.net.node.LATE_ARRIVALS_S", 0.0)
-        monkeypatch.setattr("loadbalancer.net.server.FRESH_S", 0.0)
+        monkeypatch.setattr("loadbalancer.proxy.proxy.LATE_ARRIVALS_S", 0.0)
+        monkeypatch.setattr("loadbalancer.proxy.downstream.FRESH_S", 0.0)
         upstream = await Upstream(answers(200, b"it")).start()
         script = Script()
         sends_first(script)
@@ -455,7 +469,7 @@
         sends_first(script, fails_unserved)
         async with node(script, upstream) as client:
             assert (await client.ask(request())).status == 504
-            assert [o.result for o in script.of(api.AttemptEnded)] == [AttemptResult.CONNECT_FAILED]
+            assert [o.result for o in script.of(AttemptEnded)] == [AttemptResult.CONNECT_FAILED]
 
     run(test())
 
@@ -469,7 +483,7 @@
             await client.send(request())
             hold_connections(monkeypatch, asyncio.Event())
             assert (await client.read()).status == 504
-            assert [o.result for o in script.of(api.AttemptEnded)] == [AttemptResult.CONNECT_FAILED]
+            assert [o.result for o in script.of(AttemptEnded)] == [AttemptResult.CONNECT_FAILED]
 
     run(test())
 
@@ -513,10 +527,10 @@
         upstream = await Upstream(late).start()
         script = Script()
 
-        def again(event: api.Event) -> Iterable[api.Action]:
-            if isinstance(event, api.AttemptEnded) and event.result is AttemptResult.TIMEOUT:
+        def again(event: Event) -> Iterable[Action]:
+            if isinstance(event, AttemptEnded) and event.result is AttemptResult.TIMEOUT:
                 release.set()
-                return [api.Forward(event.request_id, event.endpoint_id)]
+                return [Forward(event.request_id, event.endpoint_id)]
             return ()
 
         sends_first(script, again, timeout_ns=30 * MS)
@@ -524,7 +538,7 @@
             assert (await client.ask(request())).body == b"fresh"
             assert upstream.opened == 2
             await until(lambda: upstream.closed == 1)
-            assert [(o.result, o.attempt) for o in script.of(api.AttemptEnded)] == [
+            assert [(o.result, o.attempt) for o in script.of(AttemptEnded)] == [
                 (AttemptResult.TIMEOUT, 0),
                 (AttemptResult.OK, 1),
             ]
@@ -540,10 +554,10 @@
             ended: list[bytes] = []
             script = Script()
 
-            def look(event: api.Event) -> Iterable[api.Action]:
-                if isinstance(event, api.AttemptEnded) and event.result is AttemptResult.TIMEOUT:
+            def look(event: Event) -> Iterable[Action]:
+                if isinstance(event, AttemptEnded) and event.result is AttemptResult.TIMEOUT:
                     ended.append(accepted[0].recv(65536))  # an end, where nothing else is to be read
-                    return [api.Fail(event.request_id)]
+                    return [Fail(event.request_id)]
                 return ()
 
             sends_first(script, look, timeout_ns=30 * MS)
@@ -565,15 +579,15 @@
         script = Script()
         sends_first(
             script,
-            lambda e: [api.CancelAttempt("1", 0)] if isinstance(e, api.TimerExpired) else fails_unserved(e),
+            lambda e: [CancelAttempt("1", 0)] if isinstance(e, TimerExpired) else fails_unserved(e),
         )
         async with node(script, upstream) as client:
             await client.send(request())
             await until(lambda: upstream.got)
-            client.node.feed(api.TimerExpired("now"))
+            client.node.feed(TimerExpired("now"))
             assert (await client.read()).status == 504
             await until(lambda: upstream.closed == 1)
-            assert [o.result for o in script.of(api.AttemptEnded)] == [AttemptResult.CANCELLED]
+            assert [o.result for o in script.of(AttemptEnded)] == [AttemptResult.CANCELLED]
 
     run(test())
 
@@ -598,22 +612,22 @@
         upstream = await Upstream(silent).start()
         script = Script()
 
-        def react(event: api.Event) -> Iterable[api.Action]:
-            if isinstance(event, api.RequestArrived):
+        def react(event: Event) -> Iterable[Action]:
+            if isinstance(event, RequestArrived):
                 to = script.ids()[0]
-                return [api.Forward(event.request_id, to), api.Forward(event.request_id, to)]
-            if isinstance(event, api.TimerExpired):
-                return [api.Fail("1"), api.Fail("1"), api.Forward("1", script.ids()[0])]
+                return [Forward(event.request_id, to), Forward(event.request_id, to)]
+            if isinstance(event, TimerExpired):
+                return [Fail("1"), Fail("1"), Forward("1", script.ids()[0])]
             return ()
 
         script.react = react
         async with node(script, upstream) as client:
             await client.send(request())
             await until(lambda: upstream.got)
-            client.node.feed(api.TimerExpired("now"))
+            client.node.feed(TimerExpired("now"))
             assert (await client.read()).status == 504
             await until(lambda: upstream.closed == 1)
-            outcomes = {(o.attempt, o.result, o.request_complete) for o in script.of(api.AttemptEnded)}
+            outcomes = {(o.attempt, o.result, o.request_complete) for o in script.of(AttemptEnded)}
             assert outcomes == {
                 (1, AttemptResult.NOT_SENT, False),
                 (0, AttemptResult.CANCELLED, True),
@@ -635,8 +649,8 @@
             await until(lambda: upstream.got)
             client.close()
             await until(lambda: upstream.closed == 1)
-            assert script.of(api.ClientDisconnected) == [api.ClientDisconnected("1")]
-            assert [(o.result, o.request_complete) for o in script.of(api.AttemptEnded)] == [
+            assert script.of(ClientDisconnected) == [ClientDisconnected("1")]
+            assert [(o.result, o.request_complete) for o in script.of(AttemptEnded)] == [
                 (AttemptResult.CANCELLED, True)
             ]
             assert not client.node._calls and not client.node._by_client
@@ -651,7 +665,7 @@
             begun = time.monotonic()
             assert (await client.ask(request(deadline_ms=80))).status == 504
             assert time.monotonic() - begun > 0.05
-            assert script.of(api.ClientDisconnected) == [api.ClientDisconnected("1")]
+            assert script.of(ClientDisconnected) == [ClientDisconnected("1")]
 
     run(test())
 
@@ -661,31 +675,31 @@
         upstream = await Upstream(silent).start()
         script = Script()
 
-        def react(event: api.Event) -> Iterable[api.Action]:
-            if isinstance(event, api.RequestArrived):
+        def react(event: Event) -> Iterable[Action]:
+            if isinstance(event, RequestArrived):
                 timeout = event.deadline_ns - time.monotonic_ns()
                 time.sleep(0.02)  # the process gets no core for a while
-                return [api.Forward(event.request_id, script.ids()[0], timeout), api.SetTimer(timeout, "end")]
-            if isinstance(event, api.AttemptEnded) and event.result is AttemptResult.TIMEOUT:
-                return [api.Reject(event.request_id)]
+                return [Forward(event.request_id, script.ids()[0], timeout), SetTimer(timeout, "end")]
+            if isinstance(event, AttemptEnded) and event.result is AttemptResult.TIMEOUT:
+                return [Reject(event.request_id)]
             return ()
 
         script.react = react
         async with node(script, upstream) as client:
             assert (await client.ask(request(deadline_ms=150))).status == 503
-            assert [o.result for o in script.of(api.AttemptEnded)] == [AttemptResult.TIMEOUT]
-            await until(lambda: script.of(api.TimerExpired))
-            assert not script.of(api.ClientDisconnected)
+            assert [o.result for o in script.of(AttemptEnded)] == [AttemptResult.TIMEOUT]
+            await until(lambda: script.of(TimerExpired))
+            assert not script.of(ClientDisconnected)
 
     run(test())
 
 
 def test_a_fault_of_the_module_does_not_stop_the_node() -> None:
     async def test() -> None:
-        def react(event: api.Event) -> Iterable[api.Action]:
-            if isinstance(event, api.RequestArrived) and event.request_id == "1":
+        def react(event: Event) -> Iterable[Action]:
+            if isinstance(event, RequestArrived) and event.request_id == "1":
                 raise RuntimeError("bug")
-            return [api.Fail(event.request_id)] if isinstance(event, api.RequestArrived) else ()
+            return [Fail(event.request_id)] if isinstance(event, RequestArrived) else ()
 
         async with node(Script(react)) as client:
             assert (await client.ask(request(deadline_ms=50))).status == 504
@@ -724,14 +738,14 @@
             received.append(time.monotonic_ns())
             writer.write(written(200))
 
-        def send(event: api.Event) -> Iterable[api.Action]:
-            if isinstance(event, (api.RequestArrived, api.AttemptEnded)) and len(ends) < attempts:
-                arrival = script.of(api.RequestArrived)[0]
+        def send(event: Event) -> Iterable[Action]:
+            if isinstance(event, (RequestArrived, AttemptEnded)) and len(ends) < attempts:
+                arrival = script.of(RequestArrived)[0]
                 deadline = arrival.deadline_ns + MODULE_EARLY_NS - NODE_EARLY_NS
                 ends.append(client.node._decided_ns + timeout_ns if timeout_ns else deadline)
                 upstreams = script.ids()
                 return [
-                    api.Forward(arrival.request_id, upstreams[-1 if len(ends) == attempts else 0], timeout_ns)
+                    Forward(arrival.request_id, upstreams[-1 if len(ends) == attempts else 0], timeout_ns)
                 ]
             return ()
 
@@ -770,14 +784,14 @@
             await client.read()
             hold_connections(monkeypatch, up)
             await client.send(request())
-            await until(lambda: script.of(api.RequestArrived))
+            await until(lambda: script.of(RequestArrived))
             row = {**known(upstream.port)["hosts"][0], "health": health}
             client.node._listed(listing({"seq": 2, "whole": False, "hosts": [row]}))
             assert (await client.read()).status == 504
             up.set()
-            assert [o.result for o in script.of(api.AttemptEnded)] == [AttemptResult.NOT_SENT]
+            assert [o.result for o in script.of(AttemptEnded)] == [AttemptResult.NOT_SENT]
             assert (await client.ask(request())).status == 504  # nor does a new one go there
-            assert [o.result for o in script.of(api.AttemptEnded)] == [AttemptResult.NOT_SENT] * 2
+            assert [o.result for o in script.of(AttemptEnded)] == [AttemptResult.NOT_SENT] * 2
             assert not upstream.got
 
     run(test())
@@ -789,9 +803,9 @@
     balancer._listed(listing({"seq": version, "whole": False, "hosts": [changed]}))
 
 
-def again_unless_over(event: api.Event) -> Iterable[api.Action]:
-    if isinstance(event, api.AttemptEnded) and not event.request_complete:
-        return [api.Forward(event.request_id, event.endpoint_id)]
+def again_unless_over(event: Event) -> Iterable[Action]:
+    if isinstance(event, AttemptEnded) and not event.request_complete:
+        return [Forward(event.request_id, event.endpoint_id)]
     return ()
 
 
@@ -808,11 +822,11 @@
             up = asyncio.Event()
             hold_connections(monkeypatch, up)
             await client.send(request())
-            await until(lambda: script.of(api.RequestArrived))
+            await until(lambda: script.of(RequestArrived))
             tell(client.node, 2, dial=f"{HOST}:{new.port}")
             up.set()
             assert (await client.read()).body == b"new"
-            assert [o.result for o in script.of(api.AttemptEnded)] == [
+            assert [o.result for o in script.of(AttemptEnded)] == [
                 AttemptResult.NOT_SENT,
                 AttemptResult.OK,
             ]
@@ -861,16 +875,14 @@
             hold_connections(monkeypatch, up)
             sends_first(script)
             await client.send(request())
-            await until(lambda: script.of(api.RequestArrived))
+            await until(lambda: script.of(RequestArrived))
             tell(client.node, 2, health="removed")
-            assert [o.result for o in script.of(api.AttemptEnded)] == [
+            assert [o.result for o in script.of(AttemptEnded)] == [
                 AttemptResult.NOT_SENT
             ]  # before it is back
             tell(client.node, 3, dial=f"{HOST}:{upstream.port}")
-            script.react = lambda e: (
-                [api.Forward("1", script.ids()[0])] if isinstance(e, api.TimerExpired) else ()
-            )
-            client.node.feed(api.TimerExpired("again"))
+            script.react = lambda e: [Forward("1", script.ids()[0])] if isinstance(e, TimerExpired) else ()
+            client.node.feed(TimerExpired("again"))
             up.set()
             assert (await client.read()).body == b"it"
             assert len(upstream.got) == 1 and client.node._hub.open == 1
@@ -932,21 +944,18 @@
         async with node(script, upstream) as client:
             assert (await client.ask(request())).status == 200
             rests(client.node)
-            script.react = lambda e: (
-                [api.Forward("2", script.ids()[0])] if isinstance(e, api.TimerExpired) else ()
-            )
+            script.react = lambda e: [Forward("2", script.ids()[0])] if isinstance(e, TimerExpired) else ()
             await client.send(request("/pay", method="POST"))
-            await until(lambda: len(script.of(api.RequestArrived)) == 2)
+            await until(lambda: len(script.of(RequestArrived)) == 2)
             side = writers[0].transport.get_extra_info("socket")
             if stray:
                 os.write(side.fileno(), stray)
             else:
                 side.shutdown(socket.SHUT_WR)
-            client.node.feed(api.TimerExpired("token"))  # in the same turn
+            client.node.feed(TimerExpired("token"))  # in the same turn
             assert (await client.read()).body == b"mine"
             assert (
-                upstream.opened == 2
-                and [o.result for o in script.of(api.AttemptEnded)] == [AttemptResult.OK] * 2
+                upstream.opened == 2 and [o.result for o in script.of(AttemptEnded)] == [AttemptResult.OK] * 2
             )
 
     run(test())
@@ -971,7 +980,7 @@
                 await client.send(b"")
                 monkeypatch.setattr(loop, "create_connection", create_connection)
                 assert (await client.ask(request("/pay", method="POST"))).status == 504
-                assert [o.result for o in script.of(api.AttemptEnded)] == [AttemptResult.CONNECT_FAILED]
+                assert [o.result for o in script.of(AttemptEnded)] == [AttemptResult.CONNECT_FAILED]
 
     run(test())
 
@@ -999,10 +1008,10 @@
                 else:
                     mine.shutdown(socket.SHUT_WR)
             time.sleep(0.15)  # and the attempt's time is over, all in one turn
-            await until(lambda: script.of(api.AttemptEnded))
+            await until(lambda: script.of(AttemptEnded))
             await until(lambda: not client.node._calls)
-            assert len(script.of(api.AttemptEnded)) == 1 and len(upstream.got) == 1
-            assert len(script.of(api.ClientDisconnected)) <= 1
+            assert len(script.of(AttemptEnded)) == 1 and len(upstream.got) == 1
+            assert len(script.of(ClientDisconnected)) <= 1
             sends_first(script)
             upstream.answer = answers(200, b"next")
             assert (await client.ask(request())).body == b"next"  # no late answer meets it
@@ -1024,7 +1033,7 @@
             client.node._hub.capacity = 7
             assert (await client.ask(request())).status == 504
             assert client.node._hub.open == 7
-            assert [o.result for o in script.of(api.AttemptEnded)] == [AttemptResult.CONNECT_FAILED]
+            assert [o.result for o in script.of(AttemptEnded)] == [AttemptResult.CONNECT_FAILED]
             for other in others:
                 other.close()
             await until(lambda: client.node._hub.open == 0)
@@ -1061,7 +1070,7 @@
 
 
 def heard(script: Script, probes: int) -> bool:
-    return len(script.of(api.HealthCheckEnded)) == probes
+    return len(script.of(HealthCheckEnded)) == probes
 
 
 def test_an_idle_connection_makes_place_for_one_elsewhere() -> None:
@@ -1079,10 +1088,8 @@
     run(test())
 
 
-def sends_to(script: Script, number: int, event: api.Event) -> Iterable[api.Action]:
-    return (
-        [api.Forward(event.request_id, script.ids()[number])] if isinstance(event, api.RequestArrived) else ()
-    )
+def sends_to(script: Script, number: int, event: Event) -> Iterable[Action]:
+    return [Forward(event.request_id, script.ids()[number])] if isinstance(event, RequestArrived) else ()
 
 
 def test_probes_bring_reports() -> None:
@@ -1095,17 +1102,15 @@
             await answers(statuses[i], bodies[i])(upstream.got[-1], writer)
 
         upstream = await Upstream(stats).start()
-        script = Script(
-            lambda e: [api.CheckHealth(script.ids()[0])] if isinstance(e, api.TimerExpired) else ()
-        )
+        script = Script(lambda e: [CheckHealth(script.ids()[0])] if isinstance(e, TimerExpired) else ())
         async with node(script, upstream) as client:
             for i in range(4):
-                client.node.feed(api.TimerExpired("now"))
+                client.node.feed(TimerExpired("now"))
                 await until(partial(heard, script, i + 1))
-            script.react = lambda e: [api.CheckHealth(99)] if isinstance(e, api.TimerExpired) else ()
-            client.node.feed(api.TimerExpired("now"))
+            script.react = lambda e: [CheckHealth(99)] if isinstance(e, TimerExpired) else ()
+            client.node.feed(TimerExpired("now"))
         assert upstream.got[0].first == "GET /stats HTTP/1.1" and upstream.opened == 1
-        results = [(p.result, p.load_report) for p in script.of(api.HealthCheckEnded)]
+        results = [(p.result, p.load_report) for p in script.of(HealthCheckEnded)]
         assert results == [
             (AttemptResult.OK, {"inflight": 3.0, "queue": 1.0}),
             (AttemptResult.REJECTED, None),
@@ -1119,10 +1124,10 @@
 
 def test_timers_come_back_by_name() -> None:
     async def test() -> None:
-        script = Script(lambda e: [api.SetTimer(2 * MS, "next")] if e == api.TimerExpired("first") else ())
+        script = Script(lambda e: [SetTimer(2 * MS, "next")] if e == TimerExpired("first") else ())
         async with node(script) as client:
-            client.node.feed(api.TimerExpired("first"))
-            await until(lambda: api.TimerExpired("next") in script.events)
+            client.node.feed(TimerExpired("first"))
+            await until(lambda: TimerExpired("next") in script.events)
 
     run(test())
 
@@ -1145,7 +1150,7 @@
                 (HOST, 1),
                 i,
                 1024,
-                api.Settings(proxy_index=i, proxy_count=2),
+                Settings(proxy_index=i, proxy_count=2),
                 peer_listen=addresses[i],
                 peers=addresses,
                 peers_all=addresses[1],
@@ -1154,19 +1159,19 @@
             await nodes[-1].start()
         scripts[0].react = lambda e: (
             [
-                api.SendGossip(b"one", 1),
-                api.SendGossip(b"all"),
-                api.SendGossip(b"x", 9),
-                api.SendGossip(b"x" * 257),
+                SendGossip(b"one", 1),
+                SendGossip(b"all"),
+                SendGossip(b"x", 9),
+                SendGossip(b"x" * 257),
             ]
-            if isinstance(e, api.TimerExpired)
+            if isinstance(e, TimerExpired)
             else ()
         )
-        nodes[0].feed(api.TimerExpired("now"))
-        await until(lambda: len(scripts[1].of(api.GossipReceived)) == 2)
-        assert set(scripts[1].of(api.GossipReceived)) == {
-            api.GossipReceived(0, b"one"),
-            api.GossipReceived(0, b"all"),
+        nodes[0].feed(TimerExpired("now"))
+        await until(lambda: len(scripts[1].of(GossipReceived)) == 2)
+        assert set(scripts[1].of(GossipReceived)) == {
+            GossipReceived(0, b"one"),
+            GossipReceived(0, b"all"),
         }
         for n in nodes:
             n.close()
--- a/tests/test_return.py
+++ b/tests/test_return.py
@@ -12,9 +12,16 @@
 
 import pytest
 
-from loadbalancer import interface as api
-from loadbalancer.net.upstream import KEPT_IDLE
-from loadbalancer.policy import Balancer
+from loadbalancer.messages import (
+    EndpointUpdate,
+    EndpointUpdateKind,
+    Event,
+    SetTimer,
+    TimerExpired,
+    WatchEndpoints,
+)
+from loadbalancer.policy.balancer import Balancer
+from loadbalancer.proxy.connection_pool import KEPT_IDLE
 from tests.bench import SECOND, START, settings
 from tests.sockets import (
     HOST,
@@ -41,22 +48,22 @@
 ANSWER_S = 1.0  # of that, for the call that brings it, and as a margin
 REFUSED_S, DECLINED_S, UNANSWERED_S = 0.0, 2.0, 3.0  # how long a call takes to fail, at most
 
-FAILED, SILENT = api.EndpointUpdateKind.FAILED, api.EndpointUpdateKind.WATCH_TIMED_OUT
+FAILED, SILENT = EndpointUpdateKind.FAILED, EndpointUpdateKind.WATCH_TIMED_OUT
 
 
-def calls(seed: int, failing: Iterator[tuple[float, api.EndpointUpdateKind]], until_s: float) -> list[float]:
+def calls(seed: int, failing: Iterator[tuple[float, EndpointUpdateKind]], until_s: float) -> list[float]:
     """When the module calls a discovery where each call fails so many seconds later."""
     balancer, now, times = Balancer(settings(discovery_pushes=False), seed, START), START, []
-    due: list[tuple[int, api.Event]] = [(START, api.EndpointUpdate(api.EndpointUpdateKind.CACHED))]
+    due: list[tuple[int, Event]] = [(START, EndpointUpdate(EndpointUpdateKind.CACHED))]
     while now < START + until_s * SECOND:
         now, event = due.pop(due.index(min(due, key=lambda d: d[0])))
         for action in balancer.handle(now, [event]):
-            if isinstance(action, api.SetTimer):
-                due.append((now + action.delay_ns, api.TimerExpired(action.name)))
-            elif action == api.WatchEndpoints(True):
+            if isinstance(action, SetTimer):
+                due.append((now + action.delay_ns, TimerExpired(action.name)))
+            elif action == WatchEndpoints(True):
                 times.append((now - START) / SECOND)
                 takes_s, kind = next(failing)
-                due.append((now + int(takes_s * SECOND), api.EndpointUpdate(kind)))
+                due.append((now + int(takes_s * SECOND), EndpointUpdate(kind)))
     return times
 
 
@@ -72,7 +79,7 @@
     ],
 )
 def test_the_next_call_comes_in_time_however_long_discovery_was_away(
-    fails: list[tuple[float, api.EndpointUpdateKind]],
+    fails: list[tuple[float, EndpointUpdateKind]],
 ) -> None:
     # At worst discovery is back just after a call went out, which fails all the same: the next one must
     # bring the news. The pause alone grew to 8 s.
@@ -123,7 +130,7 @@
         ("OVERDUE_S", 0.1),
         ("HANDOVER_WAIT_S", 0.0),
     ):
-        monkeypatch.setattr(f"loadbalancer.net.discovery.{name}", value)
+        monkeypatch.setattr(f"loadbalancer.proxy.discovery_client.{name}", value)
 
 
 @pytest.mark.parametrize("asked", [True, False])
@@ -200,7 +207,7 @@
         registry.upstream = machine = Machine(registry.upstream.answer, refuses)
         module = Balancer(node_settings(asked=asked), 1, time.monotonic_ns())
         monkeypatch.setattr(
-            "loadbalancer.net.discovery.ASKED_WAIT_MS", 40
+            "loadbalancer.proxy.discovery_client.ASKED_WAIT_MS", 40
         )  # the first call too must be given up
         async with node(module, registry=registry, known_list=known(5), asked=asked) as client:
             await until(lambda: client.node._discovery._failures >= 3)
@@ -261,7 +268,7 @@
     kind: str, asked: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     shorten(monkeypatch)
-    monkeypatch.setattr("loadbalancer.net.discovery.ASKED_WAIT_MS", 40)
+    monkeypatch.setattr("loadbalancer.proxy.discovery_client.ASKED_WAIT_MS", 40)
 
     async def test() -> None:
         upstreams = [await Upstream(answers(200)).start() for _ in range(PLACES // KEPT_IDLE)]
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -10,8 +10,30 @@
 from hypothesis import settings as hyp
 from hypothesis import strategies as st
 
-from loadbalancer import interface as api
-from loadbalancer.policy import DRAWS, Attempt, Balancer, Fleet, Rate, Server, Throttle
+from loadbalancer.messages import (
+    AttemptEnded,
+    AttemptResult,
+    CheckHealth,
+    ClientDisconnected,
+    Endpoint,
+    EndpointStatus,
+    EndpointUpdate,
+    EndpointUpdateKind,
+    Fail,
+    Forward,
+    HealthCheckEnded,
+    Reject,
+    RequestArrived,
+    SetTimer,
+    WatchEndpoints,
+)
+from loadbalancer.policy.balancer import Balancer
+from loadbalancer.policy.endpoint_state import Server
+from loadbalancer.policy.endpoints import DRAWS, Fleet
+from loadbalancer.policy.rate_control import Rate
+from loadbalancer.policy.request import Attempt
+from loadbalancer.policy.throttle import Throttle
+from loadbalancer.settings import Idempotency, Limits, Prices, RequestClass, Rules, Settings, WeightSource
 from tests.bench import (
     ANY,
     BIG,
@@ -33,14 +55,14 @@
 
 def test_served_request_needs_nothing_more() -> None:
     desk = Desk()
-    assert len(of(api.Forward, desk.give(arrival(1, desk.now)))) == 1
-    assert not of(api.Fail, desk.finish("r1")) and desk.answer["r1"] == "served"
+    assert len(of(Forward, desk.give(arrival(1, desk.now)))) == 1
+    assert not of(Fail, desk.finish("r1")) and desk.answer["r1"] == "served"
 
 
 @pytest.mark.parametrize("cls", [READ, PAY, CELL, ANY])
-def test_no_server_known_is_refused_in_time(cls: api.RequestClass) -> None:
+def test_no_server_known_is_refused_in_time(cls: RequestClass) -> None:
     desk = Desk(servers=0)
-    desk.give(api.EndpointUpdate(api.EndpointUpdateKind.CACHED), arrival(1, desk.now, cls))
+    desk.give(EndpointUpdate(EndpointUpdateKind.CACHED), arrival(1, desk.now, cls))
     desk.advance(600 * MS)
     assert desk.answer["r1"] == "refused"
 
@@ -48,9 +70,9 @@
 def test_all_draining_is_refused_in_time() -> None:
     desk = Desk()
     desk.give(
-        api.EndpointUpdate(
-            api.EndpointUpdateKind.DELTA,
-            [u._replace(status=api.EndpointStatus.DRAINING) for u in upstreams(6)],
+        EndpointUpdate(
+            EndpointUpdateKind.DELTA,
+            [u._replace(status=EndpointStatus.DRAINING) for u in upstreams(6)],
         )
     )
     desk.give(arrival(1, desk.now, PAY))
@@ -65,8 +87,8 @@
     assert desk.answer["r1"] == "failed" and len(desk.sends["r1"]) == 1
 
 
-@pytest.mark.parametrize("result", [api.AttemptResult.REJECTED, api.AttemptResult.CONNECT_FAILED])
-def test_unsafe_request_that_never_ran_is_sent_again(result: api.AttemptResult) -> None:
+@pytest.mark.parametrize("result", [AttemptResult.REJECTED, AttemptResult.CONNECT_FAILED])
+def test_unsafe_request_that_never_ran_is_sent_again(result: AttemptResult) -> None:
     desk = Desk()
     desk.give(arrival(1, desk.now, PAY))
     desk.now += MS
@@ -74,10 +96,8 @@
     assert len(desk.sends["r1"]) == 2
 
 
-@pytest.mark.parametrize(
-    "result", [api.AttemptResult.ERROR, api.AttemptResult.RESET, api.AttemptResult.CANCELLED]
-)
-def test_unsafe_request_that_may_have_run_is_failed(result: api.AttemptResult) -> None:
+@pytest.mark.parametrize("result", [AttemptResult.ERROR, AttemptResult.RESET, AttemptResult.CANCELLED])
+def test_unsafe_request_that_may_have_run_is_failed(result: AttemptResult) -> None:
     desk = Desk()
     desk.give(arrival(1, desk.now, PAY))
     desk.now += MS
@@ -86,25 +106,23 @@
 
 
 @pytest.mark.parametrize("cls", [NEAR, BIG])
-def test_placement_binds_every_attempt(cls: api.RequestClass) -> None:
+def test_placement_binds_every_attempt(cls: RequestClass) -> None:
     # Guards against a class going where it may not, on retries too: the checker asserts it for each send.
     desk = Desk(servers=0)
-    desk.give(api.EndpointUpdate(api.EndpointUpdateKind.CACHED, mixed_fleet(12)))
+    desk.give(EndpointUpdate(EndpointUpdateKind.CACHED, mixed_fleet(12)))
     for i in range(60):
         desk.give(arrival(i, desk.now, cls))
         desk.now += 5 * MS
         for request, number in desk.out():
             if request not in desk.answer:
-                desk.give(
-                    desk.result(request, number, (api.AttemptResult.REJECTED, api.AttemptResult.OK)[i % 2])
-                )
+                desk.give(desk.result(request, number, (AttemptResult.REJECTED, AttemptResult.OK)[i % 2]))
     assert len(desk.sends) > 20
 
 
 def test_placement_holds_when_its_upstreams_are_gone_and_does_not_stop_others() -> None:
     desk = Desk(servers=0)
     west = [u for u in mixed_fleet(12) if u.zone == "west"]
-    desk.give(api.EndpointUpdate(api.EndpointUpdateKind.CACHED, west))
+    desk.give(EndpointUpdate(EndpointUpdateKind.CACHED, west))
     desk.give(arrival("near", desk.now, NEAR), arrival("read", desk.now, READ))
     assert "rread" in desk.sends and "rnear" not in desk.sends
     desk.advance(600 * MS)
@@ -116,13 +134,13 @@
     [(PAY, True, "failed"), (CELL, True, None), (PAY, False, None), (READ, True, None)],
 )
 def test_full_is_proof_only_where_it_is_said_to_be(
-    cls: api.RequestClass, unproven: bool, answer: str | None
+    cls: RequestClass, unproven: bool, answer: str | None
 ) -> None:
     # Guards against a second effect where upstreams also drop what they had begun.
-    desk = Desk(settings(rules=api.Rules(slow_start_ns=4 * SECOND, rejected_may_have_run=unproven)))
+    desk = Desk(settings(rules=Rules(slow_start_ns=4 * SECOND, rejected_may_have_run=unproven)))
     desk.give(arrival(1, desk.now, cls))
     desk.now += MS
-    desk.finish("r1", api.AttemptResult.REJECTED)
+    desk.finish("r1", AttemptResult.REJECTED)
     assert desk.answer.get("r1") == answer and len(desk.sends["r1"]) == (1 if answer else 2)
 
 
@@ -132,7 +150,7 @@
     for _ in range(3):
         desk.now += MS
         if "r1" not in desk.answer:
-            desk.finish("r1", api.AttemptResult.REJECTED)
+            desk.finish("r1", AttemptResult.REJECTED)
     desk.advance(600 * MS)
     assert desk.answer["r1"] == "refused" and len(desk.sends["r1"]) <= 3
 
@@ -161,9 +179,9 @@
 def test_drained_upstream_gets_nothing_new() -> None:
     desk = Desk()
     desk.give(
-        api.EndpointUpdate(
-            api.EndpointUpdateKind.DELTA,
-            [u._replace(status=api.EndpointStatus.DRAINING) for u in upstreams(5)],
+        EndpointUpdate(
+            EndpointUpdateKind.DELTA,
+            [u._replace(status=EndpointStatus.DRAINING) for u in upstreams(5)],
         )
     )
     for i in range(20):
@@ -176,7 +194,7 @@
 
 def test_missing_from_a_full_list_is_gone() -> None:
     desk = Desk()
-    desk.give(api.EndpointUpdate(api.EndpointUpdateKind.FULL, upstreams(1)))
+    desk.give(EndpointUpdate(EndpointUpdateKind.FULL, upstreams(1)))
     for i in range(5):
         desk.give(arrival(i, desk.now))
         desk.finish(f"r{i}")
@@ -185,7 +203,7 @@
 
 def test_cold_upstreams_get_one_request_at_a_time() -> None:
     desk = Desk(servers=0)
-    desk.give(api.EndpointUpdate(api.EndpointUpdateKind.CACHED, upstreams(4, started_ns=START - MS)))
+    desk.give(EndpointUpdate(EndpointUpdateKind.CACHED, upstreams(4, started_ns=START - MS)))
     for i in range(40):
         desk.give(arrival(i, desk.now))
         desk.advance(5 * MS)
@@ -201,7 +219,7 @@
     sent = []
     for proxies in (1, 40):
         desk = Desk(settings(proxy_count=proxies), servers=0)
-        desk.give(api.EndpointUpdate(api.EndpointUpdateKind.CACHED, upstreams(6, started_ns=START - MS)))
+        desk.give(EndpointUpdate(EndpointUpdateKind.CACHED, upstreams(6, started_ns=START - MS)))
         for i in range(100):
             desk.give(arrival(i, desk.now))
             desk.advance(5 * MS)
@@ -212,21 +230,18 @@
 
 
 def probing(servers: int = 6) -> Desk:
-    limits = api.Limits(max_attempts=3, health_checks=True, cancellation=True)
+    limits = Limits(max_attempts=3, health_checks=True, cancellation=True)
     return Desk(settings(limits=limits, load_report_columns=("inflight", "queue")), servers=servers)
 
 
 def test_asks_the_drawn_upstreams_and_sends_to_the_lightest() -> None:
     # With many proxies own counts say little: the upstreams' own word decides.
     desk = probing()
-    asked = [a.endpoint_id for a in desk.give(arrival(1, desk.now)) if isinstance(a, api.CheckHealth)]
+    asked = [a.endpoint_id for a in desk.give(arrival(1, desk.now)) if isinstance(a, CheckHealth)]
     assert asked and "r1" not in desk.sends
     desk.now += MS
     desk.give(
-        *(
-            api.HealthCheckEnded(u, api.AttemptResult.OK, MS, {"inflight": float(i)})
-            for i, u in enumerate(asked)
-        )
+        *(HealthCheckEnded(u, AttemptResult.OK, MS, {"inflight": float(i)}) for i, u in enumerate(asked))
     )
     assert desk.sends["r1"][0][0].id == asked[0]
 
@@ -243,16 +258,16 @@
     desk = probing(servers=1)
     counts = []
     for number in range(4):
-        counts.append(sum(isinstance(a, api.CheckHealth) for a in desk.give(arrival(number, desk.now))))
+        counts.append(sum(isinstance(a, CheckHealth) for a in desk.give(arrival(number, desk.now))))
         desk.now += 2 * MS
     assert counts == [1, 0, 0, 1]
 
 
 def test_refuses_when_all_asked_upstreams_would_answer_late() -> None:
     desk = probing()
-    asked = [a.endpoint_id for a in desk.give(arrival(1, desk.now)) if isinstance(a, api.CheckHealth)]
+    asked = [a.endpoint_id for a in desk.give(arrival(1, desk.now)) if isinstance(a, CheckHealth)]
     desk.now += MS
-    desk.give(*(api.HealthCheckEnded(u, api.AttemptResult.OK, MS, {"inflight": 500.0}) for u in asked))
+    desk.give(*(HealthCheckEnded(u, AttemptResult.OK, MS, {"inflight": 500.0}) for u in asked))
     assert desk.answer["r1"] == "refused"
 
 
@@ -261,17 +276,17 @@
     desk = probing(servers=1)
     desk.balancer.fleet.servers[1].pace = 9.0
     desk.give(arrival(1, desk.now, wait_ns=100 * MS))
-    desk.give(api.HealthCheckEnded(1, api.AttemptResult.OK, MS, {"inflight": 0.0}))
+    desk.give(HealthCheckEnded(1, AttemptResult.OK, MS, {"inflight": 0.0}))
     assert len(desk.sends["r1"]) == 1
 
 
 def test_dear_or_blind_probes_are_not_used() -> None:
-    limits = api.Limits(max_attempts=3, health_checks=True)
-    dear = settings(limits=limits, load_report_columns=("inflight",), prices=api.Prices(health_check=0.05))
+    limits = Limits(max_attempts=3, health_checks=True)
+    dear = settings(limits=limits, load_report_columns=("inflight",), prices=Prices(health_check=0.05))
     for config in (dear, settings(limits=limits, load_report_columns=("util",))):
         desk = Desk(config)
         desk.give(arrival(1, desk.now))
-        assert "r1" in desk.sends and not of(api.CheckHealth, desk.log)
+        assert "r1" in desk.sends and not of(CheckHealth, desk.log)
 
 
 def test_what_stands_still_together_is_one_strike() -> None:
@@ -308,14 +323,14 @@
     desk = Desk(servers=4)
     for i in range(40):
         desk.give(arrival(i, desk.now))
-        desk.finish(f"r{i}", api.AttemptResult.RESET)
+        desk.finish(f"r{i}", AttemptResult.RESET)
         desk.finish(f"r{i}")
     assert sum(desk.balancer.rate.bad.values()) <= 1  # the first break of all is the upstream's own
 
 
 def test_an_attempt_ends_at_the_aim_where_late_is_worth_nothing() -> None:
     desk = Desk()
-    sends = [a for a in desk.give(arrival(1, desk.now, READ)) if isinstance(a, api.Forward)]
+    sends = [a for a in desk.give(arrival(1, desk.now, READ)) if isinstance(a, Forward)]
     assert sends[0].timeout_ns == READ.latency_objective_ns
 
 
@@ -324,7 +339,7 @@
     subsets: list[int] = []
     for me in range(10):
         b = Balancer(settings(proxy_index=me, proxy_count=10), 1, START)
-        b.handle(START, [api.EndpointUpdate(api.EndpointUpdateKind.FULL, upstreams(100))])
+        b.handle(START, [EndpointUpdate(EndpointUpdateKind.FULL, upstreams(100))])
         subsets += [s.id for s in b.fleet.any.order[: b.fleet.any.subset]]
     assert sorted(subsets) == list(range(1, 101))
 
@@ -334,7 +349,7 @@
     sizes = {}
     for proxies in (3, 20, 400):
         b = Balancer(settings(proxy_index=1, proxy_count=proxies), 1, START)
-        b.handle(START, [api.EndpointUpdate(api.EndpointUpdateKind.FULL, upstreams(30))])
+        b.handle(START, [EndpointUpdate(EndpointUpdateKind.FULL, upstreams(30))])
         sizes[proxies] = b.fleet.any.subset
     assert sizes == {3: 10, 20: 9, 400: 4}
 
@@ -350,7 +365,7 @@
 
 def test_a_class_with_much_time_keeps_the_queue_short_for_one_with_little() -> None:
     # Incident i31aba8: requests with two seconds to spare filled the line, and quick ones never got in.
-    slow = api.RequestClass("slow", api.Idempotency.IDEMPOTENT, latency_objective_ns=20 * SECOND)
+    slow = RequestClass("slow", Idempotency.IDEMPOTENT, latency_objective_ns=20 * SECOND)
     desk = Desk(settings(request_classes={"slow": slow, "read": READ}), servers=1)
     for i in range(200):
         desk.give(arrival(i, desk.now, slow, wait_ns=20 * SECOND))
@@ -386,9 +401,9 @@
     desk = Desk()
     desk.give(
         arrival(1, desk.now),
-        api.ClientDisconnected("r1"),
-        api.ClientDisconnected("r1"),
-        api.ClientDisconnected("unknown"),
+        ClientDisconnected("r1"),
+        ClientDisconnected("r1"),
+        ClientDisconnected("unknown"),
     )
     desk.advance(600 * MS)
     assert desk.answer["r1"] == "gone"
@@ -397,21 +412,21 @@
 def test_late_and_unknown_outcomes_are_harmless() -> None:
     desk = Desk()
     desk.give(arrival(1, desk.now))
-    late = desk.result("r1", 0, api.AttemptResult.OK)
+    late = desk.result("r1", 0, AttemptResult.OK)
     desk.give(late)
     desk.balancer.handle(desk.now, [late, late._replace(request_id="unknown"), late._replace(endpoint_id=99)])
 
 
 def test_ask_mode_subscribes_and_backs_off() -> None:
     desk = Desk(settings(discovery_pushes=False))
-    assert not of(api.WatchEndpoints, desk.log)
+    assert not of(WatchEndpoints, desk.log)
     desk.advance(5 * SECOND)
-    assert len(of(api.WatchEndpoints, desk.log)) == 1
+    assert len(of(WatchEndpoints, desk.log)) == 1
     gaps, last = [], desk.now
     for _ in range(4):
-        desk.give(api.EndpointUpdate(api.EndpointUpdateKind.FAILED))
-        before = len(of(api.WatchEndpoints, desk.log))
-        while len(of(api.WatchEndpoints, desk.log)) == before:
+        desk.give(EndpointUpdate(EndpointUpdateKind.FAILED))
+        before = len(of(WatchEndpoints, desk.log))
+        while len(of(WatchEndpoints, desk.log)) == before:
             desk.advance(50 * MS)
             assert desk.now - last < 20 * SECOND
         gaps.append(desk.now - last)
@@ -421,49 +436,47 @@
 
 @pytest.mark.parametrize(("gone_ms", "again"), [(140, True), (160, False)])
 def test_a_keyed_retry_leaves_time_for_a_new_connection_inside_its_window(gone_ms: int, again: bool) -> None:
-    limits = api.Limits(max_attempts=3, connect_timeout_ns=250 * MS)  # of the window's 400 ms
+    limits = Limits(max_attempts=3, connect_timeout_ns=250 * MS)  # of the window's 400 ms
     desk = Desk(settings(limits=limits))
     desk.give(arrival(1, desk.now, ANY, wait_ns=2 * SECOND))
     desk.now += gone_ms * MS
-    assert bool(of(api.Forward, desk.finish("r1", api.AttemptResult.RESET))) is again
+    assert bool(of(Forward, desk.finish("r1", AttemptResult.RESET))) is again
 
 
 def test_a_watch_that_fell_silent_is_asked_for_again_at_once() -> None:
     desk = Desk(settings(discovery_pushes=False))
     desk.advance(5 * SECOND)
     for _ in range(3):
-        assert api.WatchEndpoints(True) in desk.give(
-            api.EndpointUpdate(api.EndpointUpdateKind.WATCH_TIMED_OUT)
-        )
+        assert WatchEndpoints(True) in desk.give(EndpointUpdate(EndpointUpdateKind.WATCH_TIMED_OUT))
     # Silence is no failure: the pause after one is as short as ever.
-    assert api.WatchEndpoints(True) not in desk.give(api.EndpointUpdate(api.EndpointUpdateKind.FAILED))
-    assert api.WatchEndpoints(True) in desk.advance(1500 * MS)
+    assert WatchEndpoints(True) not in desk.give(EndpointUpdate(EndpointUpdateKind.FAILED))
+    assert WatchEndpoints(True) in desk.advance(1500 * MS)
 
 
 def test_spread_of_first_calls() -> None:
     delays = set()
     for seed in range(10):
         b = Balancer(settings(discovery_pushes=False), seed, START)
-        delays |= {a.delay_ns // (50 * MS) for a in b.handle(START, []) if isinstance(a, api.SetTimer)}
+        delays |= {a.delay_ns // (50 * MS) for a in b.handle(START, []) if isinstance(a, SetTimer)}
     assert len(delays) > 5
 
 
 def test_push_mode_never_calls_discovery() -> None:
     desk = Desk()
     desk.advance(5 * SECOND)
-    assert not of(api.WatchEndpoints, desk.log)
+    assert not of(WatchEndpoints, desk.log)
 
 
 def test_no_tenants_and_unknown_class_work() -> None:
     desk = Desk(settings(tenants={}))
     desk.give(arrival(1, desk.now, tenant=""))
     desk.finish("r1")
-    b = Balancer(api.Settings(), 1, START)
+    b = Balancer(Settings(), 1, START)
     b.handle(
         START,
         [
-            api.EndpointUpdate(api.EndpointUpdateKind.FULL, upstreams(2)),
-            api.RequestArrived("x", "never-named", "nobody", START + SECOND),
+            EndpointUpdate(EndpointUpdateKind.FULL, upstreams(2)),
+            RequestArrived("x", "never-named", "nobody", START + SECOND),
         ],
     )
 
@@ -472,18 +485,18 @@
     desk = Desk(servers=0)
     desk.give(*(arrival(i, desk.now) for i in range(30)))
     desk.advance(600 * MS)
-    told = {a.retry_after_ns for a in desk.log if isinstance(a, api.Reject)}
+    told = {a.retry_after_ns for a in desk.log if isinstance(a, Reject)}
     assert len(told) > 20
 
 
-RESULTS = [api.AttemptResult.OK] * 6 + [r for r in api.AttemptResult if r is not api.AttemptResult.TIMEOUT]
+RESULTS = [AttemptResult.OK] * 6 + [r for r in AttemptResult if r is not AttemptResult.TIMEOUT]
 
 
 @hyp(derandomize=True, deadline=None, max_examples=120)
 @given(st.integers(0, 10**6), st.booleans(), st.booleans(), st.integers(1, 9))
 def test_random_days_keep_the_rules(seed: int, copies: bool, push: bool, servers: int) -> None:
     rng = random.Random(seed)
-    limits = api.Limits(
+    limits = Limits(
         max_attempts=rng.choice([1, 2, 3, 5]),
         hedging=copies,
         cancellation=rng.random() < 0.7,
@@ -491,14 +504,14 @@
         health_checks=True,
         gossip=True,
     )
-    rules = api.Rules(slow_start_ns=4 * SECOND, rejected_may_have_run=rng.random() < 0.5)
+    rules = Rules(slow_start_ns=4 * SECOND, rejected_may_have_run=rng.random() < 0.5)
     desk = Desk(
         settings(limits=limits, discovery_pushes=push, proxy_count=rng.choice([1, 3, 40]), rules=rules),
         seed,
         0,
     )
     pool = mixed_fleet(servers)
-    desk.give(api.EndpointUpdate(api.EndpointUpdateKind.CACHED, pool))
+    desk.give(EndpointUpdate(EndpointUpdateKind.CACHED, pool))
     for number in range(rng.randint(5, 120)):
         for _ in range(rng.choice([0, 1, 1, 2, 12])):
             cls = rng.choice([READ, PAY, CELL, ANY, NEAR, BIG])
@@ -519,48 +532,44 @@
         if rng.random() < 0.1:
             open_ones = [r for r in desk.cls if r not in desk.answer]
             if open_ones:
-                desk.give(api.ClientDisconnected(rng.choice(open_ones)))
+                desk.give(ClientDisconnected(rng.choice(open_ones)))
         if rng.random() < 0.1:
             i = rng.randrange(len(pool))
             started = desk.now if rng.random() < 0.5 else pool[i].started_ns
-            pool[i] = pool[i]._replace(status=rng.choice(list(api.EndpointStatus)), started_ns=started)
-            kind = rng.choice(
-                [api.EndpointUpdateKind.DELTA, api.EndpointUpdateKind.FULL, api.EndpointUpdateKind.CACHED]
-            )
-            desk.give(api.EndpointUpdate(kind, [pool[i]] if kind is api.EndpointUpdateKind.DELTA else pool))
+            pool[i] = pool[i]._replace(status=rng.choice(list(EndpointStatus)), started_ns=started)
+            kind = rng.choice([EndpointUpdateKind.DELTA, EndpointUpdateKind.FULL, EndpointUpdateKind.CACHED])
+            desk.give(EndpointUpdate(kind, [pool[i]] if kind is EndpointUpdateKind.DELTA else pool))
         if not push and rng.random() < 0.05:
-            desk.give(api.EndpointUpdate(api.EndpointUpdateKind.FAILED))
+            desk.give(EndpointUpdate(EndpointUpdateKind.FAILED))
         desk.advance(rng.choice([0, 1, 10, 50]) * MS)
     desk.advance(2 * SECOND)
     assert set(desk.answer) == set(desk.cls)
 
 
-def near_subset(
-    zone: str, me: int, proxies: int, prices: api.Prices, servers: int = 24
-) -> list[api.Endpoint]:
+def near_subset(zone: str, me: int, proxies: int, prices: Prices, servers: int = 24) -> list[Endpoint]:
     b = Balancer(
         settings(proxy_index=me, proxy_count=proxies, zone=zone, zones=("east", "west"), prices=prices),
         1,
         START,
     )
-    b.handle(START, [api.EndpointUpdate(api.EndpointUpdateKind.FULL, mixed_fleet(servers))])
+    b.handle(START, [EndpointUpdate(EndpointUpdateKind.FULL, mixed_fleet(servers))])
     return [s.entry for s in b.fleet.any.order[: b.fleet.any.subset]]
 
 
 def test_subset_is_small_and_near_where_connections_have_a_price() -> None:
     # Guards against many proxies filling every upstream's table of connections, each of which costs work.
-    dear = api.Prices(connection=0.03, cross_zone=0.01)
+    dear = Prices(connection=0.03, cross_zone=0.01)
     for zone in ("east", "west"):
         subsets = [near_subset(zone, me, 60, dear) for me in range(60)]
         assert all(len(h) == 2 and {u.zone for u in h} == {zone} for h in subsets)
         used = [u.id for h in subsets for u in h]
         assert len(set(used)) == 12 and max(used.count(u) for u in used) <= 16  # of the 60
-    assert len(near_subset("east", 1, 60, api.Prices(cross_zone=0.01))) == 4
+    assert len(near_subset("east", 1, 60, Prices(cross_zone=0.01))) == 4
 
 
 def test_subset_of_few_proxies_is_wide_whatever_connections_and_crossing_cost() -> None:
     # Guards against a proxy whose one stretch drains or starts refusing beside idle upstreams (event487).
-    dear = api.Prices(connection=0.03, cross_zone=0.025)
+    dear = Prices(connection=0.03, cross_zone=0.025)
     for proxies in (2, 4):
         subsets = [near_subset("east", me, proxies, dear, servers=12) for me in range(proxies)]
         assert [len(h) for h in subsets] == [10] * proxies
@@ -568,27 +577,27 @@
 
 
 def test_own_zone_empty_of_upstreams_uses_the_others() -> None:
-    subsets = near_subset("south", 3, 40, api.Prices(connection=0.03, cross_zone=0.01))
+    subsets = near_subset("south", 3, 40, Prices(connection=0.03, cross_zone=0.01))
     assert subsets and subsets[0].zone in ("east", "west")
 
 
 def test_a_blocked_queue_reaches_one_beyond_the_subset() -> None:
-    desk = Desk(settings(prices=api.Prices(connection=0.03), proxy_count=40), servers=0)
-    desk.give(api.EndpointUpdate(api.EndpointUpdateKind.CACHED, upstreams(12)))
+    desk = Desk(settings(prices=Prices(connection=0.03), proxy_count=40), servers=0)
+    desk.give(EndpointUpdate(EndpointUpdateKind.CACHED, upstreams(12)))
     for i in range(60):
         desk.give(arrival(i, desk.now, wait_ns=SECOND))
         desk.advance(20 * MS)
     assert len({u.id for sent in desk.sends.values() for u, _ in sent}) == 2
 
 
-def live(weights: list[float]) -> api.EndpointUpdate:
+def live(weights: list[float]) -> EndpointUpdate:
     pairs = zip(upstreams(len(weights)), weights, strict=True)
-    return api.EndpointUpdate(api.EndpointUpdateKind.DELTA, [u._replace(weight=w) for u, w in pairs])
+    return EndpointUpdate(EndpointUpdateKind.DELTA, [u._replace(weight=w) for u, w in pairs])
 
 
 def test_live_weights_tell_the_lighter_upstream() -> None:
     # With one request in flight at most, own counts say nothing: the list's figure decides.
-    desk = Desk(settings(weight_source=api.WeightSource.LIVE), servers=2)
+    desk = Desk(settings(weight_source=WeightSource.LIVE), servers=2)
     desk.give(live([1.0, 1.0]), live([0.1, 0.5]))
     for i in range(12):
         desk.give(arrival(i, desk.now))
@@ -598,7 +607,7 @@
 
 
 def test_an_old_report_says_nothing() -> None:
-    desk = Desk(settings(weight_source=api.WeightSource.LIVE), servers=1)
+    desk = Desk(settings(weight_source=WeightSource.LIVE), servers=1)
     desk.give(live([1.0]), live([0.001]))
     desk.give(arrival(1, desk.now))
     assert desk.answer["r1"] == "refused"
@@ -634,9 +643,7 @@
         desk.give(arrival(i, desk.now))
         desk.now += 20 * MS
         upstream = desk.sends[f"r{i}"][0][0].id
-        desk.give(
-            api.AttemptEnded(f"r{i}", 0, upstream, api.AttemptResult.OK, 20 * MS, True, {"inflight": load})
-        )
+        desk.give(AttemptEnded(f"r{i}", 0, upstream, AttemptResult.OK, 20 * MS, True, {"inflight": load}))
     assert [desk.answer[f"r{i}"] for i in range(6)] == ["served"] * 6
 
 
@@ -645,7 +652,7 @@
     desk = Desk(servers=2)
     desk.give(arrival(1, desk.now))
     sent = desk.sends["r1"][0][0].id
-    balancer, good = desk.balancer, desk.result("r1", 0, api.AttemptResult.OK)
+    balancer, good = desk.balancer, desk.result("r1", 0, AttemptResult.OK)
     balancer.handle(
         desk.now,
         [
@@ -664,7 +671,7 @@
 def test_upstreams_long_gone_are_forgotten() -> None:
     desk = Desk(servers=0)
     for i in range(50):
-        desk.give(api.EndpointUpdate(api.EndpointUpdateKind.FULL, upstreams(3, first=1 + 3 * i)))
+        desk.give(EndpointUpdate(EndpointUpdateKind.FULL, upstreams(3, first=1 + 3 * i)))
         desk.give(arrival(i, desk.now))
         desk.finish(f"r{i}")
         desk.advance(SECOND)
@@ -673,7 +680,7 @@
 
 def overdue_at_one(later_ones_answered: bool) -> Desk:
     """One upstream takes two at once and owes the first answer for long, whatever it does with later ones."""
-    desk = Desk(settings(limits=api.Limits(cancellation=True)), servers=1)
+    desk = Desk(settings(limits=Limits(cancellation=True)), servers=1)
     desk.balancer.crowding.limit = 2
     desk.give(arrival("lost", desk.now, wait_ns=SECOND))
     for i in range(20):
@@ -698,10 +705,10 @@
 
 def test_an_upstream_that_goes_while_an_answer_is_lost_there_is_kept_until_that_is_over() -> None:
     desk = overdue_at_one(True)
-    desk.give(api.EndpointUpdate(api.EndpointUpdateKind.FULL, upstreams(2, first=2)))
-    desk.finish("rlost", api.AttemptResult.CONNECT_FAILED)
+    desk.give(EndpointUpdate(EndpointUpdateKind.FULL, upstreams(2, first=2)))
+    desk.finish("rlost", AttemptResult.CONNECT_FAILED)
     assert desk.answer["rlost"] == "refused" and set(desk.balancer.fleet.servers) == {1, 2, 3}
-    desk.give(api.EndpointUpdate(api.EndpointUpdateKind.FULL, upstreams(1, first=2)))
+    desk.give(EndpointUpdate(EndpointUpdateKind.FULL, upstreams(1, first=2)))
     assert set(desk.balancer.fleet.servers) == {2}
 
 
@@ -731,14 +738,14 @@
 
 def test_a_single_proxy_uses_all_zones() -> None:
     # Small twins of hobart's full-size days scored 0: one proxy, five zones, and all but its own stood idle.
-    dear = api.Prices(connection=0.03, cross_zone=0.01)
+    dear = Prices(connection=0.03, cross_zone=0.01)
     assert {u.zone for u in near_subset("east", 0, 1, dear, servers=12)} == {"east", "west"}
     assert len(near_subset("east", 0, 1, dear, servers=12)) == 12
 
 
 @pytest.mark.parametrize("may_cancel", [True, False])
 def test_a_second_copy_is_sent_only_where_the_first_can_be_stopped(may_cancel: bool) -> None:
-    limits = api.Limits(max_attempts=3, hedging=True, cancellation=may_cancel)
+    limits = Limits(max_attempts=3, hedging=True, cancellation=may_cancel)
     desk = Desk(settings(limits=limits))
     for i in range(20):
         desk.give(arrival(i, desk.now))
--- a/tests/test_server.py
+++ b/tests/test_server.py
@@ -10,15 +10,15 @@
 
 import pytest
 
-from loadbalancer import interface as api
-from loadbalancer.net.server import ClientConnection, Table
+from loadbalancer.messages import Action, ClientDisconnected, Event, Fail, RequestArrived, TimerExpired
+from loadbalancer.proxy.downstream import ClientConnection, Table
 from tests.sockets import HOST, PATIENCE_S, Script, node, request, run, until
 
 READY = b"GET /health/ready HTTP/1.1\r\n\r\n"
 
 
-def fails_all(event: api.Event) -> Iterable[api.Action]:
-    return [api.Fail(event.request_id)] if isinstance(event, api.RequestArrived) else ()
+def fails_all(event: Event) -> Iterable[Action]:
+    return [Fail(event.request_id)] if isinstance(event, RequestArrived) else ()
 
 
 @pytest.mark.parametrize(
@@ -52,7 +52,7 @@
             got = await client.ask(data)
             assert got.status == status and got.headers["connection"] == "close"
             assert await client.closed()
-            assert not script.of(api.RequestArrived)
+            assert not script.of(RequestArrived)
             assert (await client.another().ask(READY)).status == 200
 
     run(test())
@@ -80,7 +80,7 @@
         script = Script(fails_all)
         async with node(script) as client:
             assert (await client.ask(data)).status == status
-            assert not script.of(api.RequestArrived)
+            assert not script.of(RequestArrived)
             assert (await client.ask(READY)).status == 200
 
     run(test())
@@ -113,11 +113,11 @@
         async with node(script) as client:
             await client.send(request() if apart else request() + more)
             if apart:
-                await until(lambda: script.of(api.RequestArrived))
+                await until(lambda: script.of(RequestArrived))
                 await client.send(more)
             assert (await client.read()).status == 400
             assert await client.closed()
-            assert len(script.of(api.RequestArrived)) == len(script.of(api.ClientDisconnected)) == apart
+            assert len(script.of(RequestArrived)) == len(script.of(ClientDisconnected)) == apart
             assert not client.node._calls and not client.node._ids
 
     run(test())
@@ -291,15 +291,15 @@
 
 def test_an_id_that_is_open_is_not_taken_again() -> None:
     async def test() -> None:
-        script = Script(lambda e: [api.Fail("1")] if isinstance(e, api.TimerExpired) else ())
+        script = Script(lambda e: [Fail("1")] if isinstance(e, TimerExpired) else ())
         async with node(script) as client:
             await client.send(request(name="one"))
             await until(lambda: client.node._calls)
             assert (await client.another().ask(request(name="one"))).status == 409
-            client.node.feed(api.TimerExpired("now"))
+            client.node.feed(TimerExpired("now"))
             assert (await client.read()).status == 504  # the open one goes on as if nothing had come
             await client.send(request(name="one"))
-            await until(lambda: len(script.of(api.RequestArrived)) == 2)
+            await until(lambda: len(script.of(RequestArrived)) == 2)
 
     run(test())
 
@@ -312,7 +312,7 @@
             for i in range(len(data) - 1):
                 await client.send(data[i : i + 1])
             await asyncio.sleep(0)
-            assert not script.of(api.RequestArrived)
+            assert not script.of(RequestArrived)
             assert (await client.ask(data[-1:])).status == 504
 
     run(test())
@@ -327,16 +327,16 @@
             busy = [client.another() for _ in range(7)]
             for other in busy:
                 await other.send(request())
-            await until(lambda: len(script.of(api.RequestArrived)) == 7)
+            await until(lambda: len(script.of(RequestArrived)) == 7)
             got = await client.another().ask(READY)  # with most places taken, its answer ends its connection
             assert got.status == 200 and got.headers["connection"] == "close"
             assert await idle.closed()
             await client.send(request())
-            await until(lambda: len(script.of(api.RequestArrived)) == 8)
+            await until(lambda: len(script.of(RequestArrived)) == 8)
             last = client.another()
             await last.send(READY)  # waits with the system until one has its answer
-            script.react = lambda e: [api.Fail("3")] if isinstance(e, api.TimerExpired) else ()
-            client.node.feed(api.TimerExpired("now"))
+            script.react = lambda e: [Fail("3")] if isinstance(e, TimerExpired) else ()
+            client.node.feed(TimerExpired("now"))
             assert (await last.read()).status == 200
             for other in (*busy, last):
                 other.close()
