--- a/tests/test_throttle.py
+++ b/tests/test_throttle.py
@@ -8,9 +8,23 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from loadbalancer import interface as api
-from loadbalancer.membership import Placement
-from loadbalancer.policy import FEEDBACK_NS, Balancer, Pool, Rate, Request, Throttle
+from loadbalancer.messages import (
+    AttemptEnded,
+    AttemptResult,
+    EndpointUpdate,
+    EndpointUpdateKind,
+    Event,
+    Forward,
+    SetTimer,
+    TimerExpired,
+)
+from loadbalancer.policy.balancer import Balancer
+from loadbalancer.policy.endpoint_pool import Pool
+from loadbalancer.policy.rate_control import FEEDBACK_NS, Rate
+from loadbalancer.policy.request import Request
+from loadbalancer.policy.throttle import Throttle
+from loadbalancer.settings import Limits, RequestClass, Tenant
+from loadbalancer.state.endpoint_table import Placement
 from tests.bench import MS, READ, SECOND, START, Desk, arrival, upstreams
 from tests.bench import settings as bench_settings
 
@@ -134,7 +148,7 @@
 
 
 def test_the_quiet_before_the_first_clients_is_no_part_of_what_is_sent_a_second() -> None:
-    desk = Desk(bench_settings(tenants={"ash": api.Tenant("ash")}), servers=1)
+    desk = Desk(bench_settings(tenants={"ash": Tenant("ash")}), servers=1)
     desk.advance(SECOND)  # started and listed, but not admitted yet
     for i in range(100):
         desk.give(arrival(i, desk.now))
@@ -151,10 +165,10 @@
     # Guards against a short aim being spent in the buffer: who leaves it then comes too late (event8052).
     for aim_ms in (100, 150, 400):
         classes = {
-            "read": api.RequestClass("read", latency_objective_ns=aim_ms * MS),
-            "slow": api.RequestClass("slow"),
+            "read": RequestClass("read", latency_objective_ns=aim_ms * MS),
+            "slow": RequestClass("slow"),
         }
-        desk = Desk(bench_settings(request_classes=classes, tenants={"ash": api.Tenant("ash")}))
+        desk = Desk(bench_settings(request_classes=classes, tenants={"ash": Tenant("ash")}))
         t = desk.balancer.throttles["ash"]
         t.set_rate(400.0, desk.now)
         assert 0 < t.hold / t.rate <= 0.25 * aim_ms / 1000 + 1 / t.rate
@@ -174,23 +188,23 @@
 
 def timed_out(rate_a_second: float) -> int:
     """What counts against the rate when a request's one attempt ends with its time."""
-    config = bench_settings(tenants={"ash": api.Tenant("ash")}, limits=api.Limits(max_attempts=1))
+    config = bench_settings(tenants={"ash": Tenant("ash")}, limits=Limits(max_attempts=1))
     balancer = Balancer(config, 1, START)
-    balancer.handle(START, [api.EndpointUpdate(api.EndpointUpdateKind.FULL, upstreams(6))])
+    balancer.handle(START, [EndpointUpdate(EndpointUpdateKind.FULL, upstreams(6))])
     t = balancer.throttles["ash"]
     t.set_rate(rate_a_second, START)
     t.u, t.credit = t.hold, 0.0  # no token: the request waits for one
-    due: list[tuple[int, api.Event]] = [(START, arrival(1, START))]
+    due: list[tuple[int, Event]] = [(START, arrival(1, START))]
     for _ in range(40):
         due.sort(key=lambda it: it[0])
         now, event = due.pop(0)
         for action in balancer.handle(now, [event]):
-            if isinstance(action, api.Forward):
-                outcome = api.AttemptEnded("r1", 0, action.endpoint_id, api.AttemptResult.TIMEOUT, 1)
+            if isinstance(action, Forward):
+                outcome = AttemptEnded("r1", 0, action.endpoint_id, AttemptResult.TIMEOUT, 1)
                 due.append((now + action.timeout_ns, outcome))
-            elif isinstance(action, api.SetTimer):
-                due.append((now + action.delay_ns, api.TimerExpired(action.name)))
-        if isinstance(event, api.AttemptEnded):
+            elif isinstance(action, SetTimer):
+                due.append((now + action.delay_ns, TimerExpired(action.name)))
+        if isinstance(event, AttemptEnded):
             return sum(balancer.rate.bad.values())
     raise AssertionError("never ended")
 
@@ -203,7 +217,7 @@
 def cut_with(load: float, reported: bool = True) -> bool:
     """Is R cut when half the attempts fail and upstreams hold so many requests?"""
     balancer = Balancer(bench_settings(), 1, START)
-    balancer.handle(START, [api.EndpointUpdate(api.EndpointUpdateKind.FULL, upstreams(6))])
+    balancer.handle(START, [EndpointUpdate(EndpointUpdateKind.FULL, upstreams(6))])
     for server in balancer.fleet.servers.values():
         server.hear(load if reported else None, START)
     rate, now = balancer.rate, START + FEEDBACK_NS
@@ -218,8 +232,8 @@
     assert cut_with(0.5, reported=False)  # unknown: it may be crowding
 
 
-def crowd(count: int) -> dict[str, api.Tenant]:
-    return {f"t{i}": api.Tenant(f"t{i}", 1 / count) for i in range(count)}
+def crowd(count: int) -> dict[str, Tenant]:
+    return {f"t{i}": Tenant(f"t{i}", 1 / count) for i in range(count)}
 
 
 def looked_at(count: int, monkeypatch: pytest.MonkeyPatch) -> tuple[int, int]:
@@ -233,14 +247,12 @@
         accrue(throttle, now)
 
     monkeypatch.setattr(Throttle, "accrue", counted)
-    balancer.handle(now, [api.EndpointUpdate(api.EndpointUpdateKind.FULL, upstreams(6))])
+    balancer.handle(now, [EndpointUpdate(EndpointUpdateKind.FULL, upstreams(6))])
     for i in range(200):
         now += FEEDBACK_NS // 10
         for action in balancer.handle(now, [arrival(i, now, tenant=f"t{i % 20}")]):
-            if isinstance(action, api.Forward):
-                served = api.AttemptEnded(
-                    action.request_id, 0, action.endpoint_id, api.AttemptResult.OK, 1, True
-                )
+            if isinstance(action, Forward):
+                served = AttemptEnded(action.request_id, 0, action.endpoint_id, AttemptResult.OK, 1, True)
                 balancer.handle(now, [served])
     monkeypatch.undo()
     return len(balancer.throttles), worked
--- a/tests/test_trouble.py
+++ b/tests/test_trouble.py
@@ -7,7 +7,8 @@
 
 import pytest
 
-from loadbalancer.policy import SECOND, Balancer
+from loadbalancer.policy.balancer import Balancer
+from loadbalancer.units import SECOND
 from tests.sockets import (
     MS,
     Answer,
@@ -86,8 +87,8 @@
             broken = got.first.startswith("GET /stats") and looks % 2 == 1
             await (breaks if broken else answers(200, b'{"inflight":0}'))(got, writer)
 
-        monkeypatch.setattr("loadbalancer.policy.LOOK_NS", 4 * SECOND)
-        monkeypatch.setattr("loadbalancer.net.node.PROBE_TIMEOUT_S", 4.0)
+        monkeypatch.setattr("loadbalancer.policy.balancer.LOOK_NS", 4 * SECOND)
+        monkeypatch.setattr("loadbalancer.proxy.proxy.PROBE_TIMEOUT_S", 4.0)
         upstream = await Upstream(answer).start()
         async with node(Balancer(settings(health_checks=True), 1, time.monotonic_ns()), upstream) as client:
             begun = time.monotonic_ns()
@@ -101,7 +102,7 @@
     # Guards against a few requests of many times the usual work barring upstream after upstream.
     async def test() -> None:
         monkeypatch.setattr(
-            "loadbalancer.policy.STALL_NS", 60 * SECOND
+            "loadbalancer.policy.balancer.STALL_NS", 60 * SECOND
         )  # a slow machine changes nothing here
         upstream = await Upstream(silent).start()
         balancer = Balancer(settings(), 1, time.monotonic_ns())
