--- a/tests/test_module.py
+++ b/tests/package/test_policy_limits.py
@@ -7,7 +7,7 @@
 import tomllib
 from pathlib import Path
 
-ROOT = Path(__file__).parent.parent
+ROOT = Path(__file__).parent.parent.parent
 POLICY = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())["policy"]
 TEXTS = {name: (ROOT / name).read_text().splitlines() for name in POLICY}
 LINES = [line for text in TEXTS.values() for line in text]
--- a/tests/test_rules.py
+++ b/tests/policy/test_rules.py
@@ -34,7 +34,7 @@
 from loadbalancer.policy.request import Attempt
 from loadbalancer.policy.throttle import Throttle
 from loadbalancer.settings import Idempotency, Limits, Prices, RequestClass, Rules, Settings, WeightSource
-from tests.bench import (
+from tests.support.policy_harness import (
     ANY,
     BIG,
     CELL,
--- a/tests/test_cold.py
+++ b/tests/policy/test_slow_start.py
@@ -21,8 +21,8 @@
     Rules,
     Settings,
 )
-from tests.bench import MS, SECOND
-from tests.fleet import FleetModel, Machine, Traffic
+from tests.support.fleet_model import FleetModel, Machine, Traffic
+from tests.support.policy_harness import MS, SECOND
 
 RULES = Rules(
     slow_start_initial_capacity=0.3, slow_start_ns=8800 * MS, overload_factor=2.5, overload_window_ns=SECOND
--- a/tests/test_membership.py
+++ b/tests/policy/test_subsetting.py
@@ -21,7 +21,7 @@
 from loadbalancer.state import endpoint_table, hash_ring
 from loadbalancer.state.endpoint_table import RESERVE, Membership, Placement
 from loadbalancer.state.hash_ring import mixed, unmixed
-from tests.bench import MS, SECOND, START, Desk, arrival, settings
+from tests.support.policy_harness import MS, SECOND, START, Desk, arrival, settings
 
 ZONES = [f"z{i}" for i in range(8)]
 ZONE = RequestClass(
--- a/tests/test_throttle.py
+++ b/tests/policy/test_throttle.py
@@ -25,8 +25,8 @@
 from loadbalancer.policy.throttle import Throttle
 from loadbalancer.settings import Limits, RequestClass, Tenant
 from loadbalancer.state.endpoint_table import Placement
-from tests.bench import MS, READ, SECOND, START, Desk, arrival, upstreams
-from tests.bench import settings as bench_settings
+from tests.support.policy_harness import MS, READ, SECOND, START, Desk, arrival, upstreams
+from tests.support.policy_harness import settings as bench_settings
 
 
 def throttle(bank: int, hold: int, u: int, rate: float = 1.0) -> Throttle:
--- a/tests/test_process.py
+++ b/tests/process/test_process.py
@@ -17,7 +17,7 @@
 import pytest
 
 from loadbalancer.__main__ import REST_MAX_S, STOP_LATE_S, rest_s
-from tests.sockets import (
+from tests.support.sockets import (
     HOST,
     PATIENCE_S,
     Answer,
--- a/tests/test_gone.py
+++ b/tests/proxy/test_client_disconnect.py
@@ -29,8 +29,16 @@
 from loadbalancer.policy.balancer import Balancer
 from loadbalancer.proxy.proxy import Module
 from loadbalancer.settings import Limits
-from tests import bench
-from tests.sockets import (
+from tests.proxy.test_unread_disconnect import (
+    LEAVES,
+    Leave,
+    connected,
+    nothing_but,
+    send_first,
+    unread_answer,
+)
+from tests.support import policy_harness as bench
+from tests.support.sockets import (
     HOST,
     MS,
     PATIENCE_S,
@@ -50,7 +58,6 @@
     until,
     written,
 )
-from tests.test_leaves import LEAVES, Leave, connected, nothing_but, send_first, unread_answer
 
 WHEN = pytest.mark.parametrize("when", ["read", "decided", "connected"])
 BREAK_S = 0.1  # an attempt that begins so long after the close is a break
--- a/tests/test_discovery.py
+++ b/tests/proxy/test_discovery_client.py
@@ -24,7 +24,7 @@
 from loadbalancer.proxy.errors import BadList
 from loadbalancer.proxy.proxy import Node
 from loadbalancer.state.host_numbers import SEGMENTS, HostNumbers
-from tests.sockets import (
+from tests.support.sockets import (
     HOST,
     Answer,
     Client,
--- a/tests/test_return.py
+++ b/tests/proxy/test_discovery_outage.py
@@ -22,8 +22,8 @@
 )
 from loadbalancer.policy.balancer import Balancer
 from loadbalancer.proxy.connection_pool import KEPT_IDLE
-from tests.bench import SECOND, START, settings
-from tests.sockets import (
+from tests.support.policy_harness import SECOND, START, settings
+from tests.support.sockets import (
     HOST,
     Answer,
     Got,
@@ -42,7 +42,7 @@
     until,
     written,
 )
-from tests.sockets import settings as node_settings
+from tests.support.sockets import settings as node_settings
 
 TOLD_S = 6.0  # a change counts as told so long after discovery had it and could be reached
 ANSWER_S = 1.0  # of that, for the call that brings it, and as a margin
--- a/tests/test_server.py
+++ b/tests/proxy/test_downstream.py
@@ -12,7 +12,7 @@
 
 from loadbalancer.messages import Action, ClientDisconnected, Event, Fail, RequestArrived, TimerExpired
 from loadbalancer.proxy.downstream import ClientConnection, Table
-from tests.sockets import HOST, PATIENCE_S, Script, node, request, run, until
+from tests.support.sockets import HOST, PATIENCE_S, Script, node, request, run, until
 
 READY = b"GET /health/ready HTTP/1.1\r\n\r\n"
 
--- a/tests/test_lists.py
+++ b/tests/proxy/test_endpoint_list.py
@@ -26,7 +26,7 @@
 from loadbalancer.proxy.errors import BadList
 from loadbalancer.proxy.proxy import SLICE, Node
 from loadbalancer.state import endpoint_table
-from tests.sockets import (
+from tests.support.sockets import (
     HOST,
     PATIENCE_S,
     Got,
--- a/tests/test_trouble.py
+++ b/tests/proxy/test_faults.py
@@ -9,7 +9,7 @@
 
 from loadbalancer.policy.balancer import Balancer
 from loadbalancer.units import SECOND
-from tests.sockets import (
+from tests.support.sockets import (
     MS,
     Answer,
     Got,
--- a/tests/test_node.py
+++ b/tests/proxy/test_proxy.py
@@ -35,7 +35,7 @@
 from loadbalancer.policy.balancer import Balancer
 from loadbalancer.proxy.proxy import MODULE_EARLY_NS, NODE_EARLY_NS, REST_S, Node, leave_s
 from loadbalancer.settings import RequestClass, Settings
-from tests.sockets import (
+from tests.support.sockets import (
     HOST,
     MS,
     Answer,
--- a/tests/test_leaves.py
+++ b/tests/proxy/test_unread_disconnect.py
@@ -24,7 +24,7 @@
     TimerExpired,
 )
 from loadbalancer.policy.balancer import Balancer
-from tests.sockets import (
+from tests.support.sockets import (
     HOST,
     Answer,
     Client,
--- a/tests/test_scale.py
+++ b/tests/scale_test/test_scale_test.py
@@ -21,7 +21,7 @@
 from scale_test.plan import Plan, Refused
 from scale_test.registry import Registry, mark
 from scale_test.run import Run
-from tests.sockets import PATIENCE_S, Json, run, until
+from tests.support.sockets import PATIENCE_S, Json, run, until
 
 COMMAND = [sys.executable, "-m", "scale_test"]
 SMALL = [
--- a/tests/test_adapter.py
+++ b/tests/simulator/test_simulator_adapter.py
@@ -245,7 +245,7 @@
 
 
 def test_starts_as_the_deploy_file_says() -> None:
-    root = Path(__file__).parent.parent
+    root = Path(__file__).parent.parent.parent
     deploy = tomllib.loads((root / "deploy" / "balancer.toml").read_text())
     subprocess.run(["/bin/sh", "-c", deploy["build"]], cwd=root, check=True, timeout=600)
     assert all((root / name).is_file() for name in deploy["policy"])
--- a/tests/fleet.py
+++ b/tests/support/fleet_model.py
@@ -35,7 +35,7 @@
 )
 from loadbalancer.policy.balancer import Balancer
 from loadbalancer.settings import RequestClass, Rules, Settings
-from tests.bench import MS, SECOND, START
+from tests.support.policy_harness import MS, SECOND, START
 
 
 @dataclass(eq=False)
--- a/tests/start_cost.py
+++ b/tests/support/start_cost.py
@@ -1,6 +1,6 @@
 """What a start costs: processor seconds from exec to the first 200 of /health/ready, by length of the list.
 
-    python -m tests.start_cost 200 10000 160000
+    python -m tests.support.start_cost 200 10000 160000
 
 At a share c of a core a start takes about cpu / c, and the rest that `rest_s` adds."""
 
@@ -15,7 +15,7 @@
 import time
 from pathlib import Path
 
-from tests.sockets import HOST, entry
+from tests.support.sockets import HOST, entry
 
 CORES = 1.0
 READY = b"GET /health/ready HTTP/1.1\r\n\r\n"
