--- a/loadbalancer/__main__.py
+++ b/loadbalancer/__main__.py
@@ -14,9 +14,9 @@
 import time
 from typing import cast
 
-from loadbalancer.configuration import BadConfig, Config, config_steps, read_config
+from loadbalancer.configuration import Configuration, ConfigurationError, config_steps, read_config
 from loadbalancer.policy.balancer import Balancer
-from loadbalancer.proxy.proxy import Node
+from loadbalancer.proxy.proxy import Proxy
 
 log = logging.getLogger(__name__)
 LINES_A_SECOND = 20
@@ -42,7 +42,7 @@
         return self._lines <= LINES_A_SECOND
 
 
-async def reload(path: str, old: Config, node: Node) -> None:
+async def reload(path: str, old: Configuration, node: Proxy) -> None:
     """Take up a new configuration as far as that goes without a start; a bad one changes nothing."""
     steps = config_steps(path, with_known=False)
     try:
@@ -50,8 +50,8 @@
             next(steps)
             await asyncio.sleep(0)  # its list may be long, and requests go on meanwhile
     except StopIteration as end:
-        new = cast(Config, end.value)
-    except BadConfig as error:
+        new = cast(Configuration, end.value)
+    except ConfigurationError as error:
         log.warning("%s: reload: %s; the old configuration stays", old.name, error)
         return
     log.info("%s: reload: discovery at %s:%d", old.name, *new.discovery)
@@ -87,12 +87,12 @@
     gc.freeze()
 
 
-async def serve(config: Config, path: str) -> None:
+async def serve(config: Configuration, path: str) -> None:
     stop = asyncio.Event()
     loop = asyncio.get_running_loop()
     for number in (signal.SIGTERM, signal.SIGINT):
         loop.add_signal_handler(number, stop.set)
-    node = Node(config, Balancer(config.settings, config.seed, time.monotonic_ns()))
+    node = Proxy(config, Balancer(config.settings, config.seed, time.monotonic_ns()))
     reloads: set[asyncio.Task[None]] = set()  # held, or they might be collected before their end
 
     def start_reload() -> None:
@@ -119,9 +119,9 @@
     signal.signal(signal.SIGHUP, signal.SIG_IGN)  # so that it ends nothing before there is a node to reload
     try:
         if not path:
-            raise BadConfig("RELAY_CONFIG is not set")
+            raise ConfigurationError("RELAY_CONFIG is not set")
         config = read_config(path)
-    except BadConfig as error:
+    except ConfigurationError as error:
         print(f"loadbalancer: {error}", file=sys.stderr)
         return 2
     try:
--- a/loadbalancer/configuration.py
+++ b/loadbalancer/configuration.py
@@ -7,48 +7,54 @@
 from typing import Any
 
 from loadbalancer.proxy.addresses import Address, read_address
-from loadbalancer.proxy.endpoint_list import Listing, Rows, read_beside, run_through, unix_offset_ns
-from loadbalancer.proxy.errors import BadList
+from loadbalancer.proxy.endpoint_list import (
+    EndpointList,
+    EndpointListParser,
+    read_beside,
+    run_through,
+    unix_offset_ns,
+)
+from loadbalancer.proxy.errors import EndpointListError
 from loadbalancer.settings import Settings, read_settings
 
 CHUNK = 16 * 1024  # bytes of a configuration that are read at a stretch
 MB = 1024 * 1024
 
 
-class BadConfig(Exception):
+class ConfigurationError(Exception):
     """The configuration is missing or can't be used."""
 
 
-def config_steps(path: str, with_known: bool = True) -> Generator[None, None, Config]:
+def config_steps(path: str, with_known: bool = True) -> Generator[None, None, Configuration]:
     """Read a configuration, in steps where its list is long; BadConfig says what is wrong with it."""
-    rows = Rows(unix_offset_ns())
+    rows = EndpointListParser(unix_offset_ns())
     try:
         with open(path, "rb") as file:
             raw = yield from read_beside(iter(lambda: file.read(CHUNK), b""), "known", rows)
     except OSError as error:
-        raise BadConfig(f"{path}: {error.strerror}") from None
-    except BadList as error:
-        raise BadConfig(f"{path}: {error}") from None
+        raise ConfigurationError(f"{path}: {error.strerror}") from None
+    except EndpointListError as error:
+        raise ConfigurationError(f"{path}: {error}") from None
     try:
         known = rows.done() if rows.begun and with_known else None
-    except BadList as error:
-        raise BadConfig(f"{path}: known: {error}") from None
+    except EndpointListError as error:
+        raise ConfigurationError(f"{path}: known: {error}") from None
     try:
         return _config(raw, known)
     except KeyError as error:
-        raise BadConfig(f"{path}: {error} is missing") from None
+        raise ConfigurationError(f"{path}: {error} is missing") from None
     except (ValueError, TypeError, AttributeError, OverflowError) as error:
-        raise BadConfig(f"{path}: {error}") from None
+        raise ConfigurationError(f"{path}: {error}") from None
 
 
-def read_config(path: str) -> Config:
+def read_config(path: str) -> Configuration:
     return run_through(config_steps(path))
 
 
-def _config(raw: Any, known: Listing | None) -> Config:
+def _config(raw: Any, known: EndpointList | None) -> Configuration:
     peer_listen, peers_all = raw.get("peer_listen"), raw.get("peers_all")
     limits = raw.get("limits") or {}
-    return Config(
+    return Configuration(
         name=str(raw["name"]),
         listen=read_address(raw["listen"]),
         discovery=read_address(raw["discovery"]),
@@ -65,7 +71,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Config:
+class Configuration:
     """What a balancer is told at its start."""
 
     name: str
@@ -74,7 +80,7 @@
     seed: int
     sockets: int
     settings: Settings
-    known: Listing | None = None  # the last known list
+    known: EndpointList | None = None  # the last known list
     peer_listen: Address | None = None
     peers: list[Address] = field(default_factory=list)
     peers_all: Address | None = None
--- a/loadbalancer/policy/balancer.py
+++ b/loadbalancer/policy/balancer.py
@@ -29,13 +29,13 @@
     TimerExpired,
     WatchEndpoints,
 )
-from loadbalancer.policy.concurrency_limit import LIMIT_MAX, Crowding
-from loadbalancer.policy.endpoint_pool import Pool
-from loadbalancer.policy.endpoint_state import Server
+from loadbalancer.policy.concurrency_limit import LIMIT_MAX, ConcurrencyLimit
+from loadbalancer.policy.endpoint_pool import EndpointPool
+from loadbalancer.policy.endpoint_state import EndpointState
 from loadbalancer.policy.endpoints import LOOKS, Fleet
 from loadbalancer.policy.rate_control import FEEDBACK_NS
 from loadbalancer.policy.request import Attempt, Request
-from loadbalancer.policy.tenant_throttles import Gates
+from loadbalancer.policy.tenant_throttles import TenantThrottles
 from loadbalancer.policy.throttle import Throttle
 from loadbalancer.settings import DeduplicationScope, Idempotency, RequestClass, Settings
 from loadbalancer.units import SECOND
@@ -64,9 +64,9 @@
         self.patience_ns = min(
             (c.latency_objective_ns for c in settings.request_classes.values()), default=SECOND
         )
-        self.throttles = Gates(settings, self.rng, now, self.patience_ns)
+        self.throttles = TenantThrottles(settings, self.rng, now, self.patience_ns)
         self.rate = self.throttles.rate
-        self.crowding = Crowding()
+        self.crowding = ConcurrencyLimit()
         # Until something is seen to finish, as long as the slowest class is expected to take.
         self.crowding.alone = (
             max((c.latency_objective_ns for c in settings.request_classes.values()), default=SECOND) / 8
@@ -245,11 +245,11 @@
         where it runs on all the same, the next one there finds out, and the ejection doubles."""
         return min(a.expected, self.patience_ns)
 
-    def _eject(self, server: Server, now: int, base: float) -> None:
+    def _eject(self, server: EndpointState, now: int, base: float) -> None:
         self.fleet.eject(server, now, base)
         self._later(server.not_before_ns, "pump", None)  # then the queue has one more to go to
 
-    def _space(self, server: Server, now: int, gaps: float) -> None:
+    def _space(self, server: EndpointState, now: int, gaps: float) -> None:
         """Leave a cold upstream alone for so many of its gaps."""
         gap = int(gaps * self.fleet.cold_gap_ns(server, now))
         server.not_before_ns = max(server.not_before_ns, now + gap)
@@ -269,7 +269,7 @@
         else:
             self._refuse(r, now)
 
-    def _choices(self, r: Request, now: int) -> list[Server] | None:
+    def _choices(self, r: Request, now: int) -> list[EndpointState] | None:
         """Where a request that may have run may go again; None: anywhere."""
         first = next((a for a in r.attempts if a.may_have_run), None)
         if (
@@ -361,7 +361,7 @@
         if server and r.may_send(server, now, self.settings.limits) and r.tenant.spare(now):
             self._send(r, server, now)
 
-    def _pump(self, pool: Pool, now: int) -> None:
+    def _pump(self, pool: EndpointPool, now: int) -> None:
         """Serve the queue in order while an upstream has room."""
         fleet, limits = self.fleet, self.settings.limits
         while pool.queue:
@@ -397,7 +397,7 @@
         if not pool.queue:
             pool.blocked_ns = 0
 
-    def _send(self, r: Request, server: Server, now: int) -> None:
+    def _send(self, r: Request, server: EndpointState, now: int) -> None:
         self.crowding.held(server, now)
         server.inflight += 1
         server.load += server.load_ns > 0
--- a/loadbalancer/policy/concurrency_limit.py
+++ b/loadbalancer/policy/concurrency_limit.py
@@ -5,7 +5,7 @@
 
 from __future__ import annotations
 
-from loadbalancer.policy.endpoint_state import Server
+from loadbalancer.policy.endpoint_state import EndpointState
 from loadbalancer.policy.rate_control import EVIDENCE
 from loadbalancer.policy.request import Attempt, Request
 from loadbalancer.units import SECOND
@@ -16,7 +16,7 @@
 MORE = 1.05  # one more in flight must raise what an upstream finishes by this
 
 
-class Crowding:
+class ConcurrencyLimit:
     """Learns what requests take, and how many of our own in flight an upstream still gains from.
 
     Extension: while upstreams hold k of this proxy's requests, how often does one finish? An upstream that
@@ -66,7 +66,7 @@
         """What a request takes at an upstream that holds so many, this one included."""
         return self.base + self.each * held
 
-    def held(self, server: Server, now: int) -> None:
+    def held(self, server: EndpointState, now: int) -> None:
         """Book the time for which an upstream held what it holds; call before that changes."""
         if server.inflight and server.own:
             self.busy[min(server.inflight, LIMIT_MAX + 1)] += (now - server.since_ns) / SECOND
--- a/loadbalancer/policy/endpoint_pool.py
+++ b/loadbalancer/policy/endpoint_pool.py
@@ -9,23 +9,23 @@
 from dataclasses import dataclass, field
 
 from loadbalancer.messages import Endpoint
-from loadbalancer.policy.endpoint_state import Server
+from loadbalancer.policy.endpoint_state import EndpointState
 from loadbalancer.policy.request import Request
 from loadbalancer.policy.subsetting import Subset
 from loadbalancer.state.endpoint_table import Placement
 
 
 @dataclass(slots=True, eq=False)
-class Pool:
+class EndpointPool:
     """The upstreams that one placement admits and this proxy uses, and the requests that wait for them."""
 
     placement: Placement
-    order: list[Server] = field(default_factory=list)  # ready ones, this proxy's subset first
+    order: list[EndpointState] = field(default_factory=list)  # ready ones, this proxy's subset first
     subset: int = 0  # how many of `order` are its subset
     sharers: float = 0.0  # proxies that have one of these in their subset
     width: int = 0  # how many of `order` it draws from
     given: Subset | None = None  # what `order` was made of
-    last: Server | None = None  # the previous winner
+    last: EndpointState | None = None  # the previous winner
     queue: deque[Request] = field(default_factory=deque)
     blocked_ns: int = 0  # the queue found no upstream since
 
--- a/loadbalancer/policy/endpoint_state.py
+++ b/loadbalancer/policy/endpoint_state.py
@@ -15,7 +15,7 @@
 
 
 @dataclass(slots=True, eq=False)
-class Server:
+class EndpointState:
     """What this proxy knows of one upstream."""
 
     id: int
--- a/loadbalancer/policy/endpoints.py
+++ b/loadbalancer/policy/endpoints.py
@@ -9,12 +9,12 @@
 from collections.abc import Iterable
 
 from loadbalancer.messages import EndpointStatus, EndpointUpdate, EndpointUpdateKind
-from loadbalancer.policy.concurrency_limit import Crowding
-from loadbalancer.policy.endpoint_pool import Pool
-from loadbalancer.policy.endpoint_state import LOAD_MAX, Server
+from loadbalancer.policy.concurrency_limit import ConcurrencyLimit
+from loadbalancer.policy.endpoint_pool import EndpointPool
+from loadbalancer.policy.endpoint_state import LOAD_MAX, EndpointState
 from loadbalancer.policy.subsetting import choose_subset
 from loadbalancer.settings import DeduplicationScope, RequestClass, Settings, WeightSource
-from loadbalancer.state.endpoint_table import Membership, Placement
+from loadbalancer.state.endpoint_table import EndpointTable, Placement
 from loadbalancer.state.hash_ring import mixed, unmixed
 from loadbalancer.units import SECOND
 
@@ -33,12 +33,12 @@
 class Fleet:
     """Cold starts, health, and what this proxy knows of the upstreams that it uses."""
 
-    def __init__(self, settings: Settings, crowding: Crowding, rng: random.Random) -> None:
+    def __init__(self, settings: Settings, crowding: ConcurrencyLimit, rng: random.Random) -> None:
         self.settings, self.crowding, self.rng = settings, crowding, rng
-        self.membership = Membership(settings)
-        self.servers: dict[int, Server] = {}  # those in use, or with requests of ours
+        self.membership = EndpointTable(settings)
+        self.servers: dict[int, EndpointState] = {}  # those in use, or with requests of ours
         self.used: set[int] = set()  # in the order of a pool
-        self.pools: dict[tuple[frozenset[str] | None, frozenset[str] | None], Pool] = {}
+        self.pools: dict[tuple[frozenset[str] | None, frozenset[str] | None], EndpointPool] = {}
         self.any = self.pool(RequestClass(""))
         for cls in settings.request_classes.values():
             self.pool(cls)
@@ -52,14 +52,14 @@
         self.reach = 0  # upstreams in the subsets of this proxy
         self.borne = 0.0  # own attempts a second that a warm upstream is seen to bear
 
-    def pool(self, cls: RequestClass) -> Pool:
+    def pool(self, cls: RequestClass) -> EndpointPool:
         key = (cls.allowed_zones, cls.allowed_machine_types)
         if key not in self.pools:
-            self.pools[key] = Pool(Placement(*key))
+            self.pools[key] = EndpointPool(Placement(*key))
             self.membership.placements.append(self.pools[key].placement)
         return self.pools[key]
 
-    def learn(self, update: EndpointUpdate, now: int) -> list[Server]:
+    def learn(self, update: EndpointUpdate, now: int) -> list[EndpointState]:
         """Take a list; which cold upstreams are new in the subset of this proxy?"""
         membership, live = self.membership, self.settings.weight_source is WeightSource.LIVE
         missing = set(membership.profiles) if update.kind is not EndpointUpdateKind.DELTA else set()
@@ -89,14 +89,14 @@
             return []
         return [s for s in self.servers.values() if s.own and s not in kept and self.cold(s, now)]
 
-    def _weigh(self, s: Server, now: int) -> None:
+    def _weigh(self, s: EndpointState, now: int) -> None:
         if self.settings.weight_source is WeightSource.LIVE and 0 < s.entry.weight < LOAD_MAX:
             s.hear(self.sizes[s.entry.machine_type] / s.entry.weight - 1, now)
 
-    def server(self, number: int, now: int) -> Server:
+    def server(self, number: int, now: int) -> EndpointState:
         """What is known of a listed upstream in full, from now on."""
         if number not in self.servers:
-            self.servers[number] = s = Server(number, self.membership.entry(number))
+            self.servers[number] = s = EndpointState(number, self.membership.entry(number))
             s.rank = mixed(number, self.settings.proxy_index + 1)
             self._weigh(s, now)
         return self.servers[number]
@@ -130,7 +130,9 @@
             s.entry = s.entry._replace(status=EndpointStatus.REMOVED)
             del self.servers[s.id]
 
-    def group(self, pool: Pool, like: Server, scope: DeduplicationScope, now: int) -> list[Server]:
+    def group(
+        self, pool: EndpointPool, like: EndpointState, scope: DeduplicationScope, now: int
+    ) -> list[EndpointState]:
         """Some upstreams of the same zone or cell that this proxy does not use otherwise."""
         if len(pool.order) == len(pool.placement.ring):
             return []
@@ -139,10 +141,10 @@
         found = self.membership.group(pool.placement, like.entry, scope, self.rng.random(), SCAN)
         return [self.server(number, now) for number in found if number not in self.used]
 
-    def cold(self, s: Server, now: int) -> bool:
+    def cold(self, s: EndpointState, now: int) -> bool:
         return bool(s.entry.started_ns) and now - s.entry.started_ns < self.settings.rules.slow_start_ns
 
-    def cold_gap_ns(self, s: Server, now: int) -> int:
+    def cold_gap_ns(self, s: EndpointState, now: int) -> int:
         """Rule 4: the least time between sends to a cold upstream, so that all whose subset it is in stay,
         together, inside what it can bear now. A warm one bears what it is seen to bear, or what
         upstreams finish: the slope `each` is flattened by late reports, and promises several times that."""
@@ -157,21 +159,21 @@
         bears = max(self.borne, SECOND / self.crowding.alone / sharers)
         return int(SECOND / (COLD_PART * rules.overload_factor * part * bears))
 
-    def limit_of(self, s: Server, now: int) -> int:
+    def limit_of(self, s: EndpointState, now: int) -> int:
         if not s.own:  # other proxies fill it, and own counts say little of it
             return int(not s.strikes and not self.cold(s, now))
         if s.strikes:
             return 1
         return max(1, self.crowding.limit // 2) if self.cold(s, now) else self.crowding.limit
 
-    def fit(self, s: Server, now: int) -> bool:
+    def fit(self, s: EndpointState, now: int) -> bool:
         return (
             s.entry.status is EndpointStatus.READY
             and now >= s.not_before_ns
             and s.inflight < self.limit_of(s, now)
         )
 
-    def eject(self, s: Server, now: int, base: float) -> None:
+    def eject(self, s: EndpointState, now: int, base: float) -> None:
         """Leave a failing upstream alone, longer each time, unless that would leave hardly any."""
         if s.not_before_ns > now:
             return  # what was out there when it stood still fails together: one strike for it
@@ -184,7 +186,7 @@
             length = min(base * 2 ** min(s.strikes - 1, 5), EJECTION_MAX)
             s.not_before_ns = now + int(length * self.rng.uniform(0.75, 1.25))
 
-    def ends(self, s: Server, broke: bool) -> bool:
+    def ends(self, s: EndpointState, broke: bool) -> bool:
         """Note that an attempt ended; does the broken connection set its upstream apart from the others?
 
         Where connections break at all upstreams alike (a bad network, a box between, a close that crosses a
@@ -218,7 +220,7 @@
         ]
         return not told or sum(told) >= CROWDED * len(told)
 
-    def draw(self, pool: Pool, count: int, now: int) -> list[Server]:
+    def draw(self, pool: EndpointPool, count: int, now: int) -> list[EndpointState]:
         """So many random draws from the fit ones within reach, and the previous winner."""
         n, chance = pool.width, self.rng.random
         near = pool.order[:n] if n <= SCAN else [pool.order[int(chance() * n)] for _ in range(SCAN)]
@@ -230,7 +232,9 @@
             drawn.append(pool.last)
         return drawn
 
-    def pick(self, pool: Pool, now: int, allowed: Iterable[Server] | None = None) -> Server | None:
+    def pick(
+        self, pool: EndpointPool, now: int, allowed: Iterable[EndpointState] | None = None
+    ) -> EndpointState | None:
         """The lightest, by requests held and learned speed, of two draws and the previous winner."""
         drawn = self.draw(pool, DRAWS, now) if allowed is None else [s for s in allowed if self.fit(s, now)]
         pool.last = min(drawn, key=lambda s: (s.crowd(now) + 1) * s.pace, default=pool.last)
--- a/loadbalancer/policy/rate_control.py
+++ b/loadbalancer/policy/rate_control.py
@@ -20,7 +20,7 @@
 EVIDENCE = 8  # outcomes before a figure is believed
 
 
-class Rate:
+class RateController:
     """The proxy's rate R, learned from how attempts end, and its division among the tenants.
 
     What a silent tenant leaves is all lent, so only those that send need be gone through; `weight` is that of
--- a/loadbalancer/policy/request.py
+++ b/loadbalancer/policy/request.py
@@ -12,8 +12,8 @@
 from loadbalancer.settings import DeduplicationScope, Idempotency, Limits, RequestClass, Rules
 
 if TYPE_CHECKING:
-    from loadbalancer.policy.endpoint_pool import Pool
-    from loadbalancer.policy.endpoint_state import Server
+    from loadbalancer.policy.endpoint_pool import EndpointPool
+    from loadbalancer.policy.endpoint_state import EndpointState
     from loadbalancer.policy.throttle import Throttle
 
 
@@ -21,7 +21,7 @@
 class Attempt:
     """One send of a request."""
 
-    server: Server
+    server: EndpointState
     sent_ns: int
     expected: float
     load: float  # what the upstream was thought to hold then, this one included
@@ -43,7 +43,7 @@
 
     id: str
     cls: RequestClass
-    pool: Pool  # the upstreams that its class may use
+    pool: EndpointPool  # the upstreams that its class may use
     tenant: Throttle
     deadline_ns: int
     aim_ns: int  # an answer by then earns the full worth
@@ -55,14 +55,14 @@
     stood: bool = False  # the proxy stood still while it was open: nor does any of its times
     place: str = ""  # "held" by its throttle, "queued", or ""
     give_up_ns: int = 0  # waiting longer than this is of no use
-    asked: list[Server] = field(default_factory=list)  # asked for their load on its behalf
+    asked: list[EndpointState] = field(default_factory=list)  # asked for their load on its behalf
     asked_ns: int = 0
 
     @property
     def out(self) -> int:
         return sum(a.result is None for a in self.attempts)
 
-    def may_send(self, server: Server, now: int, limits: Limits) -> bool:
+    def may_send(self, server: EndpointState, now: int, limits: Limits) -> bool:
         if (
             self.over
             or self.begun
@@ -94,7 +94,7 @@
             or not any(a.may_have_run for a in self.attempts)
         )
 
-    def _same_group(self, x: Server, y: Server) -> bool:
+    def _same_group(self, x: EndpointState, y: EndpointState) -> bool:
         if self.cls.deduplication_scope is DeduplicationScope.ALL:
             return True
         a, b = x.entry, y.entry
--- a/loadbalancer/policy/subsetting.py
+++ b/loadbalancer/policy/subsetting.py
@@ -11,7 +11,7 @@
 
 from sortedcontainers import SortedList
 
-from loadbalancer.state.endpoint_table import RESERVE, Membership, Placement
+from loadbalancer.state.endpoint_table import RESERVE, EndpointTable, Placement
 from loadbalancer.state.hash_ring import WORD, Key, mixed, stretch
 
 SUBSET, SHARED = (4, 10), 6  # least subset, one large enough for pauses; proxies that may share it
@@ -36,7 +36,7 @@
         return chain(self.own, self.near, self.far)
 
 
-def choose_subset(table: Membership, placement: Placement) -> Subset:
+def choose_subset(table: EndpointTable, placement: Placement) -> Subset:
     """Extension: a proxy's subset is its stretch of one ring that all proxies compute alike, so that its
     own requests in flight say something of the upstream. Beyond it, a reserve. Where open connections
     have a price it is small, and in the proxy's own zone if crossing has one too.
--- a/loadbalancer/policy/tenant_throttles.py
+++ b/loadbalancer/policy/tenant_throttles.py
@@ -7,12 +7,12 @@
 
 import random
 
-from loadbalancer.policy.rate_control import Rate
+from loadbalancer.policy.rate_control import RateController
 from loadbalancer.policy.throttle import Throttle
 from loadbalancer.settings import Settings, Tenant
 
 
-class Gates(dict[str, Throttle]):
+class TenantThrottles(dict[str, Throttle]):
     """The throttles of the tenants that send. One is made at a tenant's first request, as if it had always
     been there, and dropped when it is idle: tenants that are silent cost nothing, however many there are."""
 
@@ -21,7 +21,9 @@
         self.tenants = settings.tenants or {"": Tenant("")}
         self.other = next(iter(self.tenants))  # who is not known passes for this one
         self.rng, self.now, self.aim_ns = rng, now, aim_ns
-        self.rate = Rate(self.values(), now, sum(max(1e-6, t.quota_share) for t in self.tenants.values()))
+        self.rate = RateController(
+            self.values(), now, sum(max(1e-6, t.quota_share) for t in self.tenants.values())
+        )
 
     def __missing__(self, name: str) -> Throttle:
         if name not in self.tenants:
--- a/loadbalancer/proxy/addresses.py
+++ b/loadbalancer/proxy/addresses.py
@@ -4,7 +4,7 @@
 
 import socket
 
-from loadbalancer.proxy.errors import BadList
+from loadbalancer.proxy.errors import EndpointListError
 
 Address = tuple[str, int]
 NOWHERE: Address = ("", 0)
@@ -25,7 +25,7 @@
     except (OSError, ValueError):
         port = ""
     if not (port.isascii() and port.isdigit() and int(port) <= 65535):
-        raise BadList(f"no address: {text!r:.80}")
+        raise EndpointListError(f"no address: {text!r:.80}")
     return (host, int(port)) if six else int.from_bytes(number, "big") << 16 | int(port)
 
 
--- a/loadbalancer/proxy/connection_pool.py
+++ b/loadbalancer/proxy/connection_pool.py
@@ -16,10 +16,10 @@
 
 
 @dataclass(slots=True, eq=False)
-class Pool:
+class ConnectionPool:
     """The connections to one address; those between uses, the last used one last."""
 
-    hub: Hub
+    hub: ConnectionLimits
     address: Address
     ready: bool = True  # it may be sent something new
     open: int = 0  # connections, also those that are only coming up
@@ -68,7 +68,7 @@
         self.close_idle()
 
 
-class Hub:
+class ConnectionLimits:
     """What all pools share: the limits, and the count of connections."""
 
     def __init__(
@@ -85,7 +85,7 @@
         self.idle_s = conn_idle_s * IDLE_PART or IDLE_DEFAULT_S
         self.max_body = max_body
         self.open = 0  # connections, also those that are only coming up
-        self.pools: dict[int, Pool] = {}  # of the upstreams that have been sent something of late
+        self.pools: dict[int, ConnectionPool] = {}  # of the upstreams that have been sent something of late
         self.idle: dict[Connection, None] = {}  # of all pools, the longest so first
 
     def make_place(self, spare: int = 0) -> bool:
--- a/loadbalancer/proxy/discovery_client.py
+++ b/loadbalancer/proxy/discovery_client.py
@@ -11,9 +11,9 @@
 
 from loadbalancer.messages import AttemptResult, EndpointUpdateKind
 from loadbalancer.proxy.addresses import Address
-from loadbalancer.proxy.connection_pool import Hub, Pool
-from loadbalancer.proxy.endpoint_list import Listing, Reader
-from loadbalancer.proxy.errors import BadList
+from loadbalancer.proxy.connection_pool import ConnectionLimits, ConnectionPool
+from loadbalancer.proxy.endpoint_list import EndpointList, EndpointListReader
+from loadbalancer.proxy.errors import EndpointListError
 from loadbalancer.proxy.http import Message, write_request
 
 log = logging.getLogger(__name__)
@@ -35,14 +35,18 @@
 HANDOVER_WAIT_S = 3.0
 EMPTY_S = 0.02  # an agent that answers at once with nothing must not be asked without pause
 FIRST_RETRY_S, LAST_RETRY_S = 0.05, 1.0
-Told = Listing | Literal[EndpointUpdateKind.FAILED, EndpointUpdateKind.WATCH_TIMED_OUT]  # what ends a call
-Steps = Generator[None, None, Listing]
+WatchResult = (
+    EndpointList | Literal[EndpointUpdateKind.FAILED, EndpointUpdateKind.WATCH_TIMED_OUT]
+)  # what ends a call
+Steps = Generator[None, None, EndpointList]
 
 
-class Call:
+class DiscoveryCall:
     """A call to discovery and the reading of its answer, in steps where it is long; `done` is called once."""
 
-    def __init__(self, source: Source, query: str, wait_s: float, done: Callable[[Told], None]) -> None:
+    def __init__(
+        self, source: DiscoveryTarget, query: str, wait_s: float, done: Callable[[WatchResult], None]
+    ) -> None:
         self._source, self._done = source, done
         self._reading: asyncio.Task[None] | None = None
         data = write_request(b"GET", (LIST_PATH + query).encode(), [(b"Host", source.host)])
@@ -83,59 +87,59 @@
                 await asyncio.sleep(0)  # others have their turn
         self._done(told)
 
-    def _step(self, steps: Steps) -> Told | None:
+    def _step(self, steps: Steps) -> WatchResult | None:
         """Read on; gives what was told at the end."""
         try:
             next(steps)
         except StopIteration as end:
-            return cast(Listing, end.value)
-        except BadList as error:
+            return cast(EndpointList, end.value)
+        except EndpointListError as error:
             log.warning("discovery: %.120s", error)
             return EndpointUpdateKind.FAILED
         return None
 
 
-class Source:
+class DiscoveryTarget:
     """One address of discovery, and the calls to it."""
 
-    def __init__(self, address: Address, reader: Reader, most: int) -> None:
+    def __init__(self, address: Address, reader: EndpointListReader, most: int) -> None:
         self.address = address
         self.reader = reader
-        self.pool = Pool(Hub(2, 2.0, 0.0, most, LEAST_RATE), address)
+        self.pool = ConnectionPool(ConnectionLimits(2, 2.0, 0.0, most, LEAST_RATE), address)
         self.host = f"{address[0]}:{address[1]}".encode()
         self.refuses = False  # the last call to it found no connection
 
-    def get(self, query: str, wait_s: float, done: Callable[[Told], None]) -> Call:
-        return Call(self, query, wait_s, done)
+    def get(self, query: str, wait_s: float, done: Callable[[WatchResult], None]) -> DiscoveryCall:
+        return DiscoveryCall(self, query, wait_s, done)
 
     def close(self) -> None:
         self.pool.close_idle()
 
 
-class Discovery:
+class DiscoveryClient:
     """Watches the list. Where it is pushed, the watch never ends; where it is asked, the module says when."""
 
     def __init__(
         self,
         address: Address,
-        reader: Reader,
+        reader: EndpointListReader,
         pushed: bool,
         rng: random.Random,
-        heard: Callable[[Told], None],
+        heard: Callable[[WatchResult], None],
         most: int = MAX_LIST,
     ) -> None:
         self._reader = reader
         self._most = most  # bytes of a list
-        self._source = Source(address, reader, most)
-        self._successor: Source | None = None  # the new address, until it has told the whole list
+        self._source = DiscoveryTarget(address, reader, most)
+        self._successor: DiscoveryTarget | None = None  # the new address, until it has told the whole list
         self._pushed = pushed
         self._rng = rng
         self._heard = heard
         self._version: int | None = None
         self._watching = False
-        self._call: Call | None = None
-        self._fetch: Call | None = None
-        self._handover: Call | None = None  # the call to the successor
+        self._call: DiscoveryCall | None = None
+        self._fetch: DiscoveryCall | None = None
+        self._handover: DiscoveryCall | None = None  # the call to the successor
         self._watch_deferred = False  # to the end of that call, since the old address refuses connections
         self._fetch_deferred = False
         self._retry: asyncio.TimerHandle | None = None
@@ -143,7 +147,7 @@
         self._failures = 0
         self._handover_failures = 0
 
-    def take_known(self, listing: Listing) -> None:
+    def take_known(self, listing: EndpointList) -> None:
         self._version = listing.version
 
     def watch(self) -> None:
@@ -194,7 +198,7 @@
         self._forget_successor()  # of several moves in a row the last one counts
         self._source.refuses = False  # it may be back since
         if address != self._source.address:
-            self._successor = Source(address, self._reader, self._most)
+            self._successor = DiscoveryTarget(address, self._reader, self._most)
             self._handover_failures = 0
             self._ask_successor()
             return
@@ -218,16 +222,16 @@
         if self._successor is not None:
             self._handover = self._successor.get("", HANDOVER_WAIT_S, self._succeeded)
 
-    def _succeeded(self, listing: Told) -> None:
+    def _succeeded(self, listing: WatchResult) -> None:
         self._handover = None
         if self._successor is None:
             return
-        if not isinstance(listing, Listing) or not listing.whole:
+        if not isinstance(listing, EndpointList) or not listing.whole:
             self._handover_failures += 1
             self._handover_retry = asyncio.get_running_loop().call_later(
                 self._pause_s(self._handover_failures), self._ask_successor
             )
-            self._fail_deferred(EndpointUpdateKind.FAILED if isinstance(listing, Listing) else listing)
+            self._fail_deferred(EndpointUpdateKind.FAILED if isinstance(listing, EndpointList) else listing)
             return
         self._end_call()
         if self._fetch is not None:  # what the whole list was asked for, this one answers
@@ -241,7 +245,7 @@
             self.watch()
         self._tell(listing)
 
-    def _fail_deferred(self, failure: Told) -> None:
+    def _fail_deferred(self, failure: WatchResult) -> None:
         """Tell of a failure once for each call that was left to the handover."""
         count = self._watch_deferred + self._fetch_deferred
         self._watch_deferred = self._fetch_deferred = False
@@ -255,20 +259,20 @@
             self._fetch.abandon()
         self._source.close()
 
-    def _fetched(self, listing: Told) -> None:
+    def _fetched(self, listing: WatchResult) -> None:
         self._fetch = None
-        if self._closed and not isinstance(listing, Listing):
+        if self._closed and not isinstance(listing, EndpointList):
             self._fetch_deferred = True
             return
         self._tell(listing)
 
-    def _answered(self, listing: Told) -> None:
+    def _answered(self, listing: WatchResult) -> None:
         self._call = None
-        self._failures = 0 if isinstance(listing, Listing) else self._failures + 1
-        if self._closed and not isinstance(listing, Listing):
+        self._failures = 0 if isinstance(listing, EndpointList) else self._failures + 1
+        if self._closed and not isinstance(listing, EndpointList):
             self._watch_deferred = True
             return
-        if isinstance(listing, Listing):
+        if isinstance(listing, EndpointList):
             self._version = listing.version
             if len(listing):
                 self.watch()  # first of all: a watch that pauses for 200 ms is a new one
@@ -285,6 +289,6 @@
     def _watch_later(self, wait_s: float) -> None:
         self._retry = asyncio.get_running_loop().call_later(wait_s, self.watch)
 
-    def _tell(self, listing: Told) -> None:
-        if isinstance(listing, Listing) or not self._pushed:
+    def _tell(self, listing: WatchResult) -> None:
+        if isinstance(listing, EndpointList) or not self._pushed:
             self._heard(listing)
--- a/loadbalancer/proxy/downstream.py
+++ b/loadbalancer/proxy/downstream.py
@@ -11,7 +11,7 @@
 from typing import Protocol, cast
 
 from loadbalancer.proxy.http import Headers, Message, MessageReader, write_response
-from loadbalancer.proxy.socket_state import CLOSED, UNREAD, shows
+from loadbalancer.proxy.socket_state import CLOSED, UNREAD, socket_shows
 
 log = logging.getLogger(__name__)
 READY_PATH = b"/health/ready"
@@ -28,7 +28,7 @@
 TICK_S = 0.1  # how often the times above are looked at
 
 
-class Service(Protocol):
+class RequestHandler(Protocol):
     """What answers the requests."""
 
     @property
@@ -42,7 +42,7 @@
 class ClientConnection(asyncio.Protocol):
     """One client's connection: one request at a time. Sending one ahead of an answer ends it."""
 
-    def __init__(self, server: Server, service: Service) -> None:
+    def __init__(self, server: DownstreamServer, service: RequestHandler) -> None:
         self._server = server
         self._service = service
         self._reader = MessageReader()
@@ -59,12 +59,18 @@
     @property
     def left(self) -> bool:
         """The client has ended its sending or broken the connection, whether that has been read or not."""
-        return self._transport is None or self._transport.is_closing() or shows(self._transport, CLOSED)
+        return (
+            self._transport is None or self._transport.is_closing() or socket_shows(self._transport, CLOSED)
+        )
 
     @property
     def unread(self) -> bool:
         """Something lies in its socket that will be read as soon as the loop comes to it."""
-        return self._transport is not None and self._transport.is_reading() and shows(self._transport, UNREAD)
+        return (
+            self._transport is not None
+            and self._transport.is_reading()
+            and socket_shows(self._transport, UNREAD)
+        )
 
     @property
     def speaking(self) -> bool:
@@ -177,7 +183,7 @@
             self._transport.abort()
 
 
-class Table:
+class ConnectionTable:
     """Connections in the order in which they came to it."""
 
     def __init__(self) -> None:
@@ -214,17 +220,17 @@
         return (c for c in itertools.takewhile(lambda c: c.since <= latest, self) if not c.unread)
 
 
-class Server:
+class DownstreamServer:
     """Listens, bounds the connections and the times that clients may take for what they owe."""
 
-    def __init__(self, service: Service, capacity: int) -> None:
+    def __init__(self, service: RequestHandler, capacity: int) -> None:
         self._service = service
         self._capacity = capacity
         self._connections: set[ClientConnection] = set()
-        self._idle = Table()  # between requests
-        self._awaited = Table()  # a request of theirs is due: the first one, or one that has begun
-        self._leaving = Table()  # closed or turned away, their last bytes still on the way
-        self._flushing = Table()  # closed, but a good part of an answer is still to be written
+        self._idle = ConnectionTable()  # between requests
+        self._awaited = ConnectionTable()  # a request of theirs is due: the first one, or one that has begun
+        self._leaving = ConnectionTable()  # closed or turned away, their last bytes still on the way
+        self._flushing = ConnectionTable()  # closed, but a good part of an answer is still to be written
         self._adopting: set[asyncio.Task[object]] = set()
         self._socket: socket.socket | None = None
         self._accepting = False
--- a/loadbalancer/proxy/endpoint_list.py
+++ b/loadbalancer/proxy/endpoint_list.py
@@ -18,8 +18,8 @@
 
 from loadbalancer.messages import Endpoint, EndpointStatus
 from loadbalancer.proxy.addresses import NOWHERE, Address, Packed, pack_address, unpack_address
-from loadbalancer.proxy.errors import BadList
-from loadbalancer.state.endpoint_table import Profile
+from loadbalancer.proxy.errors import EndpointListError
+from loadbalancer.state.endpoint_table import EndpointAttributes
 from loadbalancer.state.host_numbers import HostNumbers
 
 log = logging.getLogger(__name__)
@@ -53,19 +53,19 @@
     return int.from_bytes(hashlib.blake2b(host.encode(), digest_size=8, person=FINGERPRINT).digest(), "big")
 
 
-class Entry(NamedTuple):
+class ListedEndpoint(NamedTuple):
     upstream: Endpoint
     address: Address
 
 
-class Listing:
+class EndpointList:
     """An answer of discovery: the whole list or the entries that changed, without an object for each."""
 
     def __init__(self, host_numbers: HostNumbers, version: int = 0, whole: bool = False) -> None:
         self.host_numbers = host_numbers  # that assigned the numbers
         self.version, self.whole = version, whole
         self.numbers = array("Q")
-        self.profiles: list[Profile] = []
+        self.profiles: list[EndpointAttributes] = []
         self.addresses: list[Packed] = []
         self.unread: list[int] = []  # listed, but their rows can't be read: what is known of them stays
         self.overtaken: set[int] = set()  # newer things of these came before they were put in force
@@ -78,17 +78,17 @@
         del self.numbers[:], self.profiles[:], self.addresses[:]
 
     @property
-    def entries(self) -> Iterator[Entry]:
+    def entries(self) -> Iterator[ListedEndpoint]:
         for number, profile, address in zip(self.numbers, self.profiles, self.addresses, strict=True):
-            yield Entry(Endpoint(number, *profile), unpack_address(address))
+            yield ListedEndpoint(Endpoint(number, *profile), unpack_address(address))
 
 
-class Rows:
+class EndpointListParser:
     """Takes a JSON parser's events and makes the listing of them, up to the end of its object."""
 
     def __init__(self, offset_ns: int, host_numbers: HostNumbers | None = None) -> None:
         self._host_numbers = HostNumbers() if host_numbers is None else host_numbers
-        self.listing = Listing(self._host_numbers)
+        self.listing = EndpointList(self._host_numbers)
         self._offset_ns = offset_ns  # from the module's clock to Unix time
         self._version: object = None
         self._whole: object = None
@@ -146,11 +146,11 @@
                 self._whole = value
         return None
 
-    def done(self) -> Listing:
+    def done(self) -> EndpointList:
         if not self._has_hosts:
-            raise BadList("no object with hosts")
+            raise EndpointListError("no object with hosts")
         if not isinstance(self._version, int) or not isinstance(self._whole, bool):
-            raise BadList("no seq or whole")
+            raise EndpointListError("no seq or whole")
         self.listing.version, self.listing.whole = self._version, self._whole
         return self.listing
 
@@ -167,7 +167,7 @@
                 and isinstance(cell, int)
                 and isinstance(weight, int | float | Decimal)
             ):
-                raise BadList("an entry's figures are no numbers")
+                raise EndpointListError("an entry's figures are no numbers")
             # No start lies in the future: clocks differ a little, and what is younger than new has no warmth.
             started = min(born_ms * MS - self._offset_ns, time.monotonic_ns()) if born_ms > 0 else 0
             address = NOWHERE if state is EndpointStatus.REMOVED else pack_address(str(row.get("dial")))
@@ -209,7 +209,7 @@
             return cast(T, end.value)
 
 
-class Reader:
+class EndpointListReader:
     """Reads discovery's answers, and takes none that is older than the last."""
 
     def __init__(self, offset_ns: int, host_numbers: HostNumbers | None = None) -> None:
@@ -218,13 +218,13 @@
         self._offset_ns = offset_ns
         self._newest: int | None = None  # the latest version read
 
-    def read(self, text: bytes) -> Listing:
+    def read(self, text: bytes) -> EndpointList:
         """Read it in one go; BadList if it is none."""
         return run_through(self.steps(bytearray(text)))
 
-    def steps(self, text: bytearray) -> Generator[None, None, Listing]:
+    def steps(self, text: bytearray) -> Generator[None, None, EndpointList]:
         """The same in steps of a fraction of a millisecond, which use the text up."""
-        rows, over = Rows(self._offset_ns, self.host_numbers), False
+        rows, over = EndpointListParser(self._offset_ns, self.host_numbers), False
         with self._reading(), _readable() as (parser, events):
             while text:
                 parser.send(bytes(text[:STRIDE]))
@@ -244,11 +244,11 @@
         finally:
             self.reads -= 1
 
-    def accept(self, listing: Listing) -> Listing:
+    def accept(self, listing: EndpointList) -> EndpointList:
         if self._newest is not None and listing.version < self._newest:
             # Two calls have crossed, or a new address lags behind the old one: it must undo nothing.
             log.info("discovery: version %d after %d", listing.version, self._newest)
-            return Listing(self.host_numbers, self._newest)
+            return EndpointList(self.host_numbers, self._newest)
         self._newest = listing.version
         return listing
 
@@ -260,10 +260,10 @@
     try:
         yield basic_parse_coro(events), events
     except ijson.JSONError as error:
-        raise BadList(str(error).strip().partition("\n")[0]) from None
+        raise EndpointListError(str(error).strip().partition("\n")[0]) from None
 
 
-def read_beside(chunks: Iterable[bytes], key: str, rows: Rows) -> Generator[None, None, Any]:
+def read_beside(chunks: Iterable[bytes], key: str, rows: EndpointListParser) -> Generator[None, None, Any]:
     """A JSON value, in a step a chunk; `rows` takes the list under a key of its object, which is left out."""
     value, depth, inside = ijson.ObjectBuilder(), 0, False
     with _readable() as (parser, events):
--- a/loadbalancer/proxy/errors.py
+++ b/loadbalancer/proxy/errors.py
@@ -3,5 +3,5 @@
 from __future__ import annotations
 
 
-class BadList(ValueError):
+class EndpointListError(ValueError):
     """What discovery said can't be read."""
--- a/loadbalancer/proxy/gossip.py
+++ b/loadbalancer/proxy/gossip.py
@@ -13,7 +13,7 @@
 MAX_MESSAGE = 256
 
 
-class Peers(asyncio.DatagramProtocol):
+class Gossip(asyncio.DatagramProtocol):
     """Sends to peers by number, and hands on what comes from their addresses."""
 
     def __init__(
--- a/loadbalancer/proxy/proxy.py
+++ b/loadbalancer/proxy/proxy.py
@@ -12,7 +12,7 @@
 from functools import partial
 from typing import Protocol, assert_never
 
-from loadbalancer.configuration import Config
+from loadbalancer.configuration import Configuration
 from loadbalancer.messages import (
     Action,
     AttemptEnded,
@@ -40,11 +40,11 @@
     WatchEndpoints,
 )
 from loadbalancer.proxy.addresses import Address, Packed, unpack_address
-from loadbalancer.proxy.connection_pool import Hub, Pool
-from loadbalancer.proxy.discovery_client import MAX_LIST, MEMORY_PART, Discovery, Told
-from loadbalancer.proxy.downstream import ClientConnection, Server
-from loadbalancer.proxy.endpoint_list import Listing, Reader, unix_offset_ns
-from loadbalancer.proxy.gossip import Peers
+from loadbalancer.proxy.connection_pool import ConnectionLimits, ConnectionPool
+from loadbalancer.proxy.discovery_client import MAX_LIST, MEMORY_PART, DiscoveryClient, WatchResult
+from loadbalancer.proxy.downstream import ClientConnection, DownstreamServer
+from loadbalancer.proxy.endpoint_list import EndpointList, EndpointListReader, unix_offset_ns
+from loadbalancer.proxy.gossip import Gossip
 from loadbalancer.proxy.http import Headers, Message, load_report, whole_number, write_request
 from loadbalancer.proxy.upstream import Exchange
 from loadbalancer.settings import Idempotency, RequestClass
@@ -79,7 +79,7 @@
 
 
 @dataclass(slots=True, eq=False)
-class Call:
+class PendingRequest:
     """A request that was taken and is not answered yet."""
 
     id: str
@@ -98,22 +98,22 @@
     return min(longest, LONGEST_S) + KILL_S - EXIT_S
 
 
-class Module(Protocol):
+class Policy(Protocol):
     """What decides: the `Balancer` of `loadbalancer/policy.py`."""
 
     def handle(self, now: int, events: Iterable[Event]) -> list[Action]: ...
 
 
-class Node:
+class Proxy:
     """One real balancer."""
 
-    def __init__(self, config: Config, module: Module) -> None:
+    def __init__(self, config: Configuration, module: Policy) -> None:
         self.config = config
         limits = config.settings.limits
         self._limits = limits
         self._loop = asyncio.get_running_loop()
-        self._calls: dict[str, Call] = {}
-        self._by_client: dict[ClientConnection, Call] = {}
+        self._calls: dict[str, PendingRequest] = {}
+        self._by_client: dict[ClientConnection, PendingRequest] = {}
         self._ids: set[bytes] = set()  # that clients gave to their open requests
         self._count = 0
         self._probes = 0
@@ -124,13 +124,17 @@
         self._rested_s = 0.0  # not ready before, by the loop's clock
         self._sweep: asyncio.TimerHandle | None = None
         room = max(8, (config.sockets - RESERVED_DESCRIPTORS) // 2)
-        self._hub = Hub(room, limits.connect_timeout_ns / SECOND, limits.connection_idle_timeout_ns / SECOND)
-        self.server = Server(self, room)
+        self._hub = ConnectionLimits(
+            room, limits.connect_timeout_ns / SECOND, limits.connection_idle_timeout_ns / SECOND
+        )
+        self.server = DownstreamServer(self, room)
         self._held: dict[int, Packed | None] = {}  # where listed upstreams are; None: they take nothing new
         self._applying: asyncio.Task[None] | None = None  # puts long lists in force, in slices
-        self._long: deque[Listing] = deque()  # the one in hand, and those that wait
-        self._reader = Reader(unix_offset_ns(), None if config.known is None else config.known.host_numbers)
-        self._discovery = Discovery(
+        self._long: deque[EndpointList] = deque()  # the one in hand, and those that wait
+        self._reader = EndpointListReader(
+            unix_offset_ns(), None if config.known is None else config.known.host_numbers
+        )
+        self._discovery = DiscoveryClient(
             config.discovery,
             self._reader,
             config.settings.discovery_pushes,
@@ -138,7 +142,7 @@
             self._listed,
             min(MAX_LIST, config.memory_bytes // MEMORY_PART or MAX_LIST),
         )
-        self._peers = Peers(config.peers, config.peers_all, config.settings.proxy_index, self._peer_message)
+        self._peers = Gossip(config.peers, config.peers_all, config.settings.proxy_index, self._peer_message)
         self._module = module
         self._probe_path = b"/stats" if config.settings.load_report_columns else b"/health/live"
 
@@ -299,7 +303,7 @@
     def _open(self, client: ClientConnection, request: Message, name: str, deadline_ns: int) -> None:
         self._count += 1
         self._ids.add(request.header(b"req-id"))
-        call = Call(str(self._count), client, request, deadline_ns)
+        call = PendingRequest(str(self._count), client, request, deadline_ns)
         self._calls[call.id] = self._by_client[client] = call
         call.timer = self._loop.call_at((deadline_ns - NODE_EARLY_NS) / SECOND, self._out_of_time, call)
         cookies = (c.strip() for c in request.header(b"cookie").decode("latin-1").split(";"))
@@ -317,7 +321,7 @@
             )
         )
 
-    def _out_of_time(self, call: Call) -> None:
+    def _out_of_time(self, call: PendingRequest) -> None:
         self._finish(call, 504)
         self.feed(ClientDisconnected(call.id))
 
@@ -339,13 +343,15 @@
         if call is not None:
             self._finish(call, status, headers)
 
-    def _finish(self, call: Call, status: int, headers: Headers = (), body: bytes | bytearray = b"") -> None:
+    def _finish(
+        self, call: PendingRequest, status: int, headers: Headers = (), body: bytes | bytearray = b""
+    ) -> None:
         """The one final answer."""
         if not call.over:
             self._drop(call)
             call.client.answer(status, headers, body)
 
-    def _drop(self, call: Call) -> None:
+    def _drop(self, call: PendingRequest) -> None:
         """Forget the request and call off what is out for it."""
         call.over = True
         if call.timer is not None:
@@ -392,7 +398,7 @@
         )
         call.out.start(end / SECOND)
 
-    def _wanted(self, call: Call) -> bool:
+    def _wanted(self, call: PendingRequest) -> bool:
         """Does its client still wait? Its leave may be unread: of this turn, or while reading paused."""
         if call.client.left:
             self.gone(call.client)
@@ -406,7 +412,7 @@
         return write_request(request.method, request.target, headers, request.body)
 
     def _when_ended(
-        self, call: Call, number: int, upstream: int, sent_ns: int
+        self, call: PendingRequest, number: int, upstream: int, sent_ns: int
     ) -> Callable[[AttemptResult, Message | None], None]:
         def ended(result: AttemptResult, response: Message | None) -> None:
             call.out = None
@@ -454,8 +460,8 @@
             self._hub.capacity // PROBE_SPARE,
         )
 
-    def _listed(self, listing: Told) -> None:
-        if not isinstance(listing, Listing):
+    def _listed(self, listing: WatchResult) -> None:
+        if not isinstance(listing, EndpointList):
             self.feed(EndpointUpdate(listing))
         elif len(listing) > SLICE or (
             listing.whole and (listing.unread or self._long or len(self._held) > 2 * SLICE)
@@ -498,7 +504,7 @@
         self._call_off_waiting()
         self.feed(EndpointUpdate(kind, upstreams))
 
-    def _taken(self, listing: Listing, first: int = 0, end: int | None = None) -> Iterator[Endpoint]:
+    def _taken(self, listing: EndpointList, first: int = 0, end: int | None = None) -> Iterator[Endpoint]:
         """These of a listing's upstreams for the module; where they are is noted on the way."""
         for i in range(first, len(listing) if end is None else min(end, len(listing))):
             number, profile, address = listing.numbers[i], listing.profiles[i], listing.addresses[i]
@@ -523,11 +529,11 @@
             if (pool := self._hub.pools.pop(number, None)) is not None:
                 pool.retire()
 
-    def _pool(self, number: int) -> Pool | None:
+    def _pool(self, number: int) -> ConnectionPool | None:
         """The connections to an upstream that may be sent something new, made where it is first used."""
         pool = self._hub.pools.get(number)
         if pool is None and (address := self._held.get(number)) is not None:
-            pool = self._hub.pools[number] = Pool(self._hub, unpack_address(address))
+            pool = self._hub.pools[number] = ConnectionPool(self._hub, unpack_address(address))
         return pool
 
     def upstreams(self) -> dict[int, Address]:
--- a/loadbalancer/proxy/socket_state.py
+++ b/loadbalancer/proxy/socket_state.py
@@ -9,7 +9,7 @@
 UNREAD = select.POLLIN  # that, or bytes
 
 
-def shows(transport: asyncio.Transport, event: int) -> bool:
+def socket_shows(transport: asyncio.Transport, event: int) -> bool:
     poll = select.poll()
     poll.register(transport.get_extra_info("socket"), event)
     return bool(poll.poll(0))
--- a/loadbalancer/proxy/upstream.py
+++ b/loadbalancer/proxy/upstream.py
@@ -9,10 +9,10 @@
 
 from loadbalancer.messages import AttemptResult
 from loadbalancer.proxy.http import Message, MessageReader
-from loadbalancer.proxy.socket_state import UNREAD, shows
+from loadbalancer.proxy.socket_state import UNREAD, socket_shows
 
 if TYPE_CHECKING:
-    from loadbalancer.proxy.connection_pool import Pool
+    from loadbalancer.proxy.connection_pool import ConnectionPool
 
 
 Done = Callable[[AttemptResult, Message | None], None]
@@ -30,7 +30,7 @@
 
     def __init__(
         self,
-        pool: Pool,
+        pool: ConnectionPool,
         serialize: Serialize,
         done: Done,
         spare: int = 0,
@@ -119,7 +119,7 @@
 class Connection(asyncio.Protocol):
     """A connection to an upstream; it carries one exchange at a time."""
 
-    def __init__(self, pool: Pool) -> None:
+    def __init__(self, pool: ConnectionPool) -> None:
         self._pool = pool
         self._reader = MessageReader(responses=True, max_body=pool.hub.max_body)
         self._transport: asyncio.Transport | None = None
@@ -142,7 +142,7 @@
         return (
             self._transport is not None
             and not self._transport.is_closing()
-            and not shows(self._transport, UNREAD)
+            and not socket_shows(self._transport, UNREAD)
         )
 
     def send(self, exchange: Exchange) -> None:
--- a/loadbalancer/simulator_adapter.py
+++ b/loadbalancer/simulator_adapter.py
@@ -63,7 +63,7 @@
 }
 
 
-class Malformed(Exception):
+class MalformedInputError(Exception):
     """The input is not what the wire allows."""
 
 
@@ -190,26 +190,28 @@
         try:
             batch = json.loads(line)
         except ValueError as error:
-            raise Malformed(f"not JSON: {error}") from None
+            raise MalformedInputError(f"not JSON: {error}") from None
         if not isinstance(batch, dict):
-            raise Malformed("a batch must be an object")
+            raise MalformedInputError("a batch must be an object")
         now, number, happened = (batch.get(k) for k in ("sim_time_ns", "round", "happened"))
         if not _is_whole(now):
-            raise Malformed("batch without a whole-number sim_time_ns")
+            raise MalformedInputError("batch without a whole-number sim_time_ns")
         if not _is_whole(number):
-            raise Malformed("batch without a whole-number round")
+            raise MalformedInputError("batch without a whole-number round")
         if not isinstance(happened, list):
-            raise Malformed("batch without the array happened")
+            raise MalformedInputError("batch without the array happened")
         # A balancer's events are gathered and handed over together, so that it sees all that a batch brings.
         waiting: dict[int, list[Event]] = {}
         commands: list[Json] = []
         for event in happened:
             try:
                 self._take(event, now, waiting, commands)
-            except Malformed:
+            except MalformedInputError:
                 raise
             except (KeyError, TypeError, ValueError, AttributeError) as error:
-                raise Malformed(f"event {json.dumps(event)[:200]}: {type(error).__name__} {error}") from None
+                raise MalformedInputError(
+                    f"event {json.dumps(event)[:200]}: {type(error).__name__} {error}"
+                ) from None
         for number_of, events in waiting.items():
             self._run(number_of, now, events, commands)
         return json.dumps({"round": number, "cmds": commands}, separators=(",", ":"))
@@ -233,7 +235,7 @@
             waiting.pop(number, None)
             return
         if number not in self.balancers:
-            raise Malformed(f"event {kind} for balancer {number}, which was not started")
+            raise MalformedInputError(f"event {kind} for balancer {number}, which was not started")
         if kind == "membership":
             form = LISTS[event["form"]]
             rows = () if form is EndpointUpdateKind.FAILED else self.lists[event["buffer"]]
@@ -241,7 +243,7 @@
         elif kind in READ:
             waiting.setdefault(number, []).append(READ[kind](event))
         else:
-            raise Malformed(f"unknown event {kind!r}")
+            raise MalformedInputError(f"unknown event {kind!r}")
 
     def _run(self, number: int, now: int, events: list[Event], commands: list[Json]) -> None:
         try:
@@ -267,7 +269,7 @@
     for count, line in enumerate(sys.stdin, 1):
         try:
             reply = host.batch(line)
-        except Malformed as error:
+        except MalformedInputError as error:
             print(f"adapter: line {count}: {error}", file=sys.stderr)
             return 2
         sys.stdout.write(reply + "\n")
--- a/loadbalancer/state/endpoint_table.py
+++ b/loadbalancer/state/endpoint_table.py
@@ -18,7 +18,7 @@
 from loadbalancer.state.hash_ring import Key, mixed, stretch, unmixed
 
 RESERVE = 256  # upstreams that are known in full beside the subset: for its losses, and for keyed retries
-Profile = tuple[EndpointStatus, str, int, float, int, str]  # an `Upstream` but for its id
+EndpointAttributes = tuple[EndpointStatus, str, int, float, int, str]  # an `Upstream` but for its id
 
 
 @dataclass(slots=True, eq=False)
@@ -34,7 +34,7 @@
     def admits(self, zone: str, kind: str) -> bool:
         return (self.zones is None or zone in self.zones) and (self.kinds is None or kind in self.kinds)
 
-    def leave(self, left: Iterable[tuple[int, Profile]], zoned: bool, celled: bool) -> None:
+    def leave(self, left: Iterable[tuple[int, EndpointAttributes]], zoned: bool, celled: bool) -> None:
         for number, (_, zone, cell, _, _, kind) in left:
             if self.admits(zone, kind):
                 key = mixed(number, 0)
@@ -47,7 +47,7 @@
                     if not keys:
                         del self.by_cell[zone, cell]
 
-    def join(self, came: Iterable[tuple[int, Profile]], zoned: bool, celled: bool) -> None:
+    def join(self, came: Iterable[tuple[int, EndpointAttributes]], zoned: bool, celled: bool) -> None:
         keys, zones = [], defaultdict(list)
         for number, (_, zone, cell, _, _, kind) in came:
             if self.admits(zone, kind):
@@ -67,12 +67,12 @@
         self.by_cell.clear()
 
 
-class Membership:
+class EndpointTable:
     """The table of upstreams. `put` and `drop` note what discovery says, `settle` puts it in force."""
 
     def __init__(self, settings: Settings) -> None:
         self.settings = settings
-        self.profiles: dict[int, Profile] = {}
+        self.profiles: dict[int, EndpointAttributes] = {}
         self.placements: list[Placement] = []
         prices, scopes = settings.prices, {c.deduplication_scope for c in settings.request_classes.values()}
         # With fewer proxies than zones, zones without one would be left idle.
@@ -82,8 +82,10 @@
             self.zonal or DeduplicationScope.ZONE in scopes,
             DeduplicationScope.CELL in scopes,
         )
-        self._shared: dict[Profile, Profile] = {}  # one object for all that are alike
-        self._moved: dict[int, Profile | None] = {}  # since `settle`: what the rings still hold of these
+        self._shared: dict[EndpointAttributes, EndpointAttributes] = {}  # one object for all that are alike
+        self._moved: dict[
+            int, EndpointAttributes | None
+        ] = {}  # since `settle`: what the rings still hold of these
         self._anew = False  # instead: the rings are of no more use
 
     def put(self, entry: Endpoint) -> None:
@@ -104,7 +106,7 @@
         if old is not None:
             self._move(number, old)
 
-    def _move(self, number: int, old: Profile | None) -> None:
+    def _move(self, number: int, old: EndpointAttributes | None) -> None:
         if not self._anew:
             self._moved.setdefault(number, old)
             if len(self._moved) > RESERVE + len(self.profiles) // 2:
--- a/scale_test/__main__.py
+++ b/scale_test/__main__.py
@@ -16,7 +16,7 @@
 
 from scale_test import report
 from scale_test.part import ROOT
-from scale_test.plan import COURSES, MAX_ZONES, Plan, Refused
+from scale_test.plan import COURSES, MAX_ZONES, Plan, PlanError
 from scale_test.run import run
 
 DEFAULT = Plan()
@@ -88,7 +88,7 @@
     plan = Plan(**arguments)
     plan.check()
     if path is not None and not path.parent.is_dir():
-        raise Refused(f"--json {path}: no such folder")
+        raise PlanError(f"--json {path}: no such folder")
     version = commit()  # what is run, not what the folder holds when it ends
     rows, notes = asyncio.run(interruptible(plan))
     click.echo(report.table(rows, [*notes, NOTES]))
@@ -125,7 +125,7 @@
     except click.ClickException as error:
         click.echo(f"scale: {error.format_message()}", err=True)
         return 2
-    except Refused as error:
+    except PlanError as error:
         click.echo(f"scale: {error}", err=True)
         return 2
     except (KeyboardInterrupt, asyncio.CancelledError, click.exceptions.Abort):
--- a/scale_test/evenness.py
+++ b/scale_test/evenness.py
@@ -10,13 +10,13 @@
 from loadbalancer.policy.subsetting import choose_subset
 from loadbalancer.proxy.endpoint_list import number_of
 from loadbalancer.settings import Prices, Settings
-from loadbalancer.state.endpoint_table import Membership, Placement
+from loadbalancer.state.endpoint_table import EndpointTable, Placement
 from scale_test.plan import Plan, zone_name
 
 Subsets = list[frozenset[int]]
 
 
-def subsets(table: Membership, balancers: int, zones: list[str]) -> Subsets:
+def subsets(table: EndpointTable, balancers: int, zones: list[str]) -> Subsets:
     """Of each of so many balancers, spread over the zones in turn."""
     found = []
     prices = Prices(connection=0.03, cross_zone=0.02) if zones else Prices()
@@ -41,7 +41,7 @@
     plan = Plan(upstreams=upstreams)
     zones = [zone_name(i) for i in range(plan.zones)] if zoned else []
     prices = Prices(connection=0.03, cross_zone=0.02) if zoned else Prices()
-    table = Membership(Settings(proxy_count=balancers, zones=zones, prices=prices))
+    table = EndpointTable(Settings(proxy_count=balancers, zones=zones, prices=prices))
     table.placements.append(Placement(None, None))
     ids = [number_of(f"s-{i:08x}") for i in range(upstreams)]
     for i, number in enumerate(ids):
--- a/scale_test/hollow.py
+++ b/scale_test/hollow.py
@@ -9,12 +9,12 @@
 from dataclasses import replace
 from typing import Any
 
-from loadbalancer.configuration import Config, read_config
+from loadbalancer.configuration import Configuration, read_config
 from loadbalancer.messages import Action, EndpointUpdate, EndpointUpdateKind, Event
 from loadbalancer.policy.balancer import Balancer
-from loadbalancer.proxy.discovery_client import Told
-from loadbalancer.proxy.endpoint_list import Listing
-from loadbalancer.proxy.proxy import Node
+from loadbalancer.proxy.discovery_client import WatchResult
+from loadbalancer.proxy.endpoint_list import EndpointList
+from loadbalancer.proxy.proxy import Proxy
 from scale_test.part import serve
 from scale_test.report import NEVER_NS
 
@@ -37,18 +37,18 @@
         return actions
 
 
-class WatchedNode(Node):
+class WatchedNode(Proxy):
     """The node, and when which answer of discovery was in force, to the last row."""
 
-    def __init__(self, config: Config, module: Watched) -> None:
+    def __init__(self, config: Configuration, module: Watched) -> None:
         super().__init__(config, module)
         self.changes = module.changes
         self.in_force: list[tuple[int, int]] = []  # version, done; in the order in which they came
         self._waits: set[asyncio.Task[None]] = set()
 
-    def _listed(self, listing: Told) -> None:
+    def _listed(self, listing: WatchResult) -> None:
         super()._listed(listing)
-        if not isinstance(listing, Listing) or not (listing.whole or len(listing)):
+        if not isinstance(listing, EndpointList) or not (listing.whole or len(listing)):
             return
         at = len(self.in_force)
         self.in_force.append((listing.version, time.monotonic_ns()))
--- a/scale_test/part.py
+++ b/scale_test/part.py
@@ -14,7 +14,7 @@
 
 import orjson
 
-from scale_test.plan import Refused
+from scale_test.plan import PlanError
 
 ROOT = Path(__file__).parent.parent
 LONGEST_LINE = 2**30
@@ -50,9 +50,9 @@
             )
         return cls(name, process, log)
 
-    def ended(self) -> Refused:
+    def ended(self) -> PlanError:
         lines = self.log.read_text(errors="replace").strip().splitlines()
-        return Refused(f"{self.name} has ended: {lines[-1] if lines else 'it said nothing'}")
+        return PlanError(f"{self.name} has ended: {lines[-1] if lines else 'it said nothing'}")
 
     async def ask(self, do: str, **arguments: object) -> Any:
         """Give a helper one command; it answers with one line."""
--- a/scale_test/plan.py
+++ b/scale_test/plan.py
@@ -22,7 +22,7 @@
 CHANGES = {"configured": 1, "restarted": 2, "failed": 2}
 
 
-class Refused(Exception):
+class PlanError(Exception):
     """The run can't be done, or can't go on; one line says why."""
 
 
@@ -114,7 +114,7 @@
         ]
         for is_wrong, what in wrong:
             if is_wrong:
-                raise Refused(what)
+                raise PlanError(what)
 
 
 def memory_limit() -> int:
--- a/scale_test/run.py
+++ b/scale_test/run.py
@@ -19,7 +19,7 @@
 
 from scale_test import report
 from scale_test.part import ROOT, Process, helper
-from scale_test.plan import MB, Plan, Refused, memory_limit, zone_name
+from scale_test.plan import MB, Plan, PlanError, memory_limit, zone_name
 from scale_test.report import Row, row
 
 AT_ONCE = 4  # balancers that start side by side: they share the machine
@@ -124,7 +124,9 @@
                 if process.process.returncode is not None:
                     raise process.ended()
             if used > memory_limit():
-                raise Refused(f"{used // MB} MB of memory used, but at most {memory_limit() // MB} MB may be")
+                raise PlanError(
+                    f"{used // MB} MB of memory used, but at most {memory_limit() // MB} MB may be"
+                )
             await asyncio.sleep(LOOK_S)
 
     async def start(self) -> None:
@@ -384,7 +386,7 @@
         plan = self.plan
         await self.start()
         if not await self.discovery.ask("settled", patience=plan.patience):
-            raise Refused(f"not all balancers have called discovery within {plan.patience:g} s")
+            raise PlanError(f"not all balancers have called discovery within {plan.patience:g} s")
         clients = None
         if self.loaded:
             clients = await self.helper("load", "clients")
@@ -424,7 +426,7 @@
             for task in done:
                 task.result()
         except TimeoutError:
-            raise Refused(f"not all balancers were ready within {self.plan.patience:g} s") from None
+            raise PlanError(f"not all balancers were ready within {self.plan.patience:g} s") from None
         finally:
             for task in (looking, playing):
                 task.cancel()
--- a/tests/policy/test_rules.py
+++ b/tests/policy/test_rules.py
@@ -28,9 +28,9 @@
     WatchEndpoints,
 )
 from loadbalancer.policy.balancer import Balancer
-from loadbalancer.policy.endpoint_state import Server
+from loadbalancer.policy.endpoint_state import EndpointState
 from loadbalancer.policy.endpoints import DRAWS, Fleet
-from loadbalancer.policy.rate_control import Rate
+from loadbalancer.policy.rate_control import RateController
 from loadbalancer.policy.request import Attempt
 from loadbalancer.policy.throttle import Throttle
 from loadbalancer.settings import Idempotency, Limits, Prices, RequestClass, Rules, Settings, WeightSource
@@ -44,7 +44,7 @@
     READ,
     SECOND,
     START,
-    Desk,
+    PolicyHarness,
     arrival,
     mixed_fleet,
     of,
@@ -54,21 +54,21 @@
 
 
 def test_served_request_needs_nothing_more() -> None:
-    desk = Desk()
+    desk = PolicyHarness()
     assert len(of(Forward, desk.give(arrival(1, desk.now)))) == 1
     assert not of(Fail, desk.finish("r1")) and desk.answer["r1"] == "served"
 
 
 @pytest.mark.parametrize("cls", [READ, PAY, CELL, ANY])
 def test_no_server_known_is_refused_in_time(cls: RequestClass) -> None:
-    desk = Desk(servers=0)
+    desk = PolicyHarness(servers=0)
     desk.give(EndpointUpdate(EndpointUpdateKind.CACHED), arrival(1, desk.now, cls))
     desk.advance(600 * MS)
     assert desk.answer["r1"] == "refused"
 
 
 def test_all_draining_is_refused_in_time() -> None:
-    desk = Desk()
+    desk = PolicyHarness()
     desk.give(
         EndpointUpdate(
             EndpointUpdateKind.DELTA,
@@ -81,7 +81,7 @@
 
 
 def test_timeout_at_the_deadline_of_an_unsafe_request_is_failed() -> None:
-    desk = Desk()
+    desk = PolicyHarness()
     desk.give(arrival(1, desk.now, PAY))
     desk.advance(600 * MS)
     assert desk.answer["r1"] == "failed" and len(desk.sends["r1"]) == 1
@@ -89,7 +89,7 @@
 
 @pytest.mark.parametrize("result", [AttemptResult.REJECTED, AttemptResult.CONNECT_FAILED])
 def test_unsafe_request_that_never_ran_is_sent_again(result: AttemptResult) -> None:
-    desk = Desk()
+    desk = PolicyHarness()
     desk.give(arrival(1, desk.now, PAY))
     desk.now += MS
     desk.finish("r1", result)
@@ -98,7 +98,7 @@
 
 @pytest.mark.parametrize("result", [AttemptResult.ERROR, AttemptResult.RESET, AttemptResult.CANCELLED])
 def test_unsafe_request_that_may_have_run_is_failed(result: AttemptResult) -> None:
-    desk = Desk()
+    desk = PolicyHarness()
     desk.give(arrival(1, desk.now, PAY))
     desk.now += MS
     desk.finish("r1", result)
@@ -108,7 +108,7 @@
 @pytest.mark.parametrize("cls", [NEAR, BIG])
 def test_placement_binds_every_attempt(cls: RequestClass) -> None:
     # Guards against a class going where it may not, on retries too: the checker asserts it for each send.
-    desk = Desk(servers=0)
+    desk = PolicyHarness(servers=0)
     desk.give(EndpointUpdate(EndpointUpdateKind.CACHED, mixed_fleet(12)))
     for i in range(60):
         desk.give(arrival(i, desk.now, cls))
@@ -120,7 +120,7 @@
 
 
 def test_placement_holds_when_its_upstreams_are_gone_and_does_not_stop_others() -> None:
-    desk = Desk(servers=0)
+    desk = PolicyHarness(servers=0)
     west = [u for u in mixed_fleet(12) if u.zone == "west"]
     desk.give(EndpointUpdate(EndpointUpdateKind.CACHED, west))
     desk.give(arrival("near", desk.now, NEAR), arrival("read", desk.now, READ))
@@ -137,7 +137,7 @@
     cls: RequestClass, unproven: bool, answer: str | None
 ) -> None:
     # Guards against a second effect where upstreams also drop what they had begun.
-    desk = Desk(settings(rules=Rules(slow_start_ns=4 * SECOND, rejected_may_have_run=unproven)))
+    desk = PolicyHarness(settings(rules=Rules(slow_start_ns=4 * SECOND, rejected_may_have_run=unproven)))
     desk.give(arrival(1, desk.now, cls))
     desk.now += MS
     desk.finish("r1", AttemptResult.REJECTED)
@@ -145,7 +145,7 @@
 
 
 def test_attempts_are_capped() -> None:
-    desk = Desk()
+    desk = PolicyHarness()
     desk.give(arrival(1, desk.now, READ))
     for _ in range(3):
         desk.now += MS
@@ -156,7 +156,7 @@
 
 
 def test_an_exhausted_request_in_a_stalled_queue_is_answered() -> None:
-    desk = Desk(servers=1)
+    desk = PolicyHarness(servers=1)
     for i in range(30):
         desk.give(arrival(i, desk.now))
     desk.advance(700 * MS)
@@ -165,7 +165,7 @@
 
 def test_a_short_deadline_is_answered_though_the_queue_is_blocked() -> None:
     # Guards against a wake that comes a little early being taken for an old one: no timer was ever set again.
-    desk = Desk(servers=1)
+    desk = PolicyHarness(servers=1)
     desk.give(arrival(1, desk.now))
     for i in range(2, 40):
         desk.give(arrival(i, desk.now, wait_ns=3 * MS))
@@ -177,7 +177,7 @@
 
 
 def test_drained_upstream_gets_nothing_new() -> None:
-    desk = Desk()
+    desk = PolicyHarness()
     desk.give(
         EndpointUpdate(
             EndpointUpdateKind.DELTA,
@@ -193,7 +193,7 @@
 
 
 def test_missing_from_a_full_list_is_gone() -> None:
-    desk = Desk()
+    desk = PolicyHarness()
     desk.give(EndpointUpdate(EndpointUpdateKind.FULL, upstreams(1)))
     for i in range(5):
         desk.give(arrival(i, desk.now))
@@ -202,7 +202,7 @@
 
 
 def test_cold_upstreams_get_one_request_at_a_time() -> None:
-    desk = Desk(servers=0)
+    desk = PolicyHarness(servers=0)
     desk.give(EndpointUpdate(EndpointUpdateKind.CACHED, upstreams(4, started_ns=START - MS)))
     for i in range(40):
         desk.give(arrival(i, desk.now))
@@ -218,7 +218,7 @@
     # Guards against forty proxies that each send a cold upstream a little, and together push it over.
     sent = []
     for proxies in (1, 40):
-        desk = Desk(settings(proxy_count=proxies), servers=0)
+        desk = PolicyHarness(settings(proxy_count=proxies), servers=0)
         desk.give(EndpointUpdate(EndpointUpdateKind.CACHED, upstreams(6, started_ns=START - MS)))
         for i in range(100):
             desk.give(arrival(i, desk.now))
@@ -229,9 +229,9 @@
     assert sent[1] < sent[0] / 2
 
 
-def probing(servers: int = 6) -> Desk:
+def probing(servers: int = 6) -> PolicyHarness:
     limits = Limits(max_attempts=3, health_checks=True, cancellation=True)
-    return Desk(settings(limits=limits, load_report_columns=("inflight", "queue")), servers=servers)
+    return PolicyHarness(settings(limits=limits, load_report_columns=("inflight", "queue")), servers=servers)
 
 
 def test_asks_the_drawn_upstreams_and_sends_to_the_lightest() -> None:
@@ -284,14 +284,14 @@
     limits = Limits(max_attempts=3, health_checks=True)
     dear = settings(limits=limits, load_report_columns=("inflight",), prices=Prices(health_check=0.05))
     for config in (dear, settings(limits=limits, load_report_columns=("util",))):
-        desk = Desk(config)
+        desk = PolicyHarness(config)
         desk.give(arrival(1, desk.now))
         assert "r1" in desk.sends and not of(CheckHealth, desk.log)
 
 
 def test_what_stands_still_together_is_one_strike() -> None:
     # Guards against a pause of one upstream, seen by all its requests, barring it for seconds.
-    desk = Desk(servers=1)
+    desk = PolicyHarness(servers=1)
     for i in range(6):
         desk.give(arrival(i, desk.now, wait_ns=100 * MS))
     desk.advance(150 * MS)
@@ -301,7 +301,7 @@
 
 def struck(breaks: dict[int, int]) -> set[int]:
     """Which upstreams are ejected when, after 20 good answers each, so many connections break in a row?"""
-    desk = Desk(servers=4)
+    desk = PolicyHarness(servers=4)
     fleet = desk.balancer.fleet
     for server in fleet.servers.values():
         for _ in range(20):
@@ -320,7 +320,7 @@
 
 
 def test_broken_connections_do_not_cut_the_rate() -> None:
-    desk = Desk(servers=4)
+    desk = PolicyHarness(servers=4)
     for i in range(40):
         desk.give(arrival(i, desk.now))
         desk.finish(f"r{i}", AttemptResult.RESET)
@@ -329,7 +329,7 @@
 
 
 def test_an_attempt_ends_at_the_aim_where_late_is_worth_nothing() -> None:
-    desk = Desk()
+    desk = PolicyHarness()
     sends = [a for a in desk.give(arrival(1, desk.now, READ)) if isinstance(a, Forward)]
     assert sends[0].timeout_ns == READ.latency_objective_ns
 
@@ -356,7 +356,7 @@
 
 def test_a_limit_does_not_run_away_before_the_first_answers() -> None:
     # Incident i4eb9e9: the line waited at the start, each limit looked good before its requests were done.
-    desk = Desk()
+    desk = PolicyHarness()
     for i in range(300):
         desk.give(arrival(i, desk.now))
         desk.now += MS // 10
@@ -366,7 +366,7 @@
 def test_a_class_with_much_time_keeps_the_queue_short_for_one_with_little() -> None:
     # Incident i31aba8: requests with two seconds to spare filled the line, and quick ones never got in.
     slow = RequestClass("slow", Idempotency.IDEMPOTENT, latency_objective_ns=20 * SECOND)
-    desk = Desk(settings(request_classes={"slow": slow, "read": READ}), servers=1)
+    desk = PolicyHarness(settings(request_classes={"slow": slow, "read": READ}), servers=1)
     for i in range(200):
         desk.give(arrival(i, desk.now, slow, wait_ns=20 * SECOND))
         desk.advance(10 * MS)
@@ -378,7 +378,7 @@
 
 def test_the_first_answers_count_more() -> None:
     # Incident i530c5f: with two requests a second, what a request takes was known only after many seconds.
-    desk = Desk()
+    desk = PolicyHarness()
     for i in range(3):
         desk.give(arrival(i, desk.now))
         desk.now += 100 * MS
@@ -387,7 +387,7 @@
 
 
 def test_a_tenant_over_its_share_is_found_out() -> None:
-    desk = Desk(servers=1)
+    desk = PolicyHarness(servers=1)
     for i in range(600):
         desk.give(arrival(i, desk.now, tenant="birch" if i % 10 == 0 else "ash"))
         desk.advance(5 * MS)
@@ -398,7 +398,7 @@
 
 
 def test_client_gone_ends_the_request() -> None:
-    desk = Desk()
+    desk = PolicyHarness()
     desk.give(
         arrival(1, desk.now),
         ClientDisconnected("r1"),
@@ -410,7 +410,7 @@
 
 
 def test_late_and_unknown_outcomes_are_harmless() -> None:
-    desk = Desk()
+    desk = PolicyHarness()
     desk.give(arrival(1, desk.now))
     late = desk.result("r1", 0, AttemptResult.OK)
     desk.give(late)
@@ -418,7 +418,7 @@
 
 
 def test_ask_mode_subscribes_and_backs_off() -> None:
-    desk = Desk(settings(discovery_pushes=False))
+    desk = PolicyHarness(settings(discovery_pushes=False))
     assert not of(WatchEndpoints, desk.log)
     desk.advance(5 * SECOND)
     assert len(of(WatchEndpoints, desk.log)) == 1
@@ -437,14 +437,14 @@
 @pytest.mark.parametrize(("gone_ms", "again"), [(140, True), (160, False)])
 def test_a_keyed_retry_leaves_time_for_a_new_connection_inside_its_window(gone_ms: int, again: bool) -> None:
     limits = Limits(max_attempts=3, connect_timeout_ns=250 * MS)  # of the window's 400 ms
-    desk = Desk(settings(limits=limits))
+    desk = PolicyHarness(settings(limits=limits))
     desk.give(arrival(1, desk.now, ANY, wait_ns=2 * SECOND))
     desk.now += gone_ms * MS
     assert bool(of(Forward, desk.finish("r1", AttemptResult.RESET))) is again
 
 
 def test_a_watch_that_fell_silent_is_asked_for_again_at_once() -> None:
-    desk = Desk(settings(discovery_pushes=False))
+    desk = PolicyHarness(settings(discovery_pushes=False))
     desk.advance(5 * SECOND)
     for _ in range(3):
         assert WatchEndpoints(True) in desk.give(EndpointUpdate(EndpointUpdateKind.WATCH_TIMED_OUT))
@@ -462,13 +462,13 @@
 
 
 def test_push_mode_never_calls_discovery() -> None:
-    desk = Desk()
+    desk = PolicyHarness()
     desk.advance(5 * SECOND)
     assert not of(WatchEndpoints, desk.log)
 
 
 def test_no_tenants_and_unknown_class_work() -> None:
-    desk = Desk(settings(tenants={}))
+    desk = PolicyHarness(settings(tenants={}))
     desk.give(arrival(1, desk.now, tenant=""))
     desk.finish("r1")
     b = Balancer(Settings(), 1, START)
@@ -482,7 +482,7 @@
 
 
 def test_retry_after_is_jittered() -> None:
-    desk = Desk(servers=0)
+    desk = PolicyHarness(servers=0)
     desk.give(*(arrival(i, desk.now) for i in range(30)))
     desk.advance(600 * MS)
     told = {a.retry_after_ns for a in desk.log if isinstance(a, Reject)}
@@ -505,7 +505,7 @@
         gossip=True,
     )
     rules = Rules(slow_start_ns=4 * SECOND, rejected_may_have_run=rng.random() < 0.5)
-    desk = Desk(
+    desk = PolicyHarness(
         settings(limits=limits, discovery_pushes=push, proxy_count=rng.choice([1, 3, 40]), rules=rules),
         seed,
         0,
@@ -582,7 +582,7 @@
 
 
 def test_a_blocked_queue_reaches_one_beyond_the_subset() -> None:
-    desk = Desk(settings(prices=Prices(connection=0.03), proxy_count=40), servers=0)
+    desk = PolicyHarness(settings(prices=Prices(connection=0.03), proxy_count=40), servers=0)
     desk.give(EndpointUpdate(EndpointUpdateKind.CACHED, upstreams(12)))
     for i in range(60):
         desk.give(arrival(i, desk.now, wait_ns=SECOND))
@@ -597,7 +597,7 @@
 
 def test_live_weights_tell_the_lighter_upstream() -> None:
     # With one request in flight at most, own counts say nothing: the list's figure decides.
-    desk = Desk(settings(weight_source=WeightSource.LIVE), servers=2)
+    desk = PolicyHarness(settings(weight_source=WeightSource.LIVE), servers=2)
     desk.give(live([1.0, 1.0]), live([0.1, 0.5]))
     for i in range(12):
         desk.give(arrival(i, desk.now))
@@ -607,7 +607,7 @@
 
 
 def test_an_old_report_says_nothing() -> None:
-    desk = Desk(settings(weight_source=WeightSource.LIVE), servers=1)
+    desk = PolicyHarness(settings(weight_source=WeightSource.LIVE), servers=1)
     desk.give(live([1.0]), live([0.001]))
     desk.give(arrival(1, desk.now))
     assert desk.answer["r1"] == "refused"
@@ -619,7 +619,7 @@
 def test_a_request_that_waits_on_others_is_not_taken_for_a_crowd() -> None:
     # Guards against refusing on a quiet day: time spent beside the queue was laid on the requests held.
     crowding = Balancer(settings(), 1, START).crowding
-    server = Server(1, upstreams(1)[0])
+    server = EndpointState(1, upstreams(1)[0])
     for i in range(200):
         held = 1.0 + i % 4
         crowding.crowd(Attempt(server, 0, 1.0, held), 300 * MS + 50 * MS * held)
@@ -630,7 +630,7 @@
     # Incident i430663: of a subset of four, three and more could fail all day and R was never judged by it.
     throttle = Throttle(1.0, random.Random(1), 0)
     for failing, falls in ((2, False), (4, True)):
-        rate = Rate([throttle], 0)
+        rate = RateController([throttle], 0)
         rate.good, rate.bad = 4, Counter(dict.fromkeys(range(failing), 6))
         rate.adjust(SECOND, 4)
         assert (rate.value < 100) is falls
@@ -638,7 +638,7 @@
 
 @pytest.mark.parametrize("load", [-5.0, 1e300, float("nan"), float("inf")])
 def test_a_report_that_cannot_be_true_says_nothing(load: float) -> None:
-    desk = Desk(servers=2)
+    desk = PolicyHarness(servers=2)
     for i in range(6):
         desk.give(arrival(i, desk.now))
         desk.now += 20 * MS
@@ -649,7 +649,7 @@
 
 def test_a_caller_s_mistakes_are_not_booked() -> None:
     # An attempt never made, one at another upstream, an upstream never listed, an id that is open already.
-    desk = Desk(servers=2)
+    desk = PolicyHarness(servers=2)
     desk.give(arrival(1, desk.now))
     sent = desk.sends["r1"][0][0].id
     balancer, good = desk.balancer, desk.result("r1", 0, AttemptResult.OK)
@@ -669,7 +669,7 @@
 
 
 def test_upstreams_long_gone_are_forgotten() -> None:
-    desk = Desk(servers=0)
+    desk = PolicyHarness(servers=0)
     for i in range(50):
         desk.give(EndpointUpdate(EndpointUpdateKind.FULL, upstreams(3, first=1 + 3 * i)))
         desk.give(arrival(i, desk.now))
@@ -678,9 +678,9 @@
     assert len(desk.balancer.fleet.servers) <= 6 and len(desk.balancer.due) < 20
 
 
-def overdue_at_one(later_ones_answered: bool) -> Desk:
+def overdue_at_one(later_ones_answered: bool) -> PolicyHarness:
     """One upstream takes two at once and owes the first answer for long, whatever it does with later ones."""
-    desk = Desk(settings(limits=Limits(cancellation=True)), servers=1)
+    desk = PolicyHarness(settings(limits=Limits(cancellation=True)), servers=1)
     desk.balancer.crowding.limit = 2
     desk.give(arrival("lost", desk.now, wait_ns=SECOND))
     for i in range(20):
@@ -714,13 +714,13 @@
 
 def test_a_send_looks_at_all_upstreams_only_where_one_drawn_is_unfit(monkeypatch: pytest.MonkeyPatch) -> None:
     # Guards against work on each send that grows with the subset: processor time ran out (event8052).
-    desk = Desk(servers=10)
+    desk = PolicyHarness(servers=10)
     desk.give(arrival("warm", desk.now))
     desk.balancer.crowding.limit = 5  # all are fit
     fleet, looked = desk.balancer.fleet, 0
     fits = type(fleet).fit
 
-    def fit(self: Fleet, server: Server, now: int) -> bool:
+    def fit(self: Fleet, server: EndpointState, now: int) -> bool:
         nonlocal looked
         looked += 1
         return fits(self, server, now)
@@ -746,7 +746,7 @@
 @pytest.mark.parametrize("may_cancel", [True, False])
 def test_a_second_copy_is_sent_only_where_the_first_can_be_stopped(may_cancel: bool) -> None:
     limits = Limits(max_attempts=3, hedging=True, cancellation=may_cancel)
-    desk = Desk(settings(limits=limits))
+    desk = PolicyHarness(settings(limits=limits))
     for i in range(20):
         desk.give(arrival(i, desk.now))
         desk.now += 10 * MS
--- a/tests/policy/test_subsetting.py
+++ b/tests/policy/test_subsetting.py
@@ -19,9 +19,9 @@
 from loadbalancer.policy.subsetting import MANY, WIDE, Subset, choose_subset
 from loadbalancer.settings import DeduplicationScope, Idempotency, Prices, RequestClass, Settings
 from loadbalancer.state import endpoint_table, hash_ring
-from loadbalancer.state.endpoint_table import RESERVE, Membership, Placement
+from loadbalancer.state.endpoint_table import RESERVE, EndpointTable, Placement
 from loadbalancer.state.hash_ring import mixed, unmixed
-from tests.support.policy_harness import MS, SECOND, START, Desk, arrival, settings
+from tests.support.policy_harness import MS, SECOND, START, PolicyHarness, arrival, settings
 
 ZONES = [f"z{i}" for i in range(8)]
 ZONE = RequestClass(
@@ -72,8 +72,8 @@
     )
 
 
-def table(config: Settings, upstreams: Iterable[Endpoint]) -> Membership:
-    made = Membership(config)
+def table(config: Settings, upstreams: Iterable[Endpoint]) -> EndpointTable:
+    made = EndpointTable(config)
     made.placements += [Placement(None, None), Placement(*FOUND)]
     for upstream in upstreams:
         made.put(upstream)
@@ -81,7 +81,7 @@
     return made
 
 
-def shown(made: Membership) -> object:
+def shown(made: EndpointTable) -> object:
     """All that a table holds, and the subset that it gives."""
     return (
         made.profiles,
@@ -93,7 +93,7 @@
     )
 
 
-def subsets(made: Membership, proxies: int, zonal: bool) -> list[set[int]]:
+def subsets(made: EndpointTable, proxies: int, zonal: bool) -> list[set[int]]:
     """The subset of each of so many proxies before the same list."""
     found = []
     for me in range(proxies):
@@ -285,7 +285,7 @@
 @pytest.mark.parametrize("cls", [ZONE, CELL])
 def test_a_keyed_retry_finds_its_group_in_a_large_fleet(cls: RequestClass) -> None:
     # Guards against a retry that finds no upstream of its cell, of a hundred, among the few in use.
-    desk = Desk(site(8800, me=3), servers=0)
+    desk = PolicyHarness(site(8800, me=3), servers=0)
     desk.give(EndpointUpdate(EndpointUpdateKind.CACHED, fleet(30_000)))
     again = 0
     for i in range(60):
@@ -305,7 +305,7 @@
 
 def test_an_upstream_that_left_the_subset_is_not_sent_to_by_one_who_asked_it() -> None:
     # Guards against a request that asked it for its load, and an old entry that no drain reaches any more.
-    desk = Desk(site(8800, me=3), servers=0)
+    desk = PolicyHarness(site(8800, me=3), servers=0)
     desk.give(EndpointUpdate(EndpointUpdateKind.CACHED, fleet(2000)))
     fleet_of = desk.balancer.fleet
     asked = fleet_of.any.order[0]
--- a/tests/policy/test_throttle.py
+++ b/tests/policy/test_throttle.py
@@ -19,13 +19,13 @@
     TimerExpired,
 )
 from loadbalancer.policy.balancer import Balancer
-from loadbalancer.policy.endpoint_pool import Pool
-from loadbalancer.policy.rate_control import FEEDBACK_NS, Rate
+from loadbalancer.policy.endpoint_pool import EndpointPool
+from loadbalancer.policy.rate_control import FEEDBACK_NS, RateController
 from loadbalancer.policy.request import Request
 from loadbalancer.policy.throttle import Throttle
 from loadbalancer.settings import Limits, RequestClass, Tenant
 from loadbalancer.state.endpoint_table import Placement
-from tests.support.policy_harness import MS, READ, SECOND, START, Desk, arrival, upstreams
+from tests.support.policy_harness import MS, READ, SECOND, START, PolicyHarness, arrival, upstreams
 from tests.support.policy_harness import settings as bench_settings
 
 
@@ -36,7 +36,7 @@
 
 
 def request(number: int, t: Throttle) -> Request:
-    return Request(f"r{number}", READ, Pool(Placement(None, None)), t, 10**15, 10**15, 0)
+    return Request(f"r{number}", READ, EndpointPool(Placement(None, None)), t, 10**15, 10**15, 0)
 
 
 def play(t: Throttle, steps: list[int]) -> tuple[list[int], list[int], list[str]]:
@@ -128,7 +128,7 @@
 
 def test_a_short_trouble_costs_the_rate_only_a_moment() -> None:
     t = throttle(9, 9, 9)
-    rate = Rate([t], 0)
+    rate = RateController([t], 0)
     now = 0
 
     def interval(good: int, bad_at_each: int) -> None:
@@ -148,7 +148,7 @@
 
 
 def test_the_quiet_before_the_first_clients_is_no_part_of_what_is_sent_a_second() -> None:
-    desk = Desk(bench_settings(tenants={"ash": Tenant("ash")}), servers=1)
+    desk = PolicyHarness(bench_settings(tenants={"ash": Tenant("ash")}), servers=1)
     desk.advance(SECOND)  # started and listed, but not admitted yet
     for i in range(100):
         desk.give(arrival(i, desk.now))
@@ -168,7 +168,7 @@
             "read": RequestClass("read", latency_objective_ns=aim_ms * MS),
             "slow": RequestClass("slow"),
         }
-        desk = Desk(bench_settings(request_classes=classes, tenants={"ash": Tenant("ash")}))
+        desk = PolicyHarness(bench_settings(request_classes=classes, tenants={"ash": Tenant("ash")}))
         t = desk.balancer.throttles["ash"]
         t.set_rate(400.0, desk.now)
         assert 0 < t.hold / t.rate <= 0.25 * aim_ms / 1000 + 1 / t.rate
@@ -178,7 +178,7 @@
 def test_one_bad_outcome_of_few_does_not_hold_the_rate_down() -> None:
     # Guards against a proxy that refuses for 20 s because it sends too little to be judged (day 1).
     t = throttle(9, 9, 9)
-    rate = Rate([t], 0)
+    rate = RateController([t], 0)
     rate.value = rate.failed = 10.0
     for i in range(1, 6):
         rate.good, rate.unplaced, t.asked, t.short = 4, 1, 100, True
@@ -277,7 +277,7 @@
     weights = [float(w) for _, w in active] + [1.0 + i % 3 for i in range(silent)]
     every = [Throttle(w, random.Random(i), 0) for i, w in enumerate(weights)]
     few = [Throttle(float(w), random.Random(i), 0) for i, (_, w) in enumerate(active)]
-    whole, lazy = Rate(every, 0), Rate(few, 0, sum(weights))
+    whole, lazy = RateController(every, 0), RateController(few, 0, sum(weights))
     for rate, throttles in ((whole, every), (lazy, few)):
         rate.value, rate.served = value, served
         for t, (demand, _) in zip(throttles, active, strict=False):
@@ -293,7 +293,7 @@
 
 def test_a_tenant_that_comes_back_has_a_full_bank_as_a_new_one() -> None:
     config = bench_settings(tenants=crowd(3))
-    desk = Desk(config)
+    desk = PolicyHarness(config)
     for i in range(60):  # t1 empties part of its bank, then only t0 sends
         desk.give(arrival(i, desk.now, tenant=f"t{int(i < 10)}"))
         desk.finish(f"r{i}")
@@ -306,7 +306,7 @@
 
 
 def test_a_tenant_with_somebody_held_or_a_token_due_is_not_forgotten() -> None:
-    desk = Desk(bench_settings(tenants=crowd(2)))
+    desk = PolicyHarness(bench_settings(tenants=crowd(2)))
     t = desk.balancer.throttles["t1"]
     t.set_rate(0.5, desk.now)
     t.u = t.hold
--- a/tests/process/test_process.py
+++ b/tests/process/test_process.py
@@ -21,9 +21,9 @@
     HOST,
     PATIENCE_S,
     Answer,
-    Got,
-    Registry,
-    Upstream,
+    FakeDiscovery,
+    FakeUpstream,
+    ReceivedRequest,
     answers,
     breaks,
     known,
@@ -102,7 +102,7 @@
         await process.communicate()
 
 
-async def ask(port: int, data: bytes) -> Got:
+async def ask(port: int, data: bytes) -> ReceivedRequest:
     reader, writer = await asyncio.open_connection(HOST, port)
     writer.write(data)
     got = await asyncio.wait_for(read(reader), PATIENCE_S)
@@ -114,12 +114,12 @@
     async def test() -> None:
         release = asyncio.Event()
 
-        async def answer(got: Got, writer: asyncio.StreamWriter) -> None:
+        async def answer(got: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
             if "/slow" in got.first:
                 await release.wait()
             writer.write(written(200, b"done"))
 
-        upstream, second = await Upstream(answer).start(), await Upstream(answer).start()
+        upstream, second = await FakeUpstream(answer).start(), await FakeUpstream(answer).start()
         async with program(tmp_path, upstream.port, second.port) as (process, port):
             assert (await ask(port, READY)).status == 200
             idle_reader, idle_writer = await asyncio.open_connection(HOST, port)
@@ -147,7 +147,7 @@
 def test_ready_is_told_when_the_start_is_paid_for(tmp_path: Path) -> None:
     # Guards against clients that wait out the stop of a process which has overspent its share by starting.
     async def test() -> None:
-        upstream = await Upstream(answers(200)).start()
+        upstream = await FakeUpstream(answers(200)).start()
         async with program(tmp_path, upstream.port, cores=0.001) as (process, port):
             while (got := await ask(port, READY)).status != 200:
                 assert got.status == 503
@@ -167,7 +167,7 @@
 def test_a_start_with_a_long_list_becomes_ready_and_serves(tmp_path: Path) -> None:
     # Counts, and times nothing: each request reaches the only one of 30,001 upstreams that is up.
     async def test() -> None:
-        upstream = await Upstream(answers(200)).start()
+        upstream = await FakeUpstream(answers(200)).start()
         rows = known(*[1] * 30_000, upstream.port)
         assert isinstance(rows["hosts"], list)
         for row in rows["hosts"][:-1]:
@@ -185,10 +185,10 @@
 
 def test_sighup_moves_discovery_and_survives_a_bad_file(tmp_path: Path) -> None:
     async def test() -> None:
-        registries = [Registry(), Registry()]
+        registries = [FakeDiscovery(), FakeDiscovery()]
         for registry in registries:
             await registry.upstream.start()
-        upstream = await Upstream(answers(200)).start()
+        upstream = await FakeUpstream(answers(200)).start()
         path = tmp_path / "config.json"
         async with program(tmp_path, upstream.port) as (process, port):
             for text in ("{", "[" * 100_000, json.dumps(config(listen=3))):
@@ -215,7 +215,7 @@
 
 def test_too_few_descriptors_are_survived(tmp_path: Path) -> None:
     async def test() -> None:
-        upstream = await Upstream(answers(200)).start()
+        upstream = await FakeUpstream(answers(200)).start()
         async with program(tmp_path, upstream.port, descriptors=24) as (process, port):
             idle = [await asyncio.open_connection(HOST, port) for _ in range(40)]
             assert (await ask(port, READY)).status == 200
@@ -232,11 +232,11 @@
 def test_idle_clients_in_all_descriptors_do_not_keep_the_list_away(mode: str, tmp_path: Path) -> None:
     # Discovery breaks each call while clients that say nothing hold all places and upstreams all of theirs.
     async def test() -> None:
-        registry, fails = Registry(), iter(range(2))
+        registry, fails = FakeDiscovery(), iter(range(2))
         heard: Answer = registry.upstream.answer
-        upstreams = [await Upstream(answers(200)).start() for _ in range(16)]
+        upstreams = [await FakeUpstream(answers(200)).start() for _ in range(16)]
 
-        async def answer(got: Got, writer: asyncio.StreamWriter) -> None:
+        async def answer(got: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
             if next(fails, None) is not None:
                 registry.calls.append((0.0, got.first))
                 await breaks(got, writer)
--- a/tests/proxy/test_client_disconnect.py
+++ b/tests/proxy/test_client_disconnect.py
@@ -27,7 +27,7 @@
     TimerExpired,
 )
 from loadbalancer.policy.balancer import Balancer
-from loadbalancer.proxy.proxy import Module
+from loadbalancer.proxy.proxy import Policy
 from loadbalancer.settings import Limits
 from tests.proxy.test_unread_disconnect import (
     LEAVES,
@@ -44,9 +44,9 @@
     PATIENCE_S,
     Answer,
     Client,
-    Got,
-    Script,
-    Upstream,
+    FakeUpstream,
+    ReceivedRequest,
+    ScriptedPolicy,
     Writer,
     answers,
     breaks,
@@ -72,7 +72,7 @@
 class Late:
     """A module, and a leave that comes at the last moment before the first byte of one of its attempts."""
 
-    def __init__(self, module: Module, when: str, request: str = "1", attempt: int = 0) -> None:
+    def __init__(self, module: Policy, when: str, request: str = "1", attempt: int = 0) -> None:
         self.module, self.when, self.request, self.attempt = module, when, request, attempt
         self.happens: Callable[[], None] | None = None
         self.sends: Counter[str] = Counter()
@@ -94,7 +94,7 @@
             self.happens()
             self.happens = None
 
-    def watch(self, monkeypatch: pytest.MonkeyPatch, *upstreams: Upstream) -> None:
+    def watch(self, monkeypatch: pytest.MonkeyPatch, *upstreams: FakeUpstream) -> None:
         """From here on the connections that are asked for are kept ones or new ones, as the case wants it."""
         loop, ports = asyncio.get_running_loop(), [u.port for u in upstreams]
         original: Callable[..., Awaitable[object]] = loop.create_connection
@@ -122,7 +122,7 @@
     return Balancer(settings(**limits), 1, time.monotonic_ns())
 
 
-def sent(upstream: Upstream) -> list[str]:
+def sent(upstream: FakeUpstream) -> list[str]:
     """The targets of the requests that came; looks are none."""
     return [got.first.split()[1] for got in upstream.got if "/read/" in got.first]
 
@@ -143,12 +143,12 @@
     async def test() -> None:
         free = asyncio.Event()
 
-        async def answer(got: Got, writer: Writer) -> None:
+        async def answer(got: ReceivedRequest, writer: Writer) -> None:
             if "/read/first" in got.first:
                 await free.wait()
             writer.write(written(200))
 
-        upstream, balancer = await Upstream(answer).start(), real()
+        upstream, balancer = await FakeUpstream(answer).start(), real()
         module = Late(balancer, when, request="2")
         module.watch(monkeypatch, upstream)
         async with node(module, upstream) as client:
@@ -176,7 +176,7 @@
     async def test() -> None:
         free = asyncio.Event()
 
-        async def answer(got: Got, writer: Writer) -> None:
+        async def answer(got: ReceivedRequest, writer: Writer) -> None:
             if "/stats" in got.first:
                 await free.wait()
                 writer.write(written(200, b'{"inflight":0}', *["Connection: close"] * (when == "connected")))
@@ -185,7 +185,7 @@
 
         monkeypatch.setattr("loadbalancer.policy.balancer.LOOK_NS", int(PATIENCE_S * 1000) * MS)
         monkeypatch.setattr("loadbalancer.proxy.proxy.PROBE_TIMEOUT_S", PATIENCE_S)
-        upstream, balancer = await Upstream(answer).start(), real(health_checks=True)
+        upstream, balancer = await FakeUpstream(answer).start(), real(health_checks=True)
         module = Late(balancer, when)
         module.watch(monkeypatch, upstream)
         async with node(module, upstream, health_checks=True) as client:
@@ -212,12 +212,12 @@
     async def test() -> None:
         free = asyncio.Event()
 
-        async def answer(got: Got, writer: Writer) -> None:
+        async def answer(got: ReceivedRequest, writer: Writer) -> None:
             await free.wait()
             upstream.answer = answers(200)
             await ENDS[end](got, writer)
 
-        upstream, module = await Upstream(answer).start(), Late(real(), when, attempt=1)
+        upstream, module = await FakeUpstream(answer).start(), Late(real(), when, attempt=1)
         module.watch(monkeypatch, upstream)
         async with node(module, upstream) as client:
             mine = await connected(client)
@@ -241,7 +241,10 @@
     monkeypatch: pytest.MonkeyPatch, leave: Leave, when: str, end: str
 ) -> None:
     async def test() -> None:
-        upstream, other = await Upstream(ENDS.get(end, silent)).start(), await Upstream(answers(200)).start()
+        upstream, other = (
+            await FakeUpstream(ENDS.get(end, silent)).start(),
+            await FakeUpstream(answers(200)).start(),
+        )
 
         def react(event: Event) -> Iterable[Action]:
             first, second = script.ids()
@@ -254,7 +257,7 @@
             again = isinstance(event, TimerExpired if when == "read" else AttemptEnded)
             return [Forward("2", second)] if again and module.sends["2"] == 1 else ()
 
-        script = Script(react)
+        script = ScriptedPolicy(react)
         module = Late(script, when, request="2", attempt=1)
         module.watch(monkeypatch, upstream, other)
         async with node(module, upstream, other) as client:
@@ -288,8 +291,8 @@
 ) -> None:
     async def test() -> None:
         monkeypatch.setattr("loadbalancer.proxy.proxy.REST_S", 0.0)
-        upstream = await Upstream(answers(200)).start()
-        script = Script(lambda event: send_first(script, event))
+        upstream = await FakeUpstream(answers(200)).start()
+        script = ScriptedPolicy(lambda event: send_first(script, event))
         async with node(script, upstream) as client:
             if kept:
                 assert (await client.ask(request("/read/first"))).status == 200
@@ -308,12 +311,12 @@
         monkeypatch.setattr("loadbalancer.proxy.proxy.REST_S", 0.0)
         all_came = asyncio.Event()
 
-        async def answer(got: Got, writer: Writer) -> None:
+        async def answer(got: ReceivedRequest, writer: Writer) -> None:
             await all_came.wait()
             writer.write(written(200))
 
-        upstream = await Upstream(answer).start()
-        script = Script(lambda event: send_first(script, event))
+        upstream = await FakeUpstream(answer).start()
+        script = ScriptedPolicy(lambda event: send_first(script, event))
         async with node(script, upstream) as client:
             clients = [await connected(client) for _ in range(6)]
             for mine in clients:
@@ -354,7 +357,7 @@
 ) -> None:
     # Guards against clients that leave in numbers costing upstreams a handshake each.
     async def test() -> None:
-        upstream, script = await Upstream(answers(200)).start(), Script()
+        upstream, script = await FakeUpstream(answers(200)).start(), ScriptedPolicy()
         module = Late(script, "decided", request="2" if kept else "1")
         module.watch(monkeypatch, upstream)
         async with node(module, upstream) as client:
@@ -377,8 +380,8 @@
 def test_reading_is_paused(leave: Leave) -> None:
     # Unread answers make a full close a reset. Its request lies in the socket, and is not sent.
     async def test() -> None:
-        upstream = await Upstream(answers(200)).start()
-        script = Script(lambda event: send_first(script, event))
+        upstream = await FakeUpstream(answers(200)).start()
+        script = ScriptedPolicy(lambda event: send_first(script, event))
         async with node(script, upstream) as client:
             mine = await unread_answer(client, 900_000, upstream)
             side = next(iter(client.node.server._connections))
@@ -402,8 +405,8 @@
 def test_a_copy_of_a_request_with_one_attempt_out(leave: Leave, when: str, allowed: bool) -> None:
     # A node has one attempt out at a time, also where the settings allow two: a copy is moot at once.
     async def test() -> None:
-        upstream, other = await Upstream(silent).start(), await Upstream(answers(200)).start()
-        script = Script(lambda event: send_first(script, event))
+        upstream, other = await FakeUpstream(silent).start(), await FakeUpstream(answers(200)).start()
+        script = ScriptedPolicy(lambda event: send_first(script, event))
         module = Late(script, when, attempt=1)
         async with node(module, upstream, other, hedging=allowed, cancellation=True) as client:
             mine = await connected(client)
@@ -427,10 +430,10 @@
 # -- the module alone: its caller tells it of the leave and of what else is due in one batch --
 
 
-def desk_with_one_slow(**limits: bool) -> bench.Desk:
+def desk_with_one_slow(**limits: bool) -> bench.PolicyHarness:
     """One attempt is out; its upstream has been known to answer sooner than this one will."""
     allowed = Limits(max_attempts=4, **{"hedging": True, "cancellation": True, **limits})
-    desk = bench.Desk(bench.settings(limits=allowed))
+    desk = bench.PolicyHarness(bench.settings(limits=allowed))
     for i in range(20):
         desk.give(bench.arrival(i, desk.now))
         desk.now += 10 * MS
--- a/tests/proxy/test_discovery_client.py
+++ b/tests/proxy/test_discovery_client.py
@@ -20,18 +20,18 @@
     WatchEndpoints,
 )
 from loadbalancer.policy.balancer import Balancer
-from loadbalancer.proxy.endpoint_list import Listing, Reader, number_of
-from loadbalancer.proxy.errors import BadList
-from loadbalancer.proxy.proxy import Node
+from loadbalancer.proxy.endpoint_list import EndpointList, EndpointListReader, number_of
+from loadbalancer.proxy.errors import EndpointListError
+from loadbalancer.proxy.proxy import Proxy
 from loadbalancer.state.host_numbers import SEGMENTS, HostNumbers
 from tests.support.sockets import (
     HOST,
     Answer,
     Client,
-    Got,
+    FakeDiscovery,
     Json,
-    Registry,
-    Script,
+    ReceivedRequest,
+    ScriptedPolicy,
     Watched,
     Writer,
     entry,
@@ -46,14 +46,14 @@
 TOLD_S = 6.0  # what discovery has to tell counts as told after this at the latest
 
 
-def read(raw: object, reader: Reader | None = None) -> Listing:
-    return (reader or Reader(0)).read(json.dumps(raw).encode())
+def read(raw: object, reader: EndpointListReader | None = None) -> EndpointList:
+    return (reader or EndpointListReader(0)).read(json.dumps(raw).encode())
 
 
 def test_a_host_has_the_same_number_everywhere() -> None:
     rows = [entry("s-5be2a07c"), entry("s-0001320d"), entry("s-0001e3f4")]
     one, other = (
-        read({"seq": 1, "whole": True, "hosts": hosts}, Reader(offset))
+        read({"seq": 1, "whole": True, "hosts": hosts}, EndpointListReader(offset))
         for offset, hosts in ((0, rows), (9, rows[::-1]))
     )
     assert list(one.numbers) == list(other.numbers)[::-1]  # whatever reads it, in whatever order
@@ -78,14 +78,14 @@
     return {"seq": version, "whole": whole, "hosts": hosts}
 
 
-def ports(balancer: Node) -> dict[int, int]:
+def ports(balancer: Proxy) -> dict[int, int]:
     """The number of each upstream in force, by its port."""
     return {port: number for number, (_, port) in balancer.upstreams().items()}
 
 
 @pytest.mark.usefixtures("colliding")
 def test_a_colliding_host_keeps_its_number_in_every_list() -> None:
-    reader = Reader(0)
+    reader = EndpointListReader(0)
     assert list(read(changed(1, entry("a"), entry("b"), entry("a"), whole=True), reader).numbers) == [7, 8, 7]
     assert list(read(changed(2, entry("c"), entry("b", health="draining")), reader).numbers) == [9, 8]
     assert list(read(changed(3, entry("c"), entry("b"), entry("a"), whole=True), reader).numbers) == [9, 8, 7]
@@ -98,7 +98,7 @@
 @pytest.mark.usefixtures("colliding")
 def test_a_delta_that_adds_a_colliding_host_leaves_its_partner() -> None:
     async def test() -> None:
-        registry, script = Registry(), Script()
+        registry, script = FakeDiscovery(), ScriptedPolicy()
         registry.rows = {"s0": entry("s0", 1)}
         async with node(script, registry=registry, known_list=known(1)) as client:
             await until(lambda: registry.calls)
@@ -112,7 +112,7 @@
 @pytest.mark.usefixtures("colliding")
 def test_colliding_hosts_of_the_known_list_keep_their_numbers_when_discovery_lists_them() -> None:
     async def test() -> None:
-        script = Script()
+        script = ScriptedPolicy()
         async with node(script, known_list=known(1, 2)) as client:
             assert script.ids() == [SHARED, SHARED + 1]
             balancer = client.node
@@ -129,7 +129,7 @@
 @pytest.mark.parametrize("left", [0, 1])
 def test_a_removed_host_whose_colliding_partner_stays_returns(left: int, whole: bool, swept: bool) -> None:
     async def test() -> None:
-        async with node(Script(), known_list=known(1, 2)) as client:
+        async with node(ScriptedPolicy(), known_list=known(1, 2)) as client:
             balancer, stays = client.node, 1 - left
 
             def told(*hosts: object, whole: bool = False) -> None:
@@ -154,7 +154,7 @@
 @pytest.mark.usefixtures("colliding")
 def test_a_number_is_freed_when_the_list_that_removes_its_host_is_in_force_and_no_sooner() -> None:
     async def test() -> None:
-        async with node(Script(), known_list=known(1, 2)) as client:
+        async with node(ScriptedPolicy(), known_list=known(1, 2)) as client:
             balancer, reader = client.node, client.node._reader
             many = [entry(f"s{i}", i + 1) for i in range(1, 100)]
             balancer._listed(read(changed(2, *many, whole=True), reader))  # put in force in slices
@@ -172,11 +172,11 @@
 
 def test_hosts_that_come_and_go_leave_nothing_behind() -> None:
     async def test() -> None:
-        async with node(Script(), known_list=known(1)) as client:
+        async with node(ScriptedPolicy(), known_list=known(1)) as client:
             balancer, reader = client.node, client.node._reader
             for version in range(2, 50):
                 balancer._listed(read(changed(version, entry(f"x{version}"), whole=True), reader))
-            with pytest.raises(BadList):
+            with pytest.raises(EndpointListError):
                 read({"hosts": [entry("bad")]}, reader)
             read(changed(1, entry("late")), reader)  # older than the last: not taken
             abandoned = reader.steps(bytearray(json.dumps(known(*range(1, 200))).encode()))
@@ -220,7 +220,7 @@
                 entry("b", 81),
             ],
         },
-        Reader(5),
+        EndpointListReader(5),
     )
     by_port = {e.address[1]: e.upstream for e in listing.entries}
     assert by_port[80]._replace(id=1) == Endpoint(1, EndpointStatus.DRAINING, "west", 3, 0.5, 1_999_995, "m")
@@ -249,7 +249,7 @@
 
 def test_a_row_that_cannot_be_read_does_not_end_an_upstream_that_is_there() -> None:
     async def test() -> None:
-        registry, script = Registry(), Script()
+        registry, script = FakeDiscovery(), ScriptedPolicy()
         registry.broken = written(
             200,
             json.dumps(
@@ -286,13 +286,13 @@
     [3, {}, {"hosts": []}, {"hosts": [], "seq": "1", "whole": True}, {"hosts": {}, "seq": 1, "whole": True}],
 )
 def test_what_is_no_list_is_told(raw: object) -> None:
-    with pytest.raises(BadList):
+    with pytest.raises(EndpointListError):
         read(raw)
 
 
 def test_a_host_that_was_removed_is_forgotten() -> None:
     async def test() -> None:
-        async with node(Script(), known_list=known(1, 2)) as client:
+        async with node(ScriptedPolicy(), known_list=known(1, 2)) as client:
             balancer = client.node
             balancer._listed(read({"seq": 2, "whole": False, "hosts": [entry("s0", health="removed")]}))
             assert set(balancer._held) == {number_of("s1")}
@@ -304,14 +304,14 @@
 
 def test_the_watch_goes_on_at_once_and_brings_changes() -> None:
     async def test() -> None:
-        registry, asking = Registry(), []
+        registry, asking = FakeDiscovery(), []
 
         def react(event: Event) -> tuple[()]:
             if isinstance(event, EndpointUpdate) and event.kind is EndpointUpdateKind.DELTA:
                 asking.append(client.node._discovery._call is not None)  # before the change is acted on
             return ()
 
-        script = Script(react)
+        script = ScriptedPolicy(react)
         async with node(script, registry=registry, known_list=known(5)) as client:
             assert script.of(EndpointUpdate)[0].kind is EndpointUpdateKind.CACHED
             await until(lambda: registry.calls)
@@ -333,10 +333,10 @@
 def test_a_watch_that_is_lost_in_silence_is_asked_anew_before_its_news_count_as_told() -> None:
     # Guards against sending to an upstream whose drain was told on a connection that had died unseen.
     async def test() -> None:
-        registry, script = Registry(), Script()
+        registry, script = FakeDiscovery(), ScriptedPolicy()
         heard: Answer = registry.upstream.answer
 
-        async def first_is_lost(got: Got, writer: Writer) -> None:
+        async def first_is_lost(got: ReceivedRequest, writer: Writer) -> None:
             if registry.calls:
                 await heard(got, writer)
             else:
@@ -361,10 +361,10 @@
     async def test() -> None:
         monkeypatch.setattr("loadbalancer.proxy.discovery_client.ASKED_WAIT_MS", 20)
         monkeypatch.setattr("loadbalancer.proxy.discovery_client.OVERDUE_S", 0.02)
-        registry = Registry()
+        registry = FakeDiscovery()
         heard: Answer = registry.upstream.answer
 
-        async def first_is_lost(got: Got, writer: Writer) -> None:
+        async def first_is_lost(got: ReceivedRequest, writer: Writer) -> None:
             if registry.calls:
                 await heard(got, writer)
             else:
@@ -394,7 +394,7 @@
 )
 def test_a_discovery_that_fails_costs_nothing_that_is_known(broken: bytes) -> None:
     async def test() -> None:
-        registry, script = Registry(), Script()
+        registry, script = FakeDiscovery(), ScriptedPolicy()
         registry.broken = broken
         async with node(script, registry=registry, known_list=known(5)) as client:
             await until(lambda: len(registry.calls) >= 3)
@@ -409,8 +409,8 @@
 
 def test_an_upstream_that_moves_is_found_at_its_new_address() -> None:
     async def test() -> None:
-        registry = Registry()
-        async with node(Script(), registry=registry, known_list=known(5)) as client:
+        registry = FakeDiscovery()
+        async with node(ScriptedPolicy(), registry=registry, known_list=known(5)) as client:
             registry.change("s0", dial="127.0.0.2:6")
             await until(lambda: [*client.node.upstreams().values()] == [("127.0.0.2", 6)])
 
@@ -424,8 +424,8 @@
             "on": WatchEndpoints(True),
             "fetch": FetchEndpoints(),
         }
-        registry = Registry()
-        script = Script(lambda e: [steps[e.name]] if isinstance(e, TimerExpired) else ())
+        registry = FakeDiscovery()
+        script = ScriptedPolicy(lambda e: [steps[e.name]] if isinstance(e, TimerExpired) else ())
         async with node(script, registry=registry, known_list=known(5)) as client:
             await until(lambda: registry.calls)
             client.node.feed(TimerExpired("off"))
@@ -441,7 +441,7 @@
     run(test())
 
 
-def hosts(script: Script) -> list[int]:
+def hosts(script: ScriptedPolicy) -> list[int]:
     """The numbers of upstreams in the last whole list."""
     return [
         u.id
@@ -449,8 +449,8 @@
     ]
 
 
-async def second(*rows: str, broken: bytes = b"") -> Registry:
-    registry = Registry()
+async def second(*rows: str, broken: bytes = b"") -> FakeDiscovery:
+    registry = FakeDiscovery()
     registry.rows = {host: entry(host, 9) for host in rows}
     registry.broken, registry.version = broken, 3
     await registry.upstream.start()
@@ -459,7 +459,7 @@
 
 def test_a_move_asks_the_new_address_for_the_whole_list_and_watches_there() -> None:
     async def test() -> None:
-        old, script = Registry(), Script()
+        old, script = FakeDiscovery(), ScriptedPolicy()
         new = await second("s8", "s9")
         async with node(script, registry=old, known_list=known(5)) as client:
             await until(lambda: old.calls)
@@ -479,7 +479,7 @@
 
 def test_the_old_watch_stays_until_the_new_address_answers() -> None:
     async def test() -> None:
-        old, script = Registry(), Script()
+        old, script = FakeDiscovery(), ScriptedPolicy()
         new = await second("s9", broken=written(503))
         async with node(script, registry=old, known_list=known(5)) as client:
             await until(lambda: old.calls)
@@ -496,7 +496,7 @@
 
 def test_an_old_address_that_closes_is_not_asked_again() -> None:
     async def test() -> None:
-        old, script = Registry(), Script()
+        old, script = FakeDiscovery(), ScriptedPolicy()
         new = await second("s9", broken=written(503))
         async with node(script, registry=old, known_list=known(5)) as client:
             await until(lambda: old.calls)
@@ -514,7 +514,7 @@
 
 def test_of_several_moves_the_last_one_counts_also_back_to_the_first() -> None:
     async def test() -> None:
-        old, script = Registry(), Script()
+        old, script = FakeDiscovery(), ScriptedPolicy()
         new = [await second(f"s{i}") for i in (7, 8)]
         async with node(script, registry=old, known_list=known(5)) as client:
             await until(lambda: old.calls)
@@ -534,11 +534,11 @@
     run(test())
 
 
-def answers_in_turn(registry: Registry, work_s: float) -> None:
+def answers_in_turn(registry: FakeDiscovery, work_s: float) -> None:
     """Each call is work of so many seconds, one after the other, also for a caller that has gone."""
     turn, heard = asyncio.Lock(), registry.upstream.answer
 
-    async def answer(got: Got, writer: Writer) -> None:
+    async def answer(got: ReceivedRequest, writer: Writer) -> None:
         async with turn:
             await asyncio.sleep(work_s)
         await heard(got, writer)
@@ -550,7 +550,7 @@
     # Guards against a retry storm: a call given up after a second stays in the queue of that address, and
     # each retry waits behind it. A second signal with the same address must not queue one either.
     async def test() -> None:
-        old, script = Registry(), Script()
+        old, script = FakeDiscovery(), ScriptedPolicy()
         new = await second("s9")
         answers_in_turn(new, 1.3)
         async with node(script, registry=old, known_list=known(5)) as client:
@@ -568,17 +568,19 @@
     run(test())
 
 
-def asks() -> Script:
+def asks() -> ScriptedPolicy:
     """A module that asks for the watch, or for the whole list, when it is woken so."""
     steps: dict[str, Action] = {"watch": WatchEndpoints(True), "fetch": FetchEndpoints()}
-    return Script(lambda e: [steps[e.name]] if isinstance(e, TimerExpired) else ())
+    return ScriptedPolicy(lambda e: [steps[e.name]] if isinstance(e, TimerExpired) else ())
 
 
-def failures(script: Script) -> int:
+def failures(script: ScriptedPolicy) -> int:
     return sum(e.kind is EndpointUpdateKind.FAILED for e in script.of(EndpointUpdate))
 
 
-async def closes_in_handover(old: Registry, new: Registry, client: Client, script: Script) -> None:
+async def closes_in_handover(
+    old: FakeDiscovery, new: FakeDiscovery, client: Client, script: ScriptedPolicy
+) -> None:
     """The node goes over to a new address, and the old one ends its watch and listens no more."""
     client.node.feed(TimerExpired("watch"))
     await until(lambda: old.calls)
@@ -594,7 +596,7 @@
 def test_what_is_asked_while_the_old_address_is_closed_is_answered_by_the_new_one() -> None:
     # Guards against the module being told of failures of the old address, and against calls to it.
     async def test() -> None:
-        old, script = Registry(), asks()
+        old, script = FakeDiscovery(), asks()
         new = await second("s9")
         release = holds_first_list(new)
         async with node(script, registry=old, known_list=known(5), asked=True) as client:
@@ -618,7 +620,7 @@
 def test_what_is_asked_while_both_addresses_fail_is_told_of_the_failure_once() -> None:
     # Guards against a module that waits for ever, and one that is told again of what it did not ask.
     async def test() -> None:
-        old, script = Registry(), asks()
+        old, script = FakeDiscovery(), asks()
         new = await second("s9", broken=written(503))
         async with node(script, registry=old, known_list=known(5), asked=True) as client:
             discovery = client.node._discovery
@@ -644,7 +646,7 @@
 @pytest.mark.parametrize("asked", ["watch", "fetch"])
 def test_what_was_left_to_the_new_address_is_asked_of_the_old_one_after_a_move_back(asked: str) -> None:
     async def test() -> None:
-        old, script = Registry(), asks()
+        old, script = FakeDiscovery(), asks()
         new = await second("s9")
         holds_first_list(new)
         async with node(script, registry=old, known_list=known(5), asked=True) as client:
@@ -658,11 +660,11 @@
     run(test())
 
 
-def holds_first_list(registry: Registry) -> asyncio.Event:
+def holds_first_list(registry: FakeDiscovery) -> asyncio.Event:
     """The first whole list is held back, as it is when asked for, until the event is set."""
     release, heard = asyncio.Event(), registry.upstream.answer
 
-    async def answer(got: Got, writer: Writer) -> None:
+    async def answer(got: ReceivedRequest, writer: Writer) -> None:
         if "after=" in got.first or release.is_set():
             await heard(got, writer)
             return
@@ -675,7 +677,7 @@
     return release
 
 
-def states(script: Script) -> list[EndpointStatus]:
+def states(script: ScriptedPolicy) -> list[EndpointStatus]:
     """What the module has been told of the one upstream, in order."""
     return [u.status for e in script.of(EndpointUpdate) for u in e.endpoints]
 
@@ -683,7 +685,7 @@
 def test_an_older_list_at_a_hand_over_does_not_undo_a_drain() -> None:
     # The new address answers with what it had when asked; meanwhile the old one has told a drain.
     async def test() -> None:
-        old, script = Registry(), Script()
+        old, script = FakeDiscovery(), ScriptedPolicy()
         old.rows = {"s0": entry("s0", 5)}
         new = await second("s0")
         new.version = 1
@@ -708,10 +710,10 @@
 
 def test_an_older_list_that_was_fetched_does_not_undo_a_drain() -> None:
     async def test() -> None:
-        registry = Registry()
+        registry = FakeDiscovery()
         registry.rows = {"s0": entry("s0", 5)}
         release = holds_first_list(registry)
-        script = Script(lambda e: [FetchEndpoints()] if isinstance(e, TimerExpired) else ())
+        script = ScriptedPolicy(lambda e: [FetchEndpoints()] if isinstance(e, TimerExpired) else ())
         async with node(script, registry=registry, known_list=known(5)) as client:
             await until(lambda: registry.calls)
             client.node.feed(TimerExpired("fetch"))
@@ -728,16 +730,16 @@
 
 def test_an_indented_list_is_read() -> None:
     async def test() -> None:
-        registry = Registry()
+        registry = FakeDiscovery()
 
-        async def indented(got: Got, writer: Writer) -> None:
+        async def indented(got: ReceivedRequest, writer: Writer) -> None:
             registry.calls.append((time.monotonic(), got.first))
             if len(registry.calls) == 1:
                 listing = {"seq": 2, "whole": True, "hosts": [entry("s8", 8), entry("s9", 9)]}
                 writer.write(written(200, json.dumps(listing, indent=8).replace("\n", "\r\n\t").encode()))
 
         registry.upstream.answer = indented
-        async with node(Script(), registry=registry, known_list=known(5)) as client:
+        async with node(ScriptedPolicy(), registry=registry, known_list=known(5)) as client:
             await until(lambda: len(client.node.upstreams()) == 2 and len(registry.calls) == 2)
 
     run(test())
--- a/tests/proxy/test_discovery_outage.py
+++ b/tests/proxy/test_discovery_outage.py
@@ -26,10 +26,10 @@
 from tests.support.sockets import (
     HOST,
     Answer,
-    Got,
-    Registry,
-    Script,
-    Upstream,
+    FakeDiscovery,
+    FakeUpstream,
+    ReceivedRequest,
+    ScriptedPolicy,
     Writer,
     answers,
     breaks,
@@ -118,7 +118,7 @@
     assert max(late) < 0.45 * fleet and sum(late) / len(late) < 0.3 * fleet
 
 
-async def declined(got: Got, writer: Writer) -> None:
+async def declined(got: ReceivedRequest, writer: Writer) -> None:
     writer.write(written(503))
 
 
@@ -142,10 +142,10 @@
     shorten(monkeypatch)
 
     async def test() -> None:
-        registry, bad = Registry(), iter(order)
+        registry, bad = FakeDiscovery(), iter(order)
         heard: Answer = registry.upstream.answer
 
-        async def answer(got: Got, writer: Writer) -> None:
+        async def answer(got: ReceivedRequest, writer: Writer) -> None:
             fails = next(bad, None)
             if fails is not None:
                 registry.calls.append((time.monotonic(), got.first.split()[1]))
@@ -166,7 +166,7 @@
     run(test())
 
 
-class Machine(Upstream):
+class Machine(FakeUpstream):
     """One that is not there yet: its port is held, connections to it are refused, or never come up."""
 
     def __init__(self, answer: Answer, refuses: bool) -> None:
@@ -175,7 +175,7 @@
         self._refuses = refuses
         self._filling: list[socket.socket] = []
 
-    async def start(self) -> Upstream:
+    async def start(self) -> FakeUpstream:
         self._socket.bind((HOST, 0))
         self.port = self._socket.getsockname()[1]
         if not self._refuses:
@@ -203,7 +203,7 @@
     shorten(monkeypatch)
 
     async def test() -> None:
-        registry = Registry()
+        registry = FakeDiscovery()
         registry.upstream = machine = Machine(registry.upstream.answer, refuses)
         module = Balancer(node_settings(asked=asked), 1, time.monotonic_ns())
         monkeypatch.setattr(
@@ -225,7 +225,7 @@
     shorten(monkeypatch)
 
     async def test() -> None:
-        old, new = Registry(), Registry()
+        old, new = FakeDiscovery(), FakeDiscovery()
         new.rows, new.version = {"s0": entry("s0", 5, health="draining")}, 3
         heard: Answer = new.upstream.answer
         if kind == "silent":
@@ -233,7 +233,7 @@
         else:
             new.upstream = Machine(heard, kind == "refuses")
         await new.upstream.start()
-        async with node(Script(), registry=old, known_list=known(5)) as client:
+        async with node(ScriptedPolicy(), registry=old, known_list=known(5)) as client:
             await until(lambda: old.calls)
             client.node.move_discovery((HOST, new.upstream.port))
             await until(lambda: client.node._discovery._handover_failures >= 2)
@@ -271,8 +271,8 @@
     monkeypatch.setattr("loadbalancer.proxy.discovery_client.ASKED_WAIT_MS", 40)
 
     async def test() -> None:
-        upstreams = [await Upstream(answers(200)).start() for _ in range(PLACES // KEPT_IDLE)]
-        registry = Registry()
+        upstreams = [await FakeUpstream(answers(200)).start() for _ in range(PLACES // KEPT_IDLE)]
+        registry = FakeDiscovery()
         heard: Answer = registry.upstream.answer
         if kind == "refuses":
             registry.upstream = Machine(heard, True)
--- a/tests/proxy/test_downstream.py
+++ b/tests/proxy/test_downstream.py
@@ -11,8 +11,8 @@
 import pytest
 
 from loadbalancer.messages import Action, ClientDisconnected, Event, Fail, RequestArrived, TimerExpired
-from loadbalancer.proxy.downstream import ClientConnection, Table
-from tests.support.sockets import HOST, PATIENCE_S, Script, node, request, run, until
+from loadbalancer.proxy.downstream import ClientConnection, ConnectionTable
+from tests.support.sockets import HOST, PATIENCE_S, ScriptedPolicy, node, request, run, until
 
 READY = b"GET /health/ready HTTP/1.1\r\n\r\n"
 
@@ -47,7 +47,7 @@
 )
 def test_what_cannot_be_read_is_answered_and_the_connection_closed(data: bytes, status: int) -> None:
     async def test() -> None:
-        script = Script(fails_all)
+        script = ScriptedPolicy(fails_all)
         async with node(script) as client:
             got = await client.ask(data)
             assert got.status == status and got.headers["connection"] == "close"
@@ -77,7 +77,7 @@
 )
 def test_what_cannot_be_understood_is_answered_and_the_connection_kept(data: bytes, status: int) -> None:
     async def test() -> None:
-        script = Script(fails_all)
+        script = ScriptedPolicy(fails_all)
         async with node(script) as client:
             assert (await client.ask(data)).status == status
             assert not script.of(RequestArrived)
@@ -88,7 +88,7 @@
 
 def test_the_largest_body_is_taken() -> None:
     async def test() -> None:
-        async with node(Script(fails_all)) as client:
+        async with node(ScriptedPolicy(fails_all)) as client:
             assert (await client.ask(request("/pay", method="POST", body=b"x" * 64 * 1024))).status == 504
 
     run(test())
@@ -96,7 +96,7 @@
 
 def test_over_max_open_is_refused() -> None:
     async def test() -> None:
-        async with node(Script(), max_pending_requests=1) as client:
+        async with node(ScriptedPolicy(), max_pending_requests=1) as client:
             await client.send(request())
             await until(lambda: client.node._calls)
             got = await client.another().ask(request())
@@ -109,7 +109,7 @@
 @pytest.mark.parametrize("more", [request(), request() * 300, request()[:20], b"nonsense\r\n\r\n"])
 def test_what_is_sent_ahead_of_an_answer_is_turned_away(more: bytes, apart: bool) -> None:
     async def test() -> None:
-        script = Script()
+        script = ScriptedPolicy()
         async with node(script) as client:
             await client.send(request() if apart else request() + more)
             if apart:
@@ -125,7 +125,7 @@
 
 def test_an_empty_line_between_requests_is_no_request() -> None:
     async def test() -> None:
-        async with node(Script(fails_all)) as client:
+        async with node(ScriptedPolicy(fails_all)) as client:
             for _ in range(2):
                 assert (await client.ask(request() + b"\r\n")).status == 504
 
@@ -134,7 +134,7 @@
 
 def test_a_client_that_reads_no_answer_is_not_read_either() -> None:
     async def test() -> None:
-        async with node(Script()) as client:
+        async with node(ScriptedPolicy()) as client:
             await client.ask(READY)
             assert client.writer is not None
             mine = cast(asyncio.Transport, client.writer.transport)
@@ -154,11 +154,11 @@
     run(test())
 
 
-def first(table: Table) -> ClientConnection:
+def first(table: ConnectionTable) -> ClientConnection:
     return next(iter(table._members))
 
 
-def ages(table: Table, seconds: float) -> None:
+def ages(table: ConnectionTable, seconds: float) -> None:
     """As if all that is in the table had been there for so much longer."""
     for member in table._members:
         member.since -= seconds
@@ -175,7 +175,7 @@
 @pytest.mark.parametrize("served", [False, True])
 def test_a_request_that_does_not_come_is_not_waited_for(data: bytes, answer: bytes, served: bool) -> None:
     async def test() -> None:
-        async with node(Script()) as client:
+        async with node(ScriptedPolicy()) as client:
             server = client.node.server
             if served:
                 await client.ask(READY)
@@ -198,7 +198,7 @@
 
 def test_a_connection_that_is_kept_without_asking_is_closed_after_two_seconds() -> None:
     async def test() -> None:
-        async with node(Script()) as client:
+        async with node(ScriptedPolicy()) as client:
             server = client.node.server
             assert (await client.ask(READY)).status == 200
             ages(server._idle, 1.8)
@@ -214,7 +214,7 @@
 
 def test_a_first_byte_does_not_put_off_the_time_since_connecting() -> None:
     async def test() -> None:
-        async with node(Script()) as client:
+        async with node(ScriptedPolicy()) as client:
             server = client.node.server
             await client.send(b"")
             await until(lambda: server._awaited)
@@ -229,7 +229,7 @@
 
 def test_one_that_was_turned_away_and_stays_is_cut_off() -> None:
     async def test() -> None:
-        async with node(Script()) as client:
+        async with node(ScriptedPolicy()) as client:
             server = client.node.server
             assert (await client.ask(b"nonsense\r\n\r\n")).status == 400
             assert server._leaving and server._connections
@@ -242,7 +242,7 @@
 
 def test_one_that_was_turned_away_is_read_only_so_far() -> None:
     async def test() -> None:
-        async with node(Script()) as client:
+        async with node(ScriptedPolicy()) as client:
             await client.send(request("/pay", "Content-Length: 60000000", method="POST"))
             assert (await client.read()).status == 413  # before the body comes
             side = next(iter(client.node.server._connections))
@@ -256,7 +256,7 @@
 
 def test_silent_clients_make_place_before_those_that_have_spoken() -> None:
     async def test() -> None:
-        async with node(Script(), sockets=32 + 16) as client:  # so eight clients
+        async with node(ScriptedPolicy(), sockets=32 + 16) as client:  # so eight clients
             server = client.node.server
             assert (await client.ask(READY)).status == 200
             mute = [client.another() for _ in range(7)]
@@ -275,7 +275,7 @@
 
 def test_a_connection_that_makes_place_before_it_is_up_is_closed() -> None:
     async def test() -> None:
-        async with node(Script()) as client:
+        async with node(ScriptedPolicy()) as client:
             server = client.node.server
             with socket.create_connection((HOST, client.port)) as mine:
                 mine.setblocking(False)
@@ -291,7 +291,7 @@
 
 def test_an_id_that_is_open_is_not_taken_again() -> None:
     async def test() -> None:
-        script = Script(lambda e: [Fail("1")] if isinstance(e, TimerExpired) else ())
+        script = ScriptedPolicy(lambda e: [Fail("1")] if isinstance(e, TimerExpired) else ())
         async with node(script) as client:
             await client.send(request(name="one"))
             await until(lambda: client.node._calls)
@@ -306,7 +306,7 @@
 
 def test_a_request_in_pieces_counts_from_its_last_byte() -> None:
     async def test() -> None:
-        script = Script(fails_all)
+        script = ScriptedPolicy(fails_all)
         async with node(script) as client:
             data = request("/pay", method="POST", body=b"abc")
             for i in range(len(data) - 1):
@@ -320,7 +320,7 @@
 
 def test_idle_connections_make_place_and_busy_ones_stay() -> None:
     async def test() -> None:
-        script = Script()
+        script = ScriptedPolicy()
         async with node(script, sockets=32 + 16) as client:  # so eight clients
             idle = client.another()
             assert (await idle.ask(READY)).status == 200
@@ -346,7 +346,7 @@
 
 def test_no_descriptor_left_for_a_connection_is_survived(monkeypatch: pytest.MonkeyPatch) -> None:
     async def test() -> None:
-        async with node(Script()) as client:
+        async with node(ScriptedPolicy()) as client:
             accept, failures = socket.socket.accept, [1, 1]
 
             def failing(self: socket.socket) -> object:
@@ -364,7 +364,7 @@
 
 def test_a_client_that_wants_its_connection_closed_gets_that() -> None:
     async def test() -> None:
-        async with node(Script(fails_all)) as client:
+        async with node(ScriptedPolicy(fails_all)) as client:
             got = await client.ask(request("/read", "Connection: close"))
             assert got.headers["connection"] == "close" and await client.closed()
 
@@ -375,7 +375,7 @@
 def test_a_request_that_lies_unread_keeps_its_connection(closes: str) -> None:
     # Guards against a close between requests that crosses a request: it has been taken, and would be lost.
     async def test() -> None:
-        async with node(Script(fails_all)) as client:
+        async with node(ScriptedPolicy(fails_all)) as client:
             server, loop = client.node.server, asyncio.get_running_loop()
             with socket.create_connection((HOST, client.port)) as mine:
                 mine.setblocking(False)
--- a/tests/proxy/test_endpoint_list.py
+++ b/tests/proxy/test_endpoint_list.py
@@ -16,24 +16,24 @@
 from hypothesis import strategies as st
 
 from loadbalancer.__main__ import keep_for_good
-from loadbalancer.configuration import BadConfig, Config, read_config
+from loadbalancer.configuration import Configuration, ConfigurationError, read_config
 from loadbalancer.messages import AttemptResult, EndpointStatus, EndpointUpdate, EndpointUpdateKind
 from loadbalancer.policy import subsetting
 from loadbalancer.policy.balancer import Balancer
 from loadbalancer.proxy import addresses, endpoint_list
-from loadbalancer.proxy.connection_pool import Hub, Pool
-from loadbalancer.proxy.endpoint_list import STRIDE, Listing, Reader, number_of, run_through
-from loadbalancer.proxy.errors import BadList
-from loadbalancer.proxy.proxy import SLICE, Node
+from loadbalancer.proxy.connection_pool import ConnectionLimits, ConnectionPool
+from loadbalancer.proxy.endpoint_list import STRIDE, EndpointList, EndpointListReader, number_of, run_through
+from loadbalancer.proxy.errors import EndpointListError
+from loadbalancer.proxy.proxy import SLICE, Proxy
 from loadbalancer.state import endpoint_table
 from tests.support.sockets import (
     HOST,
     PATIENCE_S,
-    Got,
+    FakeDiscovery,
+    FakeUpstream,
     Json,
-    Registry,
-    Script,
-    Upstream,
+    ReceivedRequest,
+    ScriptedPolicy,
     Writer,
     entry,
     listing,
@@ -50,7 +50,7 @@
     return {"seq": version, "whole": True, "hosts": hosts}
 
 
-def shown(read: Listing) -> object:
+def shown(read: EndpointList) -> object:
     return read.version, read.whole, list(read.entries), read.unread
 
 
@@ -92,10 +92,10 @@
 ) -> None:
     text = {"seq": 4, "whole": False, "hosts": rows, "more": {"hosts": [{"host": "no"}], "seq": 9}}
     body = json.dumps({key: text[key] for key in order}, indent=indent).encode()
-    once = Reader(0).read(body)
+    once = EndpointListReader(0).read(body)
     with pytest.MonkeyPatch.context() as patch:
         patch.setattr("loadbalancer.proxy.endpoint_list.STRIDE", stride)
-        pieces = run_through(Reader(0).steps(bytearray(body)))
+        pieces = run_through(EndpointListReader(0).steps(bytearray(body)))
     assert shown(once) == shown(pieces) and (once.version, once.whole) == (4, False)
     named = [row["host"] for row in rows if isinstance(row, dict) and isinstance(row.get("host"), str)]
     # Each row that names a host is read, or said to be unread: none hides another.
@@ -118,8 +118,8 @@
     ],
 )
 def test_what_is_cut_or_no_list_is_told_and_changes_nothing(text: bytes) -> None:
-    reader = Reader(0)
-    with pytest.raises(BadList):
+    reader = EndpointListReader(0)
+    with pytest.raises(EndpointListError):
         reader.read(text)
     assert len(reader.read(json.dumps(whole(2)).encode())) == 2
 
@@ -127,24 +127,24 @@
 def test_a_long_list_is_read_in_steps() -> None:
     body = bytearray(json.dumps(whole(2000)).encode())
     size, steps = len(body), 0
-    reading = Reader(0).steps(body)
+    reading = EndpointListReader(0).steps(body)
     for _ in reading:
         steps += 1
         assert len(body) == size - steps * STRIDE  # no more at a stretch; what is read is let go
     assert steps == (size - 1) // STRIDE
 
 
-def told(script: Script, first: int = 1) -> list[EndpointUpdate]:
+def told(script: ScriptedPolicy, first: int = 1) -> list[EndpointUpdate]:
     return script.of(EndpointUpdate)[first:]
 
 
-def states(script: Script) -> dict[int, EndpointStatus]:
+def states(script: ScriptedPolicy) -> dict[int, EndpointStatus]:
     return {u.id: u.status for update in script.of(EndpointUpdate) for u in update.endpoints}
 
 
 def test_a_long_list_is_put_in_force_in_slices_and_requests_go_on() -> None:
     async def test() -> None:
-        script, turns = Script(), 0
+        script, turns = ScriptedPolicy(), 0
         async with node(script, known_list=whole(3)) as client:
             client.node._listed(listing(whole(1000, 2, first=2)))
             while client.node._applying is not None:
@@ -163,7 +163,7 @@
 
 def test_what_comes_while_a_long_list_is_put_in_force_is_not_undone() -> None:
     async def test() -> None:
-        script = Script()
+        script = ScriptedPolicy()
         async with node(script, known_list=whole(3)) as client:
             balancer = client.node
             balancer._listed(listing(whole(500, 2)))
@@ -191,7 +191,7 @@
 
 def test_a_short_whole_list_after_a_long_one_is_put_in_force_in_slices_too() -> None:
     async def test() -> None:
-        script = Script()
+        script = ScriptedPolicy()
         async with node(script, known_list=whole(3)) as client:
             for version, count in ((2, 700), (3, 2)):
                 client.node._listed(listing(whole(count, version)))
@@ -208,11 +208,11 @@
     caplog.set_level(logging.WARNING)
 
     async def test() -> None:
-        registry, script = Registry(), Script()
+        registry, script = FakeDiscovery(), ScriptedPolicy()
         await registry.upstream.start()
         long = json.dumps(whole(200, 2)).encode()
         registry.broken = written(200, long)
-        config = Config(
+        config = Configuration(
             "n",
             (HOST, 0),
             (HOST, registry.upstream.port),
@@ -222,7 +222,7 @@
             listing(whole(3)),
             memory_bytes=4 * (len(long) - 1),
         )
-        balancer = Node(config, script)
+        balancer = Proxy(config, script)
         await balancer.start()
         try:
             await until(lambda: caplog.records)
@@ -245,16 +245,16 @@
     async def test() -> None:
         go = asyncio.Event()
 
-        async def part(got: Got, writer: Writer) -> None:
+        async def part(got: ReceivedRequest, writer: Writer) -> None:
             writer.write(written(200, b"x" * 6000)[:3000])
             await go.wait()
             writer.write(written(200, b"x" * 6000)[3000:])
 
-        upstream = await Upstream(part).start()
+        upstream = await FakeUpstream(part).start()
         try:
             for rate, put_off in ((1000.0, 3.0), (0.0, 0.0)):
                 ended: list[AttemptResult] = []
-                pool = Pool(Hub(2, 2.0, 0.0, least_rate=rate), (HOST, upstream.port))
+                pool = ConnectionPool(ConnectionLimits(2, 2.0, 0.0, least_rate=rate), (HOST, upstream.port))
                 exchange = pool.exchange(
                     b"GET / HTTP/1.1\r\n\r\n",
                     PATIENCE_S,
@@ -326,7 +326,7 @@
     balancer = Balancer(config.settings, 1, 1)
 
     async def test() -> None:
-        started = Node(config, balancer)
+        started = Proxy(config, balancer)
         await started.start()
         assert started.ready and len(started.upstreams()) == count
         started.close()
@@ -354,13 +354,13 @@
         assert read_config(str(path)).known is None
     for bad in ({"seq": 1}, {"seq": 1, "whole": True, "hosts": {}}):
         path.write_text(json.dumps(CONFIG | {"known": bad}))
-        with pytest.raises(BadConfig, match="known: no "):
+        with pytest.raises(ConfigurationError, match="known: no "):
             read_config(str(path))
 
 
 def test_connections_are_kept_only_for_upstreams_in_use() -> None:
     async def test() -> None:
-        async with node(Script(), known_list=whole(200)) as client:
+        async with node(ScriptedPolicy(), known_list=whole(200)) as client:
             numbers = list(client.node.upstreams())
             assert client.node._pool(numbers[3]) is client.node._pool(numbers[3])
             assert list(client.node._hub.pools) == [numbers[3]] and client.node._pool(1) is None
--- a/tests/proxy/test_faults.py
+++ b/tests/proxy/test_faults.py
@@ -12,8 +12,8 @@
 from tests.support.sockets import (
     MS,
     Answer,
-    Got,
-    Upstream,
+    FakeUpstream,
+    ReceivedRequest,
     Writer,
     answers,
     breaks,
@@ -33,7 +33,7 @@
     """Breaks the connection under the second request and every so manieth one from there."""
     count = 0
 
-    async def answer(got: Got, writer: Writer) -> None:
+    async def answer(got: ReceivedRequest, writer: Writer) -> None:
         nonlocal count
         count += 1
         if count % nth == 2 % nth:
@@ -51,7 +51,7 @@
 def test_connections_that_break_everywhere_leave_no_upstream_alone() -> None:
     # Guards against a bad network, whose breaks strike all alike, taking most of a sound fleet out of use.
     async def test() -> None:
-        upstreams = [await Upstream(breaks_every(4)).start() for _ in range(UPSTREAMS)]
+        upstreams = [await FakeUpstream(breaks_every(4)).start() for _ in range(UPSTREAMS)]
         balancer = Balancer(settings(), 1, time.monotonic_ns())
         most = 0
         async with node(balancer, *upstreams) as client:
@@ -66,8 +66,8 @@
 
 def test_an_upstream_that_alone_breaks_what_it_is_sent_is_left_at_once() -> None:
     async def test() -> None:
-        sound = [await Upstream(answers(200)).start() for _ in range(UPSTREAMS - 1)]
-        upstreams = [await Upstream(breaks).start(), *sound]
+        sound = [await FakeUpstream(answers(200)).start() for _ in range(UPSTREAMS - 1)]
+        upstreams = [await FakeUpstream(breaks).start(), *sound]
         async with node(Balancer(settings(), 1, time.monotonic_ns()), *upstreams) as client:
             for _ in range(30):
                 assert (await client.ask(request())).status == 200
@@ -81,7 +81,7 @@
     async def test() -> None:
         looks = 0
 
-        async def answer(got: Got, writer: Writer) -> None:
+        async def answer(got: ReceivedRequest, writer: Writer) -> None:
             nonlocal looks
             looks += got.first.startswith("GET /stats")
             broken = got.first.startswith("GET /stats") and looks % 2 == 1
@@ -89,7 +89,7 @@
 
         monkeypatch.setattr("loadbalancer.policy.balancer.LOOK_NS", 4 * SECOND)
         monkeypatch.setattr("loadbalancer.proxy.proxy.PROBE_TIMEOUT_S", 4.0)
-        upstream = await Upstream(answer).start()
+        upstream = await FakeUpstream(answer).start()
         async with node(Balancer(settings(health_checks=True), 1, time.monotonic_ns()), upstream) as client:
             begun = time.monotonic_ns()
             assert (await client.ask(request())).status == 200
@@ -104,7 +104,7 @@
         monkeypatch.setattr(
             "loadbalancer.policy.balancer.STALL_NS", 60 * SECOND
         )  # a slow machine changes nothing here
-        upstream = await Upstream(silent).start()
+        upstream = await FakeUpstream(silent).start()
         balancer = Balancer(settings(), 1, time.monotonic_ns())
         async with node(balancer, upstream) as client:
             got = await client.ask(request("/read", "Req-Cost: 60000000", deadline_ms=500))  # a minute
@@ -120,7 +120,7 @@
     # Guards against a stopped process, such as one that has spent its share of the processor, taking all
     # upstreams for dead when it goes on.
     async def test() -> None:
-        upstreams = [await Upstream(silent).start() for _ in range(UPSTREAMS)]
+        upstreams = [await FakeUpstream(silent).start() for _ in range(UPSTREAMS)]
         balancer = Balancer(settings(), 1, time.monotonic_ns())
         async with node(balancer, *upstreams) as client:
             clients = [client.another() for _ in range(UPSTREAMS)]
@@ -143,7 +143,7 @@
 ) -> None:
     # Guards against a second run: by then the upstreams have forgotten the first one.
     async def test() -> None:
-        upstream = await Upstream(breaks).start()
+        upstream = await FakeUpstream(breaks).start()
         balancer = Balancer(settings(connect_timeout_ns=1000 * MS), 1, time.monotonic_ns())
         sent: list[float] = []
         loop = asyncio.get_running_loop()
--- a/tests/proxy/test_proxy.py
+++ b/tests/proxy/test_proxy.py
@@ -13,7 +13,7 @@
 
 import pytest
 
-from loadbalancer.configuration import Config
+from loadbalancer.configuration import Configuration
 from loadbalancer.messages import (
     Action,
     AttemptEnded,
@@ -33,15 +33,15 @@
     TimerExpired,
 )
 from loadbalancer.policy.balancer import Balancer
-from loadbalancer.proxy.proxy import MODULE_EARLY_NS, NODE_EARLY_NS, REST_S, Node, leave_s
+from loadbalancer.proxy.proxy import MODULE_EARLY_NS, NODE_EARLY_NS, REST_S, Proxy, leave_s
 from loadbalancer.settings import RequestClass, Settings
 from tests.support.sockets import (
     HOST,
     MS,
     Answer,
-    Got,
-    Script,
-    Upstream,
+    FakeUpstream,
+    ReceivedRequest,
+    ScriptedPolicy,
     answers,
     breaks,
     known,
@@ -58,7 +58,7 @@
 
 
 def sends_first(
-    script: Script, then: Callable[[Event], Iterable[Action]] = lambda e: (), timeout_ns: int = 0
+    script: ScriptedPolicy, then: Callable[[Event], Iterable[Action]] = lambda e: (), timeout_ns: int = 0
 ) -> None:
     """Each request goes to the first upstream; what follows its outcome is up to the test."""
 
@@ -78,8 +78,10 @@
 
 def test_a_request_goes_through_unchanged() -> None:
     async def test() -> None:
-        upstream = await Upstream(answers(200, b"\x00quote\r\n", "Content-Type: x/y", "Srv-Load: {}")).start()
-        script = Script()
+        upstream = await FakeUpstream(
+            answers(200, b"\x00quote\r\n", "Content-Type: x/y", "Srv-Load: {}")
+        ).start()
+        script = ScriptedPolicy()
         sends_first(script)
         async with node(script, upstream) as client:
             got = await client.ask(
@@ -117,7 +119,7 @@
 
 def test_the_real_module_serves() -> None:
     async def test() -> None:
-        upstream = await Upstream(answers(200, b'{"inflight": 1}')).start()
+        upstream = await FakeUpstream(answers(200, b'{"inflight": 1}')).start()
         async with node(Balancer(settings(health_checks=True), 1, time.monotonic_ns()), upstream) as client:
             for _ in range(3):
                 assert (await client.ask(request())).status == 200
@@ -128,7 +130,9 @@
 
 def test_a_refusal_is_told_at_once_with_its_retry_after() -> None:
     async def test() -> None:
-        script = Script(lambda e: [Reject(e.request_id, 437 * MS)] if isinstance(e, RequestArrived) else ())
+        script = ScriptedPolicy(
+            lambda e: [Reject(e.request_id, 437 * MS)] if isinstance(e, RequestArrived) else ()
+        )
         async with node(script) as client:
             begun = time.monotonic()
             got = await client.ask(request())
@@ -178,8 +182,8 @@
 )
 def test_what_comes_back_is_the_outcome(answer: Answer, result: AttemptResult) -> None:
     async def test() -> None:
-        upstream = await Upstream(answer).start()
-        script = Script()
+        upstream = await FakeUpstream(answer).start()
+        script = ScriptedPolicy()
         sends_first(script, fails_unserved)
         async with node(script, upstream) as client:
             got = await client.ask(request())
@@ -193,8 +197,8 @@
 @pytest.mark.parametrize("behind", [written(200, b"mine"), b"\xd1\xaanoise\r\n\r\n", b"HTTP/1.1 2"])
 def test_what_comes_behind_a_good_answer_takes_nothing_from_it_and_meets_no_other(behind: bytes) -> None:
     async def test() -> None:
-        upstream = await Upstream(sends_raw(written(200, b"mine") + behind)).start()
-        script = Script()
+        upstream = await FakeUpstream(sends_raw(written(200, b"mine") + behind)).start()
+        script = ScriptedPolicy()
         sends_first(script, fails_unserved)
         async with node(script, upstream) as client:
             for number in (1, 2):
@@ -205,7 +209,7 @@
     run(test())
 
 
-def rests(balancer: Node) -> None:
+def rests(balancer: Proxy) -> None:
     """As if all kept connections had been left alone for long enough."""
     for connection in balancer._hub.idle:
         connection.rested_at -= REST_S
@@ -218,7 +222,7 @@
         monkeypatch.setattr("loadbalancer.proxy.proxy.REST_S", 60.0)  # a slow machine changes nothing here
         writers: list[asyncio.StreamWriter] = []
 
-        async def answer(got: Got, writer: asyncio.StreamWriter) -> None:
+        async def answer(got: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
             writers.append(writer)
             if len(writers) == 1:
                 writer.write(written(200, b"first"))
@@ -228,8 +232,8 @@
             await until(lambda: upstream.closed or len(script.of(AttemptEnded)) > 1)
             writer.write(written(200, b"second"))
 
-        upstream = await Upstream(answer).start()
-        script = Script()
+        upstream = await FakeUpstream(answer).start()
+        script = ScriptedPolicy()
         sends_first(script, fails_unserved)
         async with node(script, upstream) as client:
             assert (await client.ask(request())).body == b"first"
@@ -246,8 +250,8 @@
                 writer.write(bytes([byte]))
                 await asyncio.sleep(0)
 
-        upstream = await Upstream(answer).start()
-        script = Script()
+        upstream = await FakeUpstream(answer).start()
+        script = ScriptedPolicy()
         sends_first(script, fails_unserved)
         async with node(script, upstream) as client:
             for _ in range(2):
@@ -273,8 +277,8 @@
 )
 def test_a_load_report_that_cannot_be_read_costs_nothing_else(report: str, heard: object) -> None:
     async def test() -> None:
-        upstream = await Upstream(answers(200, b"it", f"Srv-Load: {report}")).start()
-        script = Script()
+        upstream = await FakeUpstream(answers(200, b"it", f"Srv-Load: {report}")).start()
+        script = ScriptedPolicy()
         sends_first(script)
         async with node(script, upstream, in_answers=True) as client:
             for number in (1, 2):
@@ -289,8 +293,10 @@
 
 def test_probes_leave_places_for_attempts() -> None:
     async def test() -> None:
-        upstream = await Upstream(silent).start()
-        script = Script(lambda e: [CheckHealth(script.ids()[0])] * 20 if isinstance(e, TimerExpired) else ())
+        upstream = await FakeUpstream(silent).start()
+        script = ScriptedPolicy(
+            lambda e: [CheckHealth(script.ids()[0])] * 20 if isinstance(e, TimerExpired) else ()
+        )
         async with node(script, upstream) as client:
             client.node._hub.capacity = 16
             client.node.feed(TimerExpired("now"))
@@ -306,13 +312,13 @@
     async def test() -> None:
         release = asyncio.Event()
 
-        async def answer(got: Got, writer: asyncio.StreamWriter) -> None:
+        async def answer(got: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
             if "/late" in got.first:
                 await release.wait()
             writer.write(written(200, b"it"))
 
-        upstream = await Upstream(answer).start()
-        script = Script()
+        upstream = await FakeUpstream(answer).start()
+        script = ScriptedPolicy()
         sends_first(script)
         async with node(script, upstream) as client:
             draining = asyncio.create_task(client.node.drain())
@@ -333,7 +339,7 @@
     # Guards against closing to new clients while some of them, accepted by the system, wait for a place.
     async def test() -> None:
         monkeypatch.setattr("loadbalancer.proxy.proxy.LATE_ARRIVALS_S", 0.0)
-        script = Script()
+        script = ScriptedPolicy()
         async with node(script, sockets=32 + 16) as client:  # so eight clients
             busy = [client.another() for _ in range(8)]
             for other in busy:
@@ -379,8 +385,8 @@
     # Guards against leaving to SIGKILL what came late, where the longest deadline is short.
     async def test() -> None:
         monkeypatch.setattr("loadbalancer.proxy.proxy.LATE_ARRIVALS_S", 0.0)
-        upstream = await Upstream(silent).start()
-        script = Script()
+        upstream = await FakeUpstream(silent).start()
+        script = ScriptedPolicy()
         sends_first(script)
         async with node(script, upstream, limit_ns=100 * MS) as client:
             await client.send(request(deadline_ms=600_000))
@@ -407,8 +413,8 @@
     async def test() -> None:
         monkeypatch.setattr("loadbalancer.proxy.proxy.LATE_ARRIVALS_S", 0.0)
         monkeypatch.setattr("loadbalancer.proxy.downstream.FRESH_S", 0.0)
-        upstream = await Upstream(answers(200, b"it")).start()
-        script = Script()
+        upstream = await FakeUpstream(answers(200, b"it")).start()
+        script = ScriptedPolicy()
         sends_first(script)
         async with node(script, upstream) as client:
             if kept:
@@ -431,8 +437,8 @@
 def test_a_large_answer_is_written_whole_before_the_end_of_a_drain() -> None:
     async def test() -> None:
         body = bytes(range(256)) * 1000
-        upstream = await Upstream(answers(200, body)).start()
-        script = Script()
+        upstream = await FakeUpstream(answers(200, body)).start()
+        script = ScriptedPolicy()
         sends_first(script)
         async with node(script, upstream) as client:
             await client.send(b"")
@@ -463,9 +469,9 @@
 
 def test_a_refused_connection_never_ran() -> None:
     async def test() -> None:
-        upstream = await Upstream(silent).start()
+        upstream = await FakeUpstream(silent).start()
         upstream.stop()
-        script = Script()
+        script = ScriptedPolicy()
         sends_first(script, fails_unserved)
         async with node(script, upstream) as client:
             assert (await client.ask(request())).status == 504
@@ -476,8 +482,8 @@
 
 def test_a_connection_that_never_comes_up_never_ran(monkeypatch: pytest.MonkeyPatch) -> None:
     async def test() -> None:
-        upstream = await Upstream(silent).start()
-        script = Script()
+        upstream = await FakeUpstream(silent).start()
+        script = ScriptedPolicy()
         sends_first(script, fails_unserved)
         async with node(script, upstream, connect_timeout_ns=20 * MS) as client:
             await client.send(request())
@@ -496,7 +502,7 @@
             held.append(writer)  # reads nothing: what is sent stays with the sender
 
         server = await asyncio.start_server(serve, HOST, 0, limit=1)
-        script = Script()
+        script = ScriptedPolicy()
         sends_first(script, fails_unserved)
         port = server.sockets[0].getsockname()[1]
         async with node(script, known_list=known(port)) as client:
@@ -524,8 +530,8 @@
             else:
                 writer.write(b"HTTP/1.1 200 X\r\nContent-Length: 5\r\n\r\nfresh")
 
-        upstream = await Upstream(late).start()
-        script = Script()
+        upstream = await FakeUpstream(late).start()
+        script = ScriptedPolicy()
 
         def again(event: Event) -> Iterable[Action]:
             if isinstance(event, AttemptEnded) and event.result is AttemptResult.TIMEOUT:
@@ -552,7 +558,7 @@
             listener.setblocking(False)
             accepted: list[socket.socket] = []
             ended: list[bytes] = []
-            script = Script()
+            script = ScriptedPolicy()
 
             def look(event: Event) -> Iterable[Action]:
                 if isinstance(event, AttemptEnded) and event.result is AttemptResult.TIMEOUT:
@@ -575,8 +581,8 @@
 
 def test_a_cancelled_attempt_closes_its_connection() -> None:
     async def test() -> None:
-        upstream = await Upstream(silent).start()
-        script = Script()
+        upstream = await FakeUpstream(silent).start()
+        script = ScriptedPolicy()
         sends_first(
             script,
             lambda e: [CancelAttempt("1", 0)] if isinstance(e, TimerExpired) else fails_unserved(e),
@@ -594,8 +600,8 @@
 
 def test_a_balancer_that_rests_is_not_ready_but_serves() -> None:
     async def test() -> None:
-        upstream = await Upstream(answers(200)).start()
-        script = Script()
+        upstream = await FakeUpstream(answers(200)).start()
+        script = ScriptedPolicy()
         sends_first(script)
         ready = b"GET /health/ready HTTP/1.1\r\n\r\n"
         async with node(script, upstream, rest_s=3600.0) as client:
@@ -609,8 +615,8 @@
 
 def test_one_attempt_at_a_time_and_none_after_the_answer() -> None:
     async def test() -> None:
-        upstream = await Upstream(silent).start()
-        script = Script()
+        upstream = await FakeUpstream(silent).start()
+        script = ScriptedPolicy()
 
         def react(event: Event) -> Iterable[Action]:
             if isinstance(event, RequestArrived):
@@ -641,8 +647,8 @@
 
 def test_a_client_that_goes_away_frees_all() -> None:
     async def test() -> None:
-        upstream = await Upstream(silent).start()
-        script = Script()
+        upstream = await FakeUpstream(silent).start()
+        script = ScriptedPolicy()
         sends_first(script)
         async with node(script, upstream) as client:
             await client.send(request())
@@ -660,7 +666,7 @@
 
 def test_what_the_module_leaves_open_fails_at_the_deadline() -> None:
     async def test() -> None:
-        script = Script()
+        script = ScriptedPolicy()
         async with node(script) as client:
             begun = time.monotonic()
             assert (await client.ask(request(deadline_ms=80))).status == 504
@@ -672,8 +678,8 @@
 
 def test_a_stall_after_the_decision_does_not_put_off_its_time_out() -> None:
     async def test() -> None:
-        upstream = await Upstream(silent).start()
-        script = Script()
+        upstream = await FakeUpstream(silent).start()
+        script = ScriptedPolicy()
 
         def react(event: Event) -> Iterable[Action]:
             if isinstance(event, RequestArrived):
@@ -701,7 +707,7 @@
                 raise RuntimeError("bug")
             return [Fail(event.request_id)] if isinstance(event, RequestArrived) else ()
 
-        async with node(Script(react)) as client:
+        async with node(ScriptedPolicy(react)) as client:
             assert (await client.ask(request(deadline_ms=50))).status == 504
             assert (await client.ask(request())).status == 504
 
@@ -734,7 +740,7 @@
         ends: list[int] = []  # of the attempts, by the clock
         received: list[int] = []  # when the last one had come
 
-        async def answer(got: Got, writer: asyncio.StreamWriter) -> None:
+        async def answer(got: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
             received.append(time.monotonic_ns())
             writer.write(written(200))
 
@@ -749,9 +755,9 @@
                 ]
             return ()
 
-        refusing, upstream = await Upstream(silent).start(), await Upstream(answer).start()
+        refusing, upstream = await FakeUpstream(silent).start(), await FakeUpstream(answer).start()
         refusing.stop()
-        script, up = Script(send), asyncio.Event()
+        script, up = ScriptedPolicy(send), asyncio.Event()
         async with node(script, refusing, upstream) as client:
             await client.send(b"GET /health/ready HTTP/1.1\r\n\r\n")
             await client.read()
@@ -775,8 +781,8 @@
     monkeypatch: pytest.MonkeyPatch, health: str
 ) -> None:
     async def test() -> None:
-        upstream = await Upstream(answers(200)).start()
-        script = Script()
+        upstream = await FakeUpstream(answers(200)).start()
+        script = ScriptedPolicy()
         sends_first(script, fails_unserved)
         up = asyncio.Event()
         async with node(script, upstream) as client:
@@ -797,7 +803,7 @@
     run(test())
 
 
-def tell(balancer: Node, version: int, **row: object) -> None:
+def tell(balancer: Proxy, version: int, **row: object) -> None:
     """A change of the first upstream, at once, as discovery would tell it."""
     changed = {**known(1)["hosts"][0], **row}
     balancer._listed(listing({"seq": version, "whole": False, "hosts": [changed]}))
@@ -813,8 +819,11 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     async def test() -> None:
-        old, new = await Upstream(answers(200, b"old")).start(), await Upstream(answers(200, b"new")).start()
-        script = Script()
+        old, new = (
+            await FakeUpstream(answers(200, b"old")).start(),
+            await FakeUpstream(answers(200, b"new")).start(),
+        )
+        script = ScriptedPolicy()
         sends_first(script, again_unless_over)
         async with node(script, known_list=known(old.port)) as client:
             await client.send(b"GET /health/ready HTTP/1.1\r\n\r\n")
@@ -841,12 +850,12 @@
     async def test() -> None:
         release = asyncio.Event()
 
-        async def late(got: Got, writer: asyncio.StreamWriter) -> None:
+        async def late(got: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
             await release.wait()
             writer.write(written(200, b"old"))
 
-        old, new = await Upstream(late).start(), await Upstream(answers(200, b"new")).start()
-        script = Script()
+        old, new = await FakeUpstream(late).start(), await FakeUpstream(answers(200, b"new")).start()
+        script = ScriptedPolicy()
         sends_first(script)
         async with node(script, known_list=known(old.port)) as client:
             await client.send(request())
@@ -866,8 +875,8 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     async def test() -> None:
-        upstream = await Upstream(answers(200, b"it")).start()
-        script = Script()
+        upstream = await FakeUpstream(answers(200, b"it")).start()
+        script = ScriptedPolicy()
         async with node(script, upstream) as client:
             await client.send(b"GET /health/ready HTTP/1.1\r\n\r\n")
             await client.read()
@@ -892,8 +901,8 @@
 
 def test_a_connection_near_its_idle_limit_is_not_used_again() -> None:
     async def test() -> None:
-        upstream = await Upstream(answers(200)).start()
-        script = Script()
+        upstream = await FakeUpstream(answers(200)).start()
+        script = ScriptedPolicy()
         sends_first(script)
         async with node(script, upstream, connection_idle_timeout_ns=15_000 * MS) as client:
             for opened in (1, 1, 2):
@@ -910,8 +919,8 @@
 
 def test_a_connection_that_its_upstream_has_just_closed_is_not_used_again() -> None:
     async def test() -> None:
-        upstream = await Upstream(answers(200)).start()
-        script = Script()
+        upstream = await FakeUpstream(answers(200)).start()
+        script = ScriptedPolicy()
         sends_first(script)
         async with node(script, upstream) as client:
             assert (await client.ask(request())).status == 200
@@ -934,12 +943,12 @@
     async def test() -> None:
         writers: list[asyncio.StreamWriter] = []
 
-        async def answer(got: Got, writer: asyncio.StreamWriter) -> None:
+        async def answer(got: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
             writers.append(writer)
             writer.write(written(200, b"mine"))
 
-        upstream = await Upstream(answer).start()
-        script = Script()
+        upstream = await FakeUpstream(answer).start()
+        script = ScriptedPolicy()
         sends_first(script)
         async with node(script, upstream) as client:
             assert (await client.ask(request())).status == 200
@@ -974,7 +983,7 @@
                 accepted.close()
                 return made
 
-            script = Script()
+            script = ScriptedPolicy()
             sends_first(script, fails_unserved)
             async with node(script, known_list=known(listener.getsockname()[1])) as client:
                 await client.send(b"")
@@ -990,11 +999,11 @@
     async def test() -> None:
         writers: list[asyncio.StreamWriter] = []
 
-        async def waits(got: Got, writer: asyncio.StreamWriter) -> None:
+        async def waits(got: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
             writers.append(writer)
 
-        upstream = await Upstream(waits).start()
-        script = Script()
+        upstream = await FakeUpstream(waits).start()
+        script = ScriptedPolicy()
         sends_first(script, fails_unserved, timeout_ns=100 * MS)
         async with node(script, upstream) as client:
             mine = socket.socket()
@@ -1022,8 +1031,8 @@
 
 def test_connections_to_upstreams_are_bounded() -> None:
     async def test() -> None:
-        upstream = await Upstream(silent).start()
-        script = Script()
+        upstream = await FakeUpstream(silent).start()
+        script = ScriptedPolicy()
         sends_first(script, fails_unserved)
         async with node(script, upstream, sockets=32 + 16) as client:  # so eight on either side
             others = [client.another() for _ in range(8)]
@@ -1043,12 +1052,12 @@
 
 def test_as_many_requests_at_once_as_before_need_no_new_connection() -> None:
     async def test() -> None:
-        async def waits(got: Got, writer: asyncio.StreamWriter) -> None:
+        async def waits(got: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
             waiting.append(writer)
 
         waiting: list[asyncio.StreamWriter] = []
-        upstream = await Upstream(waits).start()
-        script = Script()
+        upstream = await FakeUpstream(waits).start()
+        script = ScriptedPolicy()
         sends_first(script)
         async with node(script, upstream) as client:
             others = [client.another() for _ in range(6)]
@@ -1069,14 +1078,14 @@
     run(test())
 
 
-def heard(script: Script, probes: int) -> bool:
+def heard(script: ScriptedPolicy, probes: int) -> bool:
     return len(script.of(HealthCheckEnded)) == probes
 
 
 def test_an_idle_connection_makes_place_for_one_elsewhere() -> None:
     async def test() -> None:
-        first, second = await Upstream(answers(200)).start(), await Upstream(answers(200)).start()
-        script = Script()
+        first, second = await FakeUpstream(answers(200)).start(), await FakeUpstream(answers(200)).start()
+        script = ScriptedPolicy()
         async with node(script, first, second) as client:
             client.node._hub.capacity = 1
             for number, upstream in enumerate((first, second)):
@@ -1088,7 +1097,7 @@
     run(test())
 
 
-def sends_to(script: Script, number: int, event: Event) -> Iterable[Action]:
+def sends_to(script: ScriptedPolicy, number: int, event: Event) -> Iterable[Action]:
     return [Forward(event.request_id, script.ids()[number])] if isinstance(event, RequestArrived) else ()
 
 
@@ -1101,8 +1110,10 @@
             i = len(upstream.got) - 1
             await answers(statuses[i], bodies[i])(upstream.got[-1], writer)
 
-        upstream = await Upstream(stats).start()
-        script = Script(lambda e: [CheckHealth(script.ids()[0])] if isinstance(e, TimerExpired) else ())
+        upstream = await FakeUpstream(stats).start()
+        script = ScriptedPolicy(
+            lambda e: [CheckHealth(script.ids()[0])] if isinstance(e, TimerExpired) else ()
+        )
         async with node(script, upstream) as client:
             for i in range(4):
                 client.node.feed(TimerExpired("now"))
@@ -1124,7 +1135,7 @@
 
 def test_timers_come_back_by_name() -> None:
     async def test() -> None:
-        script = Script(lambda e: [SetTimer(2 * MS, "next")] if e == TimerExpired("first") else ())
+        script = ScriptedPolicy(lambda e: [SetTimer(2 * MS, "next")] if e == TimerExpired("first") else ())
         async with node(script) as client:
             client.node.feed(TimerExpired("first"))
             await until(lambda: TimerExpired("next") in script.events)
@@ -1142,9 +1153,9 @@
         for transport, _ in free:
             transport.close()
         await asyncio.sleep(0)
-        scripts, nodes = [Script(), Script()], []
+        scripts, nodes = [ScriptedPolicy(), ScriptedPolicy()], []
         for i, script in enumerate(scripts):
-            config = Config(
+            config = Configuration(
                 f"n{i}",
                 (HOST, 0),
                 (HOST, 1),
@@ -1155,7 +1166,7 @@
                 peers=addresses,
                 peers_all=addresses[1],
             )
-            nodes.append(Node(config, script))
+            nodes.append(Proxy(config, script))
             await nodes[-1].start()
         scripts[0].react = lambda e: (
             [
--- a/tests/proxy/test_unread_disconnect.py
+++ b/tests/proxy/test_unread_disconnect.py
@@ -28,9 +28,9 @@
     HOST,
     Answer,
     Client,
-    Got,
-    Script,
-    Upstream,
+    FakeUpstream,
+    ReceivedRequest,
+    ScriptedPolicy,
     Writer,
     answers,
     node,
@@ -67,11 +67,13 @@
     return mine
 
 
-def send_first(script: Script, event: Event) -> Iterable[Action]:
+def send_first(script: ScriptedPolicy, event: Event) -> Iterable[Action]:
     return [Forward(event.request_id, script.ids()[0])] if isinstance(event, RequestArrived) else ()
 
 
-async def nothing_but(upstream: Upstream, client: Client, script: Script, before: int = 0) -> None:
+async def nothing_but(
+    upstream: FakeUpstream, client: Client, script: ScriptedPolicy, before: int = 0
+) -> None:
     """A later request of another client is served, and no other has come to the upstream since."""
     script.react = lambda event: send_first(script, event)
     assert (await client.another().ask(request("/read/barrier"))).status == 200
@@ -83,8 +85,8 @@
 @pytest.mark.parametrize("same_turn", [False, True])
 def test_a_held_request_whose_client_left_is_not_sent(leave: Leave, same_turn: bool) -> None:
     async def test() -> None:
-        upstream = await Upstream(answers(200)).start()
-        script = Script()
+        upstream = await FakeUpstream(answers(200)).start()
+        script = ScriptedPolicy()
         async with node(script, upstream) as client:
             mine = await connected(client)
             mine.send(request("/read/left"))
@@ -105,8 +107,8 @@
 @LEAVES
 def test_a_held_request_whose_client_left_is_not_sent_on_a_kept_connection(leave: Leave) -> None:
     async def test() -> None:
-        upstream = await Upstream(answers(200)).start()
-        script = Script(lambda event: send_first(script, event))
+        upstream = await FakeUpstream(answers(200)).start()
+        script = ScriptedPolicy(lambda event: send_first(script, event))
         async with node(script, upstream) as client:
             assert (await client.ask(request("/read/first"))).status == 200
             script.react = lambda e: [Forward("2", script.ids()[0])] if isinstance(e, TimerExpired) else ()
@@ -128,8 +130,8 @@
     monkeypatch: pytest.MonkeyPatch, leave: Leave, same_turn: bool
 ) -> None:
     async def test() -> None:
-        upstream = await Upstream(answers(200)).start()
-        script = Script(lambda event: send_first(script, event))
+        upstream = await FakeUpstream(answers(200)).start()
+        script = ScriptedPolicy(lambda event: send_first(script, event))
         up = asyncio.Event()
         loop = asyncio.get_running_loop()
         original = loop.create_connection
@@ -167,11 +169,11 @@
     async def test() -> None:
         answer: list[Answer] = [answers(200), answers(503, b"", "Srv-Declined: 1")]
 
-        async def next_answer(got: Got, writer: Writer) -> None:
+        async def next_answer(got: ReceivedRequest, writer: Writer) -> None:
             await answer.pop()(got, writer)
 
-        upstream = await Upstream(next_answer).start()
-        script = Script()
+        upstream = await FakeUpstream(next_answer).start()
+        script = ScriptedPolicy()
         async with node(script, upstream) as client:
             mine = await connected(client)
 
@@ -197,7 +199,7 @@
     run(test())
 
 
-async def unread_answer(client: Client, size: int, upstream: Upstream) -> socket.socket:
+async def unread_answer(client: Client, size: int, upstream: FakeUpstream) -> socket.socket:
     """A client that was answered and has not read: a good part of the answer is still the node's to write."""
     upstream.answer = answers(200, b"x" * size)
     mine = socket.socket()
@@ -217,8 +219,8 @@
 def test_a_leave_is_told_also_while_an_earlier_answer_is_still_to_be_written() -> None:
     # The transport ends only when its last byte is out: the client's end must not wait for that.
     async def test() -> None:
-        upstream = await Upstream(answers(200)).start()
-        script = Script(lambda event: send_first(script, event))
+        upstream = await FakeUpstream(answers(200)).start()
+        script = ScriptedPolicy(lambda event: send_first(script, event))
         async with node(script, upstream) as client:
             mine = await unread_answer(client, 50_000, upstream)  # short of pausing what is read
             side = next(iter(client.node.server._connections))
@@ -236,8 +238,8 @@
 
 def test_a_request_whose_client_left_while_reading_was_paused_is_not_sent() -> None:
     async def test() -> None:
-        upstream = await Upstream(answers(200)).start()
-        script = Script(lambda event: send_first(script, event))
+        upstream = await FakeUpstream(answers(200)).start()
+        script = ScriptedPolicy(lambda event: send_first(script, event))
         async with node(script, upstream) as client:
             mine = await unread_answer(client, 900_000, upstream)
             side = next(iter(client.node.server._connections))
@@ -256,7 +258,7 @@
 @LEAVES
 def test_the_real_module_sends_no_held_request_whose_client_left(leave: Leave) -> None:
     async def test() -> None:
-        upstream = await Upstream(answers(200)).start()
+        upstream = await FakeUpstream(answers(200)).start()
         balancer = Balancer(settings(), 1, time.monotonic_ns())
         async with node(balancer, upstream) as client:
             throttle = balancer.throttles[""]
--- a/tests/scale_test/test_scale_test.py
+++ b/tests/scale_test/test_scale_test.py
@@ -18,7 +18,7 @@
 
 from scale_test import evenness, report
 from scale_test.discovery import Discovery
-from scale_test.plan import Plan, Refused
+from scale_test.plan import Plan, PlanError
 from scale_test.registry import Registry, mark
 from scale_test.run import Run
 from tests.support.sockets import PATIENCE_S, Json, run, until
@@ -104,7 +104,7 @@
 
 def test_a_plan_may_take_half_of_the_memory_and_200_processes() -> None:
     Plan(real=194, hollow=4, upstreams=50).check()
-    with pytest.raises(Refused, match="201 processes"):
+    with pytest.raises(PlanError, match="201 processes"):
         Plan(real=195, hollow=4, upstreams=50).check()
 
 
@@ -325,10 +325,10 @@
         one = Run(PLAN, tmp_path)
         sleeper = await one.helper("load", "sleeper")
         monkeypatch.setattr("scale_test.run.memory_limit", lambda: 1)
-        with pytest.raises(Refused, match="MB of memory used"):
+        with pytest.raises(PlanError, match="MB of memory used"):
             await one.look()
         await sleeper.kill()
-        with pytest.raises(Refused, match="sleeper has ended"):
+        with pytest.raises(PlanError, match="sleeper has ended"):
             await one.look()
 
     run(test())
--- a/tests/support/policy_harness.py
+++ b/tests/support/policy_harness.py
@@ -106,7 +106,7 @@
     return RequestArrived(f"r{number}", cls.name, tenant, now + wait_ns, is_retry=retry)
 
 
-class Desk:
+class PolicyHarness:
     """Drives one balancer, keeps its timers, and checks rules 1 to 3 and the grammar of its actions."""
 
     def __init__(self, config: Settings | None = None, seed: int = 7, servers: int = 6) -> None:
--- a/tests/support/sockets.py
+++ b/tests/support/sockets.py
@@ -11,10 +11,10 @@
 from dataclasses import dataclass, field
 from typing import Any, TypeVar
 
-from loadbalancer.configuration import Config
+from loadbalancer.configuration import Configuration
 from loadbalancer.messages import Action, EndpointUpdate, EndpointUpdateKind, Event
-from loadbalancer.proxy.endpoint_list import Listing, Reader, unix_offset_ns
-from loadbalancer.proxy.proxy import Module, Node
+from loadbalancer.proxy.endpoint_list import EndpointList, EndpointListReader, unix_offset_ns
+from loadbalancer.proxy.proxy import Policy, Proxy
 from loadbalancer.settings import Idempotency, Limits, RequestClass, Rules, Settings
 
 HOST = "127.0.0.1"
@@ -24,7 +24,7 @@
 
 Json = dict[str, Any]
 Writer = asyncio.StreamWriter
-Answer = Callable[["Got", Writer], Awaitable[None]]
+Answer = Callable[["ReceivedRequest", Writer], Awaitable[None]]
 
 EventType = TypeVar("EventType")
 
@@ -42,7 +42,7 @@
 
 
 @dataclass
-class Got:
+class ReceivedRequest:
     """A message as it came, read by hand and not by the code under test."""
 
     first: str
@@ -54,10 +54,10 @@
         return int(self.first.split()[1])
 
 
-async def read(reader: asyncio.StreamReader) -> Got:
+async def read(reader: asyncio.StreamReader) -> ReceivedRequest:
     head = (await reader.readuntil(b"\r\n\r\n")).decode().split("\r\n")
     headers = {k.lower(): v for k, v in (line.split(": ", 1) for line in head[1:] if line)}
-    return Got(head[0], headers, await reader.readexactly(int(headers.get("content-length", 0))))
+    return ReceivedRequest(head[0], headers, await reader.readexactly(int(headers.get("content-length", 0))))
 
 
 def written(status: int, body: bytes = b"", *headers: str) -> bytes:
@@ -65,19 +65,19 @@
     return "\r\n".join(lines).encode() + body
 
 
-async def silent(got: Got, writer: Writer) -> None:
+async def silent(got: ReceivedRequest, writer: Writer) -> None:
     """Answers nothing."""
 
 
 def answers(status: int, body: bytes = b"", *headers: str) -> Answer:
-    async def answer(got: Got, writer: Writer) -> None:
+    async def answer(got: ReceivedRequest, writer: Writer) -> None:
         writer.write(written(status, body, *headers))
 
     return answer
 
 
 def sends_raw(data: bytes, close: bool = False) -> Answer:
-    async def answer(got: Got, writer: Writer) -> None:
+    async def answer(got: ReceivedRequest, writer: Writer) -> None:
         writer.write(data)
         if close:
             writer.close()
@@ -85,21 +85,21 @@
     return answer
 
 
-async def breaks(got: Got, writer: Writer) -> None:
+async def breaks(got: ReceivedRequest, writer: Writer) -> None:
     writer.transport.abort()
 
 
-class Upstream:
+class FakeUpstream:
     """A server that notes what comes and answers as told."""
 
     def __init__(self, answer: Answer) -> None:
         self.answer = answer
-        self.got: list[Got] = []
+        self.got: list[ReceivedRequest] = []
         self.opened = self.closed = 0
         self.port = 0
         self._server: asyncio.Server | None = None
 
-    async def start(self) -> Upstream:
+    async def start(self) -> FakeUpstream:
         self._server = await asyncio.start_server(self._serve, HOST, 0)
         self.port = self._server.sockets[0].getsockname()[1]
         return self
@@ -121,7 +121,7 @@
             self._server.close()
 
 
-class Registry:
+class FakeDiscovery:
     """A discovery: its list, changed by `change`, and each call as it came."""
 
     def __init__(self) -> None:
@@ -131,7 +131,7 @@
         self.broken = b""  # what it answers instead, while it is broken
         self._changed = asyncio.Event()
         self._news: list[str] = []
-        self.upstream = Upstream(self._answer)
+        self.upstream = FakeUpstream(self._answer)
 
     def change(self, host: str, **row: object) -> None:
         self.rows[host] = {**entry(host), **self.rows.get(host, {}), **row}
@@ -139,7 +139,7 @@
         self._news.append(host)
         self._changed.set()
 
-    async def _answer(self, got: Got, writer: Writer) -> None:
+    async def _answer(self, got: ReceivedRequest, writer: Writer) -> None:
         self.calls.append((time.monotonic(), got.first.split()[1]))
         if self.broken:
             writer.write(self.broken)
@@ -169,9 +169,9 @@
     }
 
 
-def listing(raw: object) -> Listing:
+def listing(raw: object) -> EndpointList:
     """A list as a balancer is told it at its start."""
-    return Reader(unix_offset_ns()).read(json.dumps(raw).encode())
+    return EndpointListReader(unix_offset_ns()).read(json.dumps(raw).encode())
 
 
 def known(*ports: int) -> Json:
@@ -179,7 +179,7 @@
 
 
 @dataclass
-class Script:
+class ScriptedPolicy:
     """Stands in for the module: notes the events, and does what the test says."""
 
     react: Callable[[Event], Iterable[Action]] = lambda event: ()
@@ -209,7 +209,7 @@
 class Watched:
     """A module, and what it was told and said, batch by batch."""
 
-    module: Module
+    module: Policy
     batches: list[tuple[list[Event], list[Action]]] = field(default_factory=list)
 
     def handle(self, now: int, events: Iterable[Event]) -> list[Action]:
@@ -251,18 +251,18 @@
 
 @asynccontextmanager
 async def node(
-    module: Module,
-    *upstreams: Upstream,
-    registry: Registry | None = None,
+    module: Policy,
+    *upstreams: FakeUpstream,
+    registry: FakeDiscovery | None = None,
     sockets: int = 1024,
     known_list: object = None,
     rest_s: float = 0.0,
     **limits: Any,
 ) -> AsyncIterator[Client]:
     """A node that knows these upstreams, and a client of it."""
-    registry = registry or Registry()
+    registry = registry or FakeDiscovery()
     await registry.upstream.start()
-    config = Config(
+    config = Configuration(
         "n",
         (HOST, 0),
         (HOST, registry.upstream.port),
@@ -271,7 +271,7 @@
         settings(**limits),
         listing(known_list or known(*(u.port for u in upstreams))),
     )
-    balancer = Node(config, module)
+    balancer = Proxy(config, module)
     port = await balancer.start(rest_s)
     client = Client(balancer, port)
     try:
@@ -286,7 +286,7 @@
 class Client:
     """One connection to the node, and requests on it."""
 
-    def __init__(self, balancer: Node, port: int) -> None:
+    def __init__(self, balancer: Proxy, port: int) -> None:
         self.node = balancer
         self.port = port
         self.reader: asyncio.StreamReader | None = None
@@ -297,11 +297,11 @@
             self.reader, self.writer = await asyncio.open_connection(HOST, self.port)
         self.writer.write(data)
 
-    async def read(self) -> Got:
+    async def read(self) -> ReceivedRequest:
         assert self.reader is not None
         return await asyncio.wait_for(read(self.reader), PATIENCE_S)
 
-    async def ask(self, data: bytes) -> Got:
+    async def ask(self, data: bytes) -> ReceivedRequest:
         await self.send(data)
         return await self.read()
 
