--- a/tests/package/test_policy_limits.py
+++ b/tests/package/test_policy_limits.py
@@ -25,7 +25,8 @@
 
 def test_reads_no_clock_and_no_unseeded_chance() -> None:
     text = "\n".join(LINES)
-    assert "import time" not in text and "from time" not in text
+    assert "import time" not in text
+    assert "from time" not in text
     assert not [
         line
         for line in LINES
--- a/tests/policy/test_rules.py
+++ b/tests/policy/test_rules.py
@@ -56,7 +56,8 @@
 def test_served_request_needs_nothing_more() -> None:
     desk = PolicyHarness()
     assert len(of(Forward, desk.give(arrival(1, desk.now)))) == 1
-    assert not of(Fail, desk.finish("r1")) and desk.answer["r1"] == "served"
+    assert not of(Fail, desk.finish("r1"))
+    assert desk.answer["r1"] == "served"
 
 
 @pytest.mark.parametrize("cls", [READ, PAY, CELL, ANY])
@@ -77,14 +78,16 @@
     )
     desk.give(arrival(1, desk.now, PAY))
     desk.advance(600 * MS)
-    assert desk.answer["r1"] == "refused" and "r1" not in desk.sends
+    assert desk.answer["r1"] == "refused"
+    assert "r1" not in desk.sends
 
 
 def test_timeout_at_the_deadline_of_an_unsafe_request_is_failed() -> None:
     desk = PolicyHarness()
     desk.give(arrival(1, desk.now, PAY))
     desk.advance(600 * MS)
-    assert desk.answer["r1"] == "failed" and len(desk.sends["r1"]) == 1
+    assert desk.answer["r1"] == "failed"
+    assert len(desk.sends["r1"]) == 1
 
 
 @pytest.mark.parametrize("result", [AttemptResult.REJECTED, AttemptResult.CONNECT_FAILED])
@@ -124,7 +127,8 @@
     west = [u for u in mixed_fleet(12) if u.zone == "west"]
     desk.give(EndpointUpdate(EndpointUpdateKind.CACHED, west))
     desk.give(arrival("near", desk.now, NEAR), arrival("read", desk.now, READ))
-    assert "rread" in desk.sends and "rnear" not in desk.sends
+    assert "rread" in desk.sends
+    assert "rnear" not in desk.sends
     desk.advance(600 * MS)
     assert desk.answer["rnear"] == "refused"
 
@@ -141,7 +145,8 @@
     desk.give(arrival(1, desk.now, cls))
     desk.now += MS
     desk.finish("r1", AttemptResult.REJECTED)
-    assert desk.answer.get("r1") == answer and len(desk.sends["r1"]) == (1 if answer else 2)
+    assert desk.answer.get("r1") == answer
+    assert len(desk.sends["r1"]) == (1 if answer else 2)
 
 
 def test_attempts_are_capped() -> None:
@@ -152,7 +157,8 @@
         if "r1" not in desk.answer:
             desk.finish("r1", AttemptResult.REJECTED)
     desk.advance(600 * MS)
-    assert desk.answer["r1"] == "refused" and len(desk.sends["r1"]) <= 3
+    assert desk.answer["r1"] == "refused"
+    assert len(desk.sends["r1"]) <= 3
 
 
 def test_an_exhausted_request_in_a_stalled_queue_is_answered() -> None:
@@ -238,7 +244,8 @@
     # With many proxies own counts say little: the upstreams' own word decides.
     desk = probing()
     asked = [a.endpoint_id for a in desk.give(arrival(1, desk.now)) if isinstance(a, CheckHealth)]
-    assert asked and "r1" not in desk.sends
+    assert asked
+    assert "r1" not in desk.sends
     desk.now += MS
     desk.give(
         *(HealthCheckEnded(u, AttemptResult.OK, MS, {"inflight": float(i)}) for i, u in enumerate(asked))
@@ -286,7 +293,8 @@
     for config in (dear, settings(limits=limits, load_report_columns=("util",))):
         desk = PolicyHarness(config)
         desk.give(arrival(1, desk.now))
-        assert "r1" in desk.sends and not of(CheckHealth, desk.log)
+        assert "r1" in desk.sends
+        assert not of(CheckHealth, desk.log)
 
 
 def test_what_stands_still_together_is_one_strike() -> None:
@@ -373,7 +381,8 @@
         for request, number in desk.out():
             if desk.now - desk.sends[request][number][1] >= 50 * MS:
                 desk.finish(request, number=number)
-    assert len(desk.balancer.fleet.any.queue) < 20 and "refused" in desk.answer.values()
+    assert len(desk.balancer.fleet.any.queue) < 20
+    assert "refused" in desk.answer.values()
 
 
 def test_the_first_answers_count_more() -> None:
@@ -394,7 +403,8 @@
         for request, number in desk.out():
             if desk.now - desk.sends[request][number][1] >= 50 * MS:
                 desk.finish(request, number=number)
-    assert desk.balancer.throttles["ash"].over and not desk.balancer.throttles["birch"].over
+    assert desk.balancer.throttles["ash"].over
+    assert not desk.balancer.throttles["birch"].over
 
 
 def test_client_gone_ends_the_request() -> None:
@@ -431,7 +441,8 @@
             assert desk.now - last < 20 * SECOND
         gaps.append(desk.now - last)
         last = desk.now
-    assert gaps[0] < gaps[2] and max(gaps) <= desk.config.rules.poll_interval_ns
+    assert gaps[0] < gaps[2]
+    assert max(gaps) <= desk.config.rules.poll_interval_ns
 
 
 @pytest.mark.parametrize(("gone_ms", "again"), [(140, True), (160, False)])
@@ -563,7 +574,8 @@
         subsets = [near_subset(zone, me, 60, dear) for me in range(60)]
         assert all(len(h) == 2 and {u.zone for u in h} == {zone} for h in subsets)
         used = [u.id for h in subsets for u in h]
-        assert len(set(used)) == 12 and max(used.count(u) for u in used) <= 16  # of the 60
+        assert len(set(used)) == 12
+        assert max(used.count(u) for u in used) <= 16
     assert len(near_subset("east", 1, 60, Prices(cross_zone=0.01))) == 4
 
 
@@ -578,7 +590,8 @@
 
 def test_own_zone_empty_of_upstreams_uses_the_others() -> None:
     subsets = near_subset("south", 3, 40, Prices(connection=0.03, cross_zone=0.01))
-    assert subsets and subsets[0].zone in ("east", "west")
+    assert subsets
+    assert subsets[0].zone in ("east", "west")
 
 
 def test_a_blocked_queue_reaches_one_beyond_the_subset() -> None:
@@ -623,7 +636,8 @@
     for i in range(200):
         held = 1.0 + i % 4
         crowding.crowd(Attempt(server, 0, 1.0, held), 300 * MS + 50 * MS * held)
-    assert crowding.each < 120 * MS and crowding.base > 150 * MS
+    assert crowding.each < 120 * MS
+    assert crowding.base > 150 * MS
 
 
 def test_a_crowded_small_subset_lowers_the_rate() -> None:
@@ -663,9 +677,11 @@
             arrival(1, desk.now),
         ],
     )
-    assert balancer.fleet.servers[sent].inflight == 1 and len(balancer.requests) == 1
+    assert balancer.fleet.servers[sent].inflight == 1
+    assert len(balancer.requests) == 1
     desk.give(good)
-    assert balancer.fleet.servers[sent].inflight == 0 and not balancer.requests
+    assert balancer.fleet.servers[sent].inflight == 0
+    assert not balancer.requests
 
 
 def test_upstreams_long_gone_are_forgotten() -> None:
@@ -675,7 +691,8 @@
         desk.give(arrival(i, desk.now))
         desk.finish(f"r{i}")
         desk.advance(SECOND)
-    assert len(desk.balancer.fleet.servers) <= 6 and len(desk.balancer.due) < 20
+    assert len(desk.balancer.fleet.servers) <= 6
+    assert len(desk.balancer.due) < 20
 
 
 def overdue_at_one(later_ones_answered: bool) -> PolicyHarness:
@@ -707,7 +724,8 @@
     desk = overdue_at_one(True)
     desk.give(EndpointUpdate(EndpointUpdateKind.FULL, upstreams(2, first=2)))
     desk.finish("rlost", AttemptResult.CONNECT_FAILED)
-    assert desk.answer["rlost"] == "refused" and set(desk.balancer.fleet.servers) == {1, 2, 3}
+    assert desk.answer["rlost"] == "refused"
+    assert set(desk.balancer.fleet.servers) == {1, 2, 3}
     desk.give(EndpointUpdate(EndpointUpdateKind.FULL, upstreams(1, first=2)))
     assert set(desk.balancer.fleet.servers) == {2}
 
@@ -729,7 +747,8 @@
     for _ in range(20):
         looked = 0
         drawn = fleet.draw(fleet.any, DRAWS, desk.now + SECOND)
-        assert len(drawn) >= DRAWS and all(fits(fleet, s, desk.now + SECOND) for s in drawn)
+        assert len(drawn) >= DRAWS
+        assert all(fits(fleet, s, desk.now + SECOND) for s in drawn)
         assert looked <= DRAWS + 1  # with the previous winner
     for server in fleet.any.order[1:]:
         server.not_before_ns = desk.now + 2 * SECOND
--- a/tests/policy/test_slow_start.py
+++ b/tests/policy/test_slow_start.py
@@ -185,7 +185,8 @@
     # Guards against shares that are each small and together push it over, whatever brings them about.
     worst, fleet = CASES[name].play(count, seed=2)
     assert worst <= 1
-    assert worst > 0 and fleet.served > 0
+    assert worst > 0
+    assert fleet.served > 0
 
 
 LONG = Case(upstreams=3000, load=0.05, rate=20.0, before=0.2, after=0.5, spoils=1.0)
@@ -197,7 +198,8 @@
 def test_a_cold_upstream_of_a_long_list_gets_no_more_than_its_budget(count: int, case: Case) -> None:
     worst, fleet = case.play(count, seed=2)
     assert worst <= 1
-    assert worst > 0 and fleet.served > 0
+    assert worst > 0
+    assert fleet.served > 0
 
 
 def sweep(seeds: int) -> None:
--- a/tests/policy/test_subsetting.py
+++ b/tests/policy/test_subsetting.py
@@ -154,10 +154,12 @@
 @pytest.mark.parametrize(("proxies", "zonal"), [(1650, False), (1650, True), (MANY, False), (MANY, True)])
 def test_subsets_of_many_proxies_are_even_and_leave_no_upstream_out(proxies: int, zonal: bool) -> None:
     found = subsets(table(site(proxies, zonal), fleet(30_000)), proxies, zonal)
-    assert min(map(len, found)) >= WIDE and max(map(len, found)) <= min(map(len, found)) + 1
+    assert min(map(len, found)) >= WIDE
+    assert max(map(len, found)) <= min(map(len, found)) + 1
     shares = Counter(key for subset in found for key in subset)
     mean = sum(shares.values()) / 30_000
-    assert len(shares) == 30_000 and max(shares.values()) <= mean + 3
+    assert len(shares) == 30_000
+    assert max(shares.values()) <= mean + 3
 
 
 @pytest.mark.parametrize("zonal", [False, True])
@@ -169,7 +171,8 @@
     made.drop(upstreams[77].id)
     made.settle()
     moved = [len(a - b) for a, b in zip(before, subsets(made, proxies, zonal), strict=True)]
-    assert max(moved) <= 1 and sum(moved) <= 0.002 * members
+    assert max(moved) <= 1
+    assert sum(moved) <= 0.002 * members
     made.put(upstreams[77])
     made.settle()
     assert subsets(made, proxies, zonal) == before
@@ -232,8 +235,10 @@
 ) -> None:
     small, _ = touched(monkeypatch, 1000)
     large, balancer = touched(monkeypatch, 30_000)
-    assert large["mixed"] <= 1.2 * small["mixed"] and large["mixed"] <= 40 * 8
-    assert large["stretch"] <= 40 * 3 * (WIDE + RESERVE) and large["known in full"] <= WIDE + RESERVE + 1
+    assert large["mixed"] <= 1.2 * small["mixed"]
+    assert large["mixed"] <= 40 * 8
+    assert large["stretch"] <= 40 * 3 * (WIDE + RESERVE)
+    assert large["known in full"] <= WIDE + RESERVE + 1
     assert len(balancer.fleet.membership.profiles) == 30_000
     # Upstreams that are alike share one row: what each costs beside it is its place in tables and rings.
     assert len({id(profile) for profile in balancer.fleet.membership.profiles.values()}) < 1000
@@ -265,12 +270,14 @@
     made = table(site(1650, zonal), upstreams)
     rack = {u.id for u in upstreams if (u.zone, u.cell) == ("z0", 3)}
     zone = {u.id for u in upstreams if u.zone == "z0"}
-    assert len(rack) == 100 and len(zone) == 3750
+    assert len(rack) == 100
+    assert len(zone) == 3750
     for me in range(0, 1650, 8):  # those of the zone
         made.settings = site(1650, zonal, me)
         subset = choose_subset(made, made.placements[0])
         own, known = ready_left(subset, rack)
-        assert own >= 0.8 * len(subset.own) and known >= 0.9 * (WIDE + RESERVE) * 0.8
+        assert own >= 0.8 * len(subset.own)
+        assert known >= 0.9 * (WIDE + RESERVE) * 0.8
         if zonal:  # it keeps to its zone while there is one, and knows others beside it
             assert {made.entry(unmixed(k)).zone for k in subset.own} == {"z0"}
             assert ready_left(subset, zone)[1] >= RESERVE // 4
@@ -312,6 +319,8 @@
     others = [u for u in fleet(2000, seed=9) if u.id != asked.id]
     desk.give(EndpointUpdate(EndpointUpdateKind.FULL, [*others, asked.entry._replace(zone="z7")]))
     if asked.id not in fleet_of.used:
-        assert not fleet_of.fit(asked, desk.now) and asked.id not in fleet_of.servers
+        assert not fleet_of.fit(asked, desk.now)
+        assert asked.id not in fleet_of.servers
     desk.give(EndpointUpdate(EndpointUpdateKind.FULL, others))
-    assert not fleet_of.fit(asked, desk.now) and asked.id not in fleet_of.servers
+    assert not fleet_of.fit(asked, desk.now)
+    assert asked.id not in fleet_of.servers
--- a/tests/policy/test_throttle.py
+++ b/tests/policy/test_throttle.py
@@ -105,9 +105,11 @@
 def test_a_held_request_that_ends_gives_its_token_back() -> None:
     t = throttle(0, 2, 2)
     first, second = request(1, t), request(2, t)
-    assert t.offer(first, 0) is None and t.offer(second, 0) is None
+    assert t.offer(first, 0) is None
+    assert t.offer(second, 0) is None
     t.leave(first)
-    assert list(t.released(SECOND)) == [second] and t.u == 2
+    assert list(t.released(SECOND)) == [second]
+    assert t.u == 2
 
 
 def test_change_of_rate_keeps_tokens_and_held() -> None:
@@ -115,7 +117,8 @@
     r = request(1, t)
     assert t.offer(r, 0) is None
     t.set_rate(100.0, 0)
-    assert t.hold - t.u == 1 and list(t.held) == [r]
+    assert t.hold - t.u == 1
+    assert list(t.held) == [r]
     assert list(t.released(20 * MS)) == [r]
 
 
@@ -228,7 +231,8 @@
 
 
 def test_failures_at_upstreams_that_hold_little_do_not_cut_the_rate() -> None:
-    assert cut_with(2.0) and not cut_with(0.5)
+    assert cut_with(2.0)
+    assert not cut_with(0.5)
     assert cut_with(0.5, reported=False)  # unknown: it may be crowding
 
 
@@ -301,7 +305,8 @@
     throttles = desk.balancer.throttles
     assert set(throttles) == {"t0"}
     again, rate = throttles["t1"], desk.balancer.rate
-    assert again.u == again.bank + again.hold and again.rate == rate.of_silent(again.weight)
+    assert again.u == again.bank + again.hold
+    assert again.rate == rate.of_silent(again.weight)
     assert throttles["nobody"] is throttles["t0"]  # who is not known passes for the first
 
 
--- a/tests/process/test_process.py
+++ b/tests/process/test_process.py
@@ -133,7 +133,8 @@
             late = await ask(port, request("/read/late"))
             assert (late.status, late.headers["connection"]) == (200, "close")
             assert await asyncio.wait_for(idle_reader.read(), PATIENCE_S) == b""
-            assert not slow.done() and process.returncode is None
+            assert not slow.done()
+            assert process.returncode is None
             release.set()
             assert (await slow).body == b"done"
             assert await asyncio.wait_for(process.wait(), PATIENCE_S) == 0
@@ -177,7 +178,8 @@
         async with program(tmp_path, path=path) as (process, port):
             assert (await ask(port, READY)).status == 200
             assert [(await ask(port, request())).status for _ in range(3)] == [200] * 3
-            assert len(upstream.got) == 3 and process.returncode is None
+            assert len(upstream.got) == 3
+            assert process.returncode is None
         upstream.stop()
 
     run(test())
@@ -222,7 +224,8 @@
             for _, writer in idle:
                 writer.close()
             answered = [(await ask(port, request())).status for _ in range(3)]
-            assert answered == [200] * 3 and process.returncode is None
+            assert answered == [200] * 3
+            assert process.returncode is None
         upstream.stop()
 
     run(test())
@@ -264,7 +267,8 @@
             before = len(upstreams[0].got)
             answered |= {(await ask(port, request())).status for _ in range(40)}
             assert len(upstreams[0].got) == before
-            assert answered == {200} and process.returncode is None
+            assert answered == {200}
+            assert process.returncode is None
             for _, writer in idle:
                 writer.close()
         for server in (*upstreams, registry.upstream):
@@ -297,7 +301,9 @@
         timeout=60,
         env={**os.environ, "RELAY_CONFIG": str(path)},
     )
-    assert done.returncode == 2 and says in done.stderr and done.stderr.count("\n") == 1
+    assert done.returncode == 2
+    assert says in done.stderr
+    assert done.stderr.count("\n") == 1
 
 
 def test_no_configuration_is_told() -> None:
@@ -310,4 +316,5 @@
         timeout=60,
         env=env,
     )
-    assert done.returncode == 2 and done.stderr == "loadbalancer: RELAY_CONFIG is not set\n"
+    assert done.returncode == 2
+    assert done.stderr == "loadbalancer: RELAY_CONFIG is not set\n"
--- a/tests/proxy/test_client_disconnect.py
+++ b/tests/proxy/test_client_disconnect.py
@@ -163,7 +163,8 @@
             assert (await first.read()).status == 200  # now it would have
             await served(client)
             assert sent(upstream) == ["/read/first", "/read/barrier"]
-            assert not module.happens and not balancer.requests
+            assert not module.happens
+            assert not balancer.requests
             first.close()
             mine.close()
 
@@ -192,12 +193,14 @@
             mine = await connected(client)
             mine.send(request("/read/left"))
             await until(lambda: upstream.got)  # a look, and the request waits for what it says
-            assert balancer.fleet.any.queue and not sent(upstream)
+            assert balancer.fleet.any.queue
+            assert not sent(upstream)
             await module.goes(leave, mine, client)
             free.set()
             await served(client)
             assert sent(upstream) == ["/read/barrier"]
-            assert not module.happens and not balancer.requests
+            assert not module.happens
+            assert not balancer.requests
             mine.close()
 
     run(test())
@@ -278,7 +281,8 @@
             )
             await served(client)
             assert sent(other) == ["/read/first", "/read/barrier"]
-            assert len(upstream.got) == (end != "refused") and not module.happens
+            assert len(upstream.got) == (end != "refused")
+            assert not module.happens
             mine.close()
 
     run(test())
@@ -370,7 +374,8 @@
             mine.send(request("/read/left"))
             await until(lambda: script.of(ClientDisconnected))
             await nothing_but(upstream, client, script, before=int(kept))
-            assert upstream.opened == 1 and not upstream.closed  # that of the last request, the same if kept
+            assert upstream.opened == 1
+            assert not upstream.closed
             mine.close()
 
     run(test())
@@ -385,7 +390,8 @@
         async with node(script, upstream) as client:
             mine = await unread_answer(client, 900_000, upstream)
             side = next(iter(client.node.server._connections))
-            assert side._transport is not None and not side._transport.is_reading()
+            assert side._transport is not None
+            assert not side._transport.is_reading()
             mine.send(request("/read/left"))
             leave(mine)
             assert side.left  # the kernel knows, the loop does not
@@ -420,7 +426,8 @@
             assert results == {AttemptResult.CANCELLED, AttemptResult.NOT_SENT}
             upstream.answer = answers(200)
             await nothing_but(upstream, client, script, before=1)
-            assert sent(upstream) == ["/read/left", "/read/barrier"] and not other.got
+            assert sent(upstream) == ["/read/left", "/read/barrier"]
+            assert not other.got
             await until(lambda: upstream.closed)  # the attempt that was out has been given up
             mine.close()
 
@@ -486,4 +493,5 @@
     for number in (first, 1 - first):
         desk.finish("rslow", AttemptResult.CONNECT_FAILED, number)
     desk.advance(600 * MS)
-    assert len(desk.sends["rslow"]) == 2 and "rslow" not in desk.balancer.requests
+    assert len(desk.sends["rslow"]) == 2
+    assert "rslow" not in desk.balancer.requests
--- a/tests/proxy/test_discovery_client.py
+++ b/tests/proxy/test_discovery_client.py
@@ -92,7 +92,8 @@
     assert list(read(changed(4, entry("b", health="removed", dial="")), reader).numbers) == [8]
     assert read(changed(5, entry("c", health="odd"), entry("a", dial="h")), reader).unread == [9, 7]
     unknown = read(changed(6, entry("x", health="removed", dial=""), entry("y", health="odd")), reader)
-    assert not list(unknown.numbers) and not unknown.unread  # whose number they would name is another's
+    assert not list(unknown.numbers)
+    assert not unknown.unread
 
 
 @pytest.mark.usefixtures("colliding")
@@ -198,9 +199,11 @@
     assert [numbers.assign(last, fingerprint) for fingerprint in (1, 2, 3)] == [last, 0, 1]
     numbers.sweep({last, 1})
     assert [numbers.find(last, fingerprint) for fingerprint in (1, 2, 3)] == [last, None, 1]
-    assert numbers.assign(last, 4) == 0 and numbers.find(last, 4) == 0
+    assert numbers.assign(last, 4) == 0
+    assert numbers.find(last, 4) == 0
     numbers.sweep({0})
-    assert numbers.assign(last, 3) == last and len(numbers) == 2
+    assert numbers.assign(last, 3) == last
+    assert len(numbers) == 2
 
 
 def test_hosts_whose_numbers_would_collide_in_32_bits_get_different_ones() -> None:
@@ -224,7 +227,8 @@
     )
     by_port = {e.address[1]: e.upstream for e in listing.entries}
     assert by_port[80]._replace(id=1) == Endpoint(1, EndpointStatus.DRAINING, "west", 3, 0.5, 1_999_995, "m")
-    assert by_port[81].started_ns == 0 and (listing.version, listing.whole) == (7, True)
+    assert by_port[81].started_ns == 0
+    assert (listing.version, listing.whole) == (7, True)
 
 
 @pytest.mark.parametrize(
@@ -268,11 +272,14 @@
 
     run(test())
     again = read({"seq": 2, "whole": True, "hosts": [entry("s0", health="odd"), entry("s1", 2)]})
-    assert again.unread == [number_of("s0")] and list(again.numbers) == [number_of("s1")]
+    assert again.unread == [number_of("s0")]
+    assert list(again.numbers) == [number_of("s1")]
     gone = read({"seq": 3, "whole": False, "hosts": [entry("s0", health="removed", dial="")]})
     assert [e.upstream.status for e in gone.entries] == [EndpointStatus.REMOVED]
     empty = read({"seq": 4, "whole": True, "hosts": []})
-    assert not list(empty.entries) and not empty.unread and empty.whole
+    assert not list(empty.entries)
+    assert not empty.unread
+    assert empty.whole
 
 
 def test_no_upstream_starts_in_the_future() -> None:
@@ -297,7 +304,9 @@
             balancer._listed(read({"seq": 2, "whole": False, "hosts": [entry("s0", health="removed")]}))
             assert set(balancer._held) == {number_of("s1")}
             balancer._listed(read({"seq": 3, "whole": True, "hosts": []}))
-            assert not balancer._held and not balancer._hub.pools and not balancer._long
+            assert not balancer._held
+            assert not balancer._hub.pools
+            assert not balancer._long
 
     run(test())
 
@@ -319,7 +328,8 @@
             registry.change("s9", dial="127.0.0.1:9")
             await until(lambda: len(script.of(EndpointUpdate)) == 2 and len(registry.calls) == 2)
             update = script.of(EndpointUpdate)[1]
-            assert update.kind is EndpointUpdateKind.DELTA and [u.zone for u in update.endpoints] == ["east"]
+            assert update.kind is EndpointUpdateKind.DELTA
+            assert [u.zone for u in update.endpoints] == ["east"]
             assert asking == [True]
             assert registry.calls[1][1].startswith("/registry/instances?after=2&")
             assert len(client.node._held) == 2 == len(client.node.upstreams())
@@ -399,7 +409,8 @@
         async with node(script, registry=registry, known_list=known(5)) as client:
             await until(lambda: len(registry.calls) >= 3)
             assert registry.calls[2][0] - registry.calls[0][0] > 0.1  # it backs off
-            assert len(script.of(EndpointUpdate)) == 1 and len(client.node._held) == 1
+            assert len(script.of(EndpointUpdate)) == 1
+            assert len(client.node._held) == 1
             registry.broken = b""
             registry.change("s9", dial="127.0.0.1:9")
             await until(lambda: len(client.node.upstreams()) == 2)
@@ -435,7 +446,8 @@
             client.node.feed(TimerExpired("fetch"))
             await until(lambda: len(script.of(EndpointUpdate)) == 2)
             assert script.of(EndpointUpdate)[1].kind is EndpointUpdateKind.FULL
-            assert not client.node._held and not client.node._hub.pools
+            assert not client.node._held
+            assert not client.node._hub.pools
             assert registry.calls[2][1] == "/registry/instances"
 
     run(test())
@@ -468,7 +480,8 @@
             await until(lambda: len(new.calls) == 2)
             assert new.calls[0][1] == "/registry/instances"
             assert new.calls[1][1].startswith("/registry/instances?after=3&")
-            assert len(hosts(script)) == 2 and len(client.node.upstreams()) == 2
+            assert len(hosts(script)) == 2
+            assert len(client.node.upstreams()) == 2
             assert left.pool.hub.open == 0
             new.change("s7")
             await until(lambda: len(client.node.upstreams()) == 3)
@@ -526,7 +539,8 @@
             for address in addresses[:2]:
                 client.node.move_discovery(address)
             await until(lambda: len(new[1].calls) == 2)
-            assert not new[0].calls and client.node._discovery._successor is None
+            assert not new[0].calls
+            assert client.node._discovery._successor is None
             assert hosts(script) == [number_of("s8")]
         for registry in new:
             registry.upstream.stop()
@@ -606,11 +620,13 @@
             await until(lambda: discovery._call is None)  # refused
             client.node.feed(TimerExpired("watch"))
             client.node.feed(TimerExpired("fetch"))
-            assert discovery._call is None and discovery._fetch is None
+            assert discovery._call is None
+            assert discovery._fetch is None
             assert failures(script) == 1
             release.set()
             await until(lambda: len(new.calls) == 2)
-            assert hosts(script) == [number_of("s9")] and "after=3" in new.calls[1][1]
+            assert hosts(script) == [number_of("s9")]
+            assert "after=3" in new.calls[1][1]
             assert failures(script) == 1
         new.upstream.stop()
 
@@ -631,7 +647,8 @@
                 await until(lambda: failures(script) == told)
                 ended = len(new.calls)
                 await until(lambda: len(new.calls) >= ended + 2)
-                assert failures(script) == told and discovery._call is None
+                assert failures(script) == told
+                assert discovery._call is None
 
             await is_told_once(2)
             await is_told_once(3)
--- a/tests/proxy/test_discovery_outage.py
+++ b/tests/proxy/test_discovery_outage.py
@@ -86,7 +86,8 @@
     for seed in range(30):
         times = calls(seed, itertools.chain([(9.0, FAILED)], itertools.cycle(fails)), 120)[1:]
         gaps = [b - a for a, b in itertools.pairwise(times)]
-        assert len(gaps) > 20 and max(gaps) <= TOLD_S - ANSWER_S
+        assert len(gaps) > 20
+        assert max(gaps) <= TOLD_S - ANSWER_S
 
 
 def test_a_call_that_fails_behind_a_silent_watch_is_made_again_at_once_and_once() -> None:
@@ -115,7 +116,8 @@
         times = calls(seed, itertools.chain([(ends - first, FAILED)], itertools.repeat((0.0, FAILED))), 60)
         per_second.update(int(t) for t in times)
     late = [per_second[s] for s in range(10, 59)]
-    assert max(late) < 0.45 * fleet and sum(late) / len(late) < 0.3 * fleet
+    assert max(late) < 0.45 * fleet
+    assert sum(late) / len(late) < 0.3 * fleet
 
 
 async def declined(got: ReceivedRequest, writer: Writer) -> None:
@@ -312,7 +314,8 @@
                 await asks()
             await until(lambda: len(registry.calls) > 1)  # the watch goes on
             assert len(upstreams[0].got) == before
-            assert set(served) == {200} and most <= DESCRIPTORS - 32 + 2
+            assert set(served) == {200}
+            assert most <= DESCRIPTORS - 32 + 2
             for task in idle:
                 task.cancel()
             await asyncio.gather(*idle, return_exceptions=True)
--- a/tests/proxy/test_downstream.py
+++ b/tests/proxy/test_downstream.py
@@ -50,7 +50,8 @@
         script = ScriptedPolicy(fails_all)
         async with node(script) as client:
             got = await client.ask(data)
-            assert got.status == status and got.headers["connection"] == "close"
+            assert got.status == status
+            assert got.headers["connection"] == "close"
             assert await client.closed()
             assert not script.of(RequestArrived)
             assert (await client.another().ask(READY)).status == 200
@@ -100,7 +101,8 @@
             await client.send(request())
             await until(lambda: client.node._calls)
             got = await client.another().ask(request())
-            assert got.status == 503 and float(got.headers["retry-after"]) > 0
+            assert got.status == 503
+            assert float(got.headers["retry-after"]) > 0
 
     run(test())
 
@@ -118,7 +120,8 @@
             assert (await client.read()).status == 400
             assert await client.closed()
             assert len(script.of(RequestArrived)) == len(script.of(ClientDisconnected)) == apart
-            assert not client.node._calls and not client.node._ids
+            assert not client.node._calls
+            assert not client.node._ids
 
     run(test())
 
@@ -189,7 +192,8 @@
             server._tick()
             assert client.reader is not None
             got = await asyncio.wait_for(client.reader.read(), PATIENCE_S)
-            assert got.startswith(answer) and bool(got) == bool(answer)
+            assert got.startswith(answer)
+            assert bool(got) == bool(answer)
             client.close()
             await until(lambda: not server._connections and not server._leaving)
 
@@ -232,10 +236,12 @@
         async with node(ScriptedPolicy()) as client:
             server = client.node.server
             assert (await client.ask(b"nonsense\r\n\r\n")).status == 400
-            assert server._leaving and server._connections
+            assert server._leaving
+            assert server._connections
             ages(server._leaving, 0.6)
             server._tick()
-            assert not server._leaving and not server._connections
+            assert not server._leaving
+            assert not server._connections
 
     run(test())
 
@@ -329,7 +335,8 @@
                 await other.send(request())
             await until(lambda: len(script.of(RequestArrived)) == 7)
             got = await client.another().ask(READY)  # with most places taken, its answer ends its connection
-            assert got.status == 200 and got.headers["connection"] == "close"
+            assert got.status == 200
+            assert got.headers["connection"] == "close"
             assert await idle.closed()
             await client.send(request())
             await until(lambda: len(script.of(RequestArrived)) == 8)
@@ -366,7 +373,8 @@
     async def test() -> None:
         async with node(ScriptedPolicy(fails_all)) as client:
             got = await client.ask(request("/read", "Connection: close"))
-            assert got.headers["connection"] == "close" and await client.closed()
+            assert got.headers["connection"] == "close"
+            assert await client.closed()
 
     run(test())
 
--- a/tests/proxy/test_endpoint_list.py
+++ b/tests/proxy/test_endpoint_list.py
@@ -96,7 +96,8 @@
     with pytest.MonkeyPatch.context() as patch:
         patch.setattr("loadbalancer.proxy.endpoint_list.STRIDE", stride)
         pieces = run_through(EndpointListReader(0).steps(bytearray(body)))
-    assert shown(once) == shown(pieces) and (once.version, once.whole) == (4, False)
+    assert shown(once) == shown(pieces)
+    assert (once.version, once.whole) == (4, False)
     named = [row["host"] for row in rows if isinstance(row, dict) and isinstance(row.get("host"), str)]
     # Each row that names a host is read, or said to be unread: none hides another.
     assert sorted([*once.numbers, *once.unread]) == sorted(number_of(name) for name in named)
@@ -180,7 +181,8 @@
             await until(lambda: balancer._applying is None)
             assert states(script)[number_of("s499")] is EndpointStatus.DRAINING
             assert states(script)[number_of("s498")] is EndpointStatus.REMOVED
-            assert states(script)[number_of("new")] is EndpointStatus.READY and len(balancer._held) == 500
+            assert states(script)[number_of("new")] is EndpointStatus.READY
+            assert len(balancer._held) == 500
             assert not {number_of("s499"), number_of("s498")} & set(balancer.upstreams())
             balancer._listed(listing(whole(300, 5)))  # a newer whole list counts again
             await until(lambda: balancer._applying is None)
@@ -229,7 +231,8 @@
             assert [r.getMessage() for r in caplog.records] == [
                 f"discovery: a list of over {len(long) - 1} bytes is turned down; the old list stays"
             ]
-            assert len(balancer.upstreams()) == 3 and len(script.of(EndpointUpdate)) == 1
+            assert len(balancer.upstreams()) == 3
+            assert len(script.of(EndpointUpdate)) == 1
             registry.broken = b""
             registry.change("s9", port=9)  # what is not too long is heard
             await until(lambda: number_of("s9") in balancer.upstreams())
@@ -294,7 +297,8 @@
     path, known = tmp_path / "config.json", {"known": whole(3000, 5)}
     path.write_text(json.dumps(known | CONFIG if first else CONFIG | known, indent=indent))
     config = read_config(str(path))
-    assert config.known is not None and (len(config.known), config.known.version) == (3000, 5)
+    assert config.known is not None
+    assert (len(config.known), config.known.version) == (3000, 5)
     assert (config.name, config.memory_bytes, config.cores) == ("n", 128 * 2**20, 0.5)
     assert config.settings.prices.connection == 0.03
 
@@ -328,13 +332,17 @@
     async def test() -> None:
         started = Proxy(config, balancer)
         await started.start()
-        assert started.ready and len(started.upstreams()) == count
+        assert started.ready
+        assert len(started.upstreams()) == count
         started.close()
 
     run(test())
-    assert done["number_of"] == count and done["pack_address"] <= count + 2
-    assert done["mixed"] <= count + 10 and len(balancer.fleet.servers) == len(balancer.fleet.used)
-    assert config.known is not None and not len(config.known)  # it does not stand twice
+    assert done["number_of"] == count
+    assert done["pack_address"] <= count + 2
+    assert done["mixed"] <= count + 10
+    assert len(balancer.fleet.servers) == len(balancer.fleet.used)
+    assert config.known is not None
+    assert not len(config.known)
 
 
 def test_what_a_start_made_is_not_gone_through_by_the_collector_again() -> None:
@@ -363,7 +371,8 @@
         async with node(ScriptedPolicy(), known_list=whole(200)) as client:
             numbers = list(client.node.upstreams())
             assert client.node._pool(numbers[3]) is client.node._pool(numbers[3])
-            assert list(client.node._hub.pools) == [numbers[3]] and client.node._pool(1) is None
+            assert list(client.node._hub.pools) == [numbers[3]]
+            assert client.node._pool(1) is None
             client.node._hub.forget()
             assert not client.node._hub.pools
 
--- a/tests/proxy/test_faults.py
+++ b/tests/proxy/test_faults.py
@@ -93,7 +93,8 @@
         async with node(Balancer(settings(health_checks=True), 1, time.monotonic_ns()), upstream) as client:
             begun = time.monotonic_ns()
             assert (await client.ask(request())).status == 200
-            assert looks == 2 and time.monotonic_ns() - begun < 2 * SECOND
+            assert looks == 2
+            assert time.monotonic_ns() - begun < 2 * SECOND
 
     run(test())
 
@@ -108,7 +109,8 @@
         balancer = Balancer(settings(), 1, time.monotonic_ns())
         async with node(balancer, upstream) as client:
             got = await client.ask(request("/read", "Req-Cost: 60000000", deadline_ms=500))  # a minute
-            assert got.status in (503, 504) and len(upstream.got) == 1
+            assert got.status in (503, 504)
+            assert len(upstream.got) == 1
             server = next(iter(balancer.fleet.servers.values()))
             await until(lambda: server.strikes)
             assert server.not_before_ns - time.monotonic_ns() < 1.25 * balancer.patience_ns
@@ -132,7 +134,8 @@
             for c in clients:
                 assert (await c.read()).status in (503, 504)
                 c.close()
-            assert ejected(balancer) == 0 and not sum(balancer.rate.bad.values())
+            assert ejected(balancer) == 0
+            assert not sum(balancer.rate.bad.values())
             assert balancer.crowding.each == each
 
     run(test())
@@ -159,6 +162,7 @@
             await client.send(b"")
             monkeypatch.setattr(loop, "create_connection", create_connection)
             got = await client.ask(request("/book", "Idempotency-Key: k", method="POST"))
-            assert got.status in (503, 504) and len(upstream.got) == 1
+            assert got.status in (503, 504)
+            assert len(upstream.got) == 1
 
     run(test())
--- a/tests/proxy/test_proxy.py
+++ b/tests/proxy/test_proxy.py
@@ -100,7 +100,8 @@
                 )
             )
             assert (got.status, got.body) == (200, b"\x00quote\r\n")
-            assert got.headers["content-type"] == "x/y" and "srv-load" not in got.headers
+            assert got.headers["content-type"] == "x/y"
+            assert "srv-load" not in got.headers
             seen = upstream.got[0]
             assert (seen.first, seen.body) == ("POST /pay/a%20b?x=1&y=%2F HTTP/1.1", b"\x01body")
             assert (seen.headers["req-id"], seen.headers["idempotency-key"]) == ("9b1f03aa", "k1")
@@ -108,7 +109,8 @@
             assert "x-hop" not in seen.headers
         arrival = script.of(RequestArrived)[0]
         assert (arrival.class_name, arrival.tenant, arrival.idempotency_key) == ("pay", "acme", "7f3a")
-        assert arrival.cost_hint_ns == 1_200_000 and arrival.is_retry
+        assert arrival.cost_hint_ns == 1_200_000
+        assert arrival.is_retry
         assert time.monotonic_ns() + 5000 * MS - arrival.deadline_ns > 0
         outcome = script.of(AttemptEnded)[0]
         assert (outcome.result, outcome.attempt, outcome.request_complete) == (AttemptResult.OK, 0, True)
@@ -136,7 +138,8 @@
         async with node(script) as client:
             begun = time.monotonic()
             got = await client.ask(request())
-            assert got.status == 503 and got.headers["retry-after"] == "0.437"
+            assert got.status == 503
+            assert got.headers["retry-after"] == "0.437"
             assert time.monotonic() - begun < 2.5  # of the five seconds that the client would wait
 
     run(test())
@@ -203,7 +206,8 @@
         async with node(script, upstream) as client:
             for number in (1, 2):
                 assert (await client.ask(request())).body == b"mine"
-                assert upstream.opened == len(upstream.got) == number and not client.node._hub.idle
+                assert upstream.opened == len(upstream.got) == number
+                assert not client.node._hub.idle
             assert [o.result for o in script.of(AttemptEnded)] == [AttemptResult.OK] * 2
 
     run(test())
@@ -256,7 +260,8 @@
         async with node(script, upstream) as client:
             for _ in range(2):
                 got = await client.ask(request())
-                assert (got.status, got.body) == (200, b"it") and "link" not in got.headers
+                assert (got.status, got.body) == (200, b"it")
+                assert "link" not in got.headers
                 rests(client.node)
             assert upstream.opened == 1
 
@@ -357,7 +362,8 @@
             client.node.feed(TimerExpired("now"))
             for other in (*busy, *late):
                 got = await other.read()
-                assert got.status == 504 and got.headers["connection"] == "close"
+                assert got.status == 504
+                assert got.headers["connection"] == "close"
             await draining
             assert len(script.of(RequestArrived)) == len(busy) + len(late)
 
@@ -639,7 +645,8 @@
                 (0, AttemptResult.CANCELLED, True),
                 (0, AttemptResult.NOT_SENT, True),
             }
-            assert len(upstream.got) == 1 and script.deepest == 1
+            assert len(upstream.got) == 1
+            assert script.deepest == 1
             assert (await client.ask(b"GET /health/ready HTTP/1.1\r\n\r\n")).status == 200  # one answer only
 
     run(test())
@@ -659,7 +666,8 @@
             assert [(o.result, o.request_complete) for o in script.of(AttemptEnded)] == [
                 (AttemptResult.CANCELLED, True)
             ]
-            assert not client.node._calls and not client.node._by_client
+            assert not client.node._calls
+            assert not client.node._by_client
 
     run(test())
 
@@ -839,7 +847,8 @@
                 AttemptResult.NOT_SENT,
                 AttemptResult.OK,
             ]
-            assert not old.got and client.node._hub.open == 1
+            assert not old.got
+            assert client.node._hub.open == 1
         old.stop()
         new.stop()
 
@@ -894,7 +903,8 @@
             client.node.feed(TimerExpired("again"))
             up.set()
             assert (await client.read()).body == b"it"
-            assert len(upstream.got) == 1 and client.node._hub.open == 1
+            assert len(upstream.got) == 1
+            assert client.node._hub.open == 1
 
     run(test())
 
@@ -932,7 +942,8 @@
             pool.exchange(b"GET /read HTTP/1.1\r\n\r\n", None, lambda result, response: ended.append(result))
             assert not ended
             await until(lambda: ended)
-            assert ended == [AttemptResult.OK] and upstream.opened == 2
+            assert ended == [AttemptResult.OK]
+            assert upstream.opened == 2
 
     run(test())
 
@@ -963,9 +974,8 @@
                 side.shutdown(socket.SHUT_WR)
             client.node.feed(TimerExpired("token"))  # in the same turn
             assert (await client.read()).body == b"mine"
-            assert (
-                upstream.opened == 2 and [o.result for o in script.of(AttemptEnded)] == [AttemptResult.OK] * 2
-            )
+            assert upstream.opened == 2
+            assert [o.result for o in script.of(AttemptEnded)] == [AttemptResult.OK] * 2
 
     run(test())
 
@@ -1019,7 +1029,8 @@
             time.sleep(0.15)  # and the attempt's time is over, all in one turn
             await until(lambda: script.of(AttemptEnded))
             await until(lambda: not client.node._calls)
-            assert len(script.of(AttemptEnded)) == 1 and len(upstream.got) == 1
+            assert len(script.of(AttemptEnded)) == 1
+            assert len(upstream.got) == 1
             assert len(script.of(ClientDisconnected)) <= 1
             sends_first(script)
             upstream.answer = answers(200, b"next")
@@ -1091,7 +1102,8 @@
             for number, upstream in enumerate((first, second)):
                 script.react = partial(sends_to, script, number)
                 assert (await client.ask(request())).status == 200
-                assert len(upstream.got) == 1 and client.node._hub.open == 1
+                assert len(upstream.got) == 1
+                assert client.node._hub.open == 1
             await until(lambda: first.closed == 1)
 
     run(test())
@@ -1120,7 +1132,8 @@
                 await until(partial(heard, script, i + 1))
             script.react = lambda e: [CheckHealth(99)] if isinstance(e, TimerExpired) else ()
             client.node.feed(TimerExpired("now"))
-        assert upstream.got[0].first == "GET /stats HTTP/1.1" and upstream.opened == 1
+        assert upstream.got[0].first == "GET /stats HTTP/1.1"
+        assert upstream.opened == 1
         results = [(p.result, p.load_report) for p in script.of(HealthCheckEnded)]
         assert results == [
             (AttemptResult.OK, {"inflight": 3.0, "queue": 1.0}),
--- a/tests/proxy/test_unread_disconnect.py
+++ b/tests/proxy/test_unread_disconnect.py
@@ -229,7 +229,8 @@
             await until(lambda: len(script.of(RequestArrived)) == 2)
             half_close(mine)
             await until(lambda: script.of(ClientDisconnected))
-            assert side.flushing and side in client.node.server._flushing  # and its time runs
+            assert side.flushing
+            assert side in client.node.server._flushing
             await nothing_but(upstream, client, script, before=1)
             mine.close()
 
@@ -243,7 +244,8 @@
         async with node(script, upstream) as client:
             mine = await unread_answer(client, 900_000, upstream)
             side = next(iter(client.node.server._connections))
-            assert side._transport is not None and not side._transport.is_reading()
+            assert side._transport is not None
+            assert not side._transport.is_reading()
             mine.send(request("/read/left"))
             half_close(mine)
             while len(script.of(RequestArrived)) < 2:  # reads on until the node does
--- a/tests/scale_test/test_scale_test.py
+++ b/tests/scale_test/test_scale_test.py
@@ -92,8 +92,11 @@
 )
 def test_what_cannot_be_run_is_one_plain_line(arguments: list[str], says: str) -> None:
     done = subprocess.run([*COMMAND, *arguments], capture_output=True, text=True, check=False, timeout=60)
-    assert done.returncode == 2 and not done.stdout
-    assert done.stderr.startswith("scale: ") and says in done.stderr and done.stderr.count("\n") == 1
+    assert done.returncode == 2
+    assert not done.stdout
+    assert done.stderr.startswith("scale: ")
+    assert says in done.stderr
+    assert done.stderr.count("\n") == 1
 
 
 def test_an_ordinary_day_is_about_two_changes_a_second_at_the_target() -> None:
@@ -141,9 +144,11 @@
     assert hosts(registry.whole()) == ["s-00000000", "s-00000002", "s-00000003"]
     registry.change([1], "up", born=True)
     row = json.loads(registry.since(4))["hosts"][0]
-    assert row["health"] == "up" and row["born_ms"] > 1_600_000_000_000
+    assert row["health"] == "up"
+    assert row["born_ms"] > 1_600_000_000_000
     registry.forget()
-    assert json.loads(registry.since(4))["whole"] and not json.loads(registry.since(5))["whole"]
+    assert json.loads(registry.since(4))["whole"]
+    assert not json.loads(registry.since(5))["whole"]
 
 
 class Watcher:
@@ -232,11 +237,13 @@
             for w in (first, second):
                 w.ask("?after=1&wait_ms=20000")
             told = asyncio.create_task(one.tell_whole(0, PATIENCE_S))
-            assert (await first.answer())["whole"] and not told.done()
+            assert (await first.answer())["whole"]
+            assert not told.done()
             first.ask(f"?after={after}&wait_ms=20000")  # it names that version, or has turned it down
             assert await told
             assert [whole[1:2] + whole[3:] for whole in one.callers[0].wholes] == [[2, taken]]
-            assert not (await second.answer())["whole"] and not one.callers[1].wholes
+            assert not (await second.answer())["whole"]
+            assert not one.callers[1].wholes
 
     run(test())
 
@@ -272,7 +279,8 @@
     out, err = process.communicate(timeout=60)
     assert (process.returncode, err) == (0, "")
     figures = json.loads(path.read_bytes())
-    assert figures["arguments"]["upstreams"] == 50 and figures["arguments"]["course"] == course
+    assert figures["arguments"]["upstreams"] == 50
+    assert figures["arguments"]["course"] == course
     rows = {(row["figure"], row["phase"], row["group"]): row for row in figures["rows"]}
     expected = {("time to ready", "start", g) for g in ("real", "hollow")}
     for phase in ("quiet", "course"):
@@ -313,7 +321,8 @@
 @pytest.mark.parametrize("zoned", [False, True])
 def test_evenness_counts_all_subsets(zoned: bool) -> None:
     found = evenness.figures(2000, 600, zoned)
-    assert found["smallest subset"] <= found["largest subset"] <= 64 and not found["upstreams in no subset"]
+    assert found["smallest subset"] <= found["largest subset"] <= 64
+    assert not found["upstreams in no subset"]
     assert found["memberships"] == round(found["balancers an upstream, mean"] * 2000)
     assert 0 < found["moved by one upstream gone"] < found["memberships"] / 10
 
--- a/tests/scale_test/test_slopes.py
+++ b/tests/scale_test/test_slopes.py
@@ -64,7 +64,8 @@
         assert told.output.split()[0] == name
     held = orjson.loads(file.read_bytes())
     assert set(held["subjects"]) == {"tenants", "requests"}
-    assert held["balancer"] and "tool" in held
+    assert held["balancer"]
+    assert "tool" in held
 
 
 @pytest.fixture(scope="module")
--- a/tests/simulator/test_simulator_adapter.py
+++ b/tests/simulator/test_simulator_adapter.py
@@ -99,10 +99,13 @@
             ),
         ]
     )
-    assert done.returncode == 0 and not done.stderr
+    assert done.returncode == 0
+    assert not done.stderr
     first, second = (json.loads(line) for line in done.stdout.splitlines())
     sends = [c for c in first["cmds"] if c["t"] == "submit_to"]
-    assert len(sends) == 1 and sends[0]["upstream"] in (11, 12, 13) and sends[0]["balancer"] == 0
+    assert len(sends) == 1
+    assert sends[0]["upstream"] in (11, 12, 13)
+    assert sends[0]["balancer"] == 0
     assert second["round"] == 2
 
 
@@ -119,7 +122,8 @@
             batch(3, now + 2, {"t": "timer", "balancer": 0, "name": "1"}),
         ]
     )
-    assert done.returncode == 2 and "not started" in done.stderr
+    assert done.returncode == 2
+    assert "not started" in done.stderr
 
 
 @pytest.mark.parametrize(
@@ -163,7 +167,9 @@
 )
 def test_malformed_input_stops_with_a_plain_message(line: str, says: str) -> None:
     done = run([line])
-    assert done.returncode == 2 and says in done.stderr and "Traceback" not in done.stderr
+    assert done.returncode == 2
+    assert says in done.stderr
+    assert "Traceback" not in done.stderr
 
 
 def test_an_exception_in_the_module_is_a_fault() -> None:
@@ -183,7 +189,9 @@
     )
     assert done.returncode == 0
     fault = json.loads(done.stdout)["cmds"][0]
-    assert fault["t"] == "fault" and fault["balancer"] == 3 and "TypeError" in fault["message"]
+    assert fault["t"] == "fault"
+    assert fault["balancer"] == 3
+    assert "TypeError" in fault["message"]
 
 
 def test_every_setting_that_a_decision_can_use_is_carried() -> None:
@@ -223,13 +231,13 @@
         9,
         7,
     )
-    assert known.rules.rejected_may_have_run and known.rules.answer_grace_ns == 3
-    assert (
-        known.weight_source is WeightSource.LIVE
-        and known.over_quota_weight == 0.2
-        and known.client_retries_marked
-    )
-    assert not known.load_reports_in_responses and known.zones == ("north", "south")
+    assert known.rules.rejected_may_have_run
+    assert known.rules.answer_grace_ns == 3
+    assert known.weight_source is WeightSource.LIVE
+    assert known.over_quota_weight == 0.2
+    assert known.client_retries_marked
+    assert not known.load_reports_in_responses
+    assert known.zones == ("north", "south")
     assert (known.prices.connection, known.prices.endpoint_list, known.prices.late_failure) == (
         0.03,
         0.5,
@@ -259,6 +267,7 @@
         check=False,
     )
     replies = [json.loads(line) for line in done.stdout.splitlines()]
-    assert done.returncode == 0 and [r["round"] for r in replies] == list(range(1, 43))
+    assert done.returncode == 0
+    assert [r["round"] for r in replies] == list(range(1, 43))
     assert any(c["t"] == "submit_to" for r in replies for c in r["cmds"])
     assert done.stdout == run(day()).stdout
--- a/tests/support/policy_harness.py
+++ b/tests/support/policy_harness.py
@@ -220,11 +220,14 @@
         elif isinstance(a, Fail):
             self._final(a.request_id, "failed")
         elif isinstance(a, CancelAttempt):
-            assert self.config.limits.cancellation and a.attempt < len(self.sends[a.request_id])
+            assert self.config.limits.cancellation
+            assert a.attempt < len(self.sends[a.request_id])
         elif isinstance(a, CheckHealth):
-            assert self.config.limits.health_checks and a.endpoint_id in self.list
+            assert self.config.limits.health_checks
+            assert a.endpoint_id in self.list
         elif isinstance(a, SendGossip):
-            assert self.config.limits.gossip and len(a.data) <= 256
+            assert self.config.limits.gossip
+            assert len(a.data) <= 256
         elif isinstance(a, SetTimer):
             assert a.delay_ns > 0
             self.timers.append((self.now + a.delay_ns, a.name))
