--- a/loadbalancer/configuration.py
+++ b/loadbalancer/configuration.py
@@ -36,7 +36,7 @@
     except EndpointListError as error:
         raise ConfigurationError(f"{path}: {error}") from None
     try:
-        known = rows.done() if rows.begun and with_known else None
+        known = rows.done() if rows.started and with_known else None
     except EndpointListError as error:
         raise ConfigurationError(f"{path}: known: {error}") from None
     try:
--- a/loadbalancer/policy/balancer.py
+++ b/loadbalancer/policy/balancer.py
@@ -30,7 +30,6 @@
     WatchEndpoints,
 )
 from loadbalancer.policy.concurrency_limit import LIMIT_MAX, ConcurrencyLimit
-from loadbalancer.policy.endpoint_pool import EndpointPool
 from loadbalancer.policy.endpoint_state import EndpointState
 from loadbalancer.policy.endpoints import LOOKS, Fleet
 from loadbalancer.policy.rate_control import FEEDBACK_NS
@@ -38,6 +37,7 @@
 from loadbalancer.policy.tenant_throttles import TenantThrottles
 from loadbalancer.policy.throttle import Throttle
 from loadbalancer.settings import DeduplicationScope, Idempotency, RequestClass, Settings
+from loadbalancer.state.endpoint_pool import EndpointPool
 from loadbalancer.units import SECOND
 
 STALL_NS = SECOND // 50  # a timer so late: the proxy itself stood still meanwhile
@@ -61,61 +61,63 @@
     def __init__(self, settings: Settings, seed: int, now: int) -> None:
         self.settings = settings
         self.rng = random.Random(seed)
-        self.patience_ns = min(
+        self.shortest_objective_ns = min(
             (c.latency_objective_ns for c in settings.request_classes.values()), default=SECOND
         )
-        self.throttles = TenantThrottles(settings, self.rng, now, self.patience_ns)
-        self.rate = self.throttles.rate
-        self.crowding = ConcurrencyLimit()
+        self.throttles = TenantThrottles(settings, self.rng, now, self.shortest_objective_ns)
+        self.rate_controller = self.throttles.rate_controller
+        self.concurrency_limit = ConcurrencyLimit()
         # Until something is seen to finish, as long as the slowest class is expected to take.
-        self.crowding.alone = (
+        self.concurrency_limit.service_interval_ns = (
             max((c.latency_objective_ns for c in settings.request_classes.values()), default=SECOND) / 8
         )
-        self.fleet = Fleet(settings, self.crowding, self.rng)
+        self.fleet = Fleet(settings, self.concurrency_limit, self.rng)
         self.requests: dict[str, Request] = {}
-        self.due: list[tuple[int, int, str, Request | Throttle | None, int]] = []  # by time
-        self.timer_ns = self.timer = 0  # when the timer that counts is due, and its number
-        self.count = self.failures = self.asked_ns = 0
+        self.timers: list[tuple[int, int, str, Request | Throttle | None, int]] = []  # by time
+        self.timer_due_ns = self.timer_number = 0  # when the timer that counts is due, and its number
+        self.timer_count = self.discovery_failures = self.polled_ns = 0
         self.actions: list[Action] = []
-        self.checked_ns = now
-        self.silent = False  # the last call to discovery ended in silence
-        self.subscribed = settings.discovery_pushes
-        if not self.subscribed:
-            self._later(now + int(self.rng.random() * settings.rules.poll_interval_ns / 4), "subscribe", None)
+        self.feedback_ns = now
+        self.watch_timed_out = False  # the last call to discovery ended in silence
+        self.watching = settings.discovery_pushes
+        if not self.watching:
+            self._schedule(
+                now + int(self.rng.random() * settings.rules.poll_interval_ns / 4), "subscribe", None
+            )
 
     def handle(self, now: int, events: Iterable[Event]) -> list[Action]:
         self.actions, self.throttles.now = [], now
-        if self.due and now - self.due[0][0] > STALL_NS:
-            self._stood(now)
+        if self.timers and now - self.timers[0][0] > STALL_NS:
+            self._exclude_stalled_samples(now)
         for e in events:
             if type(e) is RequestArrived:
-                self._arrival(e, now)
+                self._on_request(e, now)
             elif type(e) is AttemptEnded:
-                self._outcome(e, now)
+                self._on_attempt_ended(e, now)
             elif type(e) is ClientDisconnected and e.request_id in self.requests:
-                self._end(self.requests[e.request_id], now)
+                self._finish(self.requests[e.request_id], now)
             elif type(e) is EndpointUpdate:
-                self._list(e, now)
+                self._on_endpoint_update(e, now)
             elif type(e) is HealthCheckEnded:
-                self._probed(e, now)
+                self._on_health_check(e, now)
             elif type(e) is ResponseStarted and e.request_id in self.requests:
-                self.requests[e.request_id].begun = True
-            elif type(e) is TimerExpired and e.name == str(self.timer):
-                self.timer_ns = 0  # by its name, not the clock: a timer may come a little early
-        while self.due and self.due[0][0] <= now:
-            _, _, what, about, extra = heapq.heappop(self.due)
-            self._look(what, about, extra, now)
+                self.requests[e.request_id].streaming = True
+            elif type(e) is TimerExpired and e.name == str(self.timer_number):
+                self.timer_due_ns = 0  # by its name, not the clock: a timer may come a little early
+        while self.timers and self.timers[0][0] <= now:
+            _, _, what, about, extra = heapq.heappop(self.timers)
+            self._on_timer(what, about, extra, now)
         for pool in self.fleet.pools.values():
-            self._pump(pool, now)
-        if now - self.checked_ns >= FEEDBACK_NS:
+            self._serve_queue(pool, now)
+        if now - self.feedback_ns >= FEEDBACK_NS:
             self._feedback(now)
-        if self.due and (not self.timer_ns or self.due[0][0] < self.timer_ns):
-            self.timer_ns = self.due[0][0]
-            self.timer += 1
-            self.actions.append(SetTimer(max(1, self.timer_ns - now), str(self.timer)))
+        if self.timers and (not self.timer_due_ns or self.timers[0][0] < self.timer_due_ns):
+            self.timer_due_ns = self.timers[0][0]
+            self.timer_number += 1
+            self.actions.append(SetTimer(max(1, self.timer_due_ns - now), str(self.timer_number)))
         return self.actions
 
-    def _stood(self, now: int) -> None:
+    def _exclude_stalled_samples(self, now: int) -> None:
         """This proxy stood still: its timers are late. What was open meanwhile ends late for that alone.
 
         Guards against a process that is stopped for a while (a spent share of the processor, a paused or
@@ -123,15 +125,15 @@
         them slow, refuse what comes next and cut R. Harm: an upstream that stood still in the same moment is
         found out one attempt later."""
         for r in self.requests.values():
-            r.stood = r.hurried = True
-        for s in self.fleet.servers.values():
-            s.since_ns = now  # nor did upstreams hold them for so long without finishing
+            r.stalled = r.delayed_by_throttle = True
+        for s in self.fleet.endpoints.values():
+            s.in_flight_since_ns = now  # nor did upstreams hold them for so long without finishing
 
-    def _later(self, at: int, what: str, about: Request | Throttle | None, extra: int = 0) -> None:
-        self.count += 1
-        heapq.heappush(self.due, (at, self.count, what, about, extra))
+    def _schedule(self, at: int, what: str, about: Request | Throttle | None, extra: int = 0) -> None:
+        self.timer_count += 1
+        heapq.heappush(self.timers, (at, self.timer_count, what, about, extra))
 
-    def _arrival(self, e: RequestArrived, now: int) -> None:
+    def _on_request(self, e: RequestArrived, now: int) -> None:
         if e.request_id in self.requests:
             return  # an id is never reused: the first one stands
         throttle = self.throttles[e.tenant]
@@ -141,287 +143,326 @@
         aim = min(now + cls.latency_objective_ns, e.deadline_ns)
         r = Request(e.request_id, cls, self.fleet.pool(cls), throttle, e.deadline_ns, aim, e.cost_hint_ns)
         self.requests[r.id] = r
-        need = self.crowding.expected(r) * (1 + self.crowding.spread)
-        r.give_up_ns = max(r.aim_ns - int(need), now + (r.deadline_ns - now) // 4)
-        self._later(r.give_up_ns, "give up", r)  # whatever comes, a request that waits is looked at then
-        self.rate.arrived(now)
+        need = self.concurrency_limit.expected_ns(r) * (1 + self.concurrency_limit.deviation)
+        r.give_up_ns = max(r.objective_ns - int(need), now + (r.deadline_ns - now) // 4)
+        self._schedule(r.give_up_ns, "give up", r)  # whatever comes, a request that waits is looked at then
+        self.rate_controller.on_arrival(now)
         # Marked retries take spare tokens only: they must not starve fresh work.
-        answer = throttle.spare(now) if e.is_retry else throttle.offer(r, now)
+        answer = throttle.take_retry_token(now) if e.is_retry else throttle.admit(r, now)
         if answer is False:
-            self._refuse(r, now)
+            self._reject(r, now)
         elif answer is None:
             r.place = "held"
             self._release(throttle, now)
         else:
-            self._admit(r, now)
+            self._enqueue(r, now)
 
-    def _admit(self, r: Request, now: int) -> None:
+    def _enqueue(self, r: Request, now: int) -> None:
         r.place = ""
-        r.hurried = r.stood or 2 * (r.aim_ns - now) < r.cls.latency_objective_ns
-        part = OVER_PART if r.tenant.over else QUEUE_PART  # over-share traffic is refused first
+        r.delayed_by_throttle = r.stalled or 2 * (r.objective_ns - now) < r.request_class.latency_objective_ns
+        part = OVER_PART if r.throttle.over_share else QUEUE_PART  # over-share traffic is refused first
         # A class with much time must not make the queue too long for those with little.
-        spare = min(r.give_up_ns - now, self.patience_ns)
-        if r.pool.blocked_ns and len(r.pool.queue) * SECOND > self.rate.served * spare * part:
-            self.rate.unplaced += not r.hurried  # the queue is too long already: better said at once
-            self._refuse(r, now)
+        spare = min(r.give_up_ns - now, self.shortest_objective_ns)
+        if (
+            r.pool.blocked_since_ns
+            and len(r.pool.queue) * SECOND > self.rate_controller.success_rate * spare * part
+        ):
+            self.rate_controller.expired_in_queue += (
+                not r.delayed_by_throttle
+            )  # the queue is too long already: better said at once
+            self._reject(r, now)
             return
         r.pool.queue.append(r)
-        self._look_around(r, now)
+        self._probe_load(r, now)
 
-    def _look_around(self, r: Request, now: int) -> None:
+    def _probe_load(self, r: Request, now: int) -> None:
         r.place = "queued"
-        if self.fleet.looks:
+        if self.fleet.probes_load:
             # Own counts say little where proxies are many: the drawn upstreams are asked, the request waits.
-            r.asked, r.asked_ns = list(dict.fromkeys(self.fleet.draw(r.pool, LOOKS, now))), now
-            for s in r.asked:
-                if now - max(s.load_ns, s.asked_ns) >= RECENT_NS:
-                    s.asked_ns = now
+            r.probed_endpoints, r.probed_ns = list(dict.fromkeys(self.fleet.draw(r.pool, LOOKS, now))), now
+            for s in r.probed_endpoints:
+                if now - max(s.reported_ns, s.checked_ns) >= RECENT_NS:
+                    s.checked_ns = now
                     self.actions.append(CheckHealth(s.id))
-            self._later(now + LOOK_NS, "look", r)
+            self._schedule(now + LOOK_NS, "look", r)
 
-    def _probed(self, e: HealthCheckEnded, now: int) -> None:
-        server = self.fleet.servers.get(e.endpoint_id)
+    def _on_health_check(self, e: HealthCheckEnded, now: int) -> None:
+        server = self.fleet.endpoints.get(e.endpoint_id)
         if server is not None and e.load_report is not None:
-            server.hear(e.load_report.get("inflight"), now)
-        elif server is not None and e.result is AttemptResult.RESET and server.deaf_ns < server.asked_ns:
+            server.record_load(e.load_report.get("inflight"), now)
+        elif (
+            server is not None
+            and e.result is AttemptResult.RESET
+            and server.failed_check_ns < server.checked_ns
+        ):
             # Its connection broke, as any may: asked once more, or its request would wait for nothing. Harm:
             # one more look at each upstream that breaks all it is sent.
-            server.deaf_ns = now
+            server.failed_check_ns = now
             self.actions.append(CheckHealth(server.id))
 
-    def _outcome(self, e: AttemptEnded, now: int) -> None:
-        server = self.fleet.servers.get(e.endpoint_id)
+    def _on_attempt_ended(self, e: AttemptEnded, now: int) -> None:
+        server = self.fleet.endpoints.get(e.endpoint_id)
         r = self.requests.get(e.request_id)
         if r is None or server is None or not 0 <= e.attempt < len(r.attempts):
             return  # long over, or never sent: nothing is booked
         a = r.attempts[e.attempt]
-        if a.result is not None or a.server is not server:
+        if a.result is not None or a.endpoint_state is not server:
             return
-        a.learn(e.result, self.settings.rules)
-        self.crowding.held(server, now)
+        a.record_result(e.result, self.settings.rules)
+        self.concurrency_limit.record_occupancy(server, now)
         if e.load_report and "inflight" in e.load_report:
-            server.hear(e.load_report["inflight"] + 1, now)  # this one leaves it below
-        apart = e.result not in UNSEEN and self.fleet.ends(server, e.result is AttemptResult.RESET)
+            server.record_load(e.load_report["inflight"] + 1, now)  # this one leaves it below
+        apart = e.result not in UNSEEN and self.fleet.record_attempt_end(
+            server, e.result is AttemptResult.RESET
+        )
         if e.result is AttemptResult.OK:
-            server.answered_ns = max(server.answered_ns, a.sent_ns)
-            if not r.stood:
-                self.crowding.note(r, a, e.elapsed_ns)
-            if server.own:
-                self.crowding.done[min(server.inflight, LIMIT_MAX + 1)] += 1
-            self.rate.good += now <= r.aim_ns
-            self.rate.bad[server.id] += now > r.aim_ns and not r.hurried  # crowding shows in it first
-            if server.strikes:
-                server.strikes = server.not_before_ns = 0
+            server.last_answered_ns = max(server.last_answered_ns, a.sent_ns)
+            if not r.stalled:
+                self.concurrency_limit.record_success(r, a, e.elapsed_ns)
+            if server.in_subset:
+                self.concurrency_limit.completions[min(server.in_flight, LIMIT_MAX + 1)] += 1
+            self.rate_controller.successes += now <= r.objective_ns
+            self.rate_controller.failures[server.id] += (
+                now > r.objective_ns and not r.delayed_by_throttle
+            )  # crowding shows in it first
+            if server.consecutive_failures:
+                server.consecutive_failures = server.ejected_until_ns = 0
         elif e.result is AttemptResult.RESET:
             # Fewer requests cure no connection that broke by chance: R is not judged by it.
-            self.rate.good += not apart
-            self.rate.bad[server.id] += apart
+            self.rate_controller.successes += not apart
+            self.rate_controller.failures[server.id] += apart
             if apart:
                 self._eject(server, now, SECOND / 4)
-        elif e.result in FAILURES and not (r.stood and e.result is AttemptResult.TIMEOUT):
-            self.rate.bad[server.id] += e.result is not AttemptResult.TIMEOUT or not r.hurried
+        elif e.result in FAILURES and not (r.stalled and e.result is AttemptResult.TIMEOUT):
+            self.rate_controller.failures[server.id] += (
+                e.result is not AttemptResult.TIMEOUT or not r.delayed_by_throttle
+            )
             if e.result is AttemptResult.TIMEOUT:
                 # It would have taken longer: what is cut off must not flatten the slope.
-                self.crowding.crowd(a, max(1.3 * e.elapsed_ns, self.crowding.time(a.load)))
+                self.concurrency_limit.record_latency(
+                    a, max(1.3 * e.elapsed_ns, self.concurrency_limit.latency_at(a.load))
+                )
             busy = e.result in (AttemptResult.REJECTED, AttemptResult.TIMEOUT)
-            self._eject(server, now, self._pause(a) if busy else SECOND / 4)
+            self._eject(server, now, self._ejection_base_ns(a) if busy else SECOND / 4)
         else:
-            self.rate.good += e.result is AttemptResult.ERROR
-        server.late -= a.late
-        server.inflight -= not a.late
-        server.load = max(0.0, server.load - 1)
+            self.rate_controller.successes += e.result is AttemptResult.ERROR
+        server.overdue -= a.overdue
+        server.in_flight -= not a.overdue
+        server.reported_load = max(0.0, server.reported_load - 1)
         if e.request_complete:
-            self._end(r, now)
-        elif not r.over and not r.out and not r.begun:
-            self._again(r, now)
-        if r.over and not r.out:
+            self._finish(r, now)
+        elif not r.finished and not r.attempts_in_flight and not r.streaming:
+            self._retry_or_reject(r, now)
+        if r.finished and not r.attempts_in_flight:
             self.requests.pop(r.id, None)
 
-    def _pause(self, a: Attempt) -> float:
+    def _ejection_base_ns(self, a: Attempt) -> float:
         """How long to leave an upstream alone that did not finish this in time.
 
         Guards against one hopelessly heavy request taking its upstream from all others for as long as it
         would have run: it is cut off, and its client asks again, at the next upstream and the next. Harm:
         where it runs on all the same, the next one there finds out, and the ejection doubles."""
-        return min(a.expected, self.patience_ns)
+        return min(a.expected_ns, self.shortest_objective_ns)
 
     def _eject(self, server: EndpointState, now: int, base: float) -> None:
         self.fleet.eject(server, now, base)
-        self._later(server.not_before_ns, "pump", None)  # then the queue has one more to go to
+        self._schedule(server.ejected_until_ns, "pump", None)  # then the queue has one more to go to
 
-    def _space(self, server: EndpointState, now: int, gaps: float) -> None:
+    def _pace_slow_start(self, server: EndpointState, now: int, gaps: float) -> None:
         """Leave a cold upstream alone for so many of its gaps."""
-        gap = int(gaps * self.fleet.cold_gap_ns(server, now))
-        server.not_before_ns = max(server.not_before_ns, now + gap)
-        self._later(server.not_before_ns, "pump", None)
+        gap = int(gaps * self.fleet.pacing_interval_ns(server, now))
+        server.ejected_until_ns = max(server.ejected_until_ns, now + gap)
+        self._schedule(server.ejected_until_ns, "pump", None)
 
-    def _again(self, r: Request, now: int) -> None:
+    def _retry_or_reject(self, r: Request, now: int) -> None:
         """Nothing is out and nothing was served: another attempt, or the final answer."""
         if (
             r.attempts
             and any(
-                r.may_send(s, now, self.settings.limits) for s in self._choices(r, now) or r.pool.order[:1]
+                r.may_forward(s, now, self.settings.limits)
+                for s in self._retry_candidates(r, now) or r.pool.endpoints[:1]
             )
             and now < r.give_up_ns
         ):
             r.pool.queue.appendleft(r)
-            self._look_around(r, now)
+            self._probe_load(r, now)
         else:
-            self._refuse(r, now)
+            self._reject(r, now)
 
-    def _choices(self, r: Request, now: int) -> list[EndpointState] | None:
+    def _retry_candidates(self, r: Request, now: int) -> list[EndpointState] | None:
         """Where a request that may have run may go again; None: anywhere."""
         first = next((a for a in r.attempts if a.may_have_run), None)
         if (
             first is None
-            or r.cls.idempotency is Idempotency.IDEMPOTENT
-            or r.cls.deduplication_scope is DeduplicationScope.ALL
+            or r.request_class.idempotency is Idempotency.IDEMPOTENT
+            or r.request_class.deduplication_scope is DeduplicationScope.ALL
         ):
             return None
-        near = [s for s in r.pool.order if r._same_group(s, first.server)]
-        return near + self.fleet.group(r.pool, first.server, r.cls.deduplication_scope, now)
+        near = [s for s in r.pool.endpoints if r._same_group(s, first.endpoint_state)]
+        return near + self.fleet.deduplication_group(
+            r.pool, first.endpoint_state, r.request_class.deduplication_scope, now
+        )
 
-    def _refuse(self, r: Request, now: int) -> None:
+    def _reject(self, r: Request, now: int) -> None:
         """The final answer of a request that is not served: refused if that is true, else failed."""
-        if r.may_refuse():
+        if r.may_reject():
             back = self.rng.uniform(0.25, 1.0) * min(self.settings.limits.max_retry_after_ns, SECOND)
             self.actions.append(Reject(r.id, int(back) if self.settings.limits.retry_after else 0))
         else:
             self.actions.append(Fail(r.id))
-        self._end(r, now)
+        self._finish(r, now)
 
-    def _end(self, r: Request, now: int) -> None:
+    def _finish(self, r: Request, now: int) -> None:
         if r.place == "held":
-            r.tenant.leave(r)
+            r.throttle.remove_buffered(r)
         elif r.place == "queued":
             r.pool.queue.remove(r)
-        r.place, r.over = "", True
+        r.place, r.finished = "", True
         if self.settings.limits.cancellation:
             for i, a in enumerate(r.attempts):
                 if a.result is None:
                     self.actions.append(CancelAttempt(r.id, i))
-        if not r.out:
+        if not r.attempts_in_flight:
             self.requests.pop(r.id, None)
 
-    def _list(self, e: EndpointUpdate, now: int) -> None:
+    def _on_endpoint_update(self, e: EndpointUpdate, now: int) -> None:
         if e.kind in (EndpointUpdateKind.FAILED, EndpointUpdateKind.WATCH_TIMED_OUT):
             # Spread and backed off: discovery does not grow with the fleet. But it may be back since the call
             # went out (one out for longer was a watch it held), and the next one has to come in time. The
             # first pause spreads a fleet whose watches ended together. News lost in silence soon count.
-            self.subscribed, failed = False, e.kind is EndpointUpdateKind.FAILED
+            self.watching, failed = False, e.kind is EndpointUpdateKind.FAILED
             # What a silent watch missed counts as told a second after it is found out: one more call at once.
-            urgent, self.silent = failed and self.silent, not failed
-            most, out = min(ASK_NS, self.settings.rules.poll_interval_ns * 0.8), now - self.asked_ns
+            urgent, self.watch_timed_out = failed and self.watch_timed_out, not failed
+            most, out = min(ASK_NS, self.settings.rules.poll_interval_ns * 0.8), now - self.polled_ns
             most = max(most / 3, most - out) if out < ASK_NS else most
-            wait = failed * most * self.rng.uniform(0.67 if self.failures else 0.1, 1.0)
+            wait = failed * most * self.rng.uniform(0.67 if self.discovery_failures else 0.1, 1.0)
             wait = min(wait, URGENT_NS * self.rng.random()) if urgent else wait
-            self.failures += failed
-            self._later(now + int(wait), "subscribe", None)
+            self.discovery_failures += failed
+            self._schedule(now + int(wait), "subscribe", None)
         else:
-            self.failures = self.failures if e.kind is EndpointUpdateKind.CACHED else 0
-            for s in self.fleet.learn(e, now):
+            self.discovery_failures = self.discovery_failures if e.kind is EndpointUpdateKind.CACHED else 0
+            for s in self.fleet.apply_update(e, now):
                 # All proxies learn of a start at once: their first sends must not come at once too.
-                self._space(s, now, self.rng.random())
+                self._pace_slow_start(s, now, self.rng.random())
 
-    def _look(self, what: str, about: Request | Throttle | None, extra: int, now: int) -> None:
+    def _on_timer(self, what: str, about: Request | Throttle | None, extra: int, now: int) -> None:
         if isinstance(about, Request):
             if what == "give up" and about.place and now >= about.give_up_ns:
-                self.rate.unplaced += about.place == "queued" and not about.hurried
-                self._refuse(about, now)
+                self.rate_controller.expired_in_queue += (
+                    about.place == "queued" and not about.delayed_by_throttle
+                )
+                self._reject(about, now)
             elif what == "overdue":
-                self._overdue(about, extra, now)
-        elif what == "subscribe" and not self.subscribed:
-            self.subscribed, self.asked_ns = True, now
+                self._on_overdue(about, extra, now)
+        elif what == "subscribe" and not self.watching:
+            self.watching, self.polled_ns = True, now
             self.actions.append(WatchEndpoints(True))
         elif isinstance(about, Throttle):
-            about.waking = False
+            about.wake_scheduled = False
             self._release(about, now)
 
     def _release(self, t: Throttle, now: int) -> None:
-        for r in t.released(now):
-            self._admit(r, now)
-        if t.held and not t.waking:
-            t.waking = True
-            self._later(now + int((1 - t.credit) / t.rate * SECOND) + 1, "token", t)
+        for r in t.release(now):
+            self._enqueue(r, now)
+        if t.buffer and not t.wake_scheduled:
+            t.wake_scheduled = True
+            self._schedule(now + int((1 - t.tick_credit) / t.rate * SECOND) + 1, "token", t)
 
-    def _overdue(self, r: Request, number: int, now: int) -> None:
+    def _on_overdue(self, r: Request, number: int, now: int) -> None:
         """An attempt is out longer than its upstream should take: it may stand still."""
         a = r.attempts[number]
-        if a.result is not None or r.stood:  # it may have been answered long ago, unheard
+        if a.result is not None or r.stalled:  # it may have been answered long ago, unheard
             return
-        self._eject(a.server, now, self._pause(a))
-        if a.server.answered_ns > a.sent_ns:
+        self._eject(a.endpoint_state, now, self._ejection_base_ns(a))
+        if a.endpoint_state.last_answered_ns > a.sent_ns:
             # It answers what came later: this answer is lost, and keeps no place until its client gives up.
-            self.crowding.held(a.server, now)
-            a.late, a.server.inflight, a.server.late = True, a.server.inflight - 1, a.server.late + 1
+            self.concurrency_limit.record_occupancy(a.endpoint_state, now)
+            a.overdue, a.endpoint_state.in_flight, a.endpoint_state.overdue = (
+                True,
+                a.endpoint_state.in_flight - 1,
+                a.endpoint_state.overdue + 1,
+            )
         # Where a cancel stops nothing, the first attempt runs on and a copy only adds to the load.
-        if r.pool.queue or now + a.expected > r.aim_ns or not self.settings.limits.cancellation:
+        if r.pool.queue or now + a.expected_ns > r.objective_ns or not self.settings.limits.cancellation:
             return
-        server = self.fleet.pick(r.pool, now, self._choices(r, now))
-        if server and r.may_send(server, now, self.settings.limits) and r.tenant.spare(now):
-            self._send(r, server, now)
+        server = self.fleet.pick(r.pool, now, self._retry_candidates(r, now))
+        if server and r.may_forward(server, now, self.settings.limits) and r.throttle.take_retry_token(now):
+            self._forward(r, server, now)
 
-    def _pump(self, pool: EndpointPool, now: int) -> None:
+    def _serve_queue(self, pool: EndpointPool, now: int) -> None:
         """Serve the queue in order while an upstream has room."""
         fleet, limits = self.fleet, self.settings.limits
         while pool.queue:
             r = pool.queue[0]
-            old = r.asked_ns - RECENT_NS
-            if r.asked and now < r.asked_ns + LOOK_NS and any(s.load_ns <= old for s in r.asked):
+            old = r.probed_ns - RECENT_NS
+            if (
+                r.probed_endpoints
+                and now < r.probed_ns + LOOK_NS
+                and any(s.reported_ns <= old for s in r.probed_endpoints)
+            ):
                 break
-            choices = self._choices(r, now) if r.attempts else None
-            fresh = [s for s in r.asked if s.load_ns > old and fleet.fit(s, now)]
-            r.asked = []
+            choices = self._retry_candidates(r, now) if r.attempts else None
+            fresh = [s for s in r.probed_endpoints if s.reported_ns > old and fleet.is_available(s, now)]
+            r.probed_endpoints = []
             server = fleet.pick(pool, now, fresh or choices)
             full = (
                 server is not None
-                and server.load >= 1
-                and server.told(now)
-                and self.crowding.time(server.load + 1.5) * server.pace > r.aim_ns - now
+                and server.reported_load >= 1
+                and server.has_fresh_load(now)
+                and self.concurrency_limit.latency_at(server.reported_load + 1.5) * server.relative_latency
+                > r.objective_ns - now
             )
             if full or (server is None and choices is not None):
                 # All that it may go to are busy, or would answer late: it must not stop the queue.
-                self.rate.unplaced += not r.hurried
-                self._refuse(r, now)
+                self.rate_controller.expired_in_queue += not r.delayed_by_throttle
+                self._reject(r, now)
             elif server is not None:
                 pool.queue.popleft()
                 r.place = ""
-                if r.may_send(server, now, limits):
-                    self._send(r, server, now)
+                if r.may_forward(server, now, limits):
+                    self._forward(r, server, now)
                 else:
-                    self._refuse(r, now)
+                    self._reject(r, now)
             else:
-                pool.blocked_ns = pool.blocked_ns or now
-                if not self.crowding.lift(now):
+                pool.blocked_since_ns = pool.blocked_since_ns or now
+                if not self.concurrency_limit.increase(now):
                     break
         if not pool.queue:
-            pool.blocked_ns = 0
-
-    def _send(self, r: Request, server: EndpointState, now: int) -> None:
-        self.crowding.held(server, now)
-        server.inflight += 1
-        server.load += server.load_ns > 0
-        expected = max(1.0, self.crowding.expected(r) * server.pace)
-        r.attempts.append(Attempt(server, now, expected, max(1.0, server.crowd(now))))
-        if self.fleet.cold(server, now):
+            pool.blocked_since_ns = 0
+
+    def _forward(self, r: Request, server: EndpointState, now: int) -> None:
+        self.concurrency_limit.record_occupancy(server, now)
+        server.in_flight += 1
+        server.reported_load += server.reported_ns > 0
+        expected = max(1.0, self.concurrency_limit.expected_ns(r) * server.relative_latency)
+        r.attempts.append(Attempt(server, now, expected, max(1.0, server.estimated_load(now))))
+        if self.fleet.is_warming_up(server, now):
             # The budget is in requests of mean work: a dear one takes the place of several.
-            self._space(server, now, max(1.0, self.crowding.expected(r) / self.crowding.mean))
+            self._pace_slow_start(
+                server, now, max(1.0, self.concurrency_limit.expected_ns(r) / self.concurrency_limit.mean_ns)
+            )
         # Where a late answer is worth nothing, an attempt ends at the aim and leaves its place to another.
-        timeout = 0 if r.cls.late_weight_factor or r.cls.stream else max(1, r.aim_ns - now)
+        timeout = (
+            0
+            if r.request_class.late_weight_factor or r.request_class.stream
+            else max(1, r.objective_ns - now)
+        )
         self.actions.append(Forward(r.id, server.id, timeout))
-        overdue = now + int(expected * (1.3 + 3 * self.crowding.spread))
-        self._later(overdue, "overdue", r, len(r.attempts) - 1)
+        overdue = now + int(expected * (1.3 + 3 * self.concurrency_limit.deviation))
+        self._schedule(overdue, "overdue", r, len(r.attempts) - 1)
 
     def _feedback(self, now: int) -> None:
-        self.checked_ns = now
+        self.feedback_ns = now
         fleet = self.fleet
-        self.crowding.settle()
-        fleet.settle()
+        self.concurrency_limit.decay()
+        fleet.decay()
         for pool in fleet.pools.values():  # one beyond the subset while the queue waits; more cost
-            pool.width = min(len(pool.order), pool.subset + bool(pool.blocked_ns))
-        self.rate.adjust(now, fleet.any.width, fleet.crowded(now))
-        borne = min(self.rate.sent, self.rate.served)  # what was turned away is no load that it can bear
-        fleet.borne += 0.2 * (borne / max(1, fleet.reach) - fleet.borne)
+            pool.draw_width = min(len(pool.endpoints), pool.subset_size + bool(pool.blocked_since_ns))
+        self.rate_controller.adjust(now, fleet.default_pool.draw_width, fleet.is_loaded(now))
+        borne = min(
+            self.rate_controller.attempt_rate, self.rate_controller.success_rate
+        )  # what was turned away is no load that it can bear
+        fleet.sustained_throughput += 0.2 * (borne / max(1, fleet.subset_size) - fleet.sustained_throughput)
         for t in self.throttles.values():
             self._release(t, now)
-        self.throttles.forget(now)
+        self.throttles.forget_idle(now)
--- a/loadbalancer/policy/endpoints.py
+++ b/loadbalancer/policy/endpoints.py
@@ -10,10 +10,10 @@
 
 from loadbalancer.messages import EndpointStatus, EndpointUpdate, EndpointUpdateKind
 from loadbalancer.policy.concurrency_limit import ConcurrencyLimit
-from loadbalancer.policy.endpoint_pool import EndpointPool
 from loadbalancer.policy.endpoint_state import LOAD_MAX, EndpointState
 from loadbalancer.policy.subsetting import choose_subset
 from loadbalancer.settings import DeduplicationScope, RequestClass, Settings, WeightSource
+from loadbalancer.state.endpoint_pool import EndpointPool
 from loadbalancer.state.endpoint_table import EndpointTable, Placement
 from loadbalancer.state.hash_ring import mixed, unmixed
 from loadbalancer.units import SECOND
@@ -34,159 +34,171 @@
     """Cold starts, health, and what this proxy knows of the upstreams that it uses."""
 
     def __init__(self, settings: Settings, crowding: ConcurrencyLimit, rng: random.Random) -> None:
-        self.settings, self.crowding, self.rng = settings, crowding, rng
-        self.membership = EndpointTable(settings)
-        self.servers: dict[int, EndpointState] = {}  # those in use, or with requests of ours
-        self.used: set[int] = set()  # in the order of a pool
+        self.settings, self.concurrency_limit, self.rng = settings, crowding, rng
+        self.table = EndpointTable(settings)
+        self.endpoints: dict[int, EndpointState] = {}  # those in use, or with requests of ours
+        self.used_ids: set[int] = set()  # in the order of a pool
         self.pools: dict[tuple[frozenset[str] | None, frozenset[str] | None], EndpointPool] = {}
-        self.any = self.pool(RequestClass(""))
+        self.default_pool = self.pool(RequestClass(""))
         for cls in settings.request_classes.values():
             self.pool(cls)
-        self.looks = (
+        self.probes_load = (
             settings.limits.health_checks
             and "inflight" in settings.load_report_columns
             and settings.prices.health_check * (LOOKS + 1) <= LOOK_PRICE
         )
-        self.sizes: dict[str, float] = {}  # kind -> largest weight seen, that of an idle one
-        self.ended = self.broke = 0.0  # over the upstreams in use, see Server
-        self.reach = 0  # upstreams in the subsets of this proxy
-        self.borne = 0.0  # own attempts a second that a warm upstream is seen to bear
+        self.largest_weights: dict[str, float] = {}  # kind -> largest weight seen, that of an idle one
+        self.recent_attempts = self.recent_resets = 0.0  # over the upstreams in use, see Server
+        self.subset_size = 0  # upstreams in the subsets of this proxy
+        self.sustained_throughput = 0.0  # own attempts a second that a warm upstream is seen to bear
 
     def pool(self, cls: RequestClass) -> EndpointPool:
         key = (cls.allowed_zones, cls.allowed_machine_types)
         if key not in self.pools:
             self.pools[key] = EndpointPool(Placement(*key))
-            self.membership.placements.append(self.pools[key].placement)
+            self.table.placements.append(self.pools[key].placement)
         return self.pools[key]
 
-    def learn(self, update: EndpointUpdate, now: int) -> list[EndpointState]:
+    def apply_update(self, update: EndpointUpdate, now: int) -> list[EndpointState]:
         """Take a list; which cold upstreams are new in the subset of this proxy?"""
-        membership, live = self.membership, self.settings.weight_source is WeightSource.LIVE
-        missing = set(membership.profiles) if update.kind is not EndpointUpdateKind.DELTA else set()
-        kept = {s for s in self.servers.values() if s.own}
+        membership, live = self.table, self.settings.weight_source is WeightSource.LIVE
+        missing = set(membership.attributes) if update.kind is not EndpointUpdateKind.DELTA else set()
+        kept = {s for s in self.endpoints.values() if s.in_subset}
         had = len(kept)
         for entry in update.endpoints:
             missing.discard(entry.id)
-            membership.put(entry)
+            membership.upsert(entry)
             if live and 0 < entry.weight < LOAD_MAX:
                 # A live weight is size / (1 + requests held a core): every proxy sees the fleet's load.
-                self.sizes[entry.machine_type] = max(self.sizes.get(entry.machine_type, 0.0), entry.weight)
-            s = self.servers.get(entry.id)
+                self.largest_weights[entry.machine_type] = max(
+                    self.largest_weights.get(entry.machine_type, 0.0), entry.weight
+                )
+            s = self.endpoints.get(entry.id)
             if s is not None:
-                if entry.started_ns != s.entry.started_ns:
-                    s.strikes = s.not_before_ns = 0
+                if entry.started_ns != s.endpoint.started_ns:
+                    s.consecutive_failures = s.ejected_until_ns = 0
                     kept.discard(s)
-                s.entry = entry
-                self._weigh(s, now)
+                s.endpoint = entry
+                self._record_weight(s, now)
         for number in missing:
-            membership.drop(number)
-            if number in self.servers:
-                s = self.servers[number]
-                s.entry = s.entry._replace(status=EndpointStatus.REMOVED)  # missing from a whole list
-        if membership.settle():
-            self._arrange_all(now)
+            membership.remove(number)
+            if number in self.endpoints:
+                s = self.endpoints[number]
+                s.endpoint = s.endpoint._replace(status=EndpointStatus.REMOVED)  # missing from a whole list
+        if membership.apply_changes():
+            self._rebuild_pools(now)
         elif len(kept) == had:  # only weights have changed, as they do all the time
             return []
-        return [s for s in self.servers.values() if s.own and s not in kept and self.cold(s, now)]
+        return [
+            s for s in self.endpoints.values() if s.in_subset and s not in kept and self.is_warming_up(s, now)
+        ]
 
-    def _weigh(self, s: EndpointState, now: int) -> None:
-        if self.settings.weight_source is WeightSource.LIVE and 0 < s.entry.weight < LOAD_MAX:
-            s.hear(self.sizes[s.entry.machine_type] / s.entry.weight - 1, now)
+    def _record_weight(self, s: EndpointState, now: int) -> None:
+        if self.settings.weight_source is WeightSource.LIVE and 0 < s.endpoint.weight < LOAD_MAX:
+            s.record_load(self.largest_weights[s.endpoint.machine_type] / s.endpoint.weight - 1, now)
 
-    def server(self, number: int, now: int) -> EndpointState:
+    def endpoint_state(self, number: int, now: int) -> EndpointState:
         """What is known of a listed upstream in full, from now on."""
-        if number not in self.servers:
-            self.servers[number] = s = EndpointState(number, self.membership.entry(number))
-            s.rank = mixed(number, self.settings.proxy_index + 1)
-            self._weigh(s, now)
-        return self.servers[number]
+        if number not in self.endpoints:
+            self.endpoints[number] = s = EndpointState(number, self.table.entry(number))
+            s.reserve_rank = mixed(number, self.settings.proxy_index + 1)
+            self._record_weight(s, now)
+        return self.endpoints[number]
 
-    def _arrange_all(self, now: int) -> None:
+    def _rebuild_pools(self, now: int) -> None:
         """Take up each pool's subset; what it is made of is the same whatever came before."""
-        subsets = [choose_subset(self.membership, pool.placement) for pool in self.pools.values()]
-        if subsets == [pool.given for pool in self.pools.values()]:
+        subsets = [choose_subset(self.table, pool.placement) for pool in self.pools.values()]
+        if subsets == [pool.current_subset for pool in self.pools.values()]:
             return
-        for s in self.servers.values():
-            s.own = False
+        for s in self.endpoints.values():
+            s.in_subset = False
         for pool, subset in zip(self.pools.values(), subsets, strict=True):
             own, near, far = (
-                [self.server(unmixed(key), now) for key in keys]
-                for keys in (subset.own, subset.near, subset.far)
+                [self.endpoint_state(unmixed(key), now) for key in keys]
+                for keys in (subset.assigned, subset.zone_reserve, subset.remote_reserve)
+            )
+            pool.current_subset = subset
+            pool.endpoints = (
+                own + sorted(near, key=lambda s: s.reserve_rank) + sorted(far, key=lambda s: s.reserve_rank)
             )
-            pool.given = subset
-            pool.order = own + sorted(near, key=lambda s: s.rank) + sorted(far, key=lambda s: s.rank)
-            pool.subset = pool.width = len(pool.order) if self.looks else len(own)
-            pool.sharers = subset.sharers * pool.subset / max(1, len(own))
-            for s in pool.order[: pool.subset]:
-                s.own = True
-        self.reach = sum(s.own for s in self.servers.values())
-        self.used = {s.id for pool in self.pools.values() for s in pool.order}
+            pool.subset_size = pool.draw_width = len(pool.endpoints) if self.probes_load else len(own)
+            pool.proxies_sharing = subset.proxies_sharing * pool.subset_size / max(1, len(own))
+            for s in pool.endpoints[: pool.subset_size]:
+                s.in_subset = True
+        self.subset_size = sum(s.in_subset for s in self.endpoints.values())
+        self.used_ids = {s.id for pool in self.pools.values() for s in pool.endpoints}
         self.forget()
 
     def forget(self) -> None:
         """Nothing is kept in full of upstreams that are not used and hold nothing of ours. What still knows
         one, as a request that has asked it, finds it gone: no news reaches it any more."""
-        for s in [s for i, s in self.servers.items() if not (i in self.used or s.inflight or s.late)]:
-            s.entry = s.entry._replace(status=EndpointStatus.REMOVED)
-            del self.servers[s.id]
+        for s in [
+            s for i, s in self.endpoints.items() if not (i in self.used_ids or s.in_flight or s.overdue)
+        ]:
+            s.endpoint = s.endpoint._replace(status=EndpointStatus.REMOVED)
+            del self.endpoints[s.id]
 
-    def group(
+    def deduplication_group(
         self, pool: EndpointPool, like: EndpointState, scope: DeduplicationScope, now: int
     ) -> list[EndpointState]:
         """Some upstreams of the same zone or cell that this proxy does not use otherwise."""
-        if len(pool.order) == len(pool.placement.ring):
+        if len(pool.endpoints) == len(pool.placement.ring):
             return []
-        if len(self.servers) > len(self.used) + 4 * SCAN:
+        if len(self.endpoints) > len(self.used_ids) + 4 * SCAN:
             self.forget()
-        found = self.membership.group(pool.placement, like.entry, scope, self.rng.random(), SCAN)
-        return [self.server(number, now) for number in found if number not in self.used]
+        found = self.table.group(pool.placement, like.endpoint, scope, self.rng.random(), SCAN)
+        return [self.endpoint_state(number, now) for number in found if number not in self.used_ids]
 
-    def cold(self, s: EndpointState, now: int) -> bool:
-        return bool(s.entry.started_ns) and now - s.entry.started_ns < self.settings.rules.slow_start_ns
+    def is_warming_up(self, s: EndpointState, now: int) -> bool:
+        return bool(s.endpoint.started_ns) and now - s.endpoint.started_ns < self.settings.rules.slow_start_ns
 
-    def cold_gap_ns(self, s: EndpointState, now: int) -> int:
+    def pacing_interval_ns(self, s: EndpointState, now: int) -> int:
         """Rule 4: the least time between sends to a cold upstream, so that all whose subset it is in stay,
         together, inside what it can bear now. A warm one bears what it is seen to bear, or what
         upstreams finish: the slope `each` is flattened by late reports, and promises several times that."""
         rules = self.settings.rules
         part = (
             rules.slow_start_initial_capacity
-            + (1 - rules.slow_start_initial_capacity) * (now - s.entry.started_ns) / rules.slow_start_ns
+            + (1 - rules.slow_start_initial_capacity) * (now - s.endpoint.started_ns) / rules.slow_start_ns
         )
         # Others may have it in the subset of another pool: all pools that it is in count.
-        sharers = sum(p.sharers for p in self.pools.values() if p.admits(s.entry))
+        sharers = sum(p.proxies_sharing for p in self.pools.values() if p.admits(s.endpoint))
         sharers = max(1.0, min(self.settings.proxy_count, sharers))
-        bears = max(self.borne, SECOND / self.crowding.alone / sharers)
+        bears = max(self.sustained_throughput, SECOND / self.concurrency_limit.service_interval_ns / sharers)
         return int(SECOND / (COLD_PART * rules.overload_factor * part * bears))
 
-    def limit_of(self, s: EndpointState, now: int) -> int:
-        if not s.own:  # other proxies fill it, and own counts say little of it
-            return int(not s.strikes and not self.cold(s, now))
-        if s.strikes:
+    def concurrency_limit_of(self, s: EndpointState, now: int) -> int:
+        if not s.in_subset:  # other proxies fill it, and own counts say little of it
+            return int(not s.consecutive_failures and not self.is_warming_up(s, now))
+        if s.consecutive_failures:
             return 1
-        return max(1, self.crowding.limit // 2) if self.cold(s, now) else self.crowding.limit
+        return (
+            max(1, self.concurrency_limit.limit // 2)
+            if self.is_warming_up(s, now)
+            else self.concurrency_limit.limit
+        )
 
-    def fit(self, s: EndpointState, now: int) -> bool:
+    def is_available(self, s: EndpointState, now: int) -> bool:
         return (
-            s.entry.status is EndpointStatus.READY
-            and now >= s.not_before_ns
-            and s.inflight < self.limit_of(s, now)
+            s.endpoint.status is EndpointStatus.READY
+            and now >= s.ejected_until_ns
+            and s.in_flight < self.concurrency_limit_of(s, now)
         )
 
     def eject(self, s: EndpointState, now: int, base: float) -> None:
         """Leave a failing upstream alone, longer each time, unless that would leave hardly any."""
-        if s.not_before_ns > now:
+        if s.ejected_until_ns > now:
             return  # what was out there when it stood still fails together: one strike for it
-        s.strikes += 1
+        s.consecutive_failures += 1
         if all(
-            sum(o.not_before_ns > now for o in p.order[: p.width]) < 0.7 * p.width
+            sum(o.ejected_until_ns > now for o in p.endpoints[: p.draw_width]) < 0.7 * p.draw_width
             for p in self.pools.values()
-            if s in p.order[: p.width]
+            if s in p.endpoints[: p.draw_width]
         ):
-            length = min(base * 2 ** min(s.strikes - 1, 5), EJECTION_MAX)
-            s.not_before_ns = now + int(length * self.rng.uniform(0.75, 1.25))
+            length = min(base * 2 ** min(s.consecutive_failures - 1, 5), EJECTION_MAX)
+            s.ejected_until_ns = now + int(length * self.rng.uniform(0.75, 1.25))
 
-    def ends(self, s: EndpointState, broke: bool) -> bool:
+    def record_attempt_end(self, s: EndpointState, broke: bool) -> bool:
         """Note that an attempt ended; does the broken connection set its upstream apart from the others?
 
         Where connections break at all upstreams alike (a bad network, a box between, a close that crosses a
@@ -195,47 +207,61 @@
         another attempt would not meet. Harm: while much breaks everywhere, an upstream that accepts and then
         breaks all it is sent is left only after a few attempts; one that is dead refuses connections, and
         is left at once."""
-        s.ended += 1
-        self.ended += 1
-        s.breaks = s.breaks + 1 if broke else 0
-        s.broke += broke
-        self.broke += broke
-        others = (self.broke - s.broke) / max(1.0, self.ended - s.ended)
-        return broke and min(others, COMMON_MAX) ** s.breaks <= CHANCE
-
-    def settle(self) -> None:
+        s.recent_attempts += 1
+        self.recent_attempts += 1
+        s.consecutive_resets = s.consecutive_resets + 1 if broke else 0
+        s.recent_resets += broke
+        self.recent_resets += broke
+        others = (self.recent_resets - s.recent_resets) / max(1.0, self.recent_attempts - s.recent_attempts)
+        return broke and min(others, COMMON_MAX) ** s.consecutive_resets <= CHANCE
+
+    def decay(self) -> None:
         """Fade old evidence on broken connections."""
         self.forget()
-        self.ended = self.broke = 0.0
-        for s in self.servers.values():
-            s.ended *= BREAKS_KEPT
-            s.broke *= BREAKS_KEPT
-            self.ended += s.ended
-            self.broke += s.broke
-
-    def crowded(self, now: int) -> bool:
+        self.recent_attempts = self.recent_resets = 0.0
+        for s in self.endpoints.values():
+            s.recent_attempts *= BREAKS_KEPT
+            s.recent_resets *= BREAKS_KEPT
+            self.recent_attempts += s.recent_attempts
+            self.recent_resets += s.recent_resets
+
+    def is_loaded(self, now: int) -> bool:
         """Do upstreams have more than they can work on, by what they last reported? Unknown counts as yes."""
         told = [
-            s.load for s in self.servers.values() if s.entry.status is EndpointStatus.READY and s.told(now)
+            s.reported_load
+            for s in self.endpoints.values()
+            if s.endpoint.status is EndpointStatus.READY and s.has_fresh_load(now)
         ]
         return not told or sum(told) >= CROWDED * len(told)
 
     def draw(self, pool: EndpointPool, count: int, now: int) -> list[EndpointState]:
         """So many random draws from the fit ones within reach, and the previous winner."""
-        n, chance = pool.width, self.rng.random
-        near = pool.order[:n] if n <= SCAN else [pool.order[int(chance() * n)] for _ in range(SCAN)]
+        n, chance = pool.draw_width, self.rng.random
+        near = pool.endpoints[:n] if n <= SCAN else [pool.endpoints[int(chance() * n)] for _ in range(SCAN)]
         drawn = [near[int(chance() * len(near))] for _ in range(count)] if near else []
-        if not all(self.fit(s, now) for s in drawn):  # seldom: most are fit, and looking at all takes time
-            fit = [s for s in near if self.fit(s, now)]
+        if not all(
+            self.is_available(s, now) for s in drawn
+        ):  # seldom: most are fit, and looking at all takes time
+            fit = [s for s in near if self.is_available(s, now)]
             drawn = [fit[int(chance() * len(fit))] for _ in range(count)] if fit else []
-        if pool.last is not None and self.fit(pool.last, now) and pool.last in pool.order[:n]:
-            drawn.append(pool.last)
+        if (
+            pool.last_choice is not None
+            and self.is_available(pool.last_choice, now)
+            and pool.last_choice in pool.endpoints[:n]
+        ):
+            drawn.append(pool.last_choice)
         return drawn
 
     def pick(
         self, pool: EndpointPool, now: int, allowed: Iterable[EndpointState] | None = None
     ) -> EndpointState | None:
         """The lightest, by requests held and learned speed, of two draws and the previous winner."""
-        drawn = self.draw(pool, DRAWS, now) if allowed is None else [s for s in allowed if self.fit(s, now)]
-        pool.last = min(drawn, key=lambda s: (s.crowd(now) + 1) * s.pace, default=pool.last)
-        return pool.last if drawn else None
+        drawn = (
+            self.draw(pool, DRAWS, now)
+            if allowed is None
+            else [s for s in allowed if self.is_available(s, now)]
+        )
+        pool.last_choice = min(
+            drawn, key=lambda s: (s.estimated_load(now) + 1) * s.relative_latency, default=pool.last_choice
+        )
+        return pool.last_choice if drawn else None
--- a/loadbalancer/policy/subsetting.py
+++ b/loadbalancer/policy/subsetting.py
@@ -27,13 +27,13 @@
 class Subset:
     """Which upstreams a proxy uses: its own, those in reserve near by, and elsewhere. Keys, in ring order."""
 
-    own: list[Key]
-    near: list[Key]
-    far: list[Key]
-    sharers: float  # proxies that have one of its own in their subset, about
+    assigned: list[Key]
+    zone_reserve: list[Key]
+    remote_reserve: list[Key]
+    proxies_sharing: float  # proxies that have one of its own in their subset, about
 
     def __iter__(self) -> Iterator[Key]:
-        return chain(self.own, self.near, self.far)
+        return chain(self.assigned, self.zone_reserve, self.remote_reserve)
 
 
 def choose_subset(table: EndpointTable, placement: Placement) -> Subset:
@@ -46,12 +46,12 @@
     settings, whole = table.settings, placement.ring
     me, proxies, zones = settings.proxy_index, max(1, settings.proxy_count), max(1, len(settings.zones))
     many = proxies >= MANY
-    ring = placement.by_zone.get(settings.zone, whole) if table.zonal else whole
+    ring = placement.by_zone.get(settings.zone, whole) if table.zone_aware else whole
     if len(ring) < SUBSET[1]:
         ring = whole  # so few are sick, cold or draining together, and a busy zone finds no help
     n, place, own_size = len(ring), me * GOLDEN % 1, mixed(me, 1) / WORD
     # Which peers share the zone is not told: golden-ratio steps are even over most parts of them.
-    apart = n < len(whole) or placement.zones is not None
+    apart = n < len(whole) or placement.allowed_zones is not None
     if apart:
         proxies = max(1, proxies // zones)
         if many:  # even as well where each zone has every so-manieth, which golden steps may not be
--- a/loadbalancer/policy/tenant_throttles.py
+++ b/loadbalancer/policy/tenant_throttles.py
@@ -19,21 +19,21 @@
     def __init__(self, settings: Settings, rng: random.Random, now: int, aim_ns: int) -> None:
         super().__init__()
         self.tenants = settings.tenants or {"": Tenant("")}
-        self.other = next(iter(self.tenants))  # who is not known passes for this one
+        self.default_tenant = next(iter(self.tenants))  # who is not known passes for this one
         self.rng, self.now, self.aim_ns = rng, now, aim_ns
-        self.rate = RateController(
+        self.rate_controller = RateController(
             self.values(), now, sum(max(1e-6, t.quota_share) for t in self.tenants.values())
         )
 
     def __missing__(self, name: str) -> Throttle:
         if name not in self.tenants:
-            return self[self.other]
+            return self[self.default_tenant]
         self[name] = made = Throttle(
             max(1e-6, self.tenants[name].quota_share), self.rng, self.now, self.aim_ns
         )
-        made.set_rate(self.rate.of_silent(made.weight), self.now)
+        made.set_rate(self.rate_controller.rate_of_idle_tenant(made.weight), self.now)
         return made
 
-    def forget(self, now: int) -> None:
-        for name in [name for name, throttle in self.items() if throttle.idle(now)]:
+    def forget_idle(self, now: int) -> None:
+        for name in [name for name, throttle in self.items() if throttle.is_idle(now)]:
             del self[name]
--- a/loadbalancer/proxy/connection_pool.py
+++ b/loadbalancer/proxy/connection_pool.py
@@ -19,52 +19,52 @@
 class ConnectionPool:
     """The connections to one address; those between uses, the last used one last."""
 
-    hub: ConnectionLimits
+    limits: ConnectionLimits
     address: Address
-    ready: bool = True  # it may be sent something new
-    open: int = 0  # connections, also those that are only coming up
-    idle: list[Connection] = field(default_factory=list)
+    accepts_requests: bool = True  # it may be sent something new
+    open_connections: int = 0  # connections, also those that are only coming up
+    idle_connections: list[Connection] = field(default_factory=list)
 
-    def exchange(self, data: bytes, timeout_s: float | None, done: Done, spare: int = 0) -> Exchange:
+    def start_exchange(self, data: bytes, timeout_s: float | None, done: Done, spare: int = 0) -> Exchange:
         """Begin an exchange whose request tells no time left, so that it may be built beforehand."""
         exchange = Exchange(self, lambda: data, done, spare)
         exchange.start(None if timeout_s is None else asyncio.get_running_loop().time() + timeout_s)
         return exchange
 
-    def reuse(self) -> Connection | None:
-        self.hub.expire()
+    def take_idle(self) -> Connection | None:
+        self.limits.close_expired()
         now = time.monotonic()
-        for connection in reversed(self.idle.copy()):
-            if connection.rested_at <= now:
-                self.drop(connection)
+        for connection in reversed(self.idle_connections.copy()):
+            if connection.quarantined_until <= now:
+                self.remove_idle(connection)
                 if connection.usable:
                     return connection
                 connection.close()
         return None
 
-    def keep(self, connection: Connection, rest_s: float) -> None:
-        if not self.ready:
+    def release(self, connection: Connection, rest_s: float) -> None:
+        if not self.accepts_requests:
             connection.close()
             return
         connection.idle_since = time.monotonic()
-        connection.rested_at = connection.idle_since + rest_s
-        self.idle.append(connection)
-        self.hub.idle[connection] = None
-        if len(self.idle) > KEPT_IDLE:
-            self.idle[0].close()
+        connection.quarantined_until = connection.idle_since + rest_s
+        self.idle_connections.append(connection)
+        self.limits.idle_connections[connection] = None
+        if len(self.idle_connections) > KEPT_IDLE:
+            self.idle_connections[0].close()
 
-    def drop(self, connection: Connection) -> None:
-        if connection in self.idle:
-            self.idle.remove(connection)
-            del self.hub.idle[connection]
+    def remove_idle(self, connection: Connection) -> None:
+        if connection in self.idle_connections:
+            self.idle_connections.remove(connection)
+            del self.limits.idle_connections[connection]
 
     def close_idle(self) -> None:
-        while self.idle:
-            self.idle[-1].close()
+        while self.idle_connections:
+            self.idle_connections[-1].close()
 
     def retire(self) -> None:
         """Nothing new goes to this address, and no connection to it is kept."""
-        self.ready = False
+        self.accepts_requests = False
         self.close_idle()
 
 
@@ -79,31 +79,33 @@
         max_body: int = MAX_ANSWER,
         least_rate: float = 0.0,
     ) -> None:
-        self.least_rate = least_rate  # bytes a second of an answer that put off its time-out; 0: it stands
-        self.capacity = capacity
+        self.min_response_rate = (
+            least_rate  # bytes a second of an answer that put off its time-out; 0: it stands
+        )
+        self.max_connections = capacity
         self.connect_timeout_s = connect_timeout_s
-        self.idle_s = conn_idle_s * IDLE_PART or IDLE_DEFAULT_S
-        self.max_body = max_body
-        self.open = 0  # connections, also those that are only coming up
+        self.idle_timeout_s = conn_idle_s * IDLE_PART or IDLE_DEFAULT_S
+        self.max_response_body = max_body
+        self.open_connections = 0  # connections, also those that are only coming up
         self.pools: dict[int, ConnectionPool] = {}  # of the upstreams that have been sent something of late
-        self.idle: dict[Connection, None] = {}  # of all pools, the longest so first
+        self.idle_connections: dict[Connection, None] = {}  # of all pools, the longest so first
 
-    def make_place(self, spare: int = 0) -> bool:
+    def reserve_connection(self, spare: int = 0) -> bool:
         """Is there room for one more connection? An idle one is given up for it."""
-        if self.open < self.capacity - spare:
+        if self.open_connections < self.max_connections - spare:
             return True
-        oldest = next(iter(self.idle), None)
+        oldest = next(iter(self.idle_connections), None)
         if oldest is not None:
             oldest.close()
         return oldest is not None
 
-    def expire(self) -> None:
+    def close_expired(self) -> None:
         """Close what has been idle for so long that its upstream may be closing it too."""
-        latest = time.monotonic() - self.idle_s
-        while self.idle and next(iter(self.idle)).idle_since < latest:
-            next(iter(self.idle)).close()
+        latest = time.monotonic() - self.idle_timeout_s
+        while self.idle_connections and next(iter(self.idle_connections)).idle_since < latest:
+            next(iter(self.idle_connections)).close()
 
-    def forget(self) -> None:
+    def forget_empty_pools(self) -> None:
         """Keep no pool without a connection: upstreams come and go, and only a few are in use."""
-        for number in [number for number, pool in self.pools.items() if not pool.open]:
+        for number in [number for number, pool in self.pools.items() if not pool.open_connections]:
             del self.pools[number]
--- a/loadbalancer/proxy/discovery_client.py
+++ b/loadbalancer/proxy/discovery_client.py
@@ -50,10 +50,10 @@
         self._source, self._done = source, done
         self._reading: asyncio.Task[None] | None = None
         data = write_request(b"GET", (LIST_PATH + query).encode(), [(b"Host", source.host)])
-        self._exchange = source.pool.exchange(data, wait_s + OVERDUE_S, self._answered)
+        self._exchange = source.pool.start_exchange(data, wait_s + OVERDUE_S, self._answered)
 
     def abandon(self) -> None:
-        if not self._exchange.over:
+        if not self._exchange.finished:
             self._exchange.abandon()
         if self._reading is not None:
             self._reading.cancel()
@@ -61,10 +61,10 @@
     def _answered(self, result: AttemptResult, response: Message | None) -> None:
         self._source.refuses = result is AttemptResult.CONNECT_FAILED
         if result is not AttemptResult.OK or response is None or response.status != 200:
-            if self._exchange.too_large:
+            if self._exchange.response_too_large:
                 log.warning(
                     "discovery: a list of over %d bytes is turned down; the old list stays",
-                    self._source.pool.hub.max_body,
+                    self._source.pool.limits.max_response_body,
                 )
             log.info("discovery: call failed: %s %s", result.value, response.status if response else "")
             self._done(
@@ -129,17 +129,17 @@
         most: int = MAX_LIST,
     ) -> None:
         self._reader = reader
-        self._most = most  # bytes of a list
-        self._source = DiscoveryTarget(address, reader, most)
+        self._max_list_bytes = most  # bytes of a list
+        self._target = DiscoveryTarget(address, reader, most)
         self._successor: DiscoveryTarget | None = None  # the new address, until it has told the whole list
-        self._pushed = pushed
+        self._pushes = pushed
         self._rng = rng
-        self._heard = heard
+        self._on_result = heard
         self._version: int | None = None
         self._watching = False
-        self._call: DiscoveryCall | None = None
-        self._fetch: DiscoveryCall | None = None
-        self._handover: DiscoveryCall | None = None  # the call to the successor
+        self._watch_call: DiscoveryCall | None = None
+        self._fetch_call: DiscoveryCall | None = None
+        self._handover_call: DiscoveryCall | None = None  # the call to the successor
         self._watch_deferred = False  # to the end of that call, since the old address refuses connections
         self._fetch_deferred = False
         self._retry: asyncio.TimerHandle | None = None
@@ -147,36 +147,36 @@
         self._failures = 0
         self._handover_failures = 0
 
-    def take_known(self, listing: EndpointList) -> None:
+    def start_from(self, listing: EndpointList) -> None:
         self._version = listing.version
 
     def watch(self) -> None:
         """Ask for what is newer than what is known; a call that is out already serves."""
         self._watching = True
-        if self._call is not None:
+        if self._watch_call is not None:
             return
         self._cancel_retry()
         if self._closed:
             self._watch_deferred = True
             return
-        wait_ms = RETURN_WAIT_MS if self._failures else AGENT_WAIT_MS if self._pushed else ASKED_WAIT_MS
+        wait_ms = RETURN_WAIT_MS if self._failures else AGENT_WAIT_MS if self._pushes else ASKED_WAIT_MS
         query = "" if self._version is None else f"?after={self._version}&wait_ms={wait_ms}"
         # Who waits less leaves a discovery with too many callers more time to come to it.
-        self._call = self._source.get(query, max(wait_ms, AGENT_WAIT_MS) / 1000, self._answered)
+        self._watch_call = self._target.get(query, max(wait_ms, AGENT_WAIT_MS) / 1000, self._answered)
 
     def fetch(self) -> None:
         """Ask for the whole list once."""
         if self._closed:
             self._fetch_deferred = True
-        elif self._fetch is None:
-            self._fetch = self._source.get("", 0.0, self._fetched)
+        elif self._fetch_call is None:
+            self._fetch_call = self._target.get("", 0.0, self._fetched)
 
     def unwatch(self) -> None:
         self._watching = self._watch_deferred = False
         self._end_call()
 
     def _end_call(self) -> None:
-        call, self._call = self._call, None
+        call, self._watch_call = self._watch_call, None
         if call is not None:
             call.abandon()
         self._cancel_retry()
@@ -189,44 +189,48 @@
     @property
     def _closed(self) -> bool:
         """The old address of a handover has closed: what would be asked of it is left to the successor."""
-        return self._successor is not None and self._source.refuses
+        return self._successor is not None and self._target.refuses
 
-    def move(self, address: Address) -> None:
+    def move_to(self, address: Address) -> None:
         """Go over to another address. The watch on the old one stays until the new one has answered."""
-        if self._handover is not None and self._successor is not None and address == self._successor.address:
+        if (
+            self._handover_call is not None
+            and self._successor is not None
+            and address == self._successor.address
+        ):
             return  # a second call would wait behind the first one
         self._forget_successor()  # of several moves in a row the last one counts
-        self._source.refuses = False  # it may be back since
-        if address != self._source.address:
-            self._successor = DiscoveryTarget(address, self._reader, self._most)
+        self._target.refuses = False  # it may be back since
+        if address != self._target.address:
+            self._successor = DiscoveryTarget(address, self._reader, self._max_list_bytes)
             self._handover_failures = 0
             self._ask_successor()
             return
-        if self._watching and self._call is None:
+        if self._watching and self._watch_call is None:
             self.watch()  # back to an address whose watch had ended
         if self._fetch_deferred:
             self.fetch()
         self._watch_deferred = self._fetch_deferred = False
 
     def _forget_successor(self) -> None:
-        if self._handover is not None:
-            self._handover.abandon()
+        if self._handover_call is not None:
+            self._handover_call.abandon()
         if self._handover_retry is not None:
             self._handover_retry.cancel()
         if self._successor is not None:
             self._successor.close()
-        self._successor = self._handover = self._handover_retry = None
+        self._successor = self._handover_call = self._handover_retry = None
 
     def _ask_successor(self) -> None:
         self._handover_retry = None
         if self._successor is not None:
-            self._handover = self._successor.get("", HANDOVER_WAIT_S, self._succeeded)
+            self._handover_call = self._successor.get("", HANDOVER_WAIT_S, self._succeeded)
 
     def _succeeded(self, listing: WatchResult) -> None:
-        self._handover = None
+        self._handover_call = None
         if self._successor is None:
             return
-        if not isinstance(listing, EndpointList) or not listing.whole:
+        if not isinstance(listing, EndpointList) or not listing.complete:
             self._handover_failures += 1
             self._handover_retry = asyncio.get_running_loop().call_later(
                 self._pause_s(self._handover_failures), self._ask_successor
@@ -234,11 +238,11 @@
             self._fail_deferred(EndpointUpdateKind.FAILED if isinstance(listing, EndpointList) else listing)
             return
         self._end_call()
-        if self._fetch is not None:  # what the whole list was asked for, this one answers
-            self._fetch.abandon()
-            self._fetch = None
-        self._source.close()
-        self._source, self._successor = self._successor, None
+        if self._fetch_call is not None:  # what the whole list was asked for, this one answers
+            self._fetch_call.abandon()
+            self._fetch_call = None
+        self._target.close()
+        self._target, self._successor = self._successor, None
         self._failures, self._version = 0, listing.version
         self._watch_deferred = self._fetch_deferred = False  # this list answers them
         if self._watching:
@@ -255,19 +259,19 @@
     def stop(self) -> None:
         self.unwatch()
         self._forget_successor()
-        if self._fetch is not None:
-            self._fetch.abandon()
-        self._source.close()
+        if self._fetch_call is not None:
+            self._fetch_call.abandon()
+        self._target.close()
 
     def _fetched(self, listing: WatchResult) -> None:
-        self._fetch = None
+        self._fetch_call = None
         if self._closed and not isinstance(listing, EndpointList):
             self._fetch_deferred = True
             return
         self._tell(listing)
 
     def _answered(self, listing: WatchResult) -> None:
-        self._call = None
+        self._watch_call = None
         self._failures = 0 if isinstance(listing, EndpointList) else self._failures + 1
         if self._closed and not isinstance(listing, EndpointList):
             self._watch_deferred = True
@@ -278,7 +282,7 @@
                 self.watch()  # first of all: a watch that pauses for 200 ms is a new one
             else:
                 self._watch_later(EMPTY_S)
-        elif self._pushed and self._successor is None:  # else the watch goes on there
+        elif self._pushes and self._successor is None:  # else the watch goes on there
             self._watch_later(self._pause_s(self._failures))
         self._tell(listing)
 
@@ -290,5 +294,5 @@
         self._retry = asyncio.get_running_loop().call_later(wait_s, self.watch)
 
     def _tell(self, listing: WatchResult) -> None:
-        if isinstance(listing, EndpointList) or not self._pushed:
-            self._heard(listing)
+        if isinstance(listing, EndpointList) or not self._pushes:
+            self._on_result(listing)
--- a/loadbalancer/proxy/downstream.py
+++ b/loadbalancer/proxy/downstream.py
@@ -34,9 +34,9 @@
     @property
     def ready(self) -> bool: ...
 
-    def take(self, client: ClientConnection, request: Message, received_ns: int) -> None: ...
+    def handle_request(self, client: ClientConnection, request: Message, received_ns: int) -> None: ...
 
-    def gone(self, client: ClientConnection) -> None: ...
+    def handle_disconnect(self, client: ClientConnection) -> None: ...
 
 
 class ClientConnection(asyncio.Protocol):
@@ -48,23 +48,23 @@
         self._reader = MessageReader()
         self._current: Message | None = None
         self._ended = False
-        self._drained = 0  # bytes read since its end
+        self._discarded_bytes = 0  # bytes read since its end
         self._transport: asyncio.Transport | None = None
-        self.since = 0.0  # it has been in its place of the server's tables since then
+        self.entered_at = 0.0  # it has been in its place of the server's tables since then
 
     @property
     def busy(self) -> bool:
         return self._current is not None
 
     @property
-    def left(self) -> bool:
+    def has_disconnected(self) -> bool:
         """The client has ended its sending or broken the connection, whether that has been read or not."""
         return (
             self._transport is None or self._transport.is_closing() or socket_shows(self._transport, CLOSED)
         )
 
     @property
-    def unread(self) -> bool:
+    def has_unread_data(self) -> bool:
         """Something lies in its socket that will be read as soon as the loop comes to it."""
         return (
             self._transport is not None
@@ -73,12 +73,12 @@
         )
 
     @property
-    def speaking(self) -> bool:
+    def request_started(self) -> bool:
         """A request has begun to come."""
-        return self._reader.begun
+        return self._reader.message_started
 
     @property
-    def flushing(self) -> bool:
+    def has_unsent_data(self) -> bool:
         """Part of an answer is still to be written."""
         return self._transport is not None and self._transport.get_write_buffer_size() > 0
 
@@ -89,44 +89,46 @@
 
     def data_received(self, data: bytes) -> None:
         if self._ended:
-            self._drained += len(data)
-            if self._drained > DRAIN and self._transport is not None:
+            self._discarded_bytes += len(data)
+            if self._discarded_bytes > DRAIN and self._transport is not None:
                 self._transport.pause_reading()
             return
-        received, began = time.monotonic_ns(), self._reader.begun
+        received, began = time.monotonic_ns(), self._reader.message_started
         requests = self._reader.feed(data)
         if self.busy:
-            if requests or self._reader.begun or self._reader.bad:  # an empty line is none of these
-                self._ahead()
-        elif self._reader.bad:
-            self.turn_away(self._reader.bad)
-        elif len(requests) > 1 or (requests and self._reader.begun):
-            self.turn_away(400)
+            if (
+                requests or self._reader.message_started or self._reader.error_status
+            ):  # an empty line is none of these
+                self._reject_pipelined()
+        elif self._reader.error_status:
+            self.reject(self._reader.error_status)
+        elif len(requests) > 1 or (requests and self._reader.message_started):
+            self.reject(400)
         elif requests:
             self._begin(requests[0], received)
-        elif self._reader.begun and not began:
-            self._server.await_request(self)
+        elif self._reader.message_started and not began:
+            self._server.expect_request(self)
 
-    def _ahead(self) -> None:
+    def _reject_pipelined(self) -> None:
         """More came while a request is in hand: neither is served."""
-        self._abandon()
-        self.turn_away(400)
+        self._abandon_request()
+        self.reject(400)
 
     def eof_received(self) -> None:
         """A client that ends its sending has gone away, though part of an earlier answer may still go out."""
-        self._abandon()
+        self._abandon_request()
         self.close()
 
     def connection_lost(self, error: Exception | None) -> None:
         self._ended = True
-        self._server.forget(self)
-        self._abandon()
+        self._server.remove(self)
+        self._abandon_request()
 
-    def _abandon(self) -> None:
+    def _abandon_request(self) -> None:
         """Nobody waits for the current request any more."""
         if self.busy:
             self._current = None
-            self._service.gone(self)
+            self._service.handle_disconnect(self)
 
     def pause_writing(self) -> None:
         """It does not read its answers: no more requests of it, and its time runs."""
@@ -139,30 +141,30 @@
 
     def _begin(self, request: Message, received_ns: int) -> None:
         self._current = request
-        self._server.mark(self)
+        self._server.update_idle(self)
         if request.target.partition(b"?")[0] == READY_PATH:
-            self.answer(200 if self._service.ready else 503)
+            self.respond(200 if self._service.ready else 503)
         else:
-            self._service.take(self, request, received_ns)
+            self._service.handle_request(self, request, received_ns)
 
-    def answer(self, status: int, headers: Headers = (), body: bytes | bytearray = b"") -> None:
+    def respond(self, status: int, headers: Headers = (), body: bytes | bytearray = b"") -> None:
         """The final answer of the current request."""
         if self._current is None or self._transport is None:
             return
-        last = not self._current.keep_alive or self._server.draining or self._server.crowded
+        last = not self._current.keep_alive or self._server.draining or self._server.nearly_full
         self._current = None
         self._transport.write(write_response(status, headers, body, last))
         if last:
             self.close()
         else:
-            self._server.mark(self)
+            self._server.update_idle(self)
 
-    def turn_away(self, status: int) -> None:
+    def reject(self, status: int) -> None:
         """Say what is wrong and end the connection."""
         if self._ended:
             return
         self._ended = True
-        self._server.leave(self)
+        self._server.start_closing(self)
         if self._transport is None:
             return
         self._transport.write(write_response(status, (), b"", True))
@@ -173,7 +175,7 @@
     def close(self) -> None:
         """Close the connection between requests; what has been answered is still written, for a while."""
         self._ended = True
-        self._server.leave(self, self.flushing)
+        self._server.start_closing(self, self.has_unsent_data)
         if self._transport is not None:
             self._transport.close()
 
@@ -200,7 +202,7 @@
 
     def add(self, client: ClientConnection) -> None:
         self._members.pop(client, None)
-        client.since = asyncio.get_running_loop().time()
+        client.entered_at = asyncio.get_running_loop().time()
         self._members[client] = None
 
     def discard(self, client: ClientConnection) -> None:
@@ -209,15 +211,17 @@
     def oldest(self, age_s: float = 0.0) -> ClientConnection | None:
         """The first that came, if it has been here for so long."""
         client = next(iter(self._members), None)
-        if client is None or asyncio.get_running_loop().time() - client.since < age_s:
+        if client is None or asyncio.get_running_loop().time() - client.entered_at < age_s:
             return None
         return client
 
-    def silent(self, age_s: float = 0.0) -> Iterator[ClientConnection]:
+    def closeable(self, age_s: float = 0.0) -> Iterator[ClientConnection]:
         """Who has been here for so long and may be closed between requests, oldest first: what lies unread
         in a socket may be a request, which has been taken."""
         latest = asyncio.get_running_loop().time() - age_s
-        return (c for c in itertools.takewhile(lambda c: c.since <= latest, self) if not c.unread)
+        return (
+            c for c in itertools.takewhile(lambda c: c.entered_at <= latest, self) if not c.has_unread_data
+        )
 
 
 class DownstreamServer:
@@ -228,13 +232,15 @@
         self._capacity = capacity
         self._connections: set[ClientConnection] = set()
         self._idle = ConnectionTable()  # between requests
-        self._awaited = ConnectionTable()  # a request of theirs is due: the first one, or one that has begun
-        self._leaving = ConnectionTable()  # closed or turned away, their last bytes still on the way
+        self._awaiting_request = (
+            ConnectionTable()
+        )  # a request of theirs is due: the first one, or one that has begun
+        self._closing = ConnectionTable()  # closed or turned away, their last bytes still on the way
         self._flushing = ConnectionTable()  # closed, but a good part of an answer is still to be written
-        self._adopting: set[asyncio.Task[object]] = set()
+        self._accept_tasks: set[asyncio.Task[object]] = set()
         self._socket: socket.socket | None = None
         self._accepting = False
-        self._ticking: asyncio.TimerHandle | None = None
+        self._timeout_timer: asyncio.TimerHandle | None = None
         self.draining = False
 
     def listen(self, host: str, port: int) -> int:
@@ -245,43 +251,43 @@
         self._socket.setblocking(False)
         self._socket.bind((host, port))
         self._socket.listen(BACKLOG)
-        self._resume()
-        self._tick()
+        self._resume_accepting()
+        self._enforce_timeouts()
         return int(self._socket.getsockname()[1])
 
-    def _tick(self) -> None:
-        for client in self._awaited.silent(SPEAK_S):
-            if client.speaking:
-                client.turn_away(408)
+    def _enforce_timeouts(self) -> None:
+        for client in self._awaiting_request.closeable(SPEAK_S):
+            if client.request_started:
+                client.reject(408)
             else:
                 client.close()
-        for client in self._idle.silent(IDLE_S):
+        for client in self._idle.closeable(IDLE_S):
             client.close()
-        for table, limit_s in ((self._leaving, LINGER_S), (self._flushing, FLUSH_S)):
+        for table, limit_s in ((self._closing, LINGER_S), (self._flushing, FLUSH_S)):
             while (late := table.oldest(limit_s)) is not None:
-                self.forget(late)
+                self.remove(late)
                 late.abort()
-        self._ticking = asyncio.get_running_loop().call_later(TICK_S, self._tick)
+        self._timeout_timer = asyncio.get_running_loop().call_later(TICK_S, self._enforce_timeouts)
 
-    def _resume(self) -> None:
+    def _resume_accepting(self) -> None:
         if self._socket is not None and not self._accepting:
             self._accepting = True
             asyncio.get_running_loop().add_reader(self._socket, self._accept)
 
-    def _pause(self, for_s: float | None = None) -> None:
+    def _pause_accepting(self, for_s: float | None = None) -> None:
         if self._socket is not None and self._accepting:
             self._accepting = False
             asyncio.get_running_loop().remove_reader(self._socket)
             if for_s is not None:
-                asyncio.get_running_loop().call_later(for_s, self._resume)
+                asyncio.get_running_loop().call_later(for_s, self._resume_accepting)
 
     def _accept(self) -> bool:
         """Take in who waits; has nobody been left?"""
         assert self._socket is not None
         for _ in range(ACCEPTS):
-            if len(self._connections) >= self._capacity and self._dispensable() is None:
+            if len(self._connections) >= self._capacity and self._eviction_candidate() is None:
                 # Where all are busy, the first to end lets the next one in.
-                self._pause(FRESH_S if self._awaited else None)
+                self._pause_accepting(FRESH_S if self._awaiting_request else None)
                 return False
             try:
                 accepted, _ = self._socket.accept()
@@ -289,93 +295,95 @@
                 return isinstance(error, BlockingIOError)
             except OSError as error:  # no descriptor left: asyncio's own server would stop for a second
                 log.warning("accept: %s", error)
-                self._evict()
-                self._pause(ACCEPT_PAUSE_S)
+                self._evict_one()
+                self._pause_accepting(ACCEPT_PAUSE_S)
                 return False
             if len(self._connections) >= self._capacity:
-                self._evict()  # not before one has come: it might be the last that came
-            self._adopt(accepted)
+                self._evict_one()  # not before one has come: it might be the last that came
+            self._start_connection(accepted)
         return False
 
-    def _dispensable(self) -> ClientConnection | None:
+    def _eviction_candidate(self) -> ClientConnection | None:
         """Who makes place for a new one: first who is leaving, then who owes a request, then who is idle."""
-        owing = self._leaving.oldest() or next(self._awaited.silent(FRESH_S), None)
-        idle = next(self._idle.silent(SPEAK_S if self._awaited else 0.0), None)
-        return owing or (idle if idle is not None and not idle.flushing else None)
+        owing = self._closing.oldest() or next(self._awaiting_request.closeable(FRESH_S), None)
+        idle = next(self._idle.closeable(SPEAK_S if self._awaiting_request else 0.0), None)
+        return owing or (idle if idle is not None and not idle.has_unsent_data else None)
 
-    def _adopt(self, accepted: socket.socket) -> None:
+    def _start_connection(self, accepted: socket.socket) -> None:
         accepted.setblocking(False)
         accepted.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         client = ClientConnection(self, self._service)
         self._connections.add(client)
-        self._awaited.add(client)
-        task: asyncio.Task[object] = asyncio.get_running_loop().create_task(self._attach(client, accepted))
-        self._adopting.add(task)
-        task.add_done_callback(self._adopting.discard)
+        self._awaiting_request.add(client)
+        task: asyncio.Task[object] = asyncio.get_running_loop().create_task(
+            self._attach_transport(client, accepted)
+        )
+        self._accept_tasks.add(task)
+        task.add_done_callback(self._accept_tasks.discard)
 
-    async def _attach(self, client: ClientConnection, accepted: socket.socket) -> None:
+    async def _attach_transport(self, client: ClientConnection, accepted: socket.socket) -> None:
         try:
             await asyncio.get_running_loop().connect_accepted_socket(lambda: client, accepted)
         except OSError:  # it has gone in the meantime
             accepted.close()
-            self.forget(client)
+            self.remove(client)
 
-    def mark(self, client: ClientConnection) -> None:
+    def update_idle(self, client: ClientConnection) -> None:
         """The connection has become busy or idle."""
-        self._awaited.discard(client)
+        self._awaiting_request.discard(client)
         self._idle.discard(client)
         if not client.busy:
             self._idle.add(client)
-            self._resume()
+            self._resume_accepting()
 
-    def await_request(self, client: ClientConnection) -> None:
+    def expect_request(self, client: ClientConnection) -> None:
         """A request has begun to come: the rest is due."""
         if client in self._idle:  # for the first request, the time runs from connecting
             self._idle.discard(client)
-            self._awaited.add(client)
+            self._awaiting_request.add(client)
 
-    def leave(self, client: ClientConnection, flushing: bool = False) -> None:
-        self._awaited.discard(client)
+    def start_closing(self, client: ClientConnection, flushing: bool = False) -> None:
+        self._awaiting_request.discard(client)
         self._idle.discard(client)
         if client in self._connections:
-            (self._flushing if flushing else self._leaving).add(client)
+            (self._flushing if flushing else self._closing).add(client)
 
     @property
-    def crowded(self) -> bool:
+    def nearly_full(self) -> bool:
         """So many connections are held that clients without one may find none."""
         return len(self._connections) > ROOMY * self._capacity
 
     @property
     def flushing(self) -> bool:
-        return bool(self._flushing) or any(client.flushing for client in self._connections)
+        return bool(self._flushing) or any(client.has_unsent_data for client in self._connections)
 
-    def forget(self, client: ClientConnection) -> None:
+    def remove(self, client: ClientConnection) -> None:
         self._connections.discard(client)
-        for table in (self._idle, self._awaited, self._leaving, self._flushing):
+        for table in (self._idle, self._awaiting_request, self._closing, self._flushing):
             table.discard(client)
-        self._resume()
+        self._resume_accepting()
 
-    def _evict(self) -> bool:
+    def _evict_one(self) -> bool:
         """Make place for one connection at once."""
-        client = self._dispensable()
+        client = self._eviction_candidate()
         if client is None:
             return False
-        self.forget(client)
+        self.remove(client)
         client.abort()
         return True
 
-    def wind_up(self) -> bool:
+    def continue_shutdown(self) -> bool:
         """Close to new clients once all that the system has accepted are taken in, and close connections on
         which no request has begun to come. Are none left of either?"""
         if self._socket is not None and self._accept():
             self.stop_listening()
-        for client in [*self._idle.silent(), *self._awaited.silent(FRESH_S)]:
-            if not client.speaking:
+        for client in [*self._idle.closeable(), *self._awaiting_request.closeable(FRESH_S)]:
+            if not client.request_started:
                 client.close()
-        return self._socket is None and not (self._idle or self._awaited)
+        return self._socket is None and not (self._idle or self._awaiting_request)
 
     def stop_listening(self) -> None:
-        self._pause()
+        self._pause_accepting()
         if self._socket is not None:
             self._socket.close()
             self._socket = None
@@ -383,9 +391,9 @@
     def abort(self) -> None:
         """Give up what is left, at the end of the process."""
         self.stop_listening()
-        if self._ticking is not None:
-            self._ticking.cancel()
-        for task in self._adopting:
+        if self._timeout_timer is not None:
+            self._timeout_timer.cancel()
+        for task in self._accept_tasks:
             task.cancel()
         for client in list(self._connections):
             client.close()
--- a/loadbalancer/proxy/endpoint_list.py
+++ b/loadbalancer/proxy/endpoint_list.py
@@ -63,23 +63,23 @@
 
     def __init__(self, host_numbers: HostNumbers, version: int = 0, whole: bool = False) -> None:
         self.host_numbers = host_numbers  # that assigned the numbers
-        self.version, self.whole = version, whole
-        self.numbers = array("Q")
-        self.profiles: list[EndpointAttributes] = []
+        self.version, self.complete = version, whole
+        self.ids = array("Q")
+        self.attributes: list[EndpointAttributes] = []
         self.addresses: list[Packed] = []
-        self.unread: list[int] = []  # listed, but their rows can't be read: what is known of them stays
-        self.overtaken: set[int] = set()  # newer things of these came before they were put in force
+        self.unreadable: list[int] = []  # listed, but their rows can't be read: what is known of them stays
+        self.superseded: set[int] = set()  # newer things of these came before they were put in force
 
     def __len__(self) -> int:
-        return len(self.numbers)
+        return len(self.ids)
 
     def clear(self) -> None:
         """It has been put in force, and is of no more use."""
-        del self.numbers[:], self.profiles[:], self.addresses[:]
+        del self.ids[:], self.attributes[:], self.addresses[:]
 
     @property
     def entries(self) -> Iterator[ListedEndpoint]:
-        for number, profile, address in zip(self.numbers, self.profiles, self.addresses, strict=True):
+        for number, profile, address in zip(self.ids, self.attributes, self.addresses, strict=True):
             yield ListedEndpoint(Endpoint(number, *profile), unpack_address(address))
 
 
@@ -88,7 +88,7 @@
 
     def __init__(self, offset_ns: int, host_numbers: HostNumbers | None = None) -> None:
         self._host_numbers = HostNumbers() if host_numbers is None else host_numbers
-        self.listing = EndpointList(self._host_numbers)
+        self.endpoint_list = EndpointList(self._host_numbers)
         self._offset_ns = offset_ns  # from the module's clock to Unix time
         self._version: object = None
         self._whole: object = None
@@ -98,7 +98,7 @@
         self._row: dict[object, object] | None = None
         self._nested = 0  # values in values of a row: of no use here
         self._field: object = None  # of the row
-        self.begun = False  # there is an object
+        self.started = False  # there is an object
         self._alike: dict[Any, Any] = {}  # one object for all that are equal: weights and profiles
 
     def take(self, events: Iterator[Event]) -> bool:
@@ -132,7 +132,7 @@
         elif kind in STARTS:
             if kind == "start_map" and self._depth == 2 and self._among_hosts:
                 return {}
-            self._depth, self.begun = self._depth + 1, True
+            self._depth, self.started = self._depth + 1, True
             if self._depth == 2 and kind == "start_array" and self._key == "hosts":
                 self._among_hosts = self._has_hosts = True
         elif kind in ENDS:
@@ -151,8 +151,8 @@
             raise EndpointListError("no object with hosts")
         if not isinstance(self._version, int) or not isinstance(self._whole, bool):
             raise EndpointListError("no seq or whole")
-        self.listing.version, self.listing.whole = self._version, self._whole
-        return self.listing
+        self.endpoint_list.version, self.endpoint_list.complete = self._version, self._whole
+        return self.endpoint_list
 
     def _add(self, row: dict[object, object]) -> None:
         host = row.get("host")
@@ -184,13 +184,13 @@
             # One bad row must not hide the others, nor end an upstream that is there.
             log.warning("discovery: entry %.80s can't be read: %r", host, error)
             if (number := self._host_numbers.find(number_of(host), fingerprint_of(host))) is not None:
-                self.listing.unread.append(number)
+                self.endpoint_list.unreadable.append(number)
             return
         if (number := self._number(host, state)) is None:
             return
-        self.listing.numbers.append(number)
-        self.listing.profiles.append(alike.setdefault(profile, profile))
-        self.listing.addresses.append(address)
+        self.endpoint_list.ids.append(number)
+        self.endpoint_list.attributes.append(alike.setdefault(profile, profile))
+        self.endpoint_list.addresses.append(address)
 
     def _number(self, host: str, state: EndpointStatus) -> int | None:
         """None for the end of a host that is not known, where another host holds its number: it must stay."""
--- a/loadbalancer/proxy/gossip.py
+++ b/loadbalancer/proxy/gossip.py
@@ -36,7 +36,7 @@
     def error_received(self, error: Exception) -> None:
         log.info("peers: %s", error)
 
-    def tell(self, data: bytes, peer: int) -> None:
+    def send(self, data: bytes, peer: int) -> None:
         """To one peer, or to all (-1). Messages may be lost: nothing is said of one that can't be sent."""
         address = self._everyone if peer < 0 else self._peers[peer] if peer < len(self._peers) else None
         if self._transport is not None and address is not None and len(data) <= MAX_MESSAGE:
--- a/loadbalancer/proxy/http.py
+++ b/loadbalancer/proxy/http.py
@@ -76,9 +76,11 @@
         self._max_body = max_body
         self._ready: list[Message] = []
         self._fed = 0  # bytes of a message that is not whole yet, its framing included
-        self._announced = 0  # 1xx answers ahead of the one that counts
-        self.begun = False  # a message has begun that is not whole yet
-        self.bad = 0  # what to tell a peer that sent what HTTP or our limits do not allow; reading is over
+        self._interim_responses = 0  # 1xx answers ahead of the one that counts
+        self.message_started = False  # a message has begun that is not whole yet
+        self.error_status = (
+            0  # what to tell a peer that sent what HTTP or our limits do not allow; reading is over
+        )
         self._fresh()
 
     def _fresh(self) -> None:
@@ -102,18 +104,18 @@
             self._refuse(431)  # a head without end must not fill the memory
         elif self._fed > MAX_HEAD + FRAMING * self._max_body:
             self._refuse(413)  # nor must chunk extensions without end keep the parser busy
-        if self.bad:
+        if self.error_status:
             self._fresh()
         ready, self._ready = self._ready, []
         return ready
 
     def _refuse(self, status: int) -> None:
-        self.bad = self.bad or status
+        self.error_status = self.error_status or status
 
     # -- called by httptools --
 
     def on_message_begin(self) -> None:
-        self.begun = True
+        self.message_started = True
 
     def on_url(self, url: bytes) -> None:
         self._target += url
@@ -122,7 +124,7 @@
     def on_header(self, name: bytes, value: bytes) -> None:
         self._count(len(name) + len(value) + 4)
         # Behind a chunked body come trailers. They must not pass for headers that the head did not have.
-        if not self._in_body and not self.bad:
+        if not self._in_body and not self.error_status:
             self._headers.append((name.lower(), value))
 
     def _count(self, size: int) -> None:
@@ -143,25 +145,25 @@
     def on_body(self, data: bytes) -> None:
         if len(self._body) + len(data) > self._max_body:
             self._refuse(413)
-        if not self.bad:
+        if not self.error_status:
             self._body += data
 
     def on_message_complete(self) -> None:
-        if self.bad:
+        if self.error_status:
             return
         message = Message(self._headers, self._body, self._parser.should_keep_alive())
         if isinstance(self._parser, httptools.HttpRequestParser):
             message.method, message.target = self._parser.get_method(), self._target
         else:
             message.status = self._parser.get_status_code()
-        self._fed, self.begun = 0, False
+        self._fed, self.message_started = 0, False
         self._fresh()
         if message.status == 0 or message.status >= 200:
             self._ready.append(message)
-            self._announced = 0
+            self._interim_responses = 0
             return
-        self._announced += 1  # 1xx only announces the answer
-        if self._announced > MAX_ANNOUNCED:
+        self._interim_responses += 1  # 1xx only announces the answer
+        if self._interim_responses > MAX_ANNOUNCED:
             self._refuse(400)
 
 
--- a/loadbalancer/proxy/proxy.py
+++ b/loadbalancer/proxy/proxy.py
@@ -86,10 +86,10 @@
     client: ClientConnection
     request: Message
     deadline_ns: int
-    timer: asyncio.TimerHandle | None = None
-    sends: int = 0
-    out: Exchange | None = None
-    over: bool = False
+    deadline_timer: asyncio.TimerHandle | None = None
+    attempt_count: int = 0
+    attempt: Exchange | None = None
+    finished: bool = False
 
 
 def leave_s(classes: Iterable[RequestClass]) -> float:
@@ -112,91 +112,99 @@
         limits = config.settings.limits
         self._limits = limits
         self._loop = asyncio.get_running_loop()
-        self._calls: dict[str, PendingRequest] = {}
-        self._by_client: dict[ClientConnection, PendingRequest] = {}
-        self._ids: set[bytes] = set()  # that clients gave to their open requests
-        self._count = 0
-        self._probes = 0
-        self._events: list[Event] = []
-        self._feeding = False
-        self._decided_ns = 0  # the clock as the module last read it: what it gives as a time counts from then
-        self._stopping = False
-        self._rested_s = 0.0  # not ready before, by the loop's clock
-        self._sweep: asyncio.TimerHandle | None = None
+        self._pending: dict[str, PendingRequest] = {}
+        self._pending_by_client: dict[ClientConnection, PendingRequest] = {}
+        self._open_request_ids: set[bytes] = set()  # that clients gave to their open requests
+        self._request_count = 0
+        self._health_checks_in_flight = 0
+        self._queued_events: list[Event] = []
+        self._dispatching = False
+        self._decision_time_ns = (
+            0  # the clock as the module last read it: what it gives as a time counts from then
+        )
+        self._draining = False
+        self._ready_at_s = 0.0  # not ready before, by the loop's clock
+        self._sweep_timer: asyncio.TimerHandle | None = None
         room = max(8, (config.sockets - RESERVED_DESCRIPTORS) // 2)
-        self._hub = ConnectionLimits(
+        self._connection_limits = ConnectionLimits(
             room, limits.connect_timeout_ns / SECOND, limits.connection_idle_timeout_ns / SECOND
         )
-        self.server = DownstreamServer(self, room)
-        self._held: dict[int, Packed | None] = {}  # where listed upstreams are; None: they take nothing new
-        self._applying: asyncio.Task[None] | None = None  # puts long lists in force, in slices
-        self._long: deque[EndpointList] = deque()  # the one in hand, and those that wait
-        self._reader = EndpointListReader(
+        self.downstream = DownstreamServer(self, room)
+        self._addresses: dict[
+            int, Packed | None
+        ] = {}  # where listed upstreams are; None: they take nothing new
+        self._update_task: asyncio.Task[None] | None = None  # puts long lists in force, in slices
+        self._pending_updates: deque[EndpointList] = deque()  # the one in hand, and those that wait
+        self._list_reader = EndpointListReader(
             unix_offset_ns(), None if config.known is None else config.known.host_numbers
         )
-        self._discovery = DiscoveryClient(
+        self._discovery_client = DiscoveryClient(
             config.discovery,
-            self._reader,
+            self._list_reader,
             config.settings.discovery_pushes,
             random.Random(config.seed + 1),
-            self._listed,
+            self._on_watch_result,
             min(MAX_LIST, config.memory_bytes // MEMORY_PART or MAX_LIST),
         )
-        self._peers = Gossip(config.peers, config.peers_all, config.settings.proxy_index, self._peer_message)
-        self._module = module
-        self._probe_path = b"/stats" if config.settings.load_report_columns else b"/health/live"
+        self._gossip = Gossip(config.peers, config.peers_all, config.settings.proxy_index, self._on_gossip)
+        self._policy = module
+        self._health_check_path = b"/stats" if config.settings.load_report_columns else b"/health/live"
 
     # -- start and end --
 
     async def start(self, rest_s: float = 0.0) -> int:
         """Take up the known list, then open to clients, though ready only after a rest; gives the port."""
-        self._rested_s = self._loop.time() + rest_s
-        self._take_known()
+        self._ready_at_s = self._loop.time() + rest_s
+        self._apply_known_list()
         if self.config.peer_listen is not None:
-            await self._loop.create_datagram_endpoint(lambda: self._peers, self.config.peer_listen)
+            await self._loop.create_datagram_endpoint(lambda: self._gossip, self.config.peer_listen)
         if self.config.settings.discovery_pushes:
-            self._discovery.watch()
-        self._sweep_idle()
-        return self.server.listen(*self.config.listen)
+            self._discovery_client.watch()
+        self._sweep_once()
+        return self.downstream.listen(*self.config.listen)
 
-    def _take_known(self) -> None:
+    def _apply_known_list(self) -> None:
         known: Iterable[Endpoint] = ()
         if self.config.known is not None:
-            listing = self._reader.accept(self.config.known)
-            self._discovery.take_known(listing)
-            known = self._taken(listing)  # noted as the module goes through it, or a long list stood twice
+            listing = self._list_reader.accept(self.config.known)
+            self._discovery_client.start_from(listing)
+            known = self._endpoints_of(
+                listing
+            )  # noted as the module goes through it, or a long list stood twice
             if len(listing) <= SLICE:
                 known = list(known)
-        self.feed(EndpointUpdate(EndpointUpdateKind.CACHED, known))
+        self.dispatch(EndpointUpdate(EndpointUpdateKind.CACHED, known))
         if self.config.known is not None:
             for _ in known:
                 pass  # what the module has left
             self.config.known.clear()
 
-    def _sweep_idle(self) -> None:
-        self._hub.expire()
-        self._hub.forget()
+    def _sweep_once(self) -> None:
+        self._connection_limits.close_expired()
+        self._connection_limits.forget_empty_pools()
         self._sweep_host_numbers()
-        self._sweep = self._loop.call_later(SWEEP_S, self._sweep_idle)
+        self._sweep_timer = self._loop.call_later(SWEEP_S, self._sweep_once)
 
     def _sweep_host_numbers(self, segments: int = SWEEP_SEGMENTS) -> None:
         """Free numbers of hosts that are gone, unless a list that is not in force yet may name them."""
-        if not self._reader.reads and not self._long:
-            self._reader.host_numbers.sweep(self._held, segments)
+        if not self._list_reader.reads and not self._pending_updates:
+            self._list_reader.host_numbers.sweep(self._addresses, segments)
 
     @property
     def ready(self) -> bool:
-        return not self._stopping and self._loop.time() >= self._rested_s
+        return not self._draining and self._loop.time() >= self._ready_at_s
 
     async def drain(self) -> None:
         """A planned end: go on with what still comes, answer all of it, then close everything."""
         end = self._loop.time() + leave_s(self.config.settings.request_classes.values())
-        self._stopping = self.server.draining = True
+        self._draining = self.downstream.draining = True
         await asyncio.sleep(LATE_ARRIVALS_S)
         # What lies in the backlog or has come in part is taken too; an answer is whole with its last byte.
-        while not (self.server.wind_up() and not self._calls and not self.server.flushing):
+        while not (
+            self.downstream.continue_shutdown() and not self._pending and not self.downstream.flushing
+        ):
             if self._loop.time() >= end:
-                log.warning("left with %d requests open", len(self._calls))
+                log.warning("left with %d requests open", len(self._pending))
                 break
             await asyncio.sleep(WIND_UP_S)
         self.close()
@@ -204,73 +212,73 @@
 
     def move_discovery(self, address: Address) -> None:
         """The configuration names another address for discovery."""
-        self._discovery.move(address)
+        self._discovery_client.move_to(address)
 
     def close(self) -> None:
         """Stop everything at once; what is open fails."""
-        for call in list(self._calls.values()):
+        for call in list(self._pending.values()):
             self._finish(call, 504)
-        self._discovery.stop()
-        if self._applying is not None:
-            self._applying.cancel()
-        if self._sweep is not None:
-            self._sweep.cancel()
-        for pool in self._hub.pools.values():
+        self._discovery_client.stop()
+        if self._update_task is not None:
+            self._update_task.cancel()
+        if self._sweep_timer is not None:
+            self._sweep_timer.cancel()
+        for pool in self._connection_limits.pools.values():
             pool.close_idle()
-        self._peers.close()
-        self.server.abort()
+        self._gossip.close()
+        self.downstream.abort()
 
     # -- the module --
 
-    def feed(self, *events: Event) -> None:
+    def dispatch(self, *events: Event) -> None:
         """Hand events over; those raised while actions are carried out wait for their turn."""
-        self._events += events
-        if self._feeding:
+        self._queued_events += events
+        if self._dispatching:
             return
-        self._feeding = True
+        self._dispatching = True
         try:
-            while self._events:
-                batch, self._events = self._events, []
+            while self._queued_events:
+                batch, self._queued_events = self._queued_events, []
                 for action in self._decide(batch):
-                    self._carry_out(action)
+                    self._execute(action)
         finally:
-            self._feeding = False
+            self._dispatching = False
 
     def _decide(self, batch: list[Event]) -> list[Action]:
-        self._decided_ns = time.monotonic_ns()
+        self._decision_time_ns = time.monotonic_ns()
         try:
-            return self._module.handle(self._decided_ns, batch)
+            return self._policy.handle(self._decision_time_ns, batch)
         except Exception:  # a fault in the decisions costs these requests their time, not the process
             log.exception("the module failed on %.200r", batch)
             return []
 
-    def _carry_out(self, action: Action) -> None:
+    def _execute(self, action: Action) -> None:
         match action:
             case Forward():
-                self._send(action)
+                self._forward(action)
             case Reject():
-                self._refuse(action)
+                self._reject(action)
             case Fail():
-                self._final(action.request_id, 504)
+                self._finish_by_id(action.request_id, 504)
             case CancelAttempt():
-                self._cancel(action)
+                self._cancel_attempt(action)
             case CheckHealth():
-                self._probe(action.endpoint_id)
+                self._check_health(action.endpoint_id)
             case SendGossip():
-                self._peers.tell(action.data, action.recipient)
+                self._gossip.send(action.data, action.recipient)
             case CloseIdleConnections():
-                if (pool := self._hub.pools.get(action.endpoint_id)) is not None:
+                if (pool := self._connection_limits.pools.get(action.endpoint_id)) is not None:
                     pool.close_idle()
             case WatchEndpoints():
                 if action.watch:
-                    self._discovery.watch()
+                    self._discovery_client.watch()
                 else:
-                    self._discovery.unwatch()
+                    self._discovery_client.unwatch()
             case FetchEndpoints():
-                self._discovery.fetch()
+                self._discovery_client.fetch()
             case SetTimer():
-                due = (self._decided_ns + action.delay_ns) / SECOND
-                self._loop.call_at(due, self.feed, TimerExpired(action.name))
+                due = (self._decision_time_ns + action.delay_ns) / SECOND
+                self._loop.call_at(due, self.dispatch, TimerExpired(action.name))
             case LogMessage():
                 log.info("module: %s", action.text)
             case _:
@@ -278,38 +286,38 @@
 
     # -- requests --
 
-    def take(self, client: ClientConnection, request: Message, received_ns: int) -> None:
+    def handle_request(self, client: ClientConnection, request: Message, received_ns: int) -> None:
         """A client's request: refused here only if it can't be understood or there is no room."""
         name = request.target[1:].partition(b"?")[0].partition(b"/")[0].decode("latin-1")
         cls = self.config.settings.request_classes.get(name)
         wait_ms = whole_number(request.header(b"req-deadline-ms"))
         ids = [value for key, value in request.headers if key == b"req-id"]
         if request.method not in METHODS.values():
-            client.answer(405, [(b"Allow", b"GET, POST")])
+            client.respond(405, [(b"Allow", b"GET, POST")])
         elif cls is None or len(ids) != 1 or not ids[0] or not wait_ms or b"#" in request.target:
-            client.answer(400)
+            client.respond(400)
         elif request.method != METHODS[cls.idempotency]:
-            client.answer(405, [(b"Allow", METHODS[cls.idempotency])])
+            client.respond(405, [(b"Allow", METHODS[cls.idempotency])])
         elif request.method == b"GET" and request.body:
-            client.answer(400)  # an upstream reads no body there and would take it for the next request
-        elif ids[0] in self._ids:
-            client.answer(409)  # whose answer would it be?
-        elif self._limits.max_pending_requests and len(self._calls) >= self._limits.max_pending_requests:
-            client.answer(503, [(b"Retry-After", FULL_RETRY_S)])
+            client.respond(400)  # an upstream reads no body there and would take it for the next request
+        elif ids[0] in self._open_request_ids:
+            client.respond(409)  # whose answer would it be?
+        elif self._limits.max_pending_requests and len(self._pending) >= self._limits.max_pending_requests:
+            client.respond(503, [(b"Retry-After", FULL_RETRY_S)])
         else:
             deadline = received_ns + min(wait_ms, LONGEST_DEADLINE_MS) * MS
-            self._open(client, request, name, deadline)
-
-    def _open(self, client: ClientConnection, request: Message, name: str, deadline_ns: int) -> None:
-        self._count += 1
-        self._ids.add(request.header(b"req-id"))
-        call = PendingRequest(str(self._count), client, request, deadline_ns)
-        self._calls[call.id] = self._by_client[client] = call
-        call.timer = self._loop.call_at((deadline_ns - NODE_EARLY_NS) / SECOND, self._out_of_time, call)
+            self._open_request(client, request, name, deadline)
+
+    def _open_request(self, client: ClientConnection, request: Message, name: str, deadline_ns: int) -> None:
+        self._request_count += 1
+        self._open_request_ids.add(request.header(b"req-id"))
+        call = PendingRequest(str(self._request_count), client, request, deadline_ns)
+        self._pending[call.id] = self._pending_by_client[client] = call
+        call.deadline_timer = self._loop.call_at((deadline_ns - NODE_EARLY_NS) / SECOND, self._expire, call)
         cookies = (c.strip() for c in request.header(b"cookie").decode("latin-1").split(";"))
         key = next((c[5:] for c in cookies if c.startswith("user=")), "")
         cost_us = whole_number(request.header(b"req-cost")) or 0
-        self.feed(
+        self.dispatch(
             RequestArrived(
                 call.id,
                 name,
@@ -321,25 +329,25 @@
             )
         )
 
-    def _out_of_time(self, call: PendingRequest) -> None:
+    def _expire(self, call: PendingRequest) -> None:
         self._finish(call, 504)
-        self.feed(ClientDisconnected(call.id))
+        self.dispatch(ClientDisconnected(call.id))
 
-    def gone(self, client: ClientConnection) -> None:
+    def handle_disconnect(self, client: ClientConnection) -> None:
         """The client has closed its connection: nobody waits for the answer."""
-        call = self._by_client.get(client)
+        call = self._pending_by_client.get(client)
         if call is not None:
-            self._drop(call)
-            self.feed(ClientDisconnected(call.id))
+            self._forget(call)
+            self.dispatch(ClientDisconnected(call.id))
 
-    def _refuse(self, action: Reject) -> None:
+    def _reject(self, action: Reject) -> None:
         headers = []
         if action.retry_after_ns > 0:
             headers.append((b"Retry-After", b"%.3f" % (action.retry_after_ns / SECOND)))
-        self._final(action.request_id, 503, headers)
+        self._finish_by_id(action.request_id, 503, headers)
 
-    def _final(self, request: str, status: int, headers: Headers = ()) -> None:
-        call = self._calls.get(request)
+    def _finish_by_id(self, request: str, status: int, headers: Headers = ()) -> None:
+        call = self._pending.get(request)
         if call is not None:
             self._finish(call, status, headers)
 
@@ -347,62 +355,62 @@
         self, call: PendingRequest, status: int, headers: Headers = (), body: bytes | bytearray = b""
     ) -> None:
         """The one final answer."""
-        if not call.over:
-            self._drop(call)
-            call.client.answer(status, headers, body)
+        if not call.finished:
+            self._forget(call)
+            call.client.respond(status, headers, body)
 
-    def _drop(self, call: PendingRequest) -> None:
+    def _forget(self, call: PendingRequest) -> None:
         """Forget the request and call off what is out for it."""
-        call.over = True
-        if call.timer is not None:
-            call.timer.cancel()
-        del self._calls[call.id]
-        del self._by_client[call.client]
-        self._ids.discard(call.request.header(b"req-id"))
-        if call.out is not None:
-            call.out.finish(AttemptResult.CANCELLED)
+        call.finished = True
+        if call.deadline_timer is not None:
+            call.deadline_timer.cancel()
+        del self._pending[call.id]
+        del self._pending_by_client[call.client]
+        self._open_request_ids.discard(call.request.header(b"req-id"))
+        if call.attempt is not None:
+            call.attempt.finish(AttemptResult.CANCELLED)
 
     # -- attempts --
 
-    def _send(self, action: Forward) -> None:
+    def _forward(self, action: Forward) -> None:
         now = time.monotonic_ns()
-        call = self._calls.get(action.request_id)
-        number = call.sends if call is not None else 0
-        pool = self._pool(action.endpoint_id)
+        call = self._pending.get(action.request_id)
+        number = call.attempt_count if call is not None else 0
+        pool = self._connection_pool(action.endpoint_id)
         # A stall since the decision must not push the time-out past the deadline: the module is told in time.
         end = call.deadline_ns - NODE_EARLY_NS if call is not None else now
         if action.timeout_ns:
-            end = min(end, self._decided_ns + action.timeout_ns)
+            end = min(end, self._decision_time_ns + action.timeout_ns)
         if call is not None:
-            call.sends += 1
+            call.attempt_count += 1
         if (
             call is None
-            or call.out is not None
+            or call.attempt is not None
             or pool is None
-            or not pool.ready
+            or not pool.accepts_requests
             or end <= now
             or number >= self._limits.max_attempts
         ):
-            self.feed(
+            self.dispatch(
                 AttemptEnded(
                     action.request_id, number, action.endpoint_id, AttemptResult.NOT_SENT, 0, call is None
                 )
             )
             return
-        call.out = Exchange(
+        call.attempt = Exchange(
             pool,
             partial(self._serialize_attempt, call.request, end),
-            self._when_ended(call, number, action.endpoint_id, now),
-            wanted=lambda: self._wanted(call),
+            self._on_attempt_ended(call, number, action.endpoint_id, now),
+            wanted=lambda: self._is_wanted(call),
             rest_s=REST_S,
         )
-        call.out.start(end / SECOND)
+        call.attempt.start(end / SECOND)
 
-    def _wanted(self, call: PendingRequest) -> bool:
+    def _is_wanted(self, call: PendingRequest) -> bool:
         """Does its client still wait? Its leave may be unread: of this turn, or while reading paused."""
-        if call.client.left:
-            self.gone(call.client)
-        return not call.over
+        if call.client.has_disconnected:
+            self.handle_disconnect(call.client)
+        return not call.finished
 
     def _serialize_attempt(self, request: Message, end_ns: int) -> bytes:
         """The request as it is sent on; built when it is written, it tells the time left until its end."""
@@ -411,143 +419,154 @@
         headers.append((b"Req-Deadline-Ms", b"%d" % max(1, left_ns // MS)))
         return write_request(request.method, request.target, headers, request.body)
 
-    def _when_ended(
+    def _on_attempt_ended(
         self, call: PendingRequest, number: int, upstream: int, sent_ns: int
     ) -> Callable[[AttemptResult, Message | None], None]:
         def ended(result: AttemptResult, response: Message | None) -> None:
-            call.out = None
+            call.attempt = None
             took = time.monotonic_ns() - sent_ns
             if response is not None:
                 result = _judged(response)
             if result is AttemptResult.OK and response is not None:
                 headers = [(k, v) for k, v in response.end_to_end() if k != b"srv-load"]
                 self._finish(call, 200, headers, response.body)
-            report = self._report(response) if self.config.settings.load_reports_in_responses else None
-            self.feed(AttemptEnded(call.id, number, upstream, result, took, call.over, report))
+            report = self._load_report(response) if self.config.settings.load_reports_in_responses else None
+            self.dispatch(AttemptEnded(call.id, number, upstream, result, took, call.finished, report))
 
         return ended
 
-    def _report(self, response: Message | None) -> dict[str, float] | None:
+    def _load_report(self, response: Message | None) -> dict[str, float] | None:
         return load_report(response.header(b"srv-load")) if response is not None else None
 
-    def _cancel(self, action: CancelAttempt) -> None:
-        call = self._calls.get(action.request_id)
-        if call is not None and call.out is not None and action.attempt == call.sends - 1:
-            call.out.finish(AttemptResult.CANCELLED)
+    def _cancel_attempt(self, action: CancelAttempt) -> None:
+        call = self._pending.get(action.request_id)
+        if call is not None and call.attempt is not None and action.attempt == call.attempt_count - 1:
+            call.attempt.finish(AttemptResult.CANCELLED)
 
     # -- probes, lists, peers --
 
-    def _probe(self, upstream: int) -> None:
-        pool, now = self._pool(upstream), time.monotonic_ns()
-        if pool is None or self._probes >= MAX_PROBES:
-            self.feed(HealthCheckEnded(upstream, AttemptResult.CONNECT_FAILED, 0))
+    def _check_health(self, upstream: int) -> None:
+        pool, now = self._connection_pool(upstream), time.monotonic_ns()
+        if pool is None or self._health_checks_in_flight >= MAX_PROBES:
+            self.dispatch(HealthCheckEnded(upstream, AttemptResult.CONNECT_FAILED, 0))
             return
-        self._probes += 1
+        self._health_checks_in_flight += 1
 
         def ended(result: AttemptResult, response: Message | None) -> None:
-            self._probes -= 1
+            self._health_checks_in_flight -= 1
             report = None
             if response is not None:
                 result = AttemptResult.OK if response.status == 200 else AttemptResult.REJECTED
                 report = load_report(response.body)
-            self.feed(HealthCheckEnded(upstream, result, time.monotonic_ns() - now, report))
+            self.dispatch(HealthCheckEnded(upstream, result, time.monotonic_ns() - now, report))
 
         host = "{}:{}".format(*pool.address).encode()
-        pool.exchange(
-            write_request(b"GET", self._probe_path, [(b"Host", host)]),
+        pool.start_exchange(
+            write_request(b"GET", self._health_check_path, [(b"Host", host)]),
             PROBE_TIMEOUT_S,
             ended,
-            self._hub.capacity // PROBE_SPARE,
+            self._connection_limits.max_connections // PROBE_SPARE,
         )
 
-    def _listed(self, listing: WatchResult) -> None:
+    def _on_watch_result(self, listing: WatchResult) -> None:
         if not isinstance(listing, EndpointList):
-            self.feed(EndpointUpdate(listing))
+            self.dispatch(EndpointUpdate(listing))
         elif len(listing) > SLICE or (
-            listing.whole and (listing.unread or self._long or len(self._held) > 2 * SLICE)
+            listing.complete
+            and (listing.unreadable or self._pending_updates or len(self._addresses) > 2 * SLICE)
         ):
-            self._long.append(listing)
-            if self._applying is None:
-                self._applying = self._loop.create_task(self._apply_long())
-        elif listing.whole or len(listing):
-            upstreams = list(self._taken(listing))
-            for older in self._long:
-                older.overtaken.update(listing.numbers)
-            if listing.whole:
-                self._note_gone(self._held.keys() - set(listing.numbers))
-            self._apply(upstreams, EndpointUpdateKind.FULL if listing.whole else EndpointUpdateKind.DELTA)
-
-    async def _apply_long(self) -> None:
+            self._pending_updates.append(listing)
+            if self._update_task is None:
+                self._update_task = self._loop.create_task(self._apply_pending_updates())
+        elif listing.complete or len(listing):
+            upstreams = list(self._endpoints_of(listing))
+            for older in self._pending_updates:
+                older.superseded.update(listing.ids)
+            if listing.complete:
+                self._remove_addresses(self._addresses.keys() - set(listing.ids))
+            self._apply_update(
+                upstreams, EndpointUpdateKind.FULL if listing.complete else EndpointUpdateKind.DELTA
+            )
+
+    async def _apply_pending_updates(self) -> None:
         """Put long lists in force in slices, as changes, so that requests go on meanwhile."""
-        while self._long:
-            listing = self._long[0]
+        while self._pending_updates:
+            listing = self._pending_updates[0]
             left: set[int] = set()
-            held = list(self._held) if listing.whole else []
+            held = list(self._addresses) if listing.complete else []
             for first in range(0, len(held), SLICE * SLICE):
                 left.update(held[first : first + SLICE * SLICE])
                 await asyncio.sleep(0)
-            left.difference_update(listing.unread)
+            left.difference_update(listing.unreadable)
             for first in range(0, len(listing), SLICE):
-                left.difference_update(listing.numbers[first : first + SLICE])
-                self._apply(list(self._taken(listing, first, first + SLICE)))
+                left.difference_update(listing.ids[first : first + SLICE])
+                self._apply_update(list(self._endpoints_of(listing, first, first + SLICE)))
                 await asyncio.sleep(0)
             missing = list(left)
             for first in range(0, len(missing), SLICE):
-                gone = [n for n in missing[first : first + SLICE] if n not in listing.overtaken]
-                self._note_gone(gone)
-                self._apply([Endpoint(number, EndpointStatus.REMOVED) for number in gone])
+                gone = [n for n in missing[first : first + SLICE] if n not in listing.superseded]
+                self._remove_addresses(gone)
+                self._apply_update([Endpoint(number, EndpointStatus.REMOVED) for number in gone])
                 await asyncio.sleep(0)
-            self._long.popleft()
-        self._applying = None
+            self._pending_updates.popleft()
+        self._update_task = None
 
-    def _apply(self, upstreams: list[Endpoint], kind: EndpointUpdateKind = EndpointUpdateKind.DELTA) -> None:
-        self._call_off_waiting()
-        self.feed(EndpointUpdate(kind, upstreams))
+    def _apply_update(
+        self, upstreams: list[Endpoint], kind: EndpointUpdateKind = EndpointUpdateKind.DELTA
+    ) -> None:
+        self._cancel_unsent_attempts()
+        self.dispatch(EndpointUpdate(kind, upstreams))
 
-    def _taken(self, listing: EndpointList, first: int = 0, end: int | None = None) -> Iterator[Endpoint]:
+    def _endpoints_of(
+        self, listing: EndpointList, first: int = 0, end: int | None = None
+    ) -> Iterator[Endpoint]:
         """These of a listing's upstreams for the module; where they are is noted on the way."""
         for i in range(first, len(listing) if end is None else min(end, len(listing))):
-            number, profile, address = listing.numbers[i], listing.profiles[i], listing.addresses[i]
-            if number in listing.overtaken:
+            number, profile, address = listing.ids[i], listing.attributes[i], listing.addresses[i]
+            if number in listing.superseded:
                 continue
             if profile[0] is EndpointStatus.REMOVED:
-                self._note_gone([number])
+                self._remove_addresses([number])
             else:
-                self._note(number, address if profile[0] is EndpointStatus.READY else None)
+                self._set_address(number, address if profile[0] is EndpointStatus.READY else None)
             yield Endpoint(number, *profile)
 
-    def _note(self, number: int, address: Packed | None) -> None:
-        if self._held.get(number, 0) != address:
-            self._held[number] = address
+    def _set_address(self, number: int, address: Packed | None) -> None:
+        if self._addresses.get(number, 0) != address:
+            self._addresses[number] = address
             # It drains or has moved: what comes up at its old address belongs to it no more.
-            if (pool := self._hub.pools.pop(number, None)) is not None:
+            if (pool := self._connection_limits.pools.pop(number, None)) is not None:
                 pool.retire()
 
-    def _note_gone(self, numbers: Iterable[int]) -> None:
+    def _remove_addresses(self, numbers: Iterable[int]) -> None:
         for number in numbers:
-            self._held.pop(number, None)
-            if (pool := self._hub.pools.pop(number, None)) is not None:
+            self._addresses.pop(number, None)
+            if (pool := self._connection_limits.pools.pop(number, None)) is not None:
                 pool.retire()
 
-    def _pool(self, number: int) -> ConnectionPool | None:
+    def _connection_pool(self, number: int) -> ConnectionPool | None:
         """The connections to an upstream that may be sent something new, made where it is first used."""
-        pool = self._hub.pools.get(number)
-        if pool is None and (address := self._held.get(number)) is not None:
-            pool = self._hub.pools[number] = ConnectionPool(self._hub, unpack_address(address))
+        pool = self._connection_limits.pools.get(number)
+        if pool is None and (address := self._addresses.get(number)) is not None:
+            pool = self._connection_limits.pools[number] = ConnectionPool(
+                self._connection_limits, unpack_address(address)
+            )
         return pool
 
-    def upstreams(self) -> dict[int, Address]:
+    def endpoint_addresses(self) -> dict[int, Address]:
         """Where each is that may be sent something new."""
-        return {number: unpack_address(packed) for number, packed in self._held.items() if packed is not None}
+        return {
+            number: unpack_address(packed) for number, packed in self._addresses.items() if packed is not None
+        }
 
-    def _call_off_waiting(self) -> None:
+    def _cancel_unsent_attempts(self) -> None:
         """No first byte may go to an upstream that drains or is gone, also not when its connection is up."""
-        for call in list(self._calls.values()):
-            if call.out is not None and call.out.waiting and not call.out.pool.ready:
-                call.out.finish(AttemptResult.NOT_SENT)
+        for call in list(self._pending.values()):
+            if call.attempt is not None and call.attempt.unsent and not call.attempt.pool.accepts_requests:
+                call.attempt.finish(AttemptResult.NOT_SENT)
 
-    def _peer_message(self, sender: int, data: bytes) -> None:
-        self.feed(GossipReceived(sender, data))
+    def _on_gossip(self, sender: int, data: bytes) -> None:
+        self.dispatch(GossipReceived(sender, data))
 
 
 def _judged(response: Message) -> AttemptResult:
--- a/loadbalancer/policy/endpoint_pool.py
+++ b/loadbalancer/state/endpoint_pool.py
@@ -20,14 +20,14 @@
     """The upstreams that one placement admits and this proxy uses, and the requests that wait for them."""
 
     placement: Placement
-    order: list[EndpointState] = field(default_factory=list)  # ready ones, this proxy's subset first
-    subset: int = 0  # how many of `order` are its subset
-    sharers: float = 0.0  # proxies that have one of these in their subset
-    width: int = 0  # how many of `order` it draws from
-    given: Subset | None = None  # what `order` was made of
-    last: EndpointState | None = None  # the previous winner
+    endpoints: list[EndpointState] = field(default_factory=list)  # ready ones, this proxy's subset first
+    subset_size: int = 0  # how many of `order` are its subset
+    proxies_sharing: float = 0.0  # proxies that have one of these in their subset
+    draw_width: int = 0  # how many of `order` it draws from
+    current_subset: Subset | None = None  # what `order` was made of
+    last_choice: EndpointState | None = None  # the previous winner
     queue: deque[Request] = field(default_factory=deque)
-    blocked_ns: int = 0  # the queue found no upstream since
+    blocked_since_ns: int = 0  # the queue found no upstream since
 
     def admits(self, entry: Endpoint) -> bool:
         return self.placement.admits(entry.zone, entry.machine_type)
--- a/loadbalancer/state/endpoint_table.py
+++ b/loadbalancer/state/endpoint_table.py
@@ -25,16 +25,18 @@
 class Placement:
     """The ready upstreams that one placement admits, in the order of the ring: all, and by zone and cell."""
 
-    zones: frozenset[str] | None
-    kinds: frozenset[str] | None
+    allowed_zones: frozenset[str] | None
+    allowed_machine_types: frozenset[str] | None
     ring: SortedList[Key] = field(default_factory=SortedList)
     by_zone: dict[str, SortedList[Key]] = field(default_factory=lambda: defaultdict(SortedList))
     by_cell: dict[tuple[str, int], list[Key]] = field(default_factory=lambda: defaultdict(list))
 
     def admits(self, zone: str, kind: str) -> bool:
-        return (self.zones is None or zone in self.zones) and (self.kinds is None or kind in self.kinds)
+        return (self.allowed_zones is None or zone in self.allowed_zones) and (
+            self.allowed_machine_types is None or kind in self.allowed_machine_types
+        )
 
-    def leave(self, left: Iterable[tuple[int, EndpointAttributes]], zoned: bool, celled: bool) -> None:
+    def remove(self, left: Iterable[tuple[int, EndpointAttributes]], zoned: bool, celled: bool) -> None:
         for number, (_, zone, cell, _, _, kind) in left:
             if self.admits(zone, kind):
                 key = mixed(number, 0)
@@ -47,7 +49,7 @@
                     if not keys:
                         del self.by_cell[zone, cell]
 
-    def join(self, came: Iterable[tuple[int, EndpointAttributes]], zoned: bool, celled: bool) -> None:
+    def add(self, came: Iterable[tuple[int, EndpointAttributes]], zoned: bool, celled: bool) -> None:
         keys, zones = [], defaultdict(list)
         for number, (_, zone, cell, _, _, kind) in came:
             if self.admits(zone, kind):
@@ -72,69 +74,71 @@
 
     def __init__(self, settings: Settings) -> None:
         self.settings = settings
-        self.profiles: dict[int, EndpointAttributes] = {}
+        self.attributes: dict[int, EndpointAttributes] = {}
         self.placements: list[Placement] = []
         prices, scopes = settings.prices, {c.deduplication_scope for c in settings.request_classes.values()}
         # With fewer proxies than zones, zones without one would be left idle.
         enough = settings.proxy_count >= len(settings.zones)
-        self.zonal = prices.connection > 0 < prices.cross_zone and enough
+        self.zone_aware = prices.connection > 0 < prices.cross_zone and enough
         self._zoned, self._celled = (
-            self.zonal or DeduplicationScope.ZONE in scopes,
+            self.zone_aware or DeduplicationScope.ZONE in scopes,
             DeduplicationScope.CELL in scopes,
         )
-        self._shared: dict[EndpointAttributes, EndpointAttributes] = {}  # one object for all that are alike
-        self._moved: dict[
+        self._interned: dict[EndpointAttributes, EndpointAttributes] = {}  # one object for all that are alike
+        self._changed: dict[
             int, EndpointAttributes | None
         ] = {}  # since `settle`: what the rings still hold of these
-        self._anew = False  # instead: the rings are of no more use
+        self._rebuild = False  # instead: the rings are of no more use
 
-    def put(self, entry: Endpoint) -> None:
+    def upsert(self, entry: Endpoint) -> None:
         profile = entry[1:]
-        old = self.profiles.get(entry[0])
+        old = self.attributes.get(entry[0])
         if profile == old:
             return
         if profile[0] is EndpointStatus.REMOVED:
-            self.drop(entry[0])
+            self.remove(entry[0])
             return
         # A new weight or start alone, as comes all the time, moves nothing on the rings.
         if old is None or (old[:3], old[5]) != (profile[:3], profile[5]):
             self._move(entry[0], old)
-        self.profiles[entry[0]] = self._shared.setdefault(profile, profile)
+        self.attributes[entry[0]] = self._interned.setdefault(profile, profile)
 
-    def drop(self, number: int) -> None:
-        old = self.profiles.pop(number, None)
+    def remove(self, number: int) -> None:
+        old = self.attributes.pop(number, None)
         if old is not None:
             self._move(number, old)
 
     def _move(self, number: int, old: EndpointAttributes | None) -> None:
-        if not self._anew:
-            self._moved.setdefault(number, old)
-            if len(self._moved) > RESERVE + len(self.profiles) // 2:
-                self._anew = True  # so much has changed, as with the first list, that the rings are made anew
-                self._moved.clear()
+        if not self._rebuild:
+            self._changed.setdefault(number, old)
+            if len(self._changed) > RESERVE + len(self.attributes) // 2:
+                self._rebuild = (
+                    True  # so much has changed, as with the first list, that the rings are made anew
+                )
+                self._changed.clear()
 
-    def settle(self) -> bool:
+    def apply_changes(self) -> bool:
         """Bring the rings up to date; has any upstream come to them or left them?"""
-        if len(self._shared) > 2 * len(self.profiles) + RESERVE:
-            self._shared = {profile: profile for profile in self.profiles.values()}
-        ready, profiles, anew, moved = EndpointStatus.READY, self.profiles, self._anew, self._moved
+        if len(self._interned) > 2 * len(self.attributes) + RESERVE:
+            self._interned = {profile: profile for profile in self.attributes.values()}
+        ready, profiles, anew, moved = EndpointStatus.READY, self.attributes, self._rebuild, self._changed
         left = [(n, old) for n, old in moved.items() if old is not None and old[0] is ready]
         came = [(n, profiles[n]) for n in moved if n in profiles and profiles[n][0] is ready]
-        self._anew, self._moved = False, {}
+        self._rebuild, self._changed = False, {}
         for placement in self.placements:
             if anew:
                 placement.clear()
-                placement.join(
+                placement.add(
                     ((n, profile) for n, profile in profiles.items() if profile[0] is ready),
                     self._zoned,
                     self._celled,
                 )
-            placement.leave(left, self._zoned, self._celled)
-            placement.join(came, self._zoned, self._celled)
+            placement.remove(left, self._zoned, self._celled)
+            placement.add(came, self._zoned, self._celled)
         return anew or bool(left or came)
 
     def entry(self, number: int) -> Endpoint:
-        return Endpoint(number, *self.profiles[number])
+        return Endpoint(number, *self.attributes[number])
 
     def group(
         self,
--- a/scale_test/evenness.py
+++ b/scale_test/evenness.py
@@ -28,7 +28,7 @@
             prices=prices,
             zone=zones[me % len(zones)] if zones else "",
         )
-        found.append(frozenset(choose_subset(table, table.placements[0]).own))
+        found.append(frozenset(choose_subset(table, table.placements[0]).assigned))
     return found
 
 
@@ -45,14 +45,14 @@
     table.placements.append(Placement(None, None))
     ids = [number_of(f"s-{i:08x}") for i in range(upstreams)]
     for i, number in enumerate(ids):
-        table.put(Endpoint(number, zone=zone_name(plan.zone_of(i)), cell=i // 100))
-    table.settle()
+        table.upsert(Endpoint(number, zone=zone_name(plan.zone_of(i)), cell=i // 100))
+    table.apply_changes()
     before = subsets(table, balancers, zones)
     shares, sizes = Counter(key for subset in before for key in subset), [len(s) for s in before]
     mean = sum(sizes) / upstreams
     more = moved(before, subsets(table, balancers + 1, zones))
-    table.drop(ids[upstreams // 2])
-    table.settle()
+    table.remove(ids[upstreams // 2])
+    table.apply_changes()
     return {
         "smallest subset": min(sizes),
         "largest subset": max(sizes),
--- a/scale_test/hollow.py
+++ b/scale_test/hollow.py
@@ -46,14 +46,14 @@
         self.in_force: list[tuple[int, int]] = []  # version, done; in the order in which they came
         self._waits: set[asyncio.Task[None]] = set()
 
-    def _listed(self, listing: WatchResult) -> None:
-        super()._listed(listing)
-        if not isinstance(listing, EndpointList) or not (listing.whole or len(listing)):
+    def _on_watch_result(self, listing: WatchResult) -> None:
+        super()._on_watch_result(listing)
+        if not isinstance(listing, EndpointList) or not (listing.complete or len(listing)):
             return
         at = len(self.in_force)
         self.in_force.append((listing.version, time.monotonic_ns()))
-        if listing in self._long and self._applying is not None:
-            wait = self._loop.create_task(self._until_in_force(at, self._applying))
+        if listing in self._pending_updates and self._update_task is not None:
+            wait = self._loop.create_task(self._until_in_force(at, self._update_task))
             self._waits.add(wait)
             wait.add_done_callback(self._waits.discard)
 
--- a/tests/policy/test_rules.py
+++ b/tests/policy/test_rules.py
@@ -281,7 +281,7 @@
 def test_an_idle_upstream_is_never_too_slow_to_try() -> None:
     # Guards against refusing on a quiet day because one heavy request made an upstream look slow.
     desk = probing(servers=1)
-    desk.balancer.fleet.servers[1].pace = 9.0
+    desk.balancer.fleet.endpoints[1].relative_latency = 9.0
     desk.give(arrival(1, desk.now, wait_ns=100 * MS))
     desk.give(HealthCheckEnded(1, AttemptResult.OK, MS, {"inflight": 0.0}))
     assert len(desk.sends["r1"]) == 1
@@ -303,21 +303,21 @@
     for i in range(6):
         desk.give(arrival(i, desk.now, wait_ns=100 * MS))
     desk.advance(150 * MS)
-    server = desk.balancer.fleet.servers[1]
-    assert server.strikes <= 2
+    server = desk.balancer.fleet.endpoints[1]
+    assert server.consecutive_failures <= 2
 
 
 def struck(breaks: dict[int, int]) -> set[int]:
     """Which upstreams are ejected when, after 20 good answers each, so many connections break in a row?"""
     desk = PolicyHarness(servers=4)
     fleet = desk.balancer.fleet
-    for server in fleet.servers.values():
+    for server in fleet.endpoints.values():
         for _ in range(20):
-            fleet.ends(server, False)
+            fleet.record_attempt_end(server, False)
     return {
         number
         for number, count in breaks.items()
-        if [fleet.ends(fleet.servers[number], True) for _ in range(count)][-1]
+        if [fleet.record_attempt_end(fleet.endpoints[number], True) for _ in range(count)][-1]
     }
 
 
@@ -333,7 +333,9 @@
         desk.give(arrival(i, desk.now))
         desk.finish(f"r{i}", AttemptResult.RESET)
         desk.finish(f"r{i}")
-    assert sum(desk.balancer.rate.bad.values()) <= 1  # the first break of all is the upstream's own
+    assert (
+        sum(desk.balancer.rate_controller.failures.values()) <= 1
+    )  # the first break of all is the upstream's own
 
 
 def test_an_attempt_ends_at_the_aim_where_late_is_worth_nothing() -> None:
@@ -348,7 +350,7 @@
     for me in range(10):
         b = Balancer(settings(proxy_index=me, proxy_count=10), 1, START)
         b.handle(START, [EndpointUpdate(EndpointUpdateKind.FULL, upstreams(100))])
-        subsets += [s.id for s in b.fleet.any.order[: b.fleet.any.subset]]
+        subsets += [s.id for s in b.fleet.default_pool.endpoints[: b.fleet.default_pool.subset_size]]
     assert sorted(subsets) == list(range(1, 101))
 
 
@@ -358,7 +360,7 @@
     for proxies in (3, 20, 400):
         b = Balancer(settings(proxy_index=1, proxy_count=proxies), 1, START)
         b.handle(START, [EndpointUpdate(EndpointUpdateKind.FULL, upstreams(30))])
-        sizes[proxies] = b.fleet.any.subset
+        sizes[proxies] = b.fleet.default_pool.subset_size
     assert sizes == {3: 10, 20: 9, 400: 4}
 
 
@@ -368,7 +370,7 @@
     for i in range(300):
         desk.give(arrival(i, desk.now))
         desk.now += MS // 10
-    assert desk.balancer.crowding.limit == 1
+    assert desk.balancer.concurrency_limit.limit == 1
 
 
 def test_a_class_with_much_time_keeps_the_queue_short_for_one_with_little() -> None:
@@ -381,7 +383,7 @@
         for request, number in desk.out():
             if desk.now - desk.sends[request][number][1] >= 50 * MS:
                 desk.finish(request, number=number)
-    assert len(desk.balancer.fleet.any.queue) < 20
+    assert len(desk.balancer.fleet.default_pool.queue) < 20
     assert "refused" in desk.answer.values()
 
 
@@ -392,7 +394,7 @@
         desk.give(arrival(i, desk.now))
         desk.now += 100 * MS
         desk.finish(f"r{i}")
-    assert abs(desk.balancer.crowding.each - 100 * MS) < 10 * MS
+    assert abs(desk.balancer.concurrency_limit.per_request_ns - 100 * MS) < 10 * MS
 
 
 def test_a_tenant_over_its_share_is_found_out() -> None:
@@ -403,8 +405,8 @@
         for request, number in desk.out():
             if desk.now - desk.sends[request][number][1] >= 50 * MS:
                 desk.finish(request, number=number)
-    assert desk.balancer.throttles["ash"].over
-    assert not desk.balancer.throttles["birch"].over
+    assert desk.balancer.throttles["ash"].over_share
+    assert not desk.balancer.throttles["birch"].over_share
 
 
 def test_client_gone_ends_the_request() -> None:
@@ -564,7 +566,7 @@
         START,
     )
     b.handle(START, [EndpointUpdate(EndpointUpdateKind.FULL, mixed_fleet(servers))])
-    return [s.entry for s in b.fleet.any.order[: b.fleet.any.subset]]
+    return [s.endpoint for s in b.fleet.default_pool.endpoints[: b.fleet.default_pool.subset_size]]
 
 
 def test_subset_is_small_and_near_where_connections_have_a_price() -> None:
@@ -631,13 +633,13 @@
 
 def test_a_request_that_waits_on_others_is_not_taken_for_a_crowd() -> None:
     # Guards against refusing on a quiet day: time spent beside the queue was laid on the requests held.
-    crowding = Balancer(settings(), 1, START).crowding
+    crowding = Balancer(settings(), 1, START).concurrency_limit
     server = EndpointState(1, upstreams(1)[0])
     for i in range(200):
         held = 1.0 + i % 4
-        crowding.crowd(Attempt(server, 0, 1.0, held), 300 * MS + 50 * MS * held)
-    assert crowding.each < 120 * MS
-    assert crowding.base > 150 * MS
+        crowding.record_latency(Attempt(server, 0, 1.0, held), 300 * MS + 50 * MS * held)
+    assert crowding.per_request_ns < 120 * MS
+    assert crowding.base_ns > 150 * MS
 
 
 def test_a_crowded_small_subset_lowers_the_rate() -> None:
@@ -645,9 +647,9 @@
     throttle = Throttle(1.0, random.Random(1), 0)
     for failing, falls in ((2, False), (4, True)):
         rate = RateController([throttle], 0)
-        rate.good, rate.bad = 4, Counter(dict.fromkeys(range(failing), 6))
+        rate.successes, rate.failures = 4, Counter(dict.fromkeys(range(failing), 6))
         rate.adjust(SECOND, 4)
-        assert (rate.value < 100) is falls
+        assert (rate.rate < 100) is falls
 
 
 @pytest.mark.parametrize("load", [-5.0, 1e300, float("nan"), float("inf")])
@@ -677,10 +679,10 @@
             arrival(1, desk.now),
         ],
     )
-    assert balancer.fleet.servers[sent].inflight == 1
+    assert balancer.fleet.endpoints[sent].in_flight == 1
     assert len(balancer.requests) == 1
     desk.give(good)
-    assert balancer.fleet.servers[sent].inflight == 0
+    assert balancer.fleet.endpoints[sent].in_flight == 0
     assert not balancer.requests
 
 
@@ -691,14 +693,14 @@
         desk.give(arrival(i, desk.now))
         desk.finish(f"r{i}")
         desk.advance(SECOND)
-    assert len(desk.balancer.fleet.servers) <= 6
-    assert len(desk.balancer.due) < 20
+    assert len(desk.balancer.fleet.endpoints) <= 6
+    assert len(desk.balancer.timers) < 20
 
 
 def overdue_at_one(later_ones_answered: bool) -> PolicyHarness:
     """One upstream takes two at once and owes the first answer for long, whatever it does with later ones."""
     desk = PolicyHarness(settings(limits=Limits(cancellation=True)), servers=1)
-    desk.balancer.crowding.limit = 2
+    desk.balancer.concurrency_limit.limit = 2
     desk.give(arrival("lost", desk.now, wait_ns=SECOND))
     for i in range(20):
         if later_ones_answered:
@@ -725,34 +727,36 @@
     desk.give(EndpointUpdate(EndpointUpdateKind.FULL, upstreams(2, first=2)))
     desk.finish("rlost", AttemptResult.CONNECT_FAILED)
     assert desk.answer["rlost"] == "refused"
-    assert set(desk.balancer.fleet.servers) == {1, 2, 3}
+    assert set(desk.balancer.fleet.endpoints) == {1, 2, 3}
     desk.give(EndpointUpdate(EndpointUpdateKind.FULL, upstreams(1, first=2)))
-    assert set(desk.balancer.fleet.servers) == {2}
+    assert set(desk.balancer.fleet.endpoints) == {2}
 
 
 def test_a_send_looks_at_all_upstreams_only_where_one_drawn_is_unfit(monkeypatch: pytest.MonkeyPatch) -> None:
     # Guards against work on each send that grows with the subset: processor time ran out (event8052).
     desk = PolicyHarness(servers=10)
     desk.give(arrival("warm", desk.now))
-    desk.balancer.crowding.limit = 5  # all are fit
+    desk.balancer.concurrency_limit.limit = 5  # all are fit
     fleet, looked = desk.balancer.fleet, 0
-    fits = type(fleet).fit
+    fits = type(fleet).is_available
 
     def fit(self: Fleet, server: EndpointState, now: int) -> bool:
         nonlocal looked
         looked += 1
         return fits(self, server, now)
 
-    monkeypatch.setattr(Fleet, "fit", fit)
+    monkeypatch.setattr(Fleet, "is_available", fit)
     for _ in range(20):
         looked = 0
-        drawn = fleet.draw(fleet.any, DRAWS, desk.now + SECOND)
+        drawn = fleet.draw(fleet.default_pool, DRAWS, desk.now + SECOND)
         assert len(drawn) >= DRAWS
         assert all(fits(fleet, s, desk.now + SECOND) for s in drawn)
         assert looked <= DRAWS + 1  # with the previous winner
-    for server in fleet.any.order[1:]:
-        server.not_before_ns = desk.now + 2 * SECOND
-    assert set(fleet.draw(fleet.any, DRAWS, desk.now + SECOND)) <= set(fleet.any.order[:1])
+    for server in fleet.default_pool.endpoints[1:]:
+        server.ejected_until_ns = desk.now + 2 * SECOND
+    assert set(fleet.draw(fleet.default_pool, DRAWS, desk.now + SECOND)) <= set(
+        fleet.default_pool.endpoints[:1]
+    )
 
 
 def test_a_single_proxy_uses_all_zones() -> None:
--- a/tests/policy/test_subsetting.py
+++ b/tests/policy/test_subsetting.py
@@ -76,15 +76,15 @@
     made = EndpointTable(config)
     made.placements += [Placement(None, None), Placement(*FOUND)]
     for upstream in upstreams:
-        made.put(upstream)
-    made.settle()
+        made.upsert(upstream)
+    made.apply_changes()
     return made
 
 
 def shown(made: EndpointTable) -> object:
     """All that a table holds, and the subset that it gives."""
     return (
-        made.profiles,
+        made.attributes,
         [
             (list(p.ring), {z: list(ring) for z, ring in p.by_zone.items() if ring}, dict(p.by_cell))
             for p in made.placements
@@ -98,7 +98,7 @@
     found = []
     for me in range(proxies):
         made.settings = site(proxies, zonal, me)
-        found.append(set(choose_subset(made, made.placements[0]).own))
+        found.append(set(choose_subset(made, made.placements[0]).assigned))
     return found
 
 
@@ -134,16 +134,18 @@
         balancer.handle(START, [EndpointUpdate(kind, entries)])
         last = ({} if whole else last) | {e.id: e for e in entries}
     made, known = (
-        balancer.fleet.membership,
+        balancer.fleet.table,
         [e for e in last.values() if e.status is not EndpointStatus.REMOVED],
     )
     nothing = Balancer(config, 2, START)
     nothing.handle(START, [EndpointUpdate(EndpointUpdateKind.FULL, sorted(known, reverse=True))])
-    assert shown(made) == shown(nothing.fleet.membership)
-    orders = [[[s.id for s in pool.order] for pool in b.fleet.pools.values()] for b in (balancer, nothing)]
+    assert shown(made) == shown(nothing.fleet.table)
+    orders = [
+        [[s.id for s in pool.endpoints] for pool in b.fleet.pools.values()] for b in (balancer, nothing)
+    ]
     assert orders[0] == orders[1]
     assert set(orders[0][0]) == {e.id for e in known if e.status is EndpointStatus.READY}
-    assert all(s.entry == last[i] for i, s in balancer.fleet.servers.items())
+    assert all(s.endpoint == last[i] for i, s in balancer.fleet.endpoints.items())
 
 
 @pytest.mark.parametrize("number", [0, 1, 2**32 - 1, 2**64 - 1, 0x123456789ABCDEF])
@@ -168,13 +170,13 @@
     made = table(site(proxies, zonal), upstreams)
     before = subsets(made, proxies, zonal)
     members = sum(map(len, before))
-    made.drop(upstreams[77].id)
-    made.settle()
+    made.remove(upstreams[77].id)
+    made.apply_changes()
     moved = [len(a - b) for a, b in zip(before, subsets(made, proxies, zonal), strict=True)]
     assert max(moved) <= 1
     assert sum(moved) <= 0.002 * members
-    made.put(upstreams[77])
-    made.settle()
+    made.upsert(upstreams[77])
+    made.apply_changes()
     assert subsets(made, proxies, zonal) == before
     assert (
         sum(len(a - b) for a, b in zip(before, subsets(made, proxies + 1, zonal)[:proxies], strict=True))
@@ -189,8 +191,8 @@
     before, worst = subsets(made, proxies, False), 0
     for first in range(3900, 4300, 40):
         for upstream in upstreams[first : first + 40]:
-            made.put(upstream)
-        made.settle()
+            made.upsert(upstream)
+        made.apply_changes()
         now = subsets(made, proxies, False)
         worst, before = max(worst, sum(len(a - b) for a, b in zip(before, now, strict=True))), now
     assert worst < 0.5 * sum(map(len, before))  # forty changes at once; one in forty of that each
@@ -225,7 +227,7 @@
             balancer.handle(
                 now, [EndpointUpdate(EndpointUpdateKind.DELTA, [upstream._replace(status=state)])]
             )
-            done["known in full"] = max(done["known in full"], len(balancer.fleet.servers))
+            done["known in full"] = max(done["known in full"], len(balancer.fleet.endpoints))
     monkeypatch.undo()
     return done, balancer
 
@@ -239,27 +241,27 @@
     assert large["mixed"] <= 40 * 8
     assert large["stretch"] <= 40 * 3 * (WIDE + RESERVE)
     assert large["known in full"] <= WIDE + RESERVE + 1
-    assert len(balancer.fleet.membership.profiles) == 30_000
+    assert len(balancer.fleet.table.attributes) == 30_000
     # Upstreams that are alike share one row: what each costs beside it is its place in tables and rings.
-    assert len({id(profile) for profile in balancer.fleet.membership.profiles.values()}) < 1000
+    assert len({id(profile) for profile in balancer.fleet.table.attributes.values()}) < 1000
 
 
 def test_a_second_whole_list_that_says_the_same_makes_nothing_anew(monkeypatch: pytest.MonkeyPatch) -> None:
     upstreams = fleet(5000)
     balancer = Balancer(site(8800), 1, START)
     balancer.handle(START, [EndpointUpdate(EndpointUpdateKind.FULL, upstreams)])
-    rows, servers = dict(balancer.fleet.membership.profiles), dict(balancer.fleet.servers)
+    rows, servers = dict(balancer.fleet.table.attributes), dict(balancer.fleet.endpoints)
     # It would be called for any change of a ring.
     monkeypatch.setattr(endpoint_table, "mixed", None)
     monkeypatch.setattr(subsetting, "mixed", None)
     balancer.handle(START + SECOND, [EndpointUpdate(EndpointUpdateKind.FULL, list(reversed(upstreams)))])
-    assert all(balancer.fleet.membership.profiles[i] is row for i, row in rows.items())
-    assert balancer.fleet.servers == servers
+    assert all(balancer.fleet.table.attributes[i] is row for i, row in rows.items())
+    assert balancer.fleet.endpoints == servers
 
 
 def ready_left(subset: Subset, gone: set[int]) -> tuple[int, int]:
     return (
-        len([k for k in subset.own if unmixed(k) not in gone]),
+        len([k for k in subset.assigned if unmixed(k) not in gone]),
         len([k for k in subset if unmixed(k) not in gone]),
     )
 
@@ -276,17 +278,17 @@
         made.settings = site(1650, zonal, me)
         subset = choose_subset(made, made.placements[0])
         own, known = ready_left(subset, rack)
-        assert own >= 0.8 * len(subset.own)
+        assert own >= 0.8 * len(subset.assigned)
         assert known >= 0.9 * (WIDE + RESERVE) * 0.8
         if zonal:  # it keeps to its zone while there is one, and knows others beside it
-            assert {made.entry(unmixed(k)).zone for k in subset.own} == {"z0"}
+            assert {made.entry(unmixed(k)).zone for k in subset.assigned} == {"z0"}
             assert ready_left(subset, zone)[1] >= RESERVE // 4
         else:
-            assert ready_left(subset, zone)[0] >= 0.6 * len(subset.own)
+            assert ready_left(subset, zone)[0] >= 0.6 * len(subset.assigned)
     for number in zone:
-        made.drop(number)
-    made.settle()
-    assert len(choose_subset(made, made.placements[0]).own) >= WIDE  # in other zones now
+        made.remove(number)
+    made.apply_changes()
+    assert len(choose_subset(made, made.placements[0]).assigned) >= WIDE  # in other zones now
 
 
 @pytest.mark.parametrize("cls", [ZONE, CELL])
@@ -304,10 +306,10 @@
         if f"r{i}" not in desk.answer:
             desk.finish(f"r{i}")
     assert again >= 55
-    assert len(desk.balancer.fleet.servers) <= WIDE + RESERVE + 5 * SCAN
+    assert len(desk.balancer.fleet.endpoints) <= WIDE + RESERVE + 5 * SCAN
     desk.advance(SECOND)
     desk.give()
-    assert len(desk.balancer.fleet.servers) <= WIDE + RESERVE
+    assert len(desk.balancer.fleet.endpoints) <= WIDE + RESERVE
 
 
 def test_an_upstream_that_left_the_subset_is_not_sent_to_by_one_who_asked_it() -> None:
@@ -315,12 +317,12 @@
     desk = PolicyHarness(site(8800, me=3), servers=0)
     desk.give(EndpointUpdate(EndpointUpdateKind.CACHED, fleet(2000)))
     fleet_of = desk.balancer.fleet
-    asked = fleet_of.any.order[0]
+    asked = fleet_of.default_pool.endpoints[0]
     others = [u for u in fleet(2000, seed=9) if u.id != asked.id]
-    desk.give(EndpointUpdate(EndpointUpdateKind.FULL, [*others, asked.entry._replace(zone="z7")]))
-    if asked.id not in fleet_of.used:
-        assert not fleet_of.fit(asked, desk.now)
-        assert asked.id not in fleet_of.servers
+    desk.give(EndpointUpdate(EndpointUpdateKind.FULL, [*others, asked.endpoint._replace(zone="z7")]))
+    if asked.id not in fleet_of.used_ids:
+        assert not fleet_of.is_available(asked, desk.now)
+        assert asked.id not in fleet_of.endpoints
     desk.give(EndpointUpdate(EndpointUpdateKind.FULL, others))
-    assert not fleet_of.fit(asked, desk.now)
-    assert asked.id not in fleet_of.servers
+    assert not fleet_of.is_available(asked, desk.now)
+    assert asked.id not in fleet_of.endpoints
--- a/tests/policy/test_throttle.py
+++ b/tests/policy/test_throttle.py
@@ -19,11 +19,11 @@
     TimerExpired,
 )
 from loadbalancer.policy.balancer import Balancer
-from loadbalancer.policy.endpoint_pool import EndpointPool
 from loadbalancer.policy.rate_control import FEEDBACK_NS, RateController
 from loadbalancer.policy.request import Request
 from loadbalancer.policy.throttle import Throttle
 from loadbalancer.settings import Limits, RequestClass, Tenant
+from loadbalancer.state.endpoint_pool import EndpointPool
 from loadbalancer.state.endpoint_table import Placement
 from tests.support.policy_harness import MS, READ, SECOND, START, PolicyHarness, arrival, upstreams
 from tests.support.policy_harness import settings as bench_settings
@@ -31,7 +31,14 @@
 
 def throttle(bank: int, hold: int, u: int, rate: float = 1.0) -> Throttle:
     t = Throttle(1.0, random.Random(1), 0)
-    t.bank, t.hold, t.u, t.rate, t.credit, t.at = bank, hold, u, rate, 0.0, 0
+    t.bank_capacity, t.buffer_capacity, t.counter, t.rate, t.tick_credit, t.updated_ns = (
+        bank,
+        hold,
+        u,
+        rate,
+        0.0,
+        0,
+    )
     return t
 
 
@@ -45,15 +52,15 @@
     overflow = count = 0
     for second, arrivals in enumerate(steps, 1):
         now = second * SECOND
-        sent += [r.id for r in t.released(now)]
+        sent += [r.id for r in t.release(now)]
         for _ in range(arrivals):
             count += 1
             r = request(count, t)
-            answer = t.offer(r, now)
+            answer = t.admit(r, now)
             overflow += answer is False
             if answer is True:
                 sent.append(r.id)
-        path.append(t.u)
+        path.append(t.counter)
         lost.append(overflow)
     return path, lost, sent
 
@@ -82,7 +89,7 @@
     t = throttle(bank, hold, bank + hold)
     path, lost, _ = play(t, steps)
     assert (path, lost) == recursion(bank + hold, bank + hold, steps)
-    assert len(t.held) == max(0, hold - t.u)  # (2.3)
+    assert len(t.buffer) == max(0, hold - t.counter)  # (2.3)
 
 
 @settings(derandomize=True, deadline=None)
@@ -105,28 +112,28 @@
 def test_a_held_request_that_ends_gives_its_token_back() -> None:
     t = throttle(0, 2, 2)
     first, second = request(1, t), request(2, t)
-    assert t.offer(first, 0) is None
-    assert t.offer(second, 0) is None
-    t.leave(first)
-    assert list(t.released(SECOND)) == [second]
-    assert t.u == 2
+    assert t.admit(first, 0) is None
+    assert t.admit(second, 0) is None
+    t.remove_buffered(first)
+    assert list(t.release(SECOND)) == [second]
+    assert t.counter == 2
 
 
 def test_change_of_rate_keeps_tokens_and_held() -> None:
     t = throttle(0, 2, 2)
     r = request(1, t)
-    assert t.offer(r, 0) is None
+    assert t.admit(r, 0) is None
     t.set_rate(100.0, 0)
-    assert t.hold - t.u == 1
-    assert list(t.held) == [r]
-    assert list(t.released(20 * MS)) == [r]
+    assert t.buffer_capacity - t.counter == 1
+    assert list(t.buffer) == [r]
+    assert list(t.release(20 * MS)) == [r]
 
 
 def test_starts_full_and_ticks_out_of_step() -> None:
     throttles = [Throttle(1.0, random.Random(seed), 0) for seed in range(20)]
     for t in throttles:
-        assert t.u == t.bank + t.hold
-    assert len({round(t.credit, 3) for t in throttles}) > 10
+        assert t.counter == t.bank_capacity + t.buffer_capacity
+    assert len({round(t.tick_credit, 3) for t in throttles}) > 10
 
 
 def test_a_short_trouble_costs_the_rate_only_a_moment() -> None:
@@ -137,17 +144,17 @@
     def interval(good: int, bad_at_each: int) -> None:
         nonlocal now
         now += FEEDBACK_NS
-        rate.good, t.asked, t.short = good, good, True
-        rate.bad.update({i: bad_at_each for i in range(8) if bad_at_each})
+        rate.successes, t.arrivals, t.token_missed = good, good, True
+        rate.failures.update({i: bad_at_each for i in range(8) if bad_at_each})
         rate.adjust(now, 8)
 
     interval(150, 0)
     for _ in range(6):
-        interval(int(min(rate.value, 300) / 4), int(min(rate.value, 300) / 32))
-    assert rate.value < 160
+        interval(int(min(rate.rate, 300) / 4), int(min(rate.rate, 300) / 32))
+    assert rate.rate < 160
     for _ in range(4):
-        interval(int(rate.value / 2), 0)
-    assert rate.value > 230
+        interval(int(rate.rate / 2), 0)
+    assert rate.rate > 230
 
 
 def test_the_quiet_before_the_first_clients_is_no_part_of_what_is_sent_a_second() -> None:
@@ -157,11 +164,11 @@
         desk.give(arrival(i, desk.now))
         desk.finish(f"r{i}")
         desk.advance(5 * MS)
-        desk.balancer.rate.unplaced += i % 4 == 0  # a fifth too many to be overlooked
+        desk.balancer.rate_controller.expired_in_queue += i % 4 == 0  # a fifth too many to be overlooked
     desk.give(arrival("last", desk.now))
     sent = 200.0  # a second, one each 5 ms
-    assert 0.85 * sent < desk.balancer.rate.sent < 1.15 * sent
-    assert sent < desk.balancer.rate.value < 2 * sent  # cut, to about what is sent
+    assert 0.85 * sent < desk.balancer.rate_controller.attempt_rate < 1.15 * sent
+    assert sent < desk.balancer.rate_controller.rate < 2 * sent  # cut, to about what is sent
 
 
 def test_nobody_is_held_past_a_quarter_of_the_shortest_aim() -> None:
@@ -174,19 +181,19 @@
         desk = PolicyHarness(bench_settings(request_classes=classes, tenants={"ash": Tenant("ash")}))
         t = desk.balancer.throttles["ash"]
         t.set_rate(400.0, desk.now)
-        assert 0 < t.hold / t.rate <= 0.25 * aim_ms / 1000 + 1 / t.rate
-        assert t.hold < t.bank / 2
+        assert 0 < t.buffer_capacity / t.rate <= 0.25 * aim_ms / 1000 + 1 / t.rate
+        assert t.buffer_capacity < t.bank_capacity / 2
 
 
 def test_one_bad_outcome_of_few_does_not_hold_the_rate_down() -> None:
     # Guards against a proxy that refuses for 20 s because it sends too little to be judged (day 1).
     t = throttle(9, 9, 9)
     rate = RateController([t], 0)
-    rate.value = rate.failed = 10.0
+    rate.rate = rate.failed_rate = 10.0
     for i in range(1, 6):
-        rate.good, rate.unplaced, t.asked, t.short = 4, 1, 100, True
+        rate.successes, rate.expired_in_queue, t.arrivals, t.token_missed = 4, 1, 100, True
         rate.adjust(4 * i * FEEDBACK_NS, 8)
-    assert rate.value > 12
+    assert rate.rate > 12
 
 
 def timed_out(rate_a_second: float) -> int:
@@ -196,7 +203,7 @@
     balancer.handle(START, [EndpointUpdate(EndpointUpdateKind.FULL, upstreams(6))])
     t = balancer.throttles["ash"]
     t.set_rate(rate_a_second, START)
-    t.u, t.credit = t.hold, 0.0  # no token: the request waits for one
+    t.counter, t.tick_credit = t.buffer_capacity, 0.0  # no token: the request waits for one
     due: list[tuple[int, Event]] = [(START, arrival(1, START))]
     for _ in range(40):
         due.sort(key=lambda it: it[0])
@@ -208,7 +215,7 @@
             elif isinstance(action, SetTimer):
                 due.append((now + action.delay_ns, TimerExpired(action.name)))
         if isinstance(event, AttemptEnded):
-            return sum(balancer.rate.bad.values())
+            return sum(balancer.rate_controller.failures.values())
     raise AssertionError("never ended")
 
 
@@ -221,13 +228,13 @@
     """Is R cut when half the attempts fail and upstreams hold so many requests?"""
     balancer = Balancer(bench_settings(), 1, START)
     balancer.handle(START, [EndpointUpdate(EndpointUpdateKind.FULL, upstreams(6))])
-    for server in balancer.fleet.servers.values():
-        server.hear(load if reported else None, START)
-    rate, now = balancer.rate, START + FEEDBACK_NS
-    rate.good = 100
-    rate.bad.update({number: 20 for number in balancer.fleet.servers})
+    for server in balancer.fleet.endpoints.values():
+        server.record_load(load if reported else None, START)
+    rate, now = balancer.rate_controller, START + FEEDBACK_NS
+    rate.successes = 100
+    rate.failures.update({number: 20 for number in balancer.fleet.endpoints})
     balancer.handle(now, [])
-    return rate.value < 1000
+    return rate.rate < 1000
 
 
 def test_failures_at_upstreams_that_hold_little_do_not_cut_the_rate() -> None:
@@ -283,14 +290,14 @@
     few = [Throttle(float(w), random.Random(i), 0) for i, (_, w) in enumerate(active)]
     whole, lazy = RateController(every, 0), RateController(few, 0, sum(weights))
     for rate, throttles in ((whole, every), (lazy, few)):
-        rate.value, rate.served = value, served
+        rate.rate, rate.success_rate = value, served
         for t, (demand, _) in zip(throttles, active, strict=False):
             t.demand = float(demand)
-        rate._share(0)
+        rate._share_rate(0)
     assert [t.rate for t in few] == pytest.approx([t.rate for t in every[: len(few)]], rel=1e-9)
-    assert [t.over for t in few] == [t.over for t in every[: len(few)]]
+    assert [t.over_share for t in few] == [t.over_share for t in every[: len(few)]]
     # One that comes anew has the rate and the full bank of one that was there all the time.
-    assert [lazy.of_silent(t.weight) for t in every[len(few) :]] == pytest.approx(
+    assert [lazy.rate_of_idle_tenant(t.weight) for t in every[len(few) :]] == pytest.approx(
         [t.rate for t in every[len(few) :]], rel=1e-9
     )
 
@@ -304,9 +311,9 @@
         desk.now += FEEDBACK_NS
     throttles = desk.balancer.throttles
     assert set(throttles) == {"t0"}
-    again, rate = throttles["t1"], desk.balancer.rate
-    assert again.u == again.bank + again.hold
-    assert again.rate == rate.of_silent(again.weight)
+    again, rate = throttles["t1"], desk.balancer.rate_controller
+    assert again.counter == again.bank_capacity + again.buffer_capacity
+    assert again.rate == rate.rate_of_idle_tenant(again.weight)
     assert throttles["nobody"] is throttles["t0"]  # who is not known passes for the first
 
 
@@ -314,8 +321,8 @@
     desk = PolicyHarness(bench_settings(tenants=crowd(2)))
     t = desk.balancer.throttles["t1"]
     t.set_rate(0.5, desk.now)
-    t.u = t.hold
+    t.counter = t.buffer_capacity
     desk.give(arrival("held", desk.now, tenant="t1"))
-    assert t.held
-    desk.balancer.throttles.forget(desk.now)
+    assert t.buffer
+    desk.balancer.throttles.forget_idle(desk.now)
     assert desk.balancer.throttles["t1"] is t
--- a/tests/proxy/test_client_disconnect.py
+++ b/tests/proxy/test_client_disconnect.py
@@ -113,7 +113,7 @@
         """The client leaves: now, and that is read; or unread, when its request would be sent."""
         if self.when == "read":
             leave(mine)
-            await until(lambda: self.request not in client.node._calls)
+            await until(lambda: self.request not in client.node._pending)
         else:
             self.happens = lambda: leave(mine)
 
@@ -157,7 +157,9 @@
             await until(lambda: upstream.got)
             mine = await connected(client)
             mine.send(request("/read/left"))
-            await until(lambda: balancer.fleet.any.queue)  # the only upstream has no room for a second one
+            await until(
+                lambda: balancer.fleet.default_pool.queue
+            )  # the only upstream has no room for a second one
             await module.goes(leave, mine, client)
             free.set()
             assert (await first.read()).status == 200  # now it would have
@@ -193,7 +195,7 @@
             mine = await connected(client)
             mine.send(request("/read/left"))
             await until(lambda: upstream.got)  # a look, and the request waits for what it says
-            assert balancer.fleet.any.queue
+            assert balancer.fleet.default_pool.queue
             assert not sent(upstream)
             await module.goes(leave, mine, client)
             free.set()
@@ -228,7 +230,7 @@
             await until(lambda: upstream.got)
             await module.goes(leave, mine, client)  # read: while the first one is out
             free.set()
-            await until(lambda: not client.node._calls)
+            await until(lambda: not client.node._pending)
             await served(client)
             assert sent(upstream) == ["/read/left", "/read/barrier"]
             assert not module.happens
@@ -274,7 +276,7 @@
             await until(lambda: len(script.of(AttemptEnded)) >= 2)
             if when == "read":
                 await module.goes(leave, mine, client)
-                client.node.feed(TimerExpired("again"))
+                client.node.dispatch(TimerExpired("again"))
             await until(lambda: script.of(ClientDisconnected) and len(script.of(AttemptEnded)) >= 3)
             script.react = lambda e: (
                 [Forward(e.request_id, script.ids()[1])] if isinstance(e, RequestArrived) else ()
@@ -344,7 +346,7 @@
                 ]
 
             script.react = react
-            client.node.feed(TimerExpired("token"))
+            client.node.dispatch(TimerExpired("token"))
             await until(lambda: len(script.of(AttemptEnded)) == 12)
             assert len(script.of(ClientDisconnected)) == 3
             assert sorted(sent(upstream)[6:]) == ["/read/1", "/read/3", "/read/5"]
@@ -389,16 +391,16 @@
         script = ScriptedPolicy(lambda event: send_first(script, event))
         async with node(script, upstream) as client:
             mine = await unread_answer(client, 900_000, upstream)
-            side = next(iter(client.node.server._connections))
+            side = next(iter(client.node.downstream._connections))
             assert side._transport is not None
             assert not side._transport.is_reading()
             mine.send(request("/read/left"))
             leave(mine)
-            assert side.left  # the kernel knows, the loop does not
+            assert side.has_disconnected  # the kernel knows, the loop does not
             if mine.fileno() != -1:  # a half-close: it still reads
                 while len(script.of(RequestArrived)) < 2:
                     await asyncio.get_running_loop().sock_recv(mine, 1 << 16)
-            await until(lambda: side not in client.node.server._connections)
+            await until(lambda: side not in client.node.downstream._connections)
             await nothing_but(upstream, client, script, before=1)
             mine.close()
 
@@ -420,7 +422,7 @@
             await until(lambda: upstream.got)
             script.react = lambda e: [Forward("1", script.ids()[1])] if isinstance(e, TimerExpired) else ()
             await module.goes(leave, mine, client)
-            client.node.feed(TimerExpired("overdue"))
+            client.node.dispatch(TimerExpired("overdue"))
             await until(lambda: script.of(ClientDisconnected) and len(script.of(AttemptEnded)) == 2)
             results = {o.result for o in script.of(AttemptEnded)}
             assert results == {AttemptResult.CANCELLED, AttemptResult.NOT_SENT}
@@ -455,14 +457,14 @@
     desk = desk_with_one_slow()
     due = next(
         at
-        for at, _, what, about, _ in desk.balancer.due
+        for at, _, what, about, _ in desk.balancer.timers
         if what == "overdue" and about is desk.balancer.requests["rslow"]
     )
     desk.advance(due - 1 - desk.now)
     assert len(desk.sends["rslow"]) == 1
     desk.now = due
     leave: list[Event] = [ClientDisconnected("rslow")] * gone
-    wake = TimerExpired(str(desk.balancer.timer))
+    wake = TimerExpired(str(desk.balancer.timer_number))
     said = desk.give(*([*leave, wake] if gone_first else [wake, *leave]))
     assert (CancelAttempt("rslow", 0) in said) == gone
     desk.advance(600 * MS)
