--- a/tests/proxy/test_discovery_client.py
+++ b/tests/proxy/test_discovery_client.py
@@ -56,14 +56,14 @@
         read({"seq": 1, "whole": True, "hosts": hosts}, EndpointListReader(offset))
         for offset, hosts in ((0, rows), (9, rows[::-1]))
     )
-    assert list(one.numbers) == list(other.numbers)[::-1]  # whatever reads it, in whatever order
-    assert one.numbers[0] == number_of("s-5be2a07c") == 9587356208999800076
+    assert list(one.ids) == list(other.ids)[::-1]  # whatever reads it, in whatever order
+    assert one.ids[0] == number_of("s-5be2a07c") == 9587356208999800076
 
 
 def test_hosts_that_collide_get_different_numbers(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr("loadbalancer.proxy.endpoint_list.number_of", lambda host: 7)
     listing = read({"seq": 1, "whole": True, "hosts": [entry("a", 80), entry("b", 81)]})
-    assert len(set(listing.numbers)) == 2
+    assert len(set(listing.ids)) == 2
 
 
 SHARED = 7  # the number that all hosts prefer where they collide
@@ -80,20 +80,20 @@
 
 def ports(balancer: Proxy) -> dict[int, int]:
     """The number of each upstream in force, by its port."""
-    return {port: number for number, (_, port) in balancer.upstreams().items()}
+    return {port: number for number, (_, port) in balancer.endpoint_addresses().items()}
 
 
 @pytest.mark.usefixtures("colliding")
 def test_a_colliding_host_keeps_its_number_in_every_list() -> None:
     reader = EndpointListReader(0)
-    assert list(read(changed(1, entry("a"), entry("b"), entry("a"), whole=True), reader).numbers) == [7, 8, 7]
-    assert list(read(changed(2, entry("c"), entry("b", health="draining")), reader).numbers) == [9, 8]
-    assert list(read(changed(3, entry("c"), entry("b"), entry("a"), whole=True), reader).numbers) == [9, 8, 7]
-    assert list(read(changed(4, entry("b", health="removed", dial="")), reader).numbers) == [8]
-    assert read(changed(5, entry("c", health="odd"), entry("a", dial="h")), reader).unread == [9, 7]
+    assert list(read(changed(1, entry("a"), entry("b"), entry("a"), whole=True), reader).ids) == [7, 8, 7]
+    assert list(read(changed(2, entry("c"), entry("b", health="draining")), reader).ids) == [9, 8]
+    assert list(read(changed(3, entry("c"), entry("b"), entry("a"), whole=True), reader).ids) == [9, 8, 7]
+    assert list(read(changed(4, entry("b", health="removed", dial="")), reader).ids) == [8]
+    assert read(changed(5, entry("c", health="odd"), entry("a", dial="h")), reader).unreadable == [9, 7]
     unknown = read(changed(6, entry("x", health="removed", dial=""), entry("y", health="odd")), reader)
-    assert not list(unknown.numbers)
-    assert not unknown.unread
+    assert not list(unknown.ids)
+    assert not unknown.unreadable
 
 
 @pytest.mark.usefixtures("colliding")
@@ -104,7 +104,7 @@
         async with node(script, registry=registry, known_list=known(1)) as client:
             await until(lambda: registry.calls)
             registry.change("s1", dial=f"{HOST}:2")
-            await until(lambda: len(client.node.upstreams()) == 2)
+            await until(lambda: len(client.node.endpoint_addresses()) == 2)
             assert ports(client.node) == {1: SHARED, 2: SHARED + 1}
 
     run(test())
@@ -117,8 +117,10 @@
         async with node(script, known_list=known(1, 2)) as client:
             assert script.ids() == [SHARED, SHARED + 1]
             balancer = client.node
-            balancer._listed(read(changed(2, entry("s1", 4), entry("s0", 3), whole=True), balancer._reader))
-            await until(lambda: balancer._applying is None)
+            balancer._on_watch_result(
+                read(changed(2, entry("s1", 4), entry("s0", 3), whole=True), balancer._list_reader)
+            )
+            await until(lambda: balancer._update_task is None)
             assert ports(balancer) == {3: SHARED, 4: SHARED + 1}
 
     run(test())
@@ -134,8 +136,8 @@
             balancer, stays = client.node, 1 - left
 
             def told(*hosts: object, whole: bool = False) -> None:
-                version = (balancer._reader._newest or 0) + 1
-                balancer._listed(read(changed(version, *hosts, whole=whole), balancer._reader))
+                version = (balancer._list_reader._newest or 0) + 1
+                balancer._on_watch_result(read(changed(version, *hosts, whole=whole), balancer._list_reader))
                 if swept:
                     balancer._sweep_host_numbers(SEGMENTS)
 
@@ -156,17 +158,17 @@
 def test_a_number_is_freed_when_the_list_that_removes_its_host_is_in_force_and_no_sooner() -> None:
     async def test() -> None:
         async with node(ScriptedPolicy(), known_list=known(1, 2)) as client:
-            balancer, reader = client.node, client.node._reader
+            balancer, reader = client.node, client.node._list_reader
             many = [entry(f"s{i}", i + 1) for i in range(1, 100)]
-            balancer._listed(read(changed(2, *many, whole=True), reader))  # put in force in slices
-            assert balancer._applying is not None
+            balancer._on_watch_result(read(changed(2, *many, whole=True), reader))  # put in force in slices
+            assert balancer._update_task is not None
             balancer._sweep_host_numbers(SEGMENTS)
             assert len(reader.host_numbers) == 100
-            assert list(read(changed(3, entry("new", 200)), reader).numbers) == [SHARED + 100]  # none is free
-            await until(lambda: balancer._applying is None)
+            assert list(read(changed(3, entry("new", 200)), reader).ids) == [SHARED + 100]  # none is free
+            await until(lambda: balancer._update_task is None)
             balancer._sweep_host_numbers(SEGMENTS)
-            assert len(reader.host_numbers) == len(balancer._held) == 99
-            assert list(read(changed(4, entry("newer", 201)), reader).numbers) == [SHARED]
+            assert len(reader.host_numbers) == len(balancer._addresses) == 99
+            assert list(read(changed(4, entry("newer", 201)), reader).ids) == [SHARED]
 
     run(test())
 
@@ -174,9 +176,9 @@
 def test_hosts_that_come_and_go_leave_nothing_behind() -> None:
     async def test() -> None:
         async with node(ScriptedPolicy(), known_list=known(1)) as client:
-            balancer, reader = client.node, client.node._reader
+            balancer, reader = client.node, client.node._list_reader
             for version in range(2, 50):
-                balancer._listed(read(changed(version, entry(f"x{version}"), whole=True), reader))
+                balancer._on_watch_result(read(changed(version, entry(f"x{version}"), whole=True), reader))
             with pytest.raises(EndpointListError):
                 read({"hosts": [entry("bad")]}, reader)
             read(changed(1, entry("late")), reader)  # older than the last: not taken
@@ -186,10 +188,10 @@
             assert len(reader.host_numbers) > 50  # what is being read may name any
             abandoned.close()
             for _ in range(SEGMENTS):  # as once a second
-                assert balancer._sweep is not None
-                balancer._sweep.cancel()
-                balancer._sweep_idle()
-            assert len(reader.host_numbers) == len(balancer._held) == 1
+                assert balancer._sweep_timer is not None
+                balancer._sweep_timer.cancel()
+                balancer._sweep_once()
+            assert len(reader.host_numbers) == len(balancer._addresses) == 1
 
     run(test())
 
@@ -228,7 +230,7 @@
     by_port = {e.address[1]: e.upstream for e in listing.entries}
     assert by_port[80]._replace(id=1) == Endpoint(1, EndpointStatus.DRAINING, "west", 3, 0.5, 1_999_995, "m")
     assert by_port[81].started_ns == 0
-    assert (listing.version, listing.whole) == (7, True)
+    assert (listing.version, listing.complete) == (7, True)
 
 
 @pytest.mark.parametrize(
@@ -261,30 +263,30 @@
             ).encode(),
         )
         async with node(script, registry=registry, known_list=known(1, 2, 3)) as client:
-            await until(lambda: len(client.node.upstreams()) == 2)  # s2 is gone, s0 is still there
-            assert {port for _, port in client.node.upstreams().values()} == {1, 2}
+            await until(lambda: len(client.node.endpoint_addresses()) == 2)  # s2 is gone, s0 is still there
+            assert {port for _, port in client.node.endpoint_addresses().values()} == {1, 2}
             told = [u for e in script.of(EndpointUpdate)[1:] for u in e.endpoints]
             assert {u.id for u in told if u.status is EndpointStatus.REMOVED} == {number_of("s2")}
             # What is known of s0 stays to the letter: nothing else is told of it, and it is where it was.
             assert number_of("s0") not in {u.id for u in told}
-            assert client.node.upstreams()[number_of("s0")] == (HOST, 1)
+            assert client.node.endpoint_addresses()[number_of("s0")] == (HOST, 1)
             assert all(e.kind is EndpointUpdateKind.DELTA for e in script.of(EndpointUpdate)[1:])
 
     run(test())
     again = read({"seq": 2, "whole": True, "hosts": [entry("s0", health="odd"), entry("s1", 2)]})
-    assert again.unread == [number_of("s0")]
-    assert list(again.numbers) == [number_of("s1")]
+    assert again.unreadable == [number_of("s0")]
+    assert list(again.ids) == [number_of("s1")]
     gone = read({"seq": 3, "whole": False, "hosts": [entry("s0", health="removed", dial="")]})
     assert [e.upstream.status for e in gone.entries] == [EndpointStatus.REMOVED]
     empty = read({"seq": 4, "whole": True, "hosts": []})
     assert not list(empty.entries)
-    assert not empty.unread
-    assert empty.whole
+    assert not empty.unreadable
+    assert empty.complete
 
 
 def test_no_upstream_starts_in_the_future() -> None:
     row = entry("a", 80, born_ms=4 * 10**12)
-    started = read({"seq": 1, "whole": True, "hosts": [row]}).profiles[0][4]
+    started = read({"seq": 1, "whole": True, "hosts": [row]}).attributes[0][4]
     assert started <= time.monotonic_ns()
 
 
@@ -301,12 +303,14 @@
     async def test() -> None:
         async with node(ScriptedPolicy(), known_list=known(1, 2)) as client:
             balancer = client.node
-            balancer._listed(read({"seq": 2, "whole": False, "hosts": [entry("s0", health="removed")]}))
-            assert set(balancer._held) == {number_of("s1")}
-            balancer._listed(read({"seq": 3, "whole": True, "hosts": []}))
-            assert not balancer._held
-            assert not balancer._hub.pools
-            assert not balancer._long
+            balancer._on_watch_result(
+                read({"seq": 2, "whole": False, "hosts": [entry("s0", health="removed")]})
+            )
+            assert set(balancer._addresses) == {number_of("s1")}
+            balancer._on_watch_result(read({"seq": 3, "whole": True, "hosts": []}))
+            assert not balancer._addresses
+            assert not balancer._connection_limits.pools
+            assert not balancer._pending_updates
 
     run(test())
 
@@ -317,7 +321,9 @@
 
         def react(event: Event) -> tuple[()]:
             if isinstance(event, EndpointUpdate) and event.kind is EndpointUpdateKind.DELTA:
-                asking.append(client.node._discovery._call is not None)  # before the change is acted on
+                asking.append(
+                    client.node._discovery_client._watch_call is not None
+                )  # before the change is acted on
             return ()
 
         script = ScriptedPolicy(react)
@@ -332,10 +338,10 @@
             assert [u.zone for u in update.endpoints] == ["east"]
             assert asking == [True]
             assert registry.calls[1][1].startswith("/registry/instances?after=2&")
-            assert len(client.node._held) == 2 == len(client.node.upstreams())
+            assert len(client.node._addresses) == 2 == len(client.node.endpoint_addresses())
             registry.change("s9", health="removed")
             await until(lambda: len(script.of(EndpointUpdate)) == 3)
-            assert len(client.node._held) == 1 == len(client.node.upstreams())
+            assert len(client.node._addresses) == 1 == len(client.node.endpoint_addresses())
 
     run(test())
 
@@ -384,8 +390,8 @@
         registry.upstream.answer = first_is_lost
         module = Watched(Balancer(settings(asked=True), 1, time.monotonic_ns()))
         async with node(module, registry=registry, known_list=known(5), asked=True) as client:
-            assert client.node.upstreams()
-            await until(lambda: not client.node.upstreams())
+            assert client.node.endpoint_addresses()
+            await until(lambda: not client.node.endpoint_addresses())
             assert WatchEndpoints(True) in (module.answer_to(EndpointUpdateKind.WATCH_TIMED_OUT) or [])
 
     run(test())
@@ -410,10 +416,10 @@
             await until(lambda: len(registry.calls) >= 3)
             assert registry.calls[2][0] - registry.calls[0][0] > 0.1  # it backs off
             assert len(script.of(EndpointUpdate)) == 1
-            assert len(client.node._held) == 1
+            assert len(client.node._addresses) == 1
             registry.broken = b""
             registry.change("s9", dial="127.0.0.1:9")
-            await until(lambda: len(client.node.upstreams()) == 2)
+            await until(lambda: len(client.node.endpoint_addresses()) == 2)
 
     run(test())
 
@@ -423,7 +429,7 @@
         registry = FakeDiscovery()
         async with node(ScriptedPolicy(), registry=registry, known_list=known(5)) as client:
             registry.change("s0", dial="127.0.0.2:6")
-            await until(lambda: [*client.node.upstreams().values()] == [("127.0.0.2", 6)])
+            await until(lambda: [*client.node.endpoint_addresses().values()] == [("127.0.0.2", 6)])
 
     run(test())
 
@@ -439,15 +445,15 @@
         script = ScriptedPolicy(lambda e: [steps[e.name]] if isinstance(e, TimerExpired) else ())
         async with node(script, registry=registry, known_list=known(5)) as client:
             await until(lambda: registry.calls)
-            client.node.feed(TimerExpired("off"))
-            assert client.node._discovery._source.pool.hub.open == 0
-            client.node.feed(TimerExpired("on"))
+            client.node.dispatch(TimerExpired("off"))
+            assert client.node._discovery_client._target.pool.limits.open_connections == 0
+            client.node.dispatch(TimerExpired("on"))
             await until(lambda: len(registry.calls) == 2)
-            client.node.feed(TimerExpired("fetch"))
+            client.node.dispatch(TimerExpired("fetch"))
             await until(lambda: len(script.of(EndpointUpdate)) == 2)
             assert script.of(EndpointUpdate)[1].kind is EndpointUpdateKind.FULL
-            assert not client.node._held
-            assert not client.node._hub.pools
+            assert not client.node._addresses
+            assert not client.node._connection_limits.pools
             assert registry.calls[2][1] == "/registry/instances"
 
     run(test())
@@ -475,16 +481,16 @@
         new = await second("s8", "s9")
         async with node(script, registry=old, known_list=known(5)) as client:
             await until(lambda: old.calls)
-            left = client.node._discovery._source
+            left = client.node._discovery_client._target
             client.node.move_discovery((HOST, new.upstream.port))
             await until(lambda: len(new.calls) == 2)
             assert new.calls[0][1] == "/registry/instances"
             assert new.calls[1][1].startswith("/registry/instances?after=3&")
             assert len(hosts(script)) == 2
-            assert len(client.node.upstreams()) == 2
-            assert left.pool.hub.open == 0
+            assert len(client.node.endpoint_addresses()) == 2
+            assert left.pool.limits.open_connections == 0
             new.change("s7")
-            await until(lambda: len(client.node.upstreams()) == 3)
+            await until(lambda: len(client.node.endpoint_addresses()) == 3)
         new.upstream.stop()
 
     run(test())
@@ -499,9 +505,9 @@
             client.node.move_discovery((HOST, new.upstream.port))
             await until(lambda: len(new.calls) == 2)
             old.change("s1")
-            await until(lambda: len(client.node.upstreams()) == 2)
+            await until(lambda: len(client.node.endpoint_addresses()) == 2)
             new.broken = b""
-            await until(lambda: len(client.node.upstreams()) == 1)
+            await until(lambda: len(client.node.endpoint_addresses()) == 1)
         new.upstream.stop()
 
     run(test())
@@ -516,8 +522,8 @@
             client.node.move_discovery((HOST, new.upstream.port))
             old.broken = written(503)
             old.change("s1")  # the watch ends
-            await until(lambda: client.node._discovery._call is None)
-            assert client.node._discovery._retry is None
+            await until(lambda: client.node._discovery_client._watch_call is None)
+            assert client.node._discovery_client._retry is None
             new.broken = b""
             await until(lambda: len(new.calls) > 1 and "after=3" in new.calls[-1][1])
         new.upstream.stop()
@@ -535,12 +541,12 @@
             for address in addresses:
                 client.node.move_discovery(address)
             old.change("s1")
-            await until(lambda: len(client.node.upstreams()) == 2)
+            await until(lambda: len(client.node.endpoint_addresses()) == 2)
             for address in addresses[:2]:
                 client.node.move_discovery(address)
             await until(lambda: len(new[1].calls) == 2)
             assert not new[0].calls
-            assert client.node._discovery._successor is None
+            assert client.node._discovery_client._successor is None
             assert hosts(script) == [number_of("s8")]
         for registry in new:
             registry.upstream.stop()
@@ -572,11 +578,11 @@
             client.node.move_discovery((HOST, new.upstream.port))
             await until(lambda: new.upstream.got)
             client.node.move_discovery((HOST, new.upstream.port))
-            await until(lambda: client.node._discovery._successor is None)
+            await until(lambda: client.node._discovery_client._successor is None)
             assert hosts(script) == [number_of("s9")]
             await until(lambda: len(new.upstream.got) == 2)
             assert [("after=" in got.first) for got in new.upstream.got] == [False, True]
-            assert client.node._discovery._handover_failures == 0
+            assert client.node._discovery_client._handover_failures == 0
         new.upstream.stop()
 
     run(test())
@@ -596,14 +602,14 @@
     old: FakeDiscovery, new: FakeDiscovery, client: Client, script: ScriptedPolicy
 ) -> None:
     """The node goes over to a new address, and the old one ends its watch and listens no more."""
-    client.node.feed(TimerExpired("watch"))
+    client.node.dispatch(TimerExpired("watch"))
     await until(lambda: old.calls)
     client.node.move_discovery((HOST, new.upstream.port))
     await until(lambda: new.upstream.got)
     old.broken = written(503)
     old.upstream.stop()
     old.change("s1")
-    await until(lambda: client.node._discovery._call is None)
+    await until(lambda: client.node._discovery_client._watch_call is None)
     assert failures(script) == 1  # of the watch that has ended
 
 
@@ -614,14 +620,14 @@
         new = await second("s9")
         release = holds_first_list(new)
         async with node(script, registry=old, known_list=known(5), asked=True) as client:
-            discovery = client.node._discovery
+            discovery = client.node._discovery_client
             await closes_in_handover(old, new, client, script)
-            client.node.feed(TimerExpired("watch"))
-            await until(lambda: discovery._call is None)  # refused
-            client.node.feed(TimerExpired("watch"))
-            client.node.feed(TimerExpired("fetch"))
-            assert discovery._call is None
-            assert discovery._fetch is None
+            client.node.dispatch(TimerExpired("watch"))
+            await until(lambda: discovery._watch_call is None)  # refused
+            client.node.dispatch(TimerExpired("watch"))
+            client.node.dispatch(TimerExpired("fetch"))
+            assert discovery._watch_call is None
+            assert discovery._fetch_call is None
             assert failures(script) == 1
             release.set()
             await until(lambda: len(new.calls) == 2)
@@ -639,16 +645,16 @@
         old, script = FakeDiscovery(), asks()
         new = await second("s9", broken=written(503))
         async with node(script, registry=old, known_list=known(5), asked=True) as client:
-            discovery = client.node._discovery
+            discovery = client.node._discovery_client
             await closes_in_handover(old, new, client, script)
 
             async def is_told_once(told: int) -> None:
-                client.node.feed(TimerExpired("watch"))
+                client.node.dispatch(TimerExpired("watch"))
                 await until(lambda: failures(script) == told)
                 ended = len(new.calls)
                 await until(lambda: len(new.calls) >= ended + 2)
                 assert failures(script) == told
-                assert discovery._call is None
+                assert discovery._watch_call is None
 
             await is_told_once(2)
             await is_told_once(3)
@@ -668,8 +674,8 @@
         holds_first_list(new)
         async with node(script, registry=old, known_list=known(5), asked=True) as client:
             await closes_in_handover(old, new, client, script)
-            client.node.feed(TimerExpired(asked))
-            await until(lambda: client.node._discovery._source.refuses)
+            client.node.dispatch(TimerExpired(asked))
+            await until(lambda: client.node._discovery_client._target.refuses)
             client.node.move_discovery((HOST, old.upstream.port))
             await until(lambda: failures(script) >= 2)  # it is still closed, and is asked
         new.upstream.stop()
@@ -716,9 +722,9 @@
             release.set()
             await until(lambda: len(new.calls) == 2)  # what it said is read, and it is asked once more
             assert states(script) == [EndpointStatus.READY, EndpointStatus.DRAINING]
-            assert not client.node.upstreams()
+            assert not client.node.endpoint_addresses()
             new.rows["s0"]["health"], new.version = "draining", 2
-            await until(lambda: client.node._discovery._successor is None)
+            await until(lambda: client.node._discovery_client._successor is None)
             assert EndpointStatus.READY not in states(script)[1:]
         new.upstream.stop()
 
@@ -733,14 +739,14 @@
         script = ScriptedPolicy(lambda e: [FetchEndpoints()] if isinstance(e, TimerExpired) else ())
         async with node(script, registry=registry, known_list=known(5)) as client:
             await until(lambda: registry.calls)
-            client.node.feed(TimerExpired("fetch"))
+            client.node.dispatch(TimerExpired("fetch"))
             await until(lambda: len(registry.calls) == 2)
             registry.change("s0", health="draining")
             await until(lambda: states(script)[-1] is EndpointStatus.DRAINING)
             release.set()
-            await until(lambda: client.node._discovery._fetch is None)
+            await until(lambda: client.node._discovery_client._fetch_call is None)
             assert states(script) == [EndpointStatus.READY, EndpointStatus.DRAINING]
-            assert not client.node.upstreams()
+            assert not client.node.endpoint_addresses()
 
     run(test())
 
@@ -757,6 +763,6 @@
 
         registry.upstream.answer = indented
         async with node(ScriptedPolicy(), registry=registry, known_list=known(5)) as client:
-            await until(lambda: len(client.node.upstreams()) == 2 and len(registry.calls) == 2)
+            await until(lambda: len(client.node.endpoint_addresses()) == 2 and len(registry.calls) == 2)
 
     run(test())
--- a/tests/proxy/test_discovery_outage.py
+++ b/tests/proxy/test_discovery_outage.py
@@ -160,7 +160,9 @@
         registry.upstream.answer = answer
         module = Balancer(node_settings(asked=asked), 1, time.monotonic_ns())
         async with node(module, registry=registry, known_list=known(5), asked=asked) as client:
-            await until(lambda: not client.node.upstreams() and len(registry.calls) == len(order) + 2)
+            await until(
+                lambda: not client.node.endpoint_addresses() and len(registry.calls) == len(order) + 2
+            )
             waits = [int(query.rpartition("wait_ms=")[2]) for _, query in registry.calls]
             longest = 10_000 if asked else 40
             assert waits == [longest, *[20] * len(order), longest]  # short until one is answered
@@ -212,10 +214,10 @@
             "loadbalancer.proxy.discovery_client.ASKED_WAIT_MS", 40
         )  # the first call too must be given up
         async with node(module, registry=registry, known_list=known(5), asked=asked) as client:
-            await until(lambda: client.node._discovery._failures >= 3)
+            await until(lambda: client.node._discovery_client._failures >= 3)
             registry.change("s0", health="draining")
             await machine.comes_back()
-            await until(lambda: not client.node.upstreams())
+            await until(lambda: not client.node.endpoint_addresses())
 
     run(test())
 
@@ -238,14 +240,14 @@
         async with node(ScriptedPolicy(), registry=old, known_list=known(5)) as client:
             await until(lambda: old.calls)
             client.node.move_discovery((HOST, new.upstream.port))
-            await until(lambda: client.node._discovery._handover_failures >= 2)
-            assert client.node.upstreams()
+            await until(lambda: client.node._discovery_client._handover_failures >= 2)
+            assert client.node.endpoint_addresses()
             if isinstance(new.upstream, Machine):
                 await new.upstream.comes_back()
             else:
                 new.upstream.answer = heard
-            await until(lambda: not client.node.upstreams())
-            assert client.node._discovery._successor is None
+            await until(lambda: not client.node.endpoint_addresses())
+            assert client.node._discovery_client._successor is None
         new.upstream.stop()
 
     run(test())
@@ -282,14 +284,18 @@
             registry.upstream.answer = {"breaks": breaks, "silent": silent}[kind]
         module = Balancer(node_settings(asked=asked), 1, time.monotonic_ns())
         async with node(module, *upstreams, registry=registry, sockets=DESCRIPTORS, asked=asked) as client:
-            hub, server, discovery = client.node._hub, client.node.server, client.node._discovery
-            numbers = {port: number for number, (_, port) in client.node.upstreams().items()}
+            hub, server, discovery = (
+                client.node._connection_limits,
+                client.node.downstream,
+                client.node._discovery_client,
+            )
+            numbers = {port: number for number, (_, port) in client.node.endpoint_addresses().items()}
             for number in numbers.values():
-                pool = client.node._pool(number)
+                pool = client.node._connection_pool(number)
                 assert pool is not None
                 for _ in range(KEPT_IDLE):
-                    pool.exchange(b"GET /read HTTP/1.1\r\n\r\n", None, lambda result, response: None)
-            await until(lambda: len(hub.idle) == PLACES)
+                    pool.start_exchange(b"GET /read HTTP/1.1\r\n\r\n", None, lambda result, response: None)
+            await until(lambda: len(hub.idle_connections) == PLACES)
             idle = [asyncio.create_task(says_nothing(client.port)) for _ in range(PLACES + 30)]
             served, most = [], 0
 
@@ -299,7 +305,12 @@
                 another = client.another()
                 served.append((await another.ask(request())).status)
                 another.close()
-                most = max(most, len(server._connections) + hub.open + discovery._source.pool.hub.open)
+                most = max(
+                    most,
+                    len(server._connections)
+                    + hub.open_connections
+                    + discovery._target.pool.limits.open_connections,
+                )
 
             while discovery._failures < 4:
                 await asks()
@@ -308,7 +319,7 @@
                 await registry.upstream.comes_back()
             else:
                 registry.upstream.answer = heard
-            await until(lambda: numbers[upstreams[0].port] not in client.node.upstreams())
+            await until(lambda: numbers[upstreams[0].port] not in client.node.endpoint_addresses())
             before = len(upstreams[0].got)
             for _ in range(20):
                 await asks()
--- a/tests/proxy/test_downstream.py
+++ b/tests/proxy/test_downstream.py
@@ -99,7 +99,7 @@
     async def test() -> None:
         async with node(ScriptedPolicy(), max_pending_requests=1) as client:
             await client.send(request())
-            await until(lambda: client.node._calls)
+            await until(lambda: client.node._pending)
             got = await client.another().ask(request())
             assert got.status == 503
             assert float(got.headers["retry-after"]) > 0
@@ -120,8 +120,8 @@
             assert (await client.read()).status == 400
             assert await client.closed()
             assert len(script.of(RequestArrived)) == len(script.of(ClientDisconnected)) == apart
-            assert not client.node._calls
-            assert not client.node._ids
+            assert not client.node._pending
+            assert not client.node._open_request_ids
 
     run(test())
 
@@ -143,11 +143,11 @@
             mine = cast(asyncio.Transport, client.writer.transport)
             mine.pause_reading()
             mine.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
-            transport = next(iter(client.node.server._connections))._transport
+            transport = next(iter(client.node.downstream._connections))._transport
             assert transport is not None
             transport.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
             transport.set_write_buffer_limits(high=4096)
-            side = next(iter(client.node.server._connections))
+            side = next(iter(client.node.downstream._connections))
             while transport.is_reading():
                 side.data_received(READY)
             assert transport.get_write_buffer_size() < 8192
@@ -164,7 +164,7 @@
 def ages(table: ConnectionTable, seconds: float) -> None:
     """As if all that is in the table had been there for so much longer."""
     for member in table._members:
-        member.since -= seconds
+        member.entered_at -= seconds
 
 
 @pytest.mark.parametrize(
@@ -179,23 +179,27 @@
 def test_a_request_that_does_not_come_is_not_waited_for(data: bytes, answer: bytes, served: bool) -> None:
     async def test() -> None:
         async with node(ScriptedPolicy()) as client:
-            server = client.node.server
+            server = client.node.downstream
             if served:
                 await client.ask(READY)
             await client.send(data)
             if served and not data:
                 return  # that one is idle, and may be for long
-            await until(lambda: server._awaited and (not data or first(server._awaited).speaking))
-            server._tick()
-            assert server._awaited
-            ages(server._awaited, 2.3)
-            server._tick()
+            await until(
+                lambda: (
+                    server._awaiting_request and (not data or first(server._awaiting_request).request_started)
+                )
+            )
+            server._enforce_timeouts()
+            assert server._awaiting_request
+            ages(server._awaiting_request, 2.3)
+            server._enforce_timeouts()
             assert client.reader is not None
             got = await asyncio.wait_for(client.reader.read(), PATIENCE_S)
             assert got.startswith(answer)
             assert bool(got) == bool(answer)
             client.close()
-            await until(lambda: not server._connections and not server._leaving)
+            await until(lambda: not server._connections and not server._closing)
 
     run(test())
 
@@ -203,13 +207,13 @@
 def test_a_connection_that_is_kept_without_asking_is_closed_after_two_seconds() -> None:
     async def test() -> None:
         async with node(ScriptedPolicy()) as client:
-            server = client.node.server
+            server = client.node.downstream
             assert (await client.ask(READY)).status == 200
             ages(server._idle, 1.8)
-            server._tick()
+            server._enforce_timeouts()
             assert (await client.ask(READY)).status == 200  # which begins its time anew
             ages(server._idle, 2.0)
-            server._tick()
+            server._enforce_timeouts()
             assert await client.closed()
             await until(lambda: not server._connections)
 
@@ -219,14 +223,14 @@
 def test_a_first_byte_does_not_put_off_the_time_since_connecting() -> None:
     async def test() -> None:
         async with node(ScriptedPolicy()) as client:
-            server = client.node.server
+            server = client.node.downstream
             await client.send(b"")
-            await until(lambda: server._awaited)
-            ages(server._awaited, 2.0)
-            since = first(server._awaited).since
+            await until(lambda: server._awaiting_request)
+            ages(server._awaiting_request, 2.0)
+            since = first(server._awaiting_request).entered_at
             await client.send(b"GET")
-            await until(lambda: first(server._awaited).speaking)
-            assert first(server._awaited).since == since
+            await until(lambda: first(server._awaiting_request).request_started)
+            assert first(server._awaiting_request).entered_at == since
 
     run(test())
 
@@ -234,13 +238,13 @@
 def test_one_that_was_turned_away_and_stays_is_cut_off() -> None:
     async def test() -> None:
         async with node(ScriptedPolicy()) as client:
-            server = client.node.server
+            server = client.node.downstream
             assert (await client.ask(b"nonsense\r\n\r\n")).status == 400
-            assert server._leaving
+            assert server._closing
             assert server._connections
-            ages(server._leaving, 0.6)
-            server._tick()
-            assert not server._leaving
+            ages(server._closing, 0.6)
+            server._enforce_timeouts()
+            assert not server._closing
             assert not server._connections
 
     run(test())
@@ -251,7 +255,7 @@
         async with node(ScriptedPolicy()) as client:
             await client.send(request("/pay", "Content-Length: 60000000", method="POST"))
             assert (await client.read()).status == 413  # before the body comes
-            side = next(iter(client.node.server._connections))
+            side = next(iter(client.node.downstream._connections))
             assert side._transport is not None
             transport = side._transport
             await client.send(b"x" * 300_000)
@@ -263,13 +267,13 @@
 def test_silent_clients_make_place_before_those_that_have_spoken() -> None:
     async def test() -> None:
         async with node(ScriptedPolicy(), sockets=32 + 16) as client:  # so eight clients
-            server = client.node.server
+            server = client.node.downstream
             assert (await client.ask(READY)).status == 200
             mute = [client.another() for _ in range(7)]
             for other in mute:
                 await other.send(b"")
-            await until(lambda: len(server._awaited) == 7)
-            ages(server._awaited, 1.0)
+            await until(lambda: len(server._awaiting_request) == 7)
+            ages(server._awaiting_request, 1.0)
             assert (await client.another().ask(READY)).status == 200
             assert await mute[0].closed()
             assert (await client.ask(READY)).status == 200  # idle for longer, and still there
@@ -282,13 +286,13 @@
 def test_a_connection_that_makes_place_before_it_is_up_is_closed() -> None:
     async def test() -> None:
         async with node(ScriptedPolicy()) as client:
-            server = client.node.server
+            server = client.node.downstream
             with socket.create_connection((HOST, client.port)) as mine:
                 mine.setblocking(False)
-                while not server._awaited:
+                while not server._awaiting_request:
                     server._accept()
-                ages(server._awaited, 1.0)
-                assert server._evict()  # its transport is not made yet
+                ages(server._awaiting_request, 1.0)
+                assert server._evict_one()  # its transport is not made yet
                 ended = asyncio.get_running_loop().sock_recv(mine, 1)
                 assert await asyncio.wait_for(ended, PATIENCE_S) == b""
 
@@ -300,9 +304,9 @@
         script = ScriptedPolicy(lambda e: [Fail("1")] if isinstance(e, TimerExpired) else ())
         async with node(script) as client:
             await client.send(request(name="one"))
-            await until(lambda: client.node._calls)
+            await until(lambda: client.node._pending)
             assert (await client.another().ask(request(name="one"))).status == 409
-            client.node.feed(TimerExpired("now"))
+            client.node.dispatch(TimerExpired("now"))
             assert (await client.read()).status == 504  # the open one goes on as if nothing had come
             await client.send(request(name="one"))
             await until(lambda: len(script.of(RequestArrived)) == 2)
@@ -343,7 +347,7 @@
             last = client.another()
             await last.send(READY)  # waits with the system until one has its answer
             script.react = lambda e: [Fail("3")] if isinstance(e, TimerExpired) else ()
-            client.node.feed(TimerExpired("now"))
+            client.node.dispatch(TimerExpired("now"))
             assert (await last.read()).status == 200
             for other in (*busy, last):
                 other.close()
@@ -384,7 +388,7 @@
     # Guards against a close between requests that crosses a request: it has been taken, and would be lost.
     async def test() -> None:
         async with node(ScriptedPolicy(fails_all)) as client:
-            server, loop = client.node.server, asyncio.get_running_loop()
+            server, loop = client.node.downstream, asyncio.get_running_loop()
             with socket.create_connection((HOST, client.port)) as mine:
                 mine.setblocking(False)
                 await until(lambda: any(c._transport for c in server._connections))
@@ -393,14 +397,14 @@
                     assert (await loop.sock_recv(mine, 4096)).startswith(b"HTTP/1.1 200 ")
                     await until(lambda: server._idle)
                 mine.send(request())  # it lies in the socket: no turn of the loop from here on
-                for table in (server._idle, server._awaited):
+                for table in (server._idle, server._awaiting_request):
                     ages(table, 3.0)
                 if closes == "drain":
-                    server.wind_up()
+                    server.continue_shutdown()
                 elif closes == "place":
-                    assert not server._evict()
+                    assert not server._evict_one()
                 else:
-                    server._tick()
+                    server._enforce_timeouts()
                 got = await asyncio.wait_for(loop.sock_recv(mine, 4096), PATIENCE_S)
                 assert got.startswith(b"HTTP/1.1 504 ")
 
--- a/tests/proxy/test_endpoint_list.py
+++ b/tests/proxy/test_endpoint_list.py
@@ -51,7 +51,7 @@
 
 
 def shown(read: EndpointList) -> object:
-    return read.version, read.whole, list(read.entries), read.unread
+    return read.version, read.complete, list(read.entries), read.unreadable
 
 
 ROWS = st.lists(
@@ -97,10 +97,10 @@
         patch.setattr("loadbalancer.proxy.endpoint_list.STRIDE", stride)
         pieces = run_through(EndpointListReader(0).steps(bytearray(body)))
     assert shown(once) == shown(pieces)
-    assert (once.version, once.whole) == (4, False)
+    assert (once.version, once.complete) == (4, False)
     named = [row["host"] for row in rows if isinstance(row, dict) and isinstance(row.get("host"), str)]
     # Each row that names a host is read, or said to be unread: none hides another.
-    assert sorted([*once.numbers, *once.unread]) == sorted(number_of(name) for name in named)
+    assert sorted([*once.ids, *once.unreadable]) == sorted(number_of(name) for name in named)
 
 
 @pytest.mark.parametrize(
@@ -147,8 +147,8 @@
     async def test() -> None:
         script, turns = ScriptedPolicy(), 0
         async with node(script, known_list=whole(3)) as client:
-            client.node._listed(listing(whole(1000, 2, first=2)))
-            while client.node._applying is not None:
+            client.node._on_watch_result(listing(whole(1000, 2, first=2)))
+            while client.node._update_task is not None:
                 await asyncio.sleep(0)
                 turns += 1
             assert turns >= 1000 // SLICE  # so many turns of the loop were others' too
@@ -156,8 +156,10 @@
             assert {update.kind for update in told(script)} == {EndpointUpdateKind.DELTA}
             gone = {number for number, state in states(script).items() if state is EndpointStatus.REMOVED}
             assert gone == {number_of("s0"), number_of("s1")}  # s2 is in both
-            assert set(client.node._held) == {number_of(f"s{i}") for i in range(2, 1002)}
-            assert not client.node._hub.pools  # no connections, nor a place for any, where nothing is sent
+            assert set(client.node._addresses) == {number_of(f"s{i}") for i in range(2, 1002)}
+            assert (
+                not client.node._connection_limits.pools
+            )  # no connections, nor a place for any, where nothing is sent
 
     run(test())
 
@@ -167,26 +169,26 @@
         script = ScriptedPolicy()
         async with node(script, known_list=whole(3)) as client:
             balancer = client.node
-            balancer._listed(listing(whole(500, 2)))
-            balancer._listed(listing(whole(500, 3)))  # waits behind the first
+            balancer._on_watch_result(listing(whole(500, 2)))
+            balancer._on_watch_result(listing(whole(500, 3)))  # waits behind the first
             last = {
                 "seq": 4,
                 "whole": False,
                 "hosts": [entry("s499", health="draining"), entry("s498", health="removed"), entry("new", 7)],
             }
-            balancer._listed(listing(last))  # in force at once
-            assert balancer._applying is not None
+            balancer._on_watch_result(listing(last))  # in force at once
+            assert balancer._update_task is not None
             names = ("s499", "s498", "new")
             assert [u.id for u in told(script)[-1].endpoints] == [number_of(name) for name in names]
-            await until(lambda: balancer._applying is None)
+            await until(lambda: balancer._update_task is None)
             assert states(script)[number_of("s499")] is EndpointStatus.DRAINING
             assert states(script)[number_of("s498")] is EndpointStatus.REMOVED
             assert states(script)[number_of("new")] is EndpointStatus.READY
-            assert len(balancer._held) == 500
-            assert not {number_of("s499"), number_of("s498")} & set(balancer.upstreams())
-            balancer._listed(listing(whole(300, 5)))  # a newer whole list counts again
-            await until(lambda: balancer._applying is None)
-            assert len(balancer.upstreams()) == 300
+            assert len(balancer._addresses) == 500
+            assert not {number_of("s499"), number_of("s498")} & set(balancer.endpoint_addresses())
+            balancer._on_watch_result(listing(whole(300, 5)))  # a newer whole list counts again
+            await until(lambda: balancer._update_task is None)
+            assert len(balancer.endpoint_addresses()) == 300
 
     run(test())
 
@@ -196,10 +198,10 @@
         script = ScriptedPolicy()
         async with node(script, known_list=whole(3)) as client:
             for version, count in ((2, 700), (3, 2)):
-                client.node._listed(listing(whole(count, version)))
-                await until(lambda: client.node._applying is None)
+                client.node._on_watch_result(listing(whole(count, version)))
+                await until(lambda: client.node._update_task is None)
             assert max(len(list(update.endpoints)) for update in told(script)) <= SLICE
-            assert len(client.node._held) == 2
+            assert len(client.node._addresses) == 2
 
     run(test())
 
@@ -231,11 +233,11 @@
             assert [r.getMessage() for r in caplog.records] == [
                 f"discovery: a list of over {len(long) - 1} bytes is turned down; the old list stays"
             ]
-            assert len(balancer.upstreams()) == 3
+            assert len(balancer.endpoint_addresses()) == 3
             assert len(script.of(EndpointUpdate)) == 1
             registry.broken = b""
             registry.change("s9", port=9)  # what is not too long is heard
-            await until(lambda: number_of("s9") in balancer.upstreams())
+            await until(lambda: number_of("s9") in balancer.endpoint_addresses())
         finally:
             balancer.close()
             registry.upstream.stop()
@@ -258,17 +260,17 @@
             for rate, put_off in ((1000.0, 3.0), (0.0, 0.0)):
                 ended: list[AttemptResult] = []
                 pool = ConnectionPool(ConnectionLimits(2, 2.0, 0.0, least_rate=rate), (HOST, upstream.port))
-                exchange = pool.exchange(
+                exchange = pool.start_exchange(
                     b"GET / HTTP/1.1\r\n\r\n",
                     PATIENCE_S,
                     lambda result, response, ended=ended: ended.append(result),  # type: ignore[misc]
                 )
-                before = exchange._timer.when()  # type: ignore[union-attr]
+                before = exchange._timeout_timer.when()  # type: ignore[union-attr]
                 seen = len(upstream.got)
                 await until(lambda seen=seen: len(upstream.got) > seen)  # type: ignore[misc]
                 if rate:
-                    await until(lambda e=exchange, b=before: e._timer.when() > b)  # type: ignore[misc]
-                assert exchange._timer.when() - before == pytest.approx(put_off)  # type: ignore[union-attr]
+                    await until(lambda e=exchange, b=before: e._timeout_timer.when() > b)  # type: ignore[misc]
+                assert exchange._timeout_timer.when() - before == pytest.approx(put_off)  # type: ignore[union-attr]
                 go.set()
                 await until(lambda ended=ended: ended == [AttemptResult.OK])  # type: ignore[misc]
                 go.clear()
@@ -333,14 +335,14 @@
         started = Proxy(config, balancer)
         await started.start()
         assert started.ready
-        assert len(started.upstreams()) == count
+        assert len(started.endpoint_addresses()) == count
         started.close()
 
     run(test())
     assert done["number_of"] == count
     assert done["pack_address"] <= count + 2
     assert done["mixed"] <= count + 10
-    assert len(balancer.fleet.servers) == len(balancer.fleet.used)
+    assert len(balancer.fleet.endpoints) == len(balancer.fleet.used_ids)
     assert config.known is not None
     assert not len(config.known)
 
@@ -369,11 +371,11 @@
 def test_connections_are_kept_only_for_upstreams_in_use() -> None:
     async def test() -> None:
         async with node(ScriptedPolicy(), known_list=whole(200)) as client:
-            numbers = list(client.node.upstreams())
-            assert client.node._pool(numbers[3]) is client.node._pool(numbers[3])
-            assert list(client.node._hub.pools) == [numbers[3]]
-            assert client.node._pool(1) is None
-            client.node._hub.forget()
-            assert not client.node._hub.pools
+            numbers = list(client.node.endpoint_addresses())
+            assert client.node._connection_pool(numbers[3]) is client.node._connection_pool(numbers[3])
+            assert list(client.node._connection_limits.pools) == [numbers[3]]
+            assert client.node._connection_pool(1) is None
+            client.node._connection_limits.forget_empty_pools()
+            assert not client.node._connection_limits.pools
 
     run(test())
--- a/tests/proxy/test_faults.py
+++ b/tests/proxy/test_faults.py
@@ -45,7 +45,7 @@
 
 
 def ejected(balancer: Balancer) -> int:
-    return sum(s.not_before_ns > time.monotonic_ns() for s in balancer.fleet.servers.values())
+    return sum(s.ejected_until_ns > time.monotonic_ns() for s in balancer.fleet.endpoints.values())
 
 
 def test_connections_that_break_everywhere_leave_no_upstream_alone() -> None:
@@ -111,9 +111,9 @@
             got = await client.ask(request("/read", "Req-Cost: 60000000", deadline_ms=500))  # a minute
             assert got.status in (503, 504)
             assert len(upstream.got) == 1
-            server = next(iter(balancer.fleet.servers.values()))
-            await until(lambda: server.strikes)
-            assert server.not_before_ns - time.monotonic_ns() < 1.25 * balancer.patience_ns
+            server = next(iter(balancer.fleet.endpoints.values()))
+            await until(lambda: server.consecutive_failures)
+            assert server.ejected_until_ns - time.monotonic_ns() < 1.25 * balancer.shortest_objective_ns
 
     run(test())
 
@@ -129,14 +129,14 @@
             for c in clients:
                 await c.send(request(deadline_ms=500))
             await until(lambda: sum(len(u.got) for u in upstreams) == UPSTREAMS)
-            each = balancer.crowding.each
+            each = balancer.concurrency_limit.per_request_ns
             time.sleep(0.7)  # the whole loop stands still
             for c in clients:
                 assert (await c.read()).status in (503, 504)
                 c.close()
             assert ejected(balancer) == 0
-            assert not sum(balancer.rate.bad.values())
-            assert balancer.crowding.each == each
+            assert not sum(balancer.rate_controller.failures.values())
+            assert balancer.concurrency_limit.per_request_ns == each
 
     run(test())
 
--- a/tests/proxy/test_proxy.py
+++ b/tests/proxy/test_proxy.py
@@ -207,7 +207,7 @@
             for number in (1, 2):
                 assert (await client.ask(request())).body == b"mine"
                 assert upstream.opened == len(upstream.got) == number
-                assert not client.node._hub.idle
+                assert not client.node._connection_limits.idle_connections
             assert [o.result for o in script.of(AttemptEnded)] == [AttemptResult.OK] * 2
 
     run(test())
@@ -215,8 +215,8 @@
 
 def rests(balancer: Proxy) -> None:
     """As if all kept connections had been left alone for long enough."""
-    for connection in balancer._hub.idle:
-        connection.rested_at -= REST_S
+    for connection in balancer._connection_limits.idle_connections:
+        connection.quarantined_until -= REST_S
 
 
 def test_a_second_answer_that_comes_late_does_not_pass_for_that_to_the_next_request(
@@ -303,9 +303,9 @@
             lambda e: [CheckHealth(script.ids()[0])] * 20 if isinstance(e, TimerExpired) else ()
         )
         async with node(script, upstream) as client:
-            client.node._hub.capacity = 16
-            client.node.feed(TimerExpired("now"))
-            assert client.node._hub.open <= 14
+            client.node._connection_limits.max_connections = 16
+            client.node.dispatch(TimerExpired("now"))
+            assert client.node._connection_limits.open_connections <= 14
             sends_first(script)
             await client.send(request())
             await until(lambda: any("/read" in got.first for got in upstream.got))
@@ -329,10 +329,10 @@
             draining = asyncio.create_task(client.node.drain())
             await until(lambda: not client.node.ready)
             assert (await client.ask(request())).status == 200  # for a moment none is open
-            assert not client.node._calls
+            assert not client.node._pending
             late = client.another()
             await late.send(request("/read/late"))
-            await until(lambda: client.node.server._socket is None)
+            await until(lambda: client.node.downstream._socket is None)
             asyncio.get_running_loop().call_later(0.1, release.set)
             assert (await late.read()).body == b"it"
             await draining
@@ -354,12 +354,12 @@
             for other in late:
                 await other.send(request())
             looked = asyncio.Event()
-            monkeypatch.setattr(client.node.server, "_pause", lambda for_s=None: looked.set())
+            monkeypatch.setattr(client.node.downstream, "_pause_accepting", lambda for_s=None: looked.set())
             draining = asyncio.create_task(client.node.drain())
             await looked.wait()  # the drain has come to the backlog
             monkeypatch.undo()
             script.react = fails_all
-            client.node.feed(TimerExpired("now"))
+            client.node.dispatch(TimerExpired("now"))
             for other in (*busy, *late):
                 got = await other.read()
                 assert got.status == 504
@@ -429,7 +429,7 @@
             assert (await idle.ask(b"GET /health/ready HTTP/1.1\r\n\r\n")).status == 200
             data = request()
             await client.send(data[:-3])
-            await until(lambda: any(c.speaking for c in client.node.server._connections))
+            await until(lambda: any(c.request_started for c in client.node.downstream._connections))
             draining = asyncio.create_task(client.node.drain())
             assert await idle.closed()  # the drain has come to those between requests
             await client.send(data[-3:])
@@ -452,16 +452,16 @@
             mine = cast(asyncio.Transport, client.writer.transport)
             mine.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
             mine.pause_reading()
-            await until(lambda: client.node.server._connections)
-            side = next(iter(client.node.server._connections))
+            await until(lambda: client.node.downstream._connections)
+            side = next(iter(client.node.downstream._connections))
             await until(lambda: side._transport)
             assert side._transport is not None
             side._transport.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
             draining = asyncio.create_task(client.node.drain())
             await until(lambda: not client.node.ready)
             await client.send(request())
-            await until(lambda: client.node.server._flushing)
-            await until(lambda: client.node.server._socket is None)
+            await until(lambda: client.node.downstream._flushing)
+            await until(lambda: client.node.downstream._socket is None)
             assert not draining.done()
             for transport in (mine, side._transport):  # small buffers would take long
                 for option in (socket.SO_RCVBUF, socket.SO_SNDBUF):
@@ -512,11 +512,13 @@
         sends_first(script, fails_unserved)
         port = server.sockets[0].getsockname()[1]
         async with node(script, known_list=known(port)) as client:
-            pool = client.node._pool(next(iter(client.node.upstreams())))
+            pool = client.node._connection_pool(next(iter(client.node.endpoint_addresses())))
             assert pool is not None
             ended: list[AttemptResult] = []
-            exchange = pool.exchange(b"x" * 50_000_000, None, lambda result, response: ended.append(result))
-            await until(lambda: held and not exchange.waiting)
+            exchange = pool.start_exchange(
+                b"x" * 50_000_000, None, lambda result, response: ended.append(result)
+            )
+            await until(lambda: held and not exchange.unsent)
             held[0].transport.abort()
             await until(lambda: ended)
             assert ended == [AttemptResult.CONNECT_FAILED]
@@ -596,7 +598,7 @@
         async with node(script, upstream) as client:
             await client.send(request())
             await until(lambda: upstream.got)
-            client.node.feed(TimerExpired("now"))
+            client.node.dispatch(TimerExpired("now"))
             assert (await client.read()).status == 504
             await until(lambda: upstream.closed == 1)
             assert [o.result for o in script.of(AttemptEnded)] == [AttemptResult.CANCELLED]
@@ -636,7 +638,7 @@
         async with node(script, upstream) as client:
             await client.send(request())
             await until(lambda: upstream.got)
-            client.node.feed(TimerExpired("now"))
+            client.node.dispatch(TimerExpired("now"))
             assert (await client.read()).status == 504
             await until(lambda: upstream.closed == 1)
             outcomes = {(o.attempt, o.result, o.request_complete) for o in script.of(AttemptEnded)}
@@ -666,8 +668,8 @@
             assert [(o.result, o.request_complete) for o in script.of(AttemptEnded)] == [
                 (AttemptResult.CANCELLED, True)
             ]
-            assert not client.node._calls
-            assert not client.node._by_client
+            assert not client.node._pending
+            assert not client.node._pending_by_client
 
     run(test())
 
@@ -756,7 +758,7 @@
             if isinstance(event, (RequestArrived, AttemptEnded)) and len(ends) < attempts:
                 arrival = script.of(RequestArrived)[0]
                 deadline = arrival.deadline_ns + MODULE_EARLY_NS - NODE_EARLY_NS
-                ends.append(client.node._decided_ns + timeout_ns if timeout_ns else deadline)
+                ends.append(client.node._decision_time_ns + timeout_ns if timeout_ns else deadline)
                 upstreams = script.ids()
                 return [
                     Forward(arrival.request_id, upstreams[-1 if len(ends) == attempts else 0], timeout_ns)
@@ -800,7 +802,7 @@
             await client.send(request())
             await until(lambda: script.of(RequestArrived))
             row = {**known(upstream.port)["hosts"][0], "health": health}
-            client.node._listed(listing({"seq": 2, "whole": False, "hosts": [row]}))
+            client.node._on_watch_result(listing({"seq": 2, "whole": False, "hosts": [row]}))
             assert (await client.read()).status == 504
             up.set()
             assert [o.result for o in script.of(AttemptEnded)] == [AttemptResult.NOT_SENT]
@@ -814,7 +816,7 @@
 def tell(balancer: Proxy, version: int, **row: object) -> None:
     """A change of the first upstream, at once, as discovery would tell it."""
     changed = {**known(1)["hosts"][0], **row}
-    balancer._listed(listing({"seq": version, "whole": False, "hosts": [changed]}))
+    balancer._on_watch_result(listing({"seq": version, "whole": False, "hosts": [changed]}))
 
 
 def again_unless_over(event: Event) -> Iterable[Action]:
@@ -848,7 +850,7 @@
                 AttemptResult.OK,
             ]
             assert not old.got
-            assert client.node._hub.open == 1
+            assert client.node._connection_limits.open_connections == 1
         old.stop()
         new.stop()
 
@@ -900,11 +902,11 @@
             ]  # before it is back
             tell(client.node, 3, dial=f"{HOST}:{upstream.port}")
             script.react = lambda e: [Forward("1", script.ids()[0])] if isinstance(e, TimerExpired) else ()
-            client.node.feed(TimerExpired("again"))
+            client.node.dispatch(TimerExpired("again"))
             up.set()
             assert (await client.read()).body == b"it"
             assert len(upstream.got) == 1
-            assert client.node._hub.open == 1
+            assert client.node._connection_limits.open_connections == 1
 
     run(test())
 
@@ -920,8 +922,8 @@
                 rests(client.node)
                 assert upstream.opened == opened
                 if len(upstream.got) == 2:
-                    pool = next(iter(client.node._hub.pools.values()))
-                    pool.idle[0].idle_since -= 12.5  # as if it had stood for so long
+                    pool = next(iter(client.node._connection_limits.pools.values()))
+                    pool.idle_connections[0].idle_since -= 12.5  # as if it had stood for so long
             await until(lambda: upstream.closed == 1)
 
     run(test())
@@ -934,12 +936,14 @@
         sends_first(script)
         async with node(script, upstream) as client:
             assert (await client.ask(request())).status == 200
-            pool = next(iter(client.node._hub.pools.values()))
-            transport = pool.idle[0]._transport
+            pool = next(iter(client.node._connection_limits.pools.values()))
+            transport = pool.idle_connections[0]._transport
             assert transport is not None
             transport.close()  # what the transport does on an end; the pool hears of it a turn later
             ended: list[AttemptResult] = []
-            pool.exchange(b"GET /read HTTP/1.1\r\n\r\n", None, lambda result, response: ended.append(result))
+            pool.start_exchange(
+                b"GET /read HTTP/1.1\r\n\r\n", None, lambda result, response: ended.append(result)
+            )
             assert not ended
             await until(lambda: ended)
             assert ended == [AttemptResult.OK]
@@ -972,7 +976,7 @@
                 os.write(side.fileno(), stray)
             else:
                 side.shutdown(socket.SHUT_WR)
-            client.node.feed(TimerExpired("token"))  # in the same turn
+            client.node.dispatch(TimerExpired("token"))  # in the same turn
             assert (await client.read()).body == b"mine"
             assert upstream.opened == 2
             assert [o.result for o in script.of(AttemptEnded)] == [AttemptResult.OK] * 2
@@ -1028,7 +1032,7 @@
                     mine.shutdown(socket.SHUT_WR)
             time.sleep(0.15)  # and the attempt's time is over, all in one turn
             await until(lambda: script.of(AttemptEnded))
-            await until(lambda: not client.node._calls)
+            await until(lambda: not client.node._pending)
             assert len(script.of(AttemptEnded)) == 1
             assert len(upstream.got) == 1
             assert len(script.of(ClientDisconnected)) <= 1
@@ -1050,13 +1054,13 @@
             for other in others[:7]:
                 await other.send(request())
             await until(lambda: len(upstream.got) == 7)
-            client.node._hub.capacity = 7
+            client.node._connection_limits.max_connections = 7
             assert (await client.ask(request())).status == 504
-            assert client.node._hub.open == 7
+            assert client.node._connection_limits.open_connections == 7
             assert [o.result for o in script.of(AttemptEnded)] == [AttemptResult.CONNECT_FAILED]
             for other in others:
                 other.close()
-            await until(lambda: client.node._hub.open == 0)
+            await until(lambda: client.node._connection_limits.open_connections == 0)
 
     run(test())
 
@@ -1098,12 +1102,12 @@
         first, second = await FakeUpstream(answers(200)).start(), await FakeUpstream(answers(200)).start()
         script = ScriptedPolicy()
         async with node(script, first, second) as client:
-            client.node._hub.capacity = 1
+            client.node._connection_limits.max_connections = 1
             for number, upstream in enumerate((first, second)):
                 script.react = partial(sends_to, script, number)
                 assert (await client.ask(request())).status == 200
                 assert len(upstream.got) == 1
-                assert client.node._hub.open == 1
+                assert client.node._connection_limits.open_connections == 1
             await until(lambda: first.closed == 1)
 
     run(test())
@@ -1128,10 +1132,10 @@
         )
         async with node(script, upstream) as client:
             for i in range(4):
-                client.node.feed(TimerExpired("now"))
+                client.node.dispatch(TimerExpired("now"))
                 await until(partial(heard, script, i + 1))
             script.react = lambda e: [CheckHealth(99)] if isinstance(e, TimerExpired) else ()
-            client.node.feed(TimerExpired("now"))
+            client.node.dispatch(TimerExpired("now"))
         assert upstream.got[0].first == "GET /stats HTTP/1.1"
         assert upstream.opened == 1
         results = [(p.result, p.load_report) for p in script.of(HealthCheckEnded)]
@@ -1150,7 +1154,7 @@
     async def test() -> None:
         script = ScriptedPolicy(lambda e: [SetTimer(2 * MS, "next")] if e == TimerExpired("first") else ())
         async with node(script) as client:
-            client.node.feed(TimerExpired("first"))
+            client.node.dispatch(TimerExpired("first"))
             await until(lambda: TimerExpired("next") in script.events)
 
     run(test())
@@ -1191,7 +1195,7 @@
             if isinstance(e, TimerExpired)
             else ()
         )
-        nodes[0].feed(TimerExpired("now"))
+        nodes[0].dispatch(TimerExpired("now"))
         await until(lambda: len(scripts[1].of(GossipReceived)) == 2)
         assert set(scripts[1].of(GossipReceived)) == {
             GossipReceived(0, b"one"),
--- a/tests/proxy/test_unread_disconnect.py
+++ b/tests/proxy/test_unread_disconnect.py
@@ -78,7 +78,7 @@
     script.react = lambda event: send_first(script, event)
     assert (await client.another().ask(request("/read/barrier"))).status == 200
     assert [got.first.split()[1] for got in upstream.got[before:]] == ["/read/barrier"]
-    assert not client.node._calls
+    assert not client.node._pending
 
 
 @LEAVES
@@ -95,7 +95,7 @@
             leave(mine)
             if not same_turn:
                 await until(lambda: script.of(ClientDisconnected))
-            client.node.feed(TimerExpired("token"))
+            client.node.dispatch(TimerExpired("token"))
             await until(lambda: script.of(ClientDisconnected) and script.of(AttemptEnded))
             await nothing_but(upstream, client, script)
             assert script.of(ClientDisconnected) == [ClientDisconnected("1")]
@@ -116,7 +116,7 @@
             mine.send(request("/read/left"))
             await until(lambda: len(script.of(RequestArrived)) == 2)
             leave(mine)
-            client.node.feed(TimerExpired("token"))
+            client.node.dispatch(TimerExpired("token"))
             await until(lambda: script.of(ClientDisconnected))
             await nothing_but(upstream, client, script, before=1)
             mine.close()
@@ -191,7 +191,7 @@
             if not same_turn:
                 leave(mine)
                 await until(lambda: script.of(ClientDisconnected))
-                client.node.feed(TimerExpired("again"))
+                client.node.dispatch(TimerExpired("again"))
             await until(lambda: script.of(ClientDisconnected))
             await nothing_but(upstream, client, script, before=1)
             mine.close()
@@ -206,12 +206,12 @@
     mine.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 2048)
     mine.setblocking(False)
     await asyncio.get_running_loop().sock_connect(mine, (HOST, client.port))
-    await until(lambda: any(c._transport for c in client.node.server._connections))
-    side = next(iter(client.node.server._connections))
+    await until(lambda: any(c._transport for c in client.node.downstream._connections))
+    side = next(iter(client.node.downstream._connections))
     assert side._transport is not None
     side._transport.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
     mine.send(request("/read/large"))
-    await until(lambda: side.flushing)
+    await until(lambda: side.has_unsent_data)
     upstream.answer = answers(200)
     return mine
 
@@ -223,14 +223,14 @@
         script = ScriptedPolicy(lambda event: send_first(script, event))
         async with node(script, upstream) as client:
             mine = await unread_answer(client, 50_000, upstream)  # short of pausing what is read
-            side = next(iter(client.node.server._connections))
+            side = next(iter(client.node.downstream._connections))
             script.react = lambda event: ()
             mine.send(request("/read/left"))
             await until(lambda: len(script.of(RequestArrived)) == 2)
             half_close(mine)
             await until(lambda: script.of(ClientDisconnected))
-            assert side.flushing
-            assert side in client.node.server._flushing
+            assert side.has_unsent_data
+            assert side in client.node.downstream._flushing
             await nothing_but(upstream, client, script, before=1)
             mine.close()
 
@@ -243,7 +243,7 @@
         script = ScriptedPolicy(lambda event: send_first(script, event))
         async with node(script, upstream) as client:
             mine = await unread_answer(client, 900_000, upstream)
-            side = next(iter(client.node.server._connections))
+            side = next(iter(client.node.downstream._connections))
             assert side._transport is not None
             assert not side._transport.is_reading()
             mine.send(request("/read/left"))
@@ -266,13 +266,13 @@
             throttle = balancer.throttles[""]
             # No token left, and none comes however long this takes: the next request waits for one.
             throttle.set_rate(0.001, time.monotonic_ns())
-            throttle.u = throttle.hold
+            throttle.counter = throttle.buffer_capacity
             mine = await connected(client)
             mine.send(request("/read/left"))
-            await until(lambda: throttle.held)
+            await until(lambda: throttle.buffer)
             leave(mine)
-            await until(lambda: not throttle.held)
-            throttle.waking = False  # what was set for the token then is far away
+            await until(lambda: not throttle.buffer)
+            throttle.wake_scheduled = False  # what was set for the token then is far away
             throttle.set_rate(4.0, time.monotonic_ns())
             await client.send(request("/read/stays"))
             assert (await client.read()).status == 200  # the next token is its own
