--- a/loadbalancer/policy/endpoints.py
+++ b/loadbalancer/policy/endpoints.py
@@ -15,7 +15,7 @@
 from loadbalancer.settings import DeduplicationScope, RequestClass, Settings, WeightSource
 from loadbalancer.state.endpoint_pool import EndpointPool
 from loadbalancer.state.endpoint_table import EndpointTable, Placement
-from loadbalancer.state.hash_ring import mixed, unmixed
+from loadbalancer.state.hash_ring import mix64, unmix64
 from loadbalancer.units import SECOND
 
 DRAWS = 2  # random draws beside the previous winner
@@ -101,7 +101,7 @@
         """What is known of a listed upstream in full, from now on."""
         if number not in self.endpoints:
             self.endpoints[number] = s = EndpointState(number, self.table.entry(number))
-            s.reserve_rank = mixed(number, self.settings.proxy_index + 1)
+            s.reserve_rank = mix64(number, self.settings.proxy_index + 1)
             self._record_weight(s, now)
         return self.endpoints[number]
 
@@ -114,7 +114,7 @@
             s.in_subset = False
         for pool, subset in zip(self.pools.values(), subsets, strict=True):
             own, near, far = (
-                [self.endpoint_state(unmixed(key), now) for key in keys]
+                [self.endpoint_state(unmix64(key), now) for key in keys]
                 for keys in (subset.assigned, subset.zone_reserve, subset.remote_reserve)
             )
             pool.current_subset = subset
--- a/loadbalancer/policy/subsetting.py
+++ b/loadbalancer/policy/subsetting.py
@@ -11,8 +11,8 @@
 
 from sortedcontainers import SortedList
 
-from loadbalancer.state.endpoint_table import RESERVE, EndpointTable, Placement
-from loadbalancer.state.hash_ring import WORD, Key, mixed, stretch
+from loadbalancer.state.endpoint_table import RESERVE_SIZE, EndpointTable, Placement
+from loadbalancer.state.hash_ring import KEY_SPACE, RingKey, mix64, ring_slice
 
 SUBSET, SHARED = (4, 10), 6  # least subset, one large enough for pauses; proxies that may share it
 DEAR_SUBSET = 1  # the same for the first figure where each open connection has a price, or is work there
@@ -27,12 +27,12 @@
 class Subset:
     """Which upstreams a proxy uses: its own, those in reserve near by, and elsewhere. Keys, in ring order."""
 
-    assigned: list[Key]
-    zone_reserve: list[Key]
-    remote_reserve: list[Key]
+    assigned: list[RingKey]
+    zone_reserve: list[RingKey]
+    remote_reserve: list[RingKey]
     proxies_sharing: float  # proxies that have one of its own in their subset, about
 
-    def __iter__(self) -> Iterator[Key]:
+    def __iter__(self) -> Iterator[RingKey]:
         return chain(self.assigned, self.zone_reserve, self.remote_reserve)
 
 
@@ -49,7 +49,7 @@
     ring = placement.by_zone.get(settings.zone, whole) if table.zone_aware else whole
     if len(ring) < SUBSET[1]:
         ring = whole  # so few are sick, cold or draining together, and a busy zone finds no help
-    n, place, own_size = len(ring), me * GOLDEN % 1, mixed(me, 1) / WORD
+    n, place, own_size = len(ring), me * GOLDEN % 1, mix64(me, 1) / KEY_SPACE
     # Which peers share the zone is not told: golden-ratio steps are even over most parts of them.
     apart = n < len(whole) or placement.allowed_zones is not None
     if apart:
@@ -64,27 +64,27 @@
         size = max(min(SUBSET[1], int(shared)), -(-n // proxies))
     size = min(n, max(least, size))
     first = _first(me, ring, place, proxies) if many else int(place * n) if apart else me * n // proxies
-    own = stretch(ring, first, size)
-    if len(whole) - size <= RESERVE:
-        near = stretch(ring, first + size, n - size)
+    own = ring_slice(ring, first, size)
+    if len(whole) - size <= RESERVE_SIZE:
+        near = ring_slice(ring, first + size, n - size)
         inside = {*own, *near}
         far = [key for key in whole if key not in inside] if n < len(whole) else []
     else:
-        near = stretch(ring, first + size, min(n - size, RESERVE // 2))
+        near = ring_slice(ring, first + size, min(n - size, RESERVE_SIZE // 2))
         inside = {*own, *near}
         far = [
             key
-            for key in stretch(whole, int((place + GOLDEN) % 1 * len(whole)), RESERVE // 2)
+            for key in ring_slice(whole, int((place + GOLDEN) % 1 * len(whole)), RESERVE_SIZE // 2)
             if key not in inside
         ]
     return Subset(own, near, far, proxies * size / max(1, n))
 
 
-def _first(me: int, ring: SortedList[Key], place: float, proxies: int) -> int:
+def _first(me: int, ring: SortedList[RingKey], place: float, proxies: int) -> int:
     """The rank at which a stretch begins. Each proxy goes over to more segments at a length of the ring
     of its own, so that no change of the list moves many at once."""
-    turn = len(ring) * 2 ** (mixed(me, 1) / WORD)
+    turn = len(ring) * 2 ** (mix64(me, 1) / KEY_SPACE)
     segments = 1 << max(0, min(proxies // SEGMENT[0], int(turn) // SEGMENT[1]).bit_length() - 1)
     number = int(place * segments)
-    low, high = (ring.bisect_left(WORD // segments * (number + i)) for i in (0, 1))
+    low, high = (ring.bisect_left(KEY_SPACE // segments * (number + i)) for i in (0, 1))
     return low + int((place * segments - number) * (high - low))
--- a/loadbalancer/state/endpoint_table.py
+++ b/loadbalancer/state/endpoint_table.py
@@ -15,9 +15,11 @@
 
 from loadbalancer.messages import Endpoint, EndpointStatus
 from loadbalancer.settings import DeduplicationScope, Settings
-from loadbalancer.state.hash_ring import Key, mixed, stretch, unmixed
+from loadbalancer.state.hash_ring import RingKey, mix64, ring_slice, unmix64
 
-RESERVE = 256  # upstreams that are known in full beside the subset: for its losses, and for keyed retries
+RESERVE_SIZE = (
+    256  # upstreams that are known in full beside the subset: for its losses, and for keyed retries
+)
 EndpointAttributes = tuple[EndpointStatus, str, int, float, int, str]  # an `Upstream` but for its id
 
 
@@ -27,9 +29,9 @@
 
     allowed_zones: frozenset[str] | None
     allowed_machine_types: frozenset[str] | None
-    ring: SortedList[Key] = field(default_factory=SortedList)
-    by_zone: dict[str, SortedList[Key]] = field(default_factory=lambda: defaultdict(SortedList))
-    by_cell: dict[tuple[str, int], list[Key]] = field(default_factory=lambda: defaultdict(list))
+    ring: SortedList[RingKey] = field(default_factory=SortedList)
+    by_zone: dict[str, SortedList[RingKey]] = field(default_factory=lambda: defaultdict(SortedList))
+    by_cell: dict[tuple[str, int], list[RingKey]] = field(default_factory=lambda: defaultdict(list))
 
     def admits(self, zone: str, kind: str) -> bool:
         return (self.allowed_zones is None or zone in self.allowed_zones) and (
@@ -39,7 +41,7 @@
     def remove(self, left: Iterable[tuple[int, EndpointAttributes]], zoned: bool, celled: bool) -> None:
         for number, (_, zone, cell, _, _, kind) in left:
             if self.admits(zone, kind):
-                key = mixed(number, 0)
+                key = mix64(number, 0)
                 self.ring.remove(key)
                 if zoned:
                     self.by_zone[zone].remove(key)
@@ -53,7 +55,7 @@
         keys, zones = [], defaultdict(list)
         for number, (_, zone, cell, _, _, kind) in came:
             if self.admits(zone, kind):
-                key = mixed(number, 0)
+                key = mix64(number, 0)
                 keys.append(key)
                 if zoned:
                     zones[zone].append(key)
@@ -111,7 +113,7 @@
     def _move(self, number: int, old: EndpointAttributes | None) -> None:
         if not self._rebuild:
             self._changed.setdefault(number, old)
-            if len(self._changed) > RESERVE + len(self.attributes) // 2:
+            if len(self._changed) > RESERVE_SIZE + len(self.attributes) // 2:
                 self._rebuild = (
                     True  # so much has changed, as with the first list, that the rings are made anew
                 )
@@ -119,7 +121,7 @@
 
     def apply_changes(self) -> bool:
         """Bring the rings up to date; has any upstream come to them or left them?"""
-        if len(self._interned) > 2 * len(self.attributes) + RESERVE:
+        if len(self._interned) > 2 * len(self.attributes) + RESERVE_SIZE:
             self._interned = {profile: profile for profile in self.attributes.values()}
         ready, profiles, anew, moved = EndpointStatus.READY, self.attributes, self._rebuild, self._changed
         left = [(n, old) for n, old in moved.items() if old is not None and old[0] is ready]
@@ -154,4 +156,4 @@
             if scope is DeduplicationScope.ZONE
             else placement.by_cell.get((like.zone, like.cell))
         )
-        return [unmixed(key) for key in stretch(groups, int(place * len(groups)), count)] if groups else []
+        return [unmix64(key) for key in ring_slice(groups, int(place * len(groups)), count)] if groups else []
--- a/tests/policy/test_subsetting.py
+++ b/tests/policy/test_subsetting.py
@@ -19,8 +19,8 @@
 from loadbalancer.policy.subsetting import MANY, WIDE, Subset, choose_subset
 from loadbalancer.settings import DeduplicationScope, Idempotency, Prices, RequestClass, Settings
 from loadbalancer.state import endpoint_table, hash_ring
-from loadbalancer.state.endpoint_table import RESERVE, EndpointTable, Placement
-from loadbalancer.state.hash_ring import mixed, unmixed
+from loadbalancer.state.endpoint_table import RESERVE_SIZE, EndpointTable, Placement
+from loadbalancer.state.hash_ring import mix64, unmix64
 from tests.support.policy_harness import MS, SECOND, START, PolicyHarness, arrival, settings
 
 ZONES = [f"z{i}" for i in range(8)]
@@ -104,7 +104,7 @@
 
 ENTRIES = st.builds(
     Endpoint,
-    st.integers(0, 60).map(lambda i: mixed(i, 9)),
+    st.integers(0, 60).map(lambda i: mix64(i, 9)),
     st.sampled_from(
         [
             EndpointStatus.READY,
@@ -150,7 +150,7 @@
 
 @pytest.mark.parametrize("number", [0, 1, 2**32 - 1, 2**64 - 1, 0x123456789ABCDEF])
 def test_a_key_tells_its_upstream(number: int) -> None:
-    assert unmixed(mixed(number, 0)) == number
+    assert unmix64(mix64(number, 0)) == number
 
 
 @pytest.mark.parametrize(("proxies", "zonal"), [(1650, False), (1650, True), (MANY, False), (MANY, True)])
@@ -205,7 +205,7 @@
     balancer.handle(now, [EndpointUpdate(EndpointUpdateKind.FULL, upstreams)])
     done: Counter[str] = Counter()
     modules = (endpoint_table, subsetting)
-    names = ("mixed", "unmixed", "stretch")
+    names = ("mix64", "unmix64", "ring_slice")
     real = {name: getattr(hash_ring, name) for name in names}
 
     def counted(name: str) -> object:
@@ -237,10 +237,10 @@
 ) -> None:
     small, _ = touched(monkeypatch, 1000)
     large, balancer = touched(monkeypatch, 30_000)
-    assert large["mixed"] <= 1.2 * small["mixed"]
-    assert large["mixed"] <= 40 * 8
-    assert large["stretch"] <= 40 * 3 * (WIDE + RESERVE)
-    assert large["known in full"] <= WIDE + RESERVE + 1
+    assert large["mix64"] <= 1.2 * small["mix64"]
+    assert large["mix64"] <= 40 * 8
+    assert large["ring_slice"] <= 40 * 3 * (WIDE + RESERVE_SIZE)
+    assert large["known in full"] <= WIDE + RESERVE_SIZE + 1
     assert len(balancer.fleet.table.attributes) == 30_000
     # Upstreams that are alike share one row: what each costs beside it is its place in tables and rings.
     assert len({id(profile) for profile in balancer.fleet.table.attributes.values()}) < 1000
@@ -252,8 +252,8 @@
     balancer.handle(START, [EndpointUpdate(EndpointUpdateKind.FULL, upstreams)])
     rows, servers = dict(balancer.fleet.table.attributes), dict(balancer.fleet.endpoints)
     # It would be called for any change of a ring.
-    monkeypatch.setattr(endpoint_table, "mixed", None)
-    monkeypatch.setattr(subsetting, "mixed", None)
+    monkeypatch.setattr(endpoint_table, "mix64", None)
+    monkeypatch.setattr(subsetting, "mix64", None)
     balancer.handle(START + SECOND, [EndpointUpdate(EndpointUpdateKind.FULL, list(reversed(upstreams)))])
     assert all(balancer.fleet.table.attributes[i] is row for i, row in rows.items())
     assert balancer.fleet.endpoints == servers
@@ -261,8 +261,8 @@
 
 def ready_left(subset: Subset, gone: set[int]) -> tuple[int, int]:
     return (
-        len([k for k in subset.assigned if unmixed(k) not in gone]),
-        len([k for k in subset if unmixed(k) not in gone]),
+        len([k for k in subset.assigned if unmix64(k) not in gone]),
+        len([k for k in subset if unmix64(k) not in gone]),
     )
 
 
@@ -279,10 +279,10 @@
         subset = choose_subset(made, made.placements[0])
         own, known = ready_left(subset, rack)
         assert own >= 0.8 * len(subset.assigned)
-        assert known >= 0.9 * (WIDE + RESERVE) * 0.8
+        assert known >= 0.9 * (WIDE + RESERVE_SIZE) * 0.8
         if zonal:  # it keeps to its zone while there is one, and knows others beside it
-            assert {made.entry(unmixed(k)).zone for k in subset.assigned} == {"z0"}
-            assert ready_left(subset, zone)[1] >= RESERVE // 4
+            assert {made.entry(unmix64(k)).zone for k in subset.assigned} == {"z0"}
+            assert ready_left(subset, zone)[1] >= RESERVE_SIZE // 4
         else:
             assert ready_left(subset, zone)[0] >= 0.6 * len(subset.assigned)
     for number in zone:
@@ -306,10 +306,10 @@
         if f"r{i}" not in desk.answer:
             desk.finish(f"r{i}")
     assert again >= 55
-    assert len(desk.balancer.fleet.endpoints) <= WIDE + RESERVE + 5 * SCAN
+    assert len(desk.balancer.fleet.endpoints) <= WIDE + RESERVE_SIZE + 5 * SCAN
     desk.advance(SECOND)
     desk.give()
-    assert len(desk.balancer.fleet.endpoints) <= WIDE + RESERVE
+    assert len(desk.balancer.fleet.endpoints) <= WIDE + RESERVE_SIZE
 
 
 def test_an_upstream_that_left_the_subset_is_not_sent_to_by_one_who_asked_it() -> None:
--- a/tests/proxy/test_endpoint_list.py
+++ b/tests/proxy/test_endpoint_list.py
@@ -324,8 +324,8 @@
         (endpoint_list, "number_of"),
         (endpoint_list, "pack_address"),
         (addresses, "pack_address"),
-        (endpoint_table, "mixed"),
-        (subsetting, "mixed"),
+        (endpoint_table, "mix64"),
+        (subsetting, "mix64"),
     ):
         counted(module, name)
     config = read_config(str(path))
@@ -341,7 +341,7 @@
     run(test())
     assert done["number_of"] == count
     assert done["pack_address"] <= count + 2
-    assert done["mixed"] <= count + 10
+    assert done["mix64"] <= count + 10
     assert len(balancer.fleet.endpoints) == len(balancer.fleet.used_ids)
     assert config.known is not None
     assert not len(config.known)
