--- a/loadbalancer/policy/endpoints.py
+++ b/loadbalancer/policy/endpoints.py
@@ -56,7 +56,7 @@
         key = (cls.allowed_zones, cls.allowed_machine_types)
         if key not in self.pools:
             self.pools[key] = EndpointPool(Placement(*key))
-            self.table.placements.append(self.pools[key].placement)
+            self.table.add_placement(self.pools[key].placement)
         return self.pools[key]
 
     def apply_update(self, update: EndpointUpdate, now: int) -> list[EndpointState]:
@@ -100,7 +100,7 @@
     def endpoint_state(self, number: int, now: int) -> EndpointState:
         """What is known of a listed upstream in full, from now on."""
         if number not in self.endpoints:
-            self.endpoints[number] = s = EndpointState(number, self.table.entry(number))
+            self.endpoints[number] = s = EndpointState(number, self.table.endpoint(number))
             s.reserve_rank = mix64(number, self.settings.proxy_index + 1)
             self._record_weight(s, now)
         return self.endpoints[number]
@@ -146,7 +146,7 @@
             return []
         if len(self.endpoints) > len(self.used_ids) + 4 * SCAN:
             self.forget()
-        found = self.table.group(pool.placement, like.endpoint, scope, self.rng.random(), SCAN)
+        found = self.table.ready_in_group(pool.placement, like.endpoint, scope, self.rng.random(), SCAN)
         return [self.endpoint_state(number, now) for number in found if number not in self.used_ids]
 
     def is_warming_up(self, s: EndpointState, now: int) -> bool:
--- a/loadbalancer/proxy/endpoint_list.py
+++ b/loadbalancer/proxy/endpoint_list.py
@@ -172,7 +172,7 @@
             started = min(born_ms * MS - self._offset_ns, time.monotonic_ns()) if born_ms > 0 else 0
             address = NOWHERE if state is EndpointStatus.REMOVED else pack_address(str(row.get("dial")))
             weight = alike.setdefault(float(weight), float(weight))
-            profile = (
+            profile = EndpointAttributes(
                 state,
                 intern(str(row.get("site") or "")),
                 cell,
--- a/scale_test/evenness.py
+++ b/scale_test/evenness.py
@@ -42,7 +42,7 @@
     zones = [zone_name(i) for i in range(plan.zones)] if zoned else []
     prices = Prices(connection=0.03, cross_zone=0.02) if zoned else Prices()
     table = EndpointTable(Settings(proxy_count=balancers, zones=zones, prices=prices))
-    table.placements.append(Placement(None, None))
+    table.add_placement(Placement(None, None))
     ids = [number_of(f"s-{i:08x}") for i in range(upstreams)]
     for i, number in enumerate(ids):
         table.upsert(Endpoint(number, zone=zone_name(plan.zone_of(i)), cell=i // 100))
--- a/tests/policy/test_subsetting.py
+++ b/tests/policy/test_subsetting.py
@@ -74,7 +74,8 @@
 
 def table(config: Settings, upstreams: Iterable[Endpoint]) -> EndpointTable:
     made = EndpointTable(config)
-    made.placements += [Placement(None, None), Placement(*FOUND)]
+    made.add_placement(Placement(None, None))
+    made.add_placement(Placement(*FOUND))
     for upstream in upstreams:
         made.upsert(upstream)
     made.apply_changes()
@@ -281,7 +282,7 @@
         assert own >= 0.8 * len(subset.assigned)
         assert known >= 0.9 * (WIDE + RESERVE_SIZE) * 0.8
         if zonal:  # it keeps to its zone while there is one, and knows others beside it
-            assert {made.entry(unmix64(k)).zone for k in subset.assigned} == {"z0"}
+            assert {made.endpoint(unmix64(k)).zone for k in subset.assigned} == {"z0"}
             assert ready_left(subset, zone)[1] >= RESERVE_SIZE // 4
         else:
             assert ready_left(subset, zone)[0] >= 0.6 * len(subset.assigned)
