--- a/loadbalancer/policy/subsetting.py
+++ b/loadbalancer/policy/subsetting.py
@@ -1,90 +1,102 @@
-"""Which endpoints this proxy uses.
+"""Which endpoints this proxy uses: deterministic subsetting, an extension to the paper.
 
 Types of the interface: loadbalancer/messages.py.
+
+A subset is a run of consecutive keys of a hash ring that all proxies compute alike, so that a proxy's own
+requests in flight say something of each endpoint's load. Beside it the proxy knows a reserve. Where open
+connections have a price the subset is small, and lies in the proxy's own zone if crossing zones costs too.
+Many proxies cut the ring into segments by key. A subset begins by rank in its segment: subsets spread evenly
+whatever the keys are, and a change moves those of one segment alone, by one endpoint.
 """
 
 from __future__ import annotations
 
-from collections.abc import Iterator
-from dataclasses import dataclass
-from itertools import chain
-
 from sortedcontainers import SortedList
 
+from loadbalancer.settings import Settings
 from loadbalancer.state.endpoint_table import RESERVE_SIZE, EndpointTable, Placement
-from loadbalancer.state.hash_ring import KEY_SPACE, RingKey, mix64, ring_slice
+from loadbalancer.state.hash_ring import RingKey, ring_slice, segment_ranks, unit_hash
+from loadbalancer.state.subset import Subset
 
-SUBSET, SHARED = (4, 10), 6  # least subset, one large enough for pauses; proxies that may share it
-DEAR_SUBSET = 1  # the same for the first figure where each open connection has a price, or is work there
-MANY = 512  # so many proxies share out the ring in segments, and a subset may be so wide as to be shared:
-WIDE = 64  # each upstream by a few, that one which ends or has little traffic leaves none without
-COVER = 2  # proxies an upstream at least: golden-ratio steps are up to 1.9 times their mean apart
-SEGMENT = (256, 2048)  # least proxies and upstreams of a segment: its upstreams are even to some hundredths
-GOLDEN, SILVER = 0.618033988749895, 0.414213562373095
+MIN_SUBSET = 4
+MIN_SUBSET_PRICED = 1  # where each open connection has a price, or is work at the endpoint: they add up
+FULL_SUBSET = 10  # large enough that pauses of single endpoints don't matter
+MAX_SHARING = 6  # proxies that may share an endpoint for the sake of larger subsets
+MANY_PROXIES = 512  # from here on there are segments, and subsets so wide that each endpoint is shared by a
+WIDE_SUBSET = 64  # few proxies: one that ends or has little traffic leaves no endpoint without any
+MIN_PROXIES_PER_ENDPOINT = 2  # golden-ratio steps are up to 1.9 times their mean apart
+SEGMENT_PROXIES = 256  # least of a segment, so that its endpoints are evenly used to some hundredths
+SEGMENT_ENDPOINTS = 2048  # the same
+GOLDEN_RATIO, SILVER_RATIO = 0.618033988749895, 0.414213562373095  # their fractional parts
 
 
-@dataclass(frozen=True, slots=True)
-class Subset:
-    """Which upstreams a proxy uses: its own, those in reserve near by, and elsewhere. Keys, in ring order."""
+def choose_subset(table: EndpointTable, placement: Placement) -> Subset:
+    """Return this proxy's subset and reserve among the ready endpoints that a placement admits."""
+    settings, full_ring = table.settings, placement.ring
+    ring = table.local_ring(placement)
+    if len(ring) < FULL_SUBSET:
+        ring = full_ring  # so few may be failing or draining together, and a busy zone would find no help
+    # Which proxies share the zone isn't known: golden-ratio steps are even over most parts of them.
+    partial = len(ring) < len(full_ring) or placement.allowed_zones is not None
+    proxies, zones = max(1, settings.proxy_count), max(1, len(settings.zones))
+    sharing = max(1, proxies // zones) if partial else proxies
+    position = _ring_position(settings, partial, zones)
+    size = _subset_size(settings, len(ring), sharing)
+    if proxies >= MANY_PROXIES:
+        first = _first_rank(settings, ring, position, sharing)
+    elif partial:
+        first = int(position * len(ring))
+    else:
+        first = settings.proxy_index * len(ring) // sharing
+    assigned = ring_slice(ring, first, size)
+    near, far = _reserves(ring, full_ring, assigned, first + size, position)
+    return Subset(assigned, near, far, sharing * size / max(1, len(ring)))
 
-    assigned: list[RingKey]
-    zone_reserve: list[RingKey]
-    remote_reserve: list[RingKey]
-    proxies_sharing: float  # proxies that have one of its own in their subset, about
 
-    def __iter__(self) -> Iterator[RingKey]:
-        return chain(self.assigned, self.zone_reserve, self.remote_reserve)
+def _ring_position(settings: Settings, partial: bool, zones: int) -> float:
+    index = settings.proxy_index
+    if partial and settings.proxy_count >= MANY_PROXIES:
+        # Even as well where each zone has every n-th proxy, which golden-ratio steps alone may not be.
+        return (index // zones * GOLDEN_RATIO + index % zones * SILVER_RATIO) % 1
+    return index * GOLDEN_RATIO % 1
 
 
-def choose_subset(table: EndpointTable, placement: Placement) -> Subset:
-    """Extension: a proxy's subset is its stretch of one ring that all proxies compute alike, so that its
-    own requests in flight say something of the upstream. Beyond it, a reserve. Where open connections
-    have a price it is small, and in the proxy's own zone if crossing has one too.
-
-    Many proxies cut the ring into segments by key: a stretch begins by rank in its segment, even with its
-    neighbours' whatever the keys, and a change moves those of one segment alone, by one upstream."""
-    settings, whole = table.settings, placement.ring
-    me, proxies, zones = settings.proxy_index, max(1, settings.proxy_count), max(1, len(settings.zones))
-    many = proxies >= MANY
-    ring = placement.by_zone.get(settings.zone, whole) if table.zone_aware else whole
-    if len(ring) < SUBSET[1]:
-        ring = whole  # so few are sick, cold or draining together, and a busy zone finds no help
-    n, place, own_size = len(ring), me * GOLDEN % 1, mix64(me, 1) / KEY_SPACE
-    # Which peers share the zone is not told: golden-ratio steps are even over most parts of them.
-    apart = n < len(whole) or placement.allowed_zones is not None
-    if apart:
-        proxies = max(1, proxies // zones)
-        if many:  # even as well where each zone has every so-manieth, which golden steps may not be
-            place = (me // zones * GOLDEN + me % zones * SILVER) % 1
-    least = DEAR_SUBSET if settings.prices.connection > 0 else SUBSET[0]  # they add up
-    shared = SHARED * n / proxies
-    if many:  # each goes over to one more at a size of its own, so that no change moves all
-        size = max(min(WIDE, int(shared + own_size)), int(COVER * n / proxies + own_size))
+def _subset_size(settings: Settings, endpoints: int, proxies: int) -> int:
+    shared = MAX_SHARING * endpoints / proxies
+    if settings.proxy_count >= MANY_PROXIES:
+        # Each proxy takes one more at a list length of its own, so that no change of the list moves all.
+        rounding = unit_hash(settings.proxy_index, 1)
+        covering = int(MIN_PROXIES_PER_ENDPOINT * endpoints / proxies + rounding)
+        size = max(min(WIDE_SUBSET, int(shared + rounding)), covering)
     else:
-        size = max(min(SUBSET[1], int(shared)), -(-n // proxies))
-    size = min(n, max(least, size))
-    first = _first(me, ring, place, proxies) if many else int(place * n) if apart else me * n // proxies
-    own = ring_slice(ring, first, size)
-    if len(whole) - size <= RESERVE_SIZE:
-        near = ring_slice(ring, first + size, n - size)
-        inside = {*own, *near}
-        far = [key for key in whole if key not in inside] if n < len(whole) else []
+        size = max(min(FULL_SUBSET, int(shared)), -(-endpoints // proxies))
+    least = MIN_SUBSET_PRICED if settings.prices.connection > 0 else MIN_SUBSET
+    return min(endpoints, max(least, size))
+
+
+def _first_rank(settings: Settings, ring: SortedList[RingKey], position: float, proxies: int) -> int:
+    # Each proxy goes over to more segments at a list length of its own, so that no change moves many at once.
+    scaled_length = int(len(ring) * 2 ** unit_hash(settings.proxy_index, 1))
+    most = min(proxies // SEGMENT_PROXIES, scaled_length // SEGMENT_ENDPOINTS)
+    segments = 1 << max(0, most.bit_length() - 1)  # the power of two below
+    segment = int(position * segments)
+    low, high = segment_ranks(ring, segment, segments)
+    return low + int((position * segments - segment) * (high - low))
+
+
+def _reserves(
+    ring: SortedList[RingKey],
+    full_ring: SortedList[RingKey],
+    assigned: list[RingKey],
+    end: int,
+    position: float,
+) -> tuple[list[RingKey], list[RingKey]]:
+    """Return the keys that follow the subset on its ring, and others from the ring of all zones."""
+    if len(full_ring) - len(assigned) <= RESERVE_SIZE:
+        near, elsewhere = ring_slice(ring, end, len(ring) - len(assigned)), list(full_ring)
     else:
-        near = ring_slice(ring, first + size, min(n - size, RESERVE_SIZE // 2))
-        inside = {*own, *near}
-        far = [
-            key
-            for key in ring_slice(whole, int((place + GOLDEN) % 1 * len(whole)), RESERVE_SIZE // 2)
-            if key not in inside
-        ]
-    return Subset(own, near, far, proxies * size / max(1, n))
-
-
-def _first(me: int, ring: SortedList[RingKey], place: float, proxies: int) -> int:
-    """The rank at which a stretch begins. Each proxy goes over to more segments at a length of the ring
-    of its own, so that no change of the list moves many at once."""
-    turn = len(ring) * 2 ** (mix64(me, 1) / KEY_SPACE)
-    segments = 1 << max(0, min(proxies // SEGMENT[0], int(turn) // SEGMENT[1]).bit_length() - 1)
-    number = int(place * segments)
-    low, high = (ring.bisect_left(KEY_SPACE // segments * (number + i)) for i in (0, 1))
-    return low + int((place * segments - number) * (high - low))
+        near = ring_slice(ring, end, min(len(ring) - len(assigned), RESERVE_SIZE // 2))
+        start = int((position + GOLDEN_RATIO) % 1 * len(full_ring))
+        elsewhere = ring_slice(full_ring, start, RESERVE_SIZE // 2)
+    known = {*assigned, *near}
+    return near, [key for key in elsewhere if key not in known]
--- a/loadbalancer/state/endpoint_pool.py
+++ b/loadbalancer/state/endpoint_pool.py
@@ -11,8 +11,8 @@
 from loadbalancer.messages import Endpoint
 from loadbalancer.policy.endpoint_state import EndpointState
 from loadbalancer.policy.request import Request
-from loadbalancer.policy.subsetting import Subset
 from loadbalancer.state.endpoint_table import Placement
+from loadbalancer.state.subset import Subset
 
 
 @dataclass(slots=True, eq=False)
--- a/loadbalancer/state/endpoint_table.py
+++ b/loadbalancer/state/endpoint_table.py
@@ -195,6 +195,12 @@
             placement.clear()
             placement.add((n, row) for n, row in self.attributes.items() if row.status is ready)
 
+    def local_ring(self, placement: Placement) -> SortedList[RingKey]:
+        """Return the ring of this proxy's zone if proxies keep to their zones, else that of all zones."""
+        if not self.zone_aware:
+            return placement.ring
+        return placement.by_zone.get(self.settings.zone, placement.ring)
+
     def endpoint(self, number: int) -> Endpoint:
         """Return the list entry of a known endpoint; KeyError if it is not listed."""
         return Endpoint(number, *self.attributes[number])
--- a/loadbalancer/state/hash_ring.py
+++ b/loadbalancer/state/hash_ring.py
@@ -28,6 +28,11 @@
     return x ^ (x >> 32)
 
 
+def unit_hash(number: int, salt: int) -> float:
+    """Hash an id below 2^64 to a number from 0 to 1."""
+    return mix64(number, salt) / KEY_SPACE
+
+
 def unmix64(key: RingKey) -> int:
     """Return the id whose `mix64` with salt 0 is this key."""
     x = (key ^ (key >> 32)) * INVERSE_MIX_MULTIPLIER % KEY_SPACE
@@ -49,3 +54,9 @@
     if isinstance(ring, SortedList):
         return [*ring.islice(first, first + count), *ring.islice(0, wrapped)]
     return [*ring[first : first + count], *ring[:wrapped]]
+
+
+def segment_ranks(ring: SortedList[RingKey], segment: int, segments: int) -> tuple[int, int]:
+    """Return the ranks at which one of so many equal segments of the key space begins and ends."""
+    length = KEY_SPACE // segments
+    return ring.bisect_left(length * segment), ring.bisect_left(length * (segment + 1))
--- a/tests/policy/test_subsetting.py
+++ b/tests/policy/test_subsetting.py
@@ -16,11 +16,12 @@
 from loadbalancer.policy import subsetting
 from loadbalancer.policy.balancer import Balancer
 from loadbalancer.policy.endpoints import SCAN
-from loadbalancer.policy.subsetting import MANY, WIDE, Subset, choose_subset
+from loadbalancer.policy.subsetting import MANY_PROXIES, WIDE_SUBSET, choose_subset
 from loadbalancer.settings import DeduplicationScope, Idempotency, Prices, RequestClass, Settings
 from loadbalancer.state import endpoint_table, hash_ring
 from loadbalancer.state.endpoint_table import RESERVE_SIZE, EndpointTable, Placement
 from loadbalancer.state.hash_ring import mix64, unmix64
+from loadbalancer.state.subset import Subset
 from tests.support.policy_harness import MS, SECOND, START, PolicyHarness, arrival, settings
 
 ZONES = [f"z{i}" for i in range(8)]
@@ -154,10 +155,12 @@
     assert unmix64(mix64(number, 0)) == number
 
 
-@pytest.mark.parametrize(("proxies", "zonal"), [(1650, False), (1650, True), (MANY, False), (MANY, True)])
+@pytest.mark.parametrize(
+    ("proxies", "zonal"), [(1650, False), (1650, True), (MANY_PROXIES, False), (MANY_PROXIES, True)]
+)
 def test_subsets_of_many_proxies_are_even_and_leave_no_upstream_out(proxies: int, zonal: bool) -> None:
     found = subsets(table(site(proxies, zonal), fleet(30_000)), proxies, zonal)
-    assert min(map(len, found)) >= WIDE
+    assert min(map(len, found)) >= WIDE_SUBSET
     assert max(map(len, found)) <= min(map(len, found)) + 1
     shares = Counter(key for subset in found for key in subset)
     mean = sum(shares.values()) / 30_000
@@ -205,7 +208,7 @@
     balancer = Balancer(site(8800, me=5), 1, now)
     balancer.handle(now, [EndpointUpdate(EndpointUpdateKind.FULL, upstreams)])
     done: Counter[str] = Counter()
-    modules = (endpoint_table, subsetting)
+    modules = (hash_ring, endpoint_table, subsetting)
     names = ("mix64", "unmix64", "ring_slice")
     real = {name: getattr(hash_ring, name) for name in names}
 
@@ -240,8 +243,8 @@
     large, balancer = touched(monkeypatch, 30_000)
     assert large["mix64"] <= 1.2 * small["mix64"]
     assert large["mix64"] <= 40 * 8
-    assert large["ring_slice"] <= 40 * 3 * (WIDE + RESERVE_SIZE)
-    assert large["known in full"] <= WIDE + RESERVE_SIZE + 1
+    assert large["ring_slice"] <= 40 * 3 * (WIDE_SUBSET + RESERVE_SIZE)
+    assert large["known in full"] <= WIDE_SUBSET + RESERVE_SIZE + 1
     assert len(balancer.fleet.table.attributes) == 30_000
     # Upstreams that are alike share one row: what each costs beside it is its place in tables and rings.
     assert len({id(profile) for profile in balancer.fleet.table.attributes.values()}) < 1000
@@ -254,7 +257,7 @@
     rows, servers = dict(balancer.fleet.table.attributes), dict(balancer.fleet.endpoints)
     # It would be called for any change of a ring.
     monkeypatch.setattr(endpoint_table, "mix64", None)
-    monkeypatch.setattr(subsetting, "mix64", None)
+    monkeypatch.setattr(hash_ring, "mix64", None)
     balancer.handle(START + SECOND, [EndpointUpdate(EndpointUpdateKind.FULL, list(reversed(upstreams)))])
     assert all(balancer.fleet.table.attributes[i] is row for i, row in rows.items())
     assert balancer.fleet.endpoints == servers
@@ -280,7 +283,7 @@
         subset = choose_subset(made, made.placements[0])
         own, known = ready_left(subset, rack)
         assert own >= 0.8 * len(subset.assigned)
-        assert known >= 0.9 * (WIDE + RESERVE_SIZE) * 0.8
+        assert known >= 0.9 * (WIDE_SUBSET + RESERVE_SIZE) * 0.8
         if zonal:  # it keeps to its zone while there is one, and knows others beside it
             assert {made.endpoint(unmix64(k)).zone for k in subset.assigned} == {"z0"}
             assert ready_left(subset, zone)[1] >= RESERVE_SIZE // 4
@@ -289,7 +292,7 @@
     for number in zone:
         made.remove(number)
     made.apply_changes()
-    assert len(choose_subset(made, made.placements[0]).assigned) >= WIDE  # in other zones now
+    assert len(choose_subset(made, made.placements[0]).assigned) >= WIDE_SUBSET  # in other zones now
 
 
 @pytest.mark.parametrize("cls", [ZONE, CELL])
@@ -307,10 +310,10 @@
         if f"r{i}" not in desk.answer:
             desk.finish(f"r{i}")
     assert again >= 55
-    assert len(desk.balancer.fleet.endpoints) <= WIDE + RESERVE_SIZE + 5 * SCAN
+    assert len(desk.balancer.fleet.endpoints) <= WIDE_SUBSET + RESERVE_SIZE + 5 * SCAN
     desk.advance(SECOND)
     desk.give()
-    assert len(desk.balancer.fleet.endpoints) <= WIDE + RESERVE_SIZE
+    assert len(desk.balancer.fleet.endpoints) <= WIDE_SUBSET + RESERVE_SIZE
 
 
 def test_an_upstream_that_left_the_subset_is_not_sent_to_by_one_who_asked_it() -> None:
--- a/tests/proxy/test_endpoint_list.py
+++ b/tests/proxy/test_endpoint_list.py
@@ -18,14 +18,13 @@
 from loadbalancer.__main__ import keep_for_good
 from loadbalancer.configuration import Configuration, ConfigurationError, read_config
 from loadbalancer.messages import AttemptResult, EndpointStatus, EndpointUpdate, EndpointUpdateKind
-from loadbalancer.policy import subsetting
 from loadbalancer.policy.balancer import Balancer
 from loadbalancer.proxy import addresses, endpoint_list
 from loadbalancer.proxy.connection_pool import ConnectionLimits, ConnectionPool
 from loadbalancer.proxy.endpoint_list import STRIDE, EndpointList, EndpointListReader, number_of, run_through
 from loadbalancer.proxy.errors import EndpointListError
 from loadbalancer.proxy.proxy import SLICE, Proxy
-from loadbalancer.state import endpoint_table
+from loadbalancer.state import endpoint_table, hash_ring
 from tests.support.sockets import (
     HOST,
     PATIENCE_S,
@@ -325,7 +324,7 @@
         (endpoint_list, "pack_address"),
         (addresses, "pack_address"),
         (endpoint_table, "mix64"),
-        (subsetting, "mix64"),
+        (hash_ring, "mix64"),
     ):
         counted(module, name)
     config = read_config(str(path))
