--- a/loadbalancer/policy/subsetting.py
+++ b/loadbalancer/policy/subsetting.py
@@ -3,10 +3,10 @@
 Types of the interface: loadbalancer/messages.py.
 
 A subset is a run of consecutive keys of a hash ring that all proxies compute alike, so that a proxy's own
-requests in flight say something of each endpoint's load. Beside it the proxy knows a reserve. Where open
-connections have a price the subset is small, and lies in the proxy's own zone if crossing zones costs too.
-Many proxies cut the ring into segments by key. A subset begins by rank in its segment: subsets spread evenly
-whatever the keys are, and a change moves those of one segment alone, by one endpoint.
+requests in flight say something of each endpoint's load; beside it there is a reserve. Where open connections
+have a price subsets are small, and lie in the proxy's own zone if crossing zones costs too. Many proxies cut
+the ring into segments by key. A subset begins by rank in its segment: subsets spread evenly whatever the keys
+are, and a change moves those of one segment alone, by one endpoint.
 """
 
 from __future__ import annotations
@@ -55,8 +55,7 @@
 
 def _ring_position(settings: Settings, partial: bool, zones: int) -> float:
     index = settings.proxy_index
-    if partial and settings.proxy_count >= MANY_PROXIES:
-        # Even as well where each zone has every n-th proxy, which golden-ratio steps alone may not be.
+    if partial and settings.proxy_count >= MANY_PROXIES:  # even as well if a zone has every n-th proxy
         return (index // zones * GOLDEN_RATIO + index % zones * SILVER_RATIO) % 1
     return index * GOLDEN_RATIO % 1
 
@@ -93,7 +92,8 @@
 ) -> tuple[list[RingKey], list[RingKey]]:
     """Return the keys that follow the subset on its ring, and others from the ring of all zones."""
     if len(full_ring) - len(assigned) <= RESERVE_SIZE:
-        near, elsewhere = ring_slice(ring, end, len(ring) - len(assigned)), list(full_ring)
+        near = ring_slice(ring, end, len(ring) - len(assigned))
+        elsewhere = list(full_ring) if len(ring) < len(full_ring) else []
     else:
         near = ring_slice(ring, end, min(len(ring) - len(assigned), RESERVE_SIZE // 2))
         start = int((position + GOLDEN_RATIO) % 1 * len(full_ring))
