--- a/loadbalancer/configuration.py
+++ b/loadbalancer/configuration.py
@@ -1,10 +1,13 @@
-"""The configuration file: read into a typed configuration."""
+"""The configuration file of a proxy: read from JSON into a typed configuration.
+
+The file may hold the last known endpoint list, of 100,000 entries and more. It is therefore parsed in
+steps, between which a running proxy serves requests.
+"""
 
 from __future__ import annotations
 
 from collections.abc import Generator
 from dataclasses import dataclass, field
-from typing import Any
 
 from loadbalancer.proxy.addresses import Address, read_address
 from loadbalancer.proxy.endpoint_list import (
@@ -15,74 +18,95 @@
     unix_offset_ns,
 )
 from loadbalancer.proxy.errors import EndpointListError
-from loadbalancer.settings import Settings, read_settings
+from loadbalancer.settings import Json, Settings, read_settings
 
-CHUNK = 16 * 1024  # bytes of a configuration that are read at a stretch
-MB = 1024 * 1024
+CHUNK_BYTES = 16 * 1024  # of the file that are parsed in one step
+DEFAULT_MAX_SOCKETS = 1024
+MEGABYTE = 1024 * 1024
 
 
 class ConfigurationError(Exception):
-    """The configuration is missing or can't be used."""
+    """The configuration is missing or can't be used; the message names the file and what is wrong."""
+
+
+@dataclass(frozen=True, slots=True)
+class Configuration:
+    """What a proxy is configured with at its start."""
+
+    name: str  # of this proxy, in log lines
+    listen: Address  # where clients connect
+    discovery: Address  # the service that gives the endpoint list
+    seed: int  # of all random draws
+    max_sockets: int  # open sockets of all kinds together
+    settings: Settings  # of the decisions
+    known_endpoints: EndpointList | None = None  # the list as last known before the start; None: not given
+    gossip_listen: Address | None = None  # where messages of other proxies come in; None: gossip is off
+    gossip_peers: list[Address] = field(default_factory=list)  # by proxy index
+    gossip_broadcast: Address | None = None  # reaches all peers
+    cpu_cores: float = 0.0  # share of the processor, in cores; 0: not given
+    memory_bytes: int = 0  # limit of the process; 0: not given
 
 
-def config_steps(path: str, with_known: bool = True) -> Generator[None, None, Configuration]:
-    """Read a configuration, in steps where its list is long; BadConfig says what is wrong with it."""
-    rows = EndpointListParser(unix_offset_ns())
+def read_configuration(path: str) -> Configuration:
+    """Read a configuration file; raise ConfigurationError if it can't be used."""
+    return run_through(read_configuration_in_steps(path))
+
+
+def read_configuration_in_steps(
+    path: str, keep_known_endpoints: bool = True
+) -> Generator[None, None, Configuration]:
+    """Read a configuration file in steps of `CHUNK_BYTES` each; raise ConfigurationError if it can't be used.
+
+    Without `keep_known_endpoints` the endpoint list of the file is parsed and left out.
+    """
+    endpoints = EndpointListParser(unix_offset_ns())
+    raw = yield from _parse(path, endpoints)
+    known = _known_endpoints(path, endpoints) if endpoints.started and keep_known_endpoints else None
+    try:
+        return _configuration(raw, known)
+    except KeyError as error:
+        raise ConfigurationError(f"{path}: {error} is missing") from error
+    except (ValueError, TypeError, AttributeError, OverflowError) as error:
+        raise ConfigurationError(f"{path}: {error}") from error
+
+
+def _parse(path: str, endpoints: EndpointListParser) -> Generator[None, None, Json]:
+    """Parse the file but for its endpoint list, which `endpoints` takes."""
     try:
         with open(path, "rb") as file:
-            raw = yield from read_beside(iter(lambda: file.read(CHUNK), b""), "known", rows)
+            chunks = iter(lambda: file.read(CHUNK_BYTES), b"")
+            raw: Json = yield from read_beside(chunks, "known", endpoints)
     except OSError as error:
-        raise ConfigurationError(f"{path}: {error.strerror}") from None
-    except EndpointListError as error:
-        raise ConfigurationError(f"{path}: {error}") from None
-    try:
-        known = rows.done() if rows.started and with_known else None
+        raise ConfigurationError(f"{path}: {error.strerror}") from error
     except EndpointListError as error:
-        raise ConfigurationError(f"{path}: known: {error}") from None
-    try:
-        return _config(raw, known)
-    except KeyError as error:
-        raise ConfigurationError(f"{path}: {error} is missing") from None
-    except (ValueError, TypeError, AttributeError, OverflowError) as error:
-        raise ConfigurationError(f"{path}: {error}") from None
+        raise ConfigurationError(f"{path}: {error}") from error
+    return raw
 
 
-def read_config(path: str) -> Configuration:
-    return run_through(config_steps(path))
+def _known_endpoints(path: str, endpoints: EndpointListParser) -> EndpointList:
+    try:
+        return endpoints.done()
+    except EndpointListError as error:
+        raise ConfigurationError(f"{path}: known: {error}") from error
 
 
-def _config(raw: Any, known: EndpointList | None) -> Configuration:
-    peer_listen, peers_all = raw.get("peer_listen"), raw.get("peers_all")
+def _configuration(raw: Json, known_endpoints: EndpointList | None) -> Configuration:
     limits = raw.get("limits") or {}
     return Configuration(
         name=str(raw["name"]),
         listen=read_address(raw["listen"]),
         discovery=read_address(raw["discovery"]),
         seed=int.from_bytes(str(raw["seed"]).encode(), "big"),
-        sockets=int(limits.get("sockets") or 1024),
+        max_sockets=int(limits.get("sockets") or DEFAULT_MAX_SOCKETS),
         settings=read_settings(raw["settings"]),
-        known=known,
-        peer_listen=read_address(peer_listen) if peer_listen else None,
-        peers=[read_address(a) for a in raw.get("peers") or ()],
-        peers_all=read_address(peers_all) if peers_all else None,
-        cores=float(limits.get("cores") or 0.0),
-        memory_bytes=int(float(limits.get("memory_mb") or 0) * MB),
+        known_endpoints=known_endpoints,
+        gossip_listen=_optional_address(raw.get("peer_listen")),
+        gossip_peers=[read_address(text) for text in raw.get("peers") or ()],
+        gossip_broadcast=_optional_address(raw.get("peers_all")),
+        cpu_cores=float(limits.get("cores") or 0.0),
+        memory_bytes=int(float(limits.get("memory_mb") or 0) * MEGABYTE),
     )
 
 
-@dataclass(frozen=True, slots=True)
-class Configuration:
-    """What a balancer is told at its start."""
-
-    name: str
-    listen: Address
-    discovery: Address
-    seed: int
-    sockets: int
-    settings: Settings
-    known: EndpointList | None = None  # the last known list
-    peer_listen: Address | None = None
-    peers: list[Address] = field(default_factory=list)
-    peers_all: Address | None = None
-    cores: float = 0.0  # share of a processor; 0: not told
-    memory_bytes: int = 0  # limit of the process; 0: not told
+def _optional_address(text: str | None) -> Address | None:
+    return read_address(text) if text else None
--- /dev/null
+++ b/loadbalancer/configuration_reload.py
@@ -0,0 +1,62 @@
+"""Taking up a changed configuration file while the proxy runs (SIGHUP).
+
+The address of discovery is put in force at once. Everything else needs a restart: what has changed of it is
+logged, and stays as it was at the start. The endpoint list of the file is for a start alone, and is ignored.
+"""
+
+from __future__ import annotations
+
+import asyncio
+import logging
+from typing import cast
+
+from loadbalancer.configuration import Configuration, ConfigurationError, read_configuration_in_steps
+from loadbalancer.proxy.proxy import Proxy
+
+log = logging.getLogger(__name__)
+
+
+async def reload_configuration(path: str, current: Configuration, proxy: Proxy) -> None:
+    """Put in force what can be changed without a restart; a file that can't be used changes nothing.
+
+    Args:
+        path: the configuration file.
+        current: the configuration that the proxy was started with.
+        proxy: the running proxy.
+    """
+    try:
+        new = await _read_between_requests(path)
+    except ConfigurationError as error:
+        log.warning("%s: reload: %s; the old configuration stays", current.name, error)
+        return
+    log.info("%s: reload: discovery at %s:%d", current.name, *new.discovery)
+    for name in changes_that_need_a_restart(current, new):
+        log.warning("%s: reload: another %s needs a restart", current.name, name)
+    proxy.move_discovery(new.discovery)
+
+
+def changes_that_need_a_restart(current: Configuration, new: Configuration) -> list[str]:
+    """Return the names, as operators know them, of what differs and can't be changed at run time."""
+    changed = {
+        "name": new.name != current.name,
+        "listen": new.listen != current.listen,
+        "sockets": new.max_sockets != current.max_sockets,
+        "cores": new.cpu_cores != current.cpu_cores,
+        "memory_bytes": new.memory_bytes != current.memory_bytes,
+        "settings": new.settings != current.settings,
+        "peer_listen": new.gossip_listen != current.gossip_listen,
+        "peers": new.gossip_peers != current.gossip_peers,
+        "peers_all": new.gossip_broadcast != current.gossip_broadcast,
+    }
+    return [name for name, differs in changed.items() if differs]
+
+
+async def _read_between_requests(path: str) -> Configuration:
+    """Read the file in steps; its endpoint list may be long, and requests go on meanwhile."""
+    steps = read_configuration_in_steps(path, keep_known_endpoints=False)
+    while True:
+        try:
+            next(steps)
+        except StopIteration as end:
+            return cast(Configuration, end.value)
+        await asyncio.sleep(0)
--- a/loadbalancer/proxy/proxy.py
+++ b/loadbalancer/proxy/proxy.py
@@ -125,7 +125,7 @@
         self._draining = False
         self._ready_at_s = 0.0  # not ready before, by the loop's clock
         self._sweep_timer: asyncio.TimerHandle | None = None
-        room = max(8, (config.sockets - RESERVED_DESCRIPTORS) // 2)
+        room = max(8, (config.max_sockets - RESERVED_DESCRIPTORS) // 2)
         self._connection_limits = ConnectionLimits(
             room, limits.connect_timeout_ns / SECOND, limits.connection_idle_timeout_ns / SECOND
         )
@@ -136,7 +136,7 @@
         self._update_task: asyncio.Task[None] | None = None  # puts long lists in force, in slices
         self._pending_updates: deque[EndpointList] = deque()  # the one in hand, and those that wait
         self._list_reader = EndpointListReader(
-            unix_offset_ns(), None if config.known is None else config.known.host_numbers
+            unix_offset_ns(), None if config.known_endpoints is None else config.known_endpoints.host_numbers
         )
         self._discovery_client = DiscoveryClient(
             config.discovery,
@@ -146,7 +146,9 @@
             self._on_watch_result,
             min(MAX_LIST, config.memory_bytes // MEMORY_PART or MAX_LIST),
         )
-        self._gossip = Gossip(config.peers, config.peers_all, config.settings.proxy_index, self._on_gossip)
+        self._gossip = Gossip(
+            config.gossip_peers, config.gossip_broadcast, config.settings.proxy_index, self._on_gossip
+        )
         self._policy = module
         self._health_check_path = b"/stats" if config.settings.load_report_columns else b"/health/live"
 
@@ -156,8 +158,8 @@
         """Take up the known list, then open to clients, though ready only after a rest; gives the port."""
         self._ready_at_s = self._loop.time() + rest_s
         self._apply_known_list()
-        if self.config.peer_listen is not None:
-            await self._loop.create_datagram_endpoint(lambda: self._gossip, self.config.peer_listen)
+        if self.config.gossip_listen is not None:
+            await self._loop.create_datagram_endpoint(lambda: self._gossip, self.config.gossip_listen)
         if self.config.settings.discovery_pushes:
             self._discovery_client.watch()
         self._sweep_once()
@@ -165,8 +167,8 @@
 
     def _apply_known_list(self) -> None:
         known: Iterable[Endpoint] = ()
-        if self.config.known is not None:
-            listing = self._list_reader.accept(self.config.known)
+        if self.config.known_endpoints is not None:
+            listing = self._list_reader.accept(self.config.known_endpoints)
             self._discovery_client.start_from(listing)
             known = self._endpoints_of(
                 listing
@@ -174,10 +176,10 @@
             if len(listing) <= SLICE:
                 known = list(known)
         self.dispatch(EndpointUpdate(EndpointUpdateKind.CACHED, known))
-        if self.config.known is not None:
+        if self.config.known_endpoints is not None:
             for _ in known:
                 pass  # what the module has left
-            self.config.known.clear()
+            self.config.known_endpoints.clear()
 
     def _sweep_once(self) -> None:
         self._connection_limits.close_expired()
--- a/scale_test/hollow.py
+++ b/scale_test/hollow.py
@@ -9,7 +9,7 @@
 from dataclasses import replace
 from typing import Any
 
-from loadbalancer.configuration import Configuration, read_config
+from loadbalancer.configuration import Configuration, read_configuration
 from loadbalancer.messages import Action, EndpointUpdate, EndpointUpdateKind, Event
 from loadbalancer.policy.balancer import Balancer
 from loadbalancer.proxy.discovery_client import WatchResult
@@ -72,7 +72,9 @@
         took = []
         for told in nodes:
             begun = time.monotonic_ns()
-            base = read_config(config)  # read anew each time: a real balancer shares no text with another
+            base = read_configuration(
+                config
+            )  # read anew each time: a real balancer shares no text with another
             settings = replace(base.settings, proxy_index=told["me"], zone=told["zone"])
             module = Watched(Balancer(settings, told["seed"], time.monotonic_ns()))
             node = WatchedNode(
--- a/tests/process/test_process.py
+++ b/tests/process/test_process.py
@@ -16,7 +16,7 @@
 
 import pytest
 
-from loadbalancer.__main__ import REST_MAX_S, STOP_LATE_S, rest_s
+from loadbalancer.startup import MAX_CPU_DEBT_S, THROTTLING_DELAY_S, cpu_debt_s
 from tests.support.sockets import (
     HOST,
     PATIENCE_S,
@@ -159,10 +159,11 @@
 
 
 @pytest.mark.parametrize(
-    ("cores", "spent_s", "rest"), [(0.0, 0.1, 0.0), (0.5, 0.1, 0.2 + STOP_LATE_S), (0.01, 0.1, REST_MAX_S)]
+    ("cores", "spent_s", "debt_s"),
+    [(0.0, 0.1, 0.0), (0.5, 0.1, 0.2 + THROTTLING_DELAY_S), (0.01, 0.1, MAX_CPU_DEBT_S)],
 )
-def test_the_rest_pays_for_the_start(cores: float, spent_s: float, rest: float) -> None:
-    assert rest_s(cores, spent_s) == pytest.approx(rest)
+def test_the_wait_pays_for_the_start(cores: float, spent_s: float, debt_s: float) -> None:
+    assert cpu_debt_s(cores, spent_s) == pytest.approx(debt_s)
 
 
 def test_a_start_with_a_long_list_becomes_ready_and_serves(tmp_path: Path) -> None:
--- a/tests/proxy/test_endpoint_list.py
+++ b/tests/proxy/test_endpoint_list.py
@@ -15,8 +15,7 @@
 from hypothesis import settings as hyp
 from hypothesis import strategies as st
 
-from loadbalancer.__main__ import keep_for_good
-from loadbalancer.configuration import Configuration, ConfigurationError, read_config
+from loadbalancer.configuration import Configuration, ConfigurationError, read_configuration
 from loadbalancer.messages import AttemptResult, EndpointStatus, EndpointUpdate, EndpointUpdateKind
 from loadbalancer.policy.balancer import Balancer
 from loadbalancer.proxy import addresses, endpoint_list
@@ -24,6 +23,7 @@
 from loadbalancer.proxy.endpoint_list import STRIDE, EndpointList, EndpointListReader, number_of, run_through
 from loadbalancer.proxy.errors import EndpointListError
 from loadbalancer.proxy.proxy import SLICE, Proxy
+from loadbalancer.startup import freeze_heap
 from loadbalancer.state import endpoint_table, hash_ring
 from tests.support.sockets import (
     HOST,
@@ -297,10 +297,10 @@
 ) -> None:
     path, known = tmp_path / "config.json", {"known": whole(3000, 5)}
     path.write_text(json.dumps(known | CONFIG if first else CONFIG | known, indent=indent))
-    config = read_config(str(path))
-    assert config.known is not None
-    assert (len(config.known), config.known.version) == (3000, 5)
-    assert (config.name, config.memory_bytes, config.cores) == ("n", 128 * 2**20, 0.5)
+    config = read_configuration(str(path))
+    assert config.known_endpoints is not None
+    assert (len(config.known_endpoints), config.known_endpoints.version) == (3000, 5)
+    assert (config.name, config.memory_bytes, config.cpu_cores) == ("n", 128 * 2**20, 0.5)
     assert config.settings.prices.connection == 0.03
 
 
@@ -327,7 +327,7 @@
         (hash_ring, "mix64"),
     ):
         counted(module, name)
-    config = read_config(str(path))
+    config = read_configuration(str(path))
     balancer = Balancer(config.settings, 1, 1)
 
     async def test() -> None:
@@ -342,15 +342,15 @@
     assert done["pack_address"] <= count + 2
     assert done["mix64"] <= count + 10
     assert len(balancer.fleet.endpoints) == len(balancer.fleet.used_ids)
-    assert config.known is not None
-    assert not len(config.known)
+    assert config.known_endpoints is not None
+    assert not len(config.known_endpoints)
 
 
 def test_what_a_start_made_is_not_gone_through_by_the_collector_again() -> None:
     # Guards against a pause of all requests by ten milliseconds and more, each time that a long list is read.
     kept = [[number] for number in range(5000)]
     try:
-        keep_for_good()
+        freeze_heap()
         assert gc.get_freeze_count() >= len(kept)
     finally:
         gc.unfreeze()
@@ -360,11 +360,11 @@
     path = tmp_path / "config.json"
     for known in ({}, {"known": None}):
         path.write_text(json.dumps(CONFIG | known))
-        assert read_config(str(path)).known is None
+        assert read_configuration(str(path)).known_endpoints is None
     for bad in ({"seq": 1}, {"seq": 1, "whole": True, "hosts": {}}):
         path.write_text(json.dumps(CONFIG | {"known": bad}))
         with pytest.raises(ConfigurationError, match="known: no "):
-            read_config(str(path))
+            read_configuration(str(path))
 
 
 def test_connections_are_kept_only_for_upstreams_in_use() -> None:
--- a/tests/proxy/test_proxy.py
+++ b/tests/proxy/test_proxy.py
@@ -1179,9 +1179,9 @@
                 i,
                 1024,
                 Settings(proxy_index=i, proxy_count=2),
-                peer_listen=addresses[i],
-                peers=addresses,
-                peers_all=addresses[1],
+                gossip_listen=addresses[i],
+                gossip_peers=addresses,
+                gossip_broadcast=addresses[1],
             )
             nodes.append(Proxy(config, script))
             await nodes[-1].start()
