--- a/scale_test/hollow.py
+++ b/scale_test/hollow.py
@@ -72,9 +72,8 @@
         took = []
         for told in nodes:
             begun = time.monotonic_ns()
-            base = read_configuration(
-                config
-            )  # read anew each time: a real balancer shares no text with another
+            # Read again each time: a real balancer shares no text with another.
+            base = read_configuration(config)
             settings = replace(base.settings, proxy_index=told["me"], zone=told["zone"])
             module = Watched(Balancer(settings, told["seed"], time.monotonic_ns()))
             node = WatchedNode(
--- a/tests/simulator/test_simulator_adapter.py
+++ b/tests/simulator/test_simulator_adapter.py
@@ -14,7 +14,7 @@
 
 from loadbalancer.messages import Endpoint
 from loadbalancer.settings import DeduplicationScope, WeightSource, read_settings
-from loadbalancer.simulator_adapter import read_upstream
+from loadbalancer.simulator_wire import read_endpoint
 
 Json = dict[str, Any]
 SETTINGS: Json = {
@@ -249,7 +249,7 @@
         known.limits.max_pending_requests,
     ) == (6, 8, 10)
     row = {"upstream": 5, "class_of_host": "big", "scale": 0.25, "up_since_ns": 3, "cohort": 2}
-    assert read_upstream(row) == Endpoint(5, cell=2, weight=0.25, started_ns=3, machine_type="big")
+    assert read_endpoint(row) == Endpoint(5, cell=2, weight=0.25, started_ns=3, machine_type="big")
 
 
 def test_starts_as_the_deploy_file_says() -> None:
