--- a/loadbalancer/policy/concurrency_limit.py
+++ b/loadbalancer/policy/concurrency_limit.py
@@ -5,9 +5,9 @@
 
 from __future__ import annotations
 
-from loadbalancer.policy.endpoint_state import EndpointState
 from loadbalancer.policy.rate_control import EVIDENCE
-from loadbalancer.policy.request import Attempt, Request
+from loadbalancer.state.endpoint_state import EndpointState
+from loadbalancer.state.request import Attempt, Request
 from loadbalancer.units import SECOND
 
 LIMIT_MAX = 64
--- /dev/null
+++ b/loadbalancer/policy/selection.py
@@ -0,0 +1,96 @@
+"""Which endpoint the next attempt goes to: power of two choices, plus the last choice.
+
+Types of the interface: loadbalancer/messages.py.
+"""
+
+from __future__ import annotations
+
+import random
+from collections.abc import Iterable
+
+from loadbalancer.messages import EndpointStatus
+from loadbalancer.policy.concurrency_limit import ConcurrencyLimit
+from loadbalancer.policy.load_reports import estimated_load
+from loadbalancer.policy.request import same_deduplication_group
+from loadbalancer.policy.slow_start import SlowStart
+from loadbalancer.settings import DeduplicationScope, Idempotency
+from loadbalancer.state.endpoint_pool import EndpointPool
+from loadbalancer.state.endpoint_state import EndpointState
+from loadbalancer.state.endpoint_updates import EndpointUpdates
+from loadbalancer.state.request import Request
+
+DRAWS = 2  # random draws beside the last choice
+SCAN = 16  # most endpoints looked at for one send: work on a request must not grow with the fleet
+
+
+class Selection:
+    """Picks available endpoints."""
+
+    def __init__(
+        self, updates: EndpointUpdates, slow_start: SlowStart, limit: ConcurrencyLimit, rng: random.Random
+    ) -> None:
+        self.updates, self.slow_start, self.concurrency_limit, self.rng = updates, slow_start, limit, rng
+
+    def concurrency_limit_of(self, state: EndpointState, now: int) -> int:
+        """Return how many requests of this proxy may be in flight at an endpoint."""
+        if not state.in_subset:  # other proxies fill it, and own counts say little of it
+            return 0 if state.consecutive_failures or self.slow_start.is_warming_up(state, now) else 1
+        if state.consecutive_failures:
+            return 1
+        limit = self.concurrency_limit.limit
+        return max(1, limit // 2) if self.slow_start.is_warming_up(state, now) else limit
+
+    def is_available(self, state: EndpointState, now: int) -> bool:
+        """Tell whether an endpoint may be sent a request now."""
+        return (
+            state.endpoint.status is EndpointStatus.READY
+            and now >= state.ejected_until_ns
+            and state.in_flight < self.concurrency_limit_of(state, now)
+        )
+
+    def draw(self, pool: EndpointPool, count: int, now: int) -> list[EndpointState]:
+        """Return so many random draws from the available endpoints of a pool, and its last choice."""
+        width, chance = pool.draw_width, self.rng.random
+        if width <= SCAN:
+            scanned = pool.endpoints[:width]
+        else:
+            scanned = [pool.endpoints[int(chance() * width)] for _ in range(SCAN)]
+        drawn = [scanned[int(chance() * len(scanned))] for _ in range(count)] if scanned else []
+        # Seldom: most are available, and looking at all takes time.
+        if not all(self.is_available(state, now) for state in drawn):
+            available = [state for state in scanned if self.is_available(state, now)]
+            drawn = [available[int(chance() * len(available))] for _ in range(count)] if available else []
+        last = pool.last_choice
+        if last is not None and self.is_available(last, now) and last in pool.endpoints[:width]:
+            drawn.append(last)
+        return drawn
+
+    def pick(
+        self, pool: EndpointPool, now: int, candidates: Iterable[EndpointState] | None = None
+    ) -> EndpointState | None:
+        """Return the least loaded of two draws and the last choice, or of the candidates.
+
+        The load is that in flight, weighted by how long the endpoint takes for a request.
+        """
+        if candidates is None:
+            drawn = self.draw(pool, DRAWS, now)
+        else:
+            drawn = [state for state in candidates if self.is_available(state, now)]
+        if not drawn:
+            return None
+        choice = min(drawn, key=lambda state: (estimated_load(state, now) + 1) * state.relative_latency)
+        pool.last_choice = choice
+        return choice
+
+    def retry_candidates(self, request: Request, now: int) -> list[EndpointState] | None:
+        """Return where a request that may have run may go again; None: anywhere."""
+        request_class = request.request_class
+        scope = request_class.deduplication_scope
+        first = next((attempt for attempt in request.attempts if attempt.may_have_run), None)
+        if first is None or request_class.idempotency is Idempotency.IDEMPOTENT:
+            return None
+        if scope is DeduplicationScope.ALL:
+            return None
+        pool, like = request.pool, first.endpoint_state.endpoint
+        group = [s for s in pool.endpoints if same_deduplication_group(request_class, s.endpoint, like)]
+        return group + self.updates.unused_group(pool, like, scope, self.rng.random, SCAN, now)
--- a/loadbalancer/policy/throttle.py
+++ b/loadbalancer/policy/throttle.py
@@ -9,7 +9,7 @@
 from collections import deque
 from collections.abc import Iterable
 
-from loadbalancer.policy.request import Request
+from loadbalancer.state.request import Request
 from loadbalancer.units import SECOND
 
 BANK_S = 0.5  # C_T in seconds of tokens
--- /dev/null
+++ b/loadbalancer/state/endpoint_state.py
@@ -0,0 +1,39 @@
+"""What this proxy knows of one endpoint that it uses."""
+
+from __future__ import annotations
+
+from dataclasses import dataclass
+
+from loadbalancer.messages import Endpoint
+
+LOAD_MAX = 1e6  # no endpoint has so many requests in flight: a report of more is not believed
+
+
+@dataclass(slots=True, eq=False)
+class EndpointState:
+    """The counters and times kept for one endpoint; `policy` says what follows from them."""
+
+    id: int
+    endpoint: Endpoint
+    in_flight: int = 0  # own attempts there, without the overdue ones
+    overdue: int = 0  # own attempts whose answer is lost, while the endpoint answers others
+    last_answered_ns: int = 0  # the latest time of a send that it has answered
+    in_flight_since_ns: int = 0  # since when `in_flight` has had its value
+    relative_latency: float = 1.0  # its time for a request, as a multiple of the mean over the endpoints
+    consecutive_failures: int = 0
+    ejected_until_ns: int = 0  # it is not tried before this time
+    recent_attempts: float = 0.0  # attempts that ended here, old ones counting less
+    recent_resets: float = 0.0  # those of them whose connection broke
+    consecutive_resets: int = 0  # how many of the last attempts in a row had their connection broken
+    reserve_rank: int = 0  # its place in the reserve, different for each proxy
+    in_subset: bool = False  # in the subset of one of this proxy's pools
+    reported_load: float = 0.0  # requests in flight there from all proxies, by its last report
+    reported_ns: int = 0  # when that report came
+    checked_ns: int = 0  # the last health check sent to it
+    failed_check_ns: int = 0  # the last health check whose connection broke
+
+    def record_load(self, load: float | None, now: int) -> None:
+        """Take a reported load; what cannot be one (negative, huge, not a number) says nothing."""
+        if load is not None and 0 <= load < LOAD_MAX:
+            self.reported_load = load
+            self.reported_ns = now
--- /dev/null
+++ b/loadbalancer/state/timer_queue.py
@@ -0,0 +1,101 @@
+"""The timers of one proxy, by due time, and the one wake-up that its caller keeps for them."""
+
+from __future__ import annotations
+
+import heapq
+from collections.abc import Iterator
+from dataclasses import dataclass
+from typing import TYPE_CHECKING
+
+from loadbalancer.messages import SetTimer
+
+if TYPE_CHECKING:
+    from loadbalancer.policy.throttle import Throttle
+    from loadbalancer.state.request import Request
+
+
+@dataclass(slots=True, eq=False)
+class GiveUp:
+    """A request that still waits then is rejected."""
+
+    request: Request
+
+
+@dataclass(slots=True, eq=False)
+class AttemptOverdue:
+    """An attempt should have ended by then."""
+
+    request: Request
+    attempt_number: int
+
+
+@dataclass(slots=True, eq=False)
+class TokenDue:
+    """A throttle has its next token then."""
+
+    throttle: Throttle
+
+
+@dataclass(slots=True, eq=False)
+class ServeQueue:
+    """The queues are served then, as after each batch of events: an endpoint may be available again."""
+
+
+@dataclass(slots=True, eq=False)
+class PollDiscovery:
+    """Discovery is asked for the endpoint list then."""
+
+
+Timer = GiveUp | AttemptOverdue | TokenDue | ServeQueue | PollDiscovery
+
+
+class TimerQueue:
+    """A heap of timers. Those due at the same time come in the order in which they were scheduled."""
+
+    def __init__(self) -> None:
+        self._heap: list[tuple[int, int, Timer]] = []  # due time, sequence number, timer
+        self._last_sequence_number = 0
+        self._wake_up_ns = 0  # when the wake-up that counts is due; 0: none is set
+        self._wake_up_number = 0
+
+    def __len__(self) -> int:
+        return len(self._heap)
+
+    def __iter__(self) -> Iterator[tuple[int, Timer]]:
+        """Go through all timers with their due times, in no particular order."""
+        return ((due_ns, timer) for due_ns, _, timer in self._heap)
+
+    def schedule(self, due_ns: int, timer: Timer) -> None:
+        """Add a timer."""
+        self._last_sequence_number += 1
+        heapq.heappush(self._heap, (due_ns, self._last_sequence_number, timer))
+
+    def lateness_ns(self, now: int) -> int:
+        """Return for how long the first timer has been due; 0 or less: none is late."""
+        return now - self._heap[0][0] if self._heap else 0
+
+    def pop_due(self, now: int) -> Iterator[Timer]:
+        """Remove and yield the timers that are due, those included that are scheduled meanwhile."""
+        while self._heap and self._heap[0][0] <= now:
+            yield heapq.heappop(self._heap)[2]
+
+    @property
+    def wake_up_name(self) -> str:
+        """The name of the wake-up that counts; earlier ones are out of date."""
+        return str(self._wake_up_number)
+
+    def on_wake_up(self, name: str) -> None:
+        """Note that a wake-up has come: by its name, not the clock, for it may come a little early."""
+        if name == self.wake_up_name:
+            self._wake_up_ns = 0
+
+    def next_wake_up(self, now: int) -> SetTimer | None:
+        """Return the wake-up to set, if the first timer is due before the one that is set."""
+        if not self._heap:
+            return None
+        first_due_ns = self._heap[0][0]
+        if self._wake_up_ns and first_due_ns >= self._wake_up_ns:
+            return None
+        self._wake_up_ns = first_due_ns
+        self._wake_up_number += 1
+        return SetTimer(max(1, first_due_ns - now), self.wake_up_name)
--- a/tests/policy/test_rules.py
+++ b/tests/policy/test_rules.py
@@ -28,12 +28,12 @@
     WatchEndpoints,
 )
 from loadbalancer.policy.balancer import Balancer
-from loadbalancer.policy.endpoint_state import EndpointState
-from loadbalancer.policy.endpoints import DRAWS, Fleet
 from loadbalancer.policy.rate_control import RateController
-from loadbalancer.policy.request import Attempt
+from loadbalancer.policy.selection import DRAWS, Selection
 from loadbalancer.policy.throttle import Throttle
 from loadbalancer.settings import Idempotency, Limits, Prices, RequestClass, Rules, Settings, WeightSource
+from loadbalancer.state.endpoint_state import EndpointState
+from loadbalancer.state.request import Attempt
 from tests.support.policy_harness import (
     ANY,
     BIG,
@@ -310,14 +310,15 @@
 def struck(breaks: dict[int, int]) -> set[int]:
     """Which upstreams are ejected when, after 20 good answers each, so many connections break in a row?"""
     desk = PolicyHarness(servers=4)
-    fleet = desk.balancer.fleet
-    for server in fleet.endpoints.values():
+    endpoints = desk.balancer.fleet.endpoints
+    outlier_detection = desk.balancer.outlier_detection
+    for server in endpoints.values():
         for _ in range(20):
-            fleet.record_attempt_end(server, False)
+            outlier_detection.record_attempt_end(server, False)
     return {
         number
         for number, count in breaks.items()
-        if [fleet.record_attempt_end(fleet.endpoints[number], True) for _ in range(count)][-1]
+        if [outlier_detection.record_attempt_end(endpoints[number], True) for _ in range(count)][-1]
     }
 
 
@@ -737,26 +738,24 @@
     desk = PolicyHarness(servers=10)
     desk.give(arrival("warm", desk.now))
     desk.balancer.concurrency_limit.limit = 5  # all are fit
-    fleet, looked = desk.balancer.fleet, 0
-    fits = type(fleet).is_available
+    selection, pool, looked = desk.balancer.selection, desk.balancer.fleet.default_pool, 0
+    fits = Selection.is_available
 
-    def fit(self: Fleet, server: EndpointState, now: int) -> bool:
+    def fit(self: Selection, server: EndpointState, now: int) -> bool:
         nonlocal looked
         looked += 1
         return fits(self, server, now)
 
-    monkeypatch.setattr(Fleet, "is_available", fit)
+    monkeypatch.setattr(Selection, "is_available", fit)
     for _ in range(20):
         looked = 0
-        drawn = fleet.draw(fleet.default_pool, DRAWS, desk.now + SECOND)
+        drawn = selection.draw(pool, DRAWS, desk.now + SECOND)
         assert len(drawn) >= DRAWS
-        assert all(fits(fleet, s, desk.now + SECOND) for s in drawn)
+        assert all(fits(selection, s, desk.now + SECOND) for s in drawn)
         assert looked <= DRAWS + 1  # with the previous winner
-    for server in fleet.default_pool.endpoints[1:]:
+    for server in pool.endpoints[1:]:
         server.ejected_until_ns = desk.now + 2 * SECOND
-    assert set(fleet.draw(fleet.default_pool, DRAWS, desk.now + SECOND)) <= set(
-        fleet.default_pool.endpoints[:1]
-    )
+    assert set(selection.draw(pool, DRAWS, desk.now + SECOND)) <= set(pool.endpoints[:1])
 
 
 def test_a_single_proxy_uses_all_zones() -> None:
--- a/tests/policy/test_subsetting.py
+++ b/tests/policy/test_subsetting.py
@@ -15,7 +15,7 @@
 from loadbalancer.messages import AttemptResult, Endpoint, EndpointStatus, EndpointUpdate, EndpointUpdateKind
 from loadbalancer.policy import subsetting
 from loadbalancer.policy.balancer import Balancer
-from loadbalancer.policy.endpoints import SCAN
+from loadbalancer.policy.selection import SCAN
 from loadbalancer.policy.subsetting import MANY, WIDE, Subset, choose_subset
 from loadbalancer.settings import DeduplicationScope, Idempotency, Prices, RequestClass, Settings
 from loadbalancer.state import endpoint_table, hash_ring
@@ -321,8 +321,8 @@
     others = [u for u in fleet(2000, seed=9) if u.id != asked.id]
     desk.give(EndpointUpdate(EndpointUpdateKind.FULL, [*others, asked.endpoint._replace(zone="z7")]))
     if asked.id not in fleet_of.used_ids:
-        assert not fleet_of.is_available(asked, desk.now)
+        assert not desk.balancer.selection.is_available(asked, desk.now)
         assert asked.id not in fleet_of.endpoints
     desk.give(EndpointUpdate(EndpointUpdateKind.FULL, others))
-    assert not fleet_of.is_available(asked, desk.now)
+    assert not desk.balancer.selection.is_available(asked, desk.now)
     assert asked.id not in fleet_of.endpoints
--- a/tests/policy/test_throttle.py
+++ b/tests/policy/test_throttle.py
@@ -20,11 +20,11 @@
 )
 from loadbalancer.policy.balancer import Balancer
 from loadbalancer.policy.rate_control import FEEDBACK_NS, RateController
-from loadbalancer.policy.request import Request
 from loadbalancer.policy.throttle import Throttle
 from loadbalancer.settings import Limits, RequestClass, Tenant
 from loadbalancer.state.endpoint_pool import EndpointPool
 from loadbalancer.state.endpoint_table import Placement
+from loadbalancer.state.request import Request
 from tests.support.policy_harness import MS, READ, SECOND, START, PolicyHarness, arrival, upstreams
 from tests.support.policy_harness import settings as bench_settings
 
--- a/tests/proxy/test_client_disconnect.py
+++ b/tests/proxy/test_client_disconnect.py
@@ -29,6 +29,7 @@
 from loadbalancer.policy.balancer import Balancer
 from loadbalancer.proxy.proxy import Policy
 from loadbalancer.settings import Limits
+from loadbalancer.state.timer_queue import AttemptOverdue
 from tests.proxy.test_unread_disconnect import (
     LEAVES,
     Leave,
@@ -186,7 +187,7 @@
             else:
                 writer.write(written(200))
 
-        monkeypatch.setattr("loadbalancer.policy.balancer.LOOK_NS", int(PATIENCE_S * 1000) * MS)
+        monkeypatch.setattr("loadbalancer.policy.load_probing.PROBE_TIMEOUT_NS", int(PATIENCE_S * 1000) * MS)
         monkeypatch.setattr("loadbalancer.proxy.proxy.PROBE_TIMEOUT_S", PATIENCE_S)
         upstream, balancer = await FakeUpstream(answer).start(), real(health_checks=True)
         module = Late(balancer, when)
@@ -456,15 +457,15 @@
 def test_a_copy_and_the_leave_are_due_in_one_batch(gone: bool, gone_first: bool) -> None:
     desk = desk_with_one_slow()
     due = next(
-        at
-        for at, _, what, about, _ in desk.balancer.timers
-        if what == "overdue" and about is desk.balancer.requests["rslow"]
+        due_ns
+        for due_ns, timer in desk.balancer.timers
+        if isinstance(timer, AttemptOverdue) and timer.request is desk.balancer.requests["rslow"]
     )
     desk.advance(due - 1 - desk.now)
     assert len(desk.sends["rslow"]) == 1
     desk.now = due
     leave: list[Event] = [ClientDisconnected("rslow")] * gone
-    wake = TimerExpired(str(desk.balancer.timer_number))
+    wake = TimerExpired(desk.balancer.timers.wake_up_name)
     said = desk.give(*([*leave, wake] if gone_first else [wake, *leave]))
     assert (CancelAttempt("rslow", 0) in said) == gone
     desk.advance(600 * MS)
