--- a/loadbalancer/policy/balancer.py
+++ b/loadbalancer/policy/balancer.py
@@ -34,10 +34,10 @@
 from loadbalancer.policy.endpoints import LOOKS, Fleet
 from loadbalancer.policy.rate_control import FEEDBACK_NS
 from loadbalancer.policy.request import Attempt, Request
-from loadbalancer.policy.tenant_throttles import TenantThrottles
-from loadbalancer.policy.throttle import Throttle
+from loadbalancer.policy.throttle import Admission, Throttle
 from loadbalancer.settings import DeduplicationScope, Idempotency, RequestClass, Settings
 from loadbalancer.state.endpoint_pool import EndpointPool
+from loadbalancer.state.tenant_throttles import TenantThrottles
 from loadbalancer.units import SECOND
 
 STALL_NS = SECOND // 50  # a timer so late: the proxy itself stood still meanwhile
@@ -147,11 +147,13 @@
         r.give_up_ns = max(r.objective_ns - int(need), now + (r.deadline_ns - now) // 4)
         self._schedule(r.give_up_ns, "give up", r)  # whatever comes, a request that waits is looked at then
         self.rate_controller.on_arrival(now)
-        # Marked retries take spare tokens only: they must not starve fresh work.
-        answer = throttle.take_retry_token(now) if e.is_retry else throttle.admit(r, now)
-        if answer is False:
+        if e.is_retry:  # marked retries take spare tokens only: they must not starve fresh work
+            admission = Admission.FORWARD if throttle.take_retry_token(now) else Admission.REJECT
+        else:
+            admission = throttle.admit(r, now)
+        if admission is Admission.REJECT:
             self._reject(r, now)
-        elif answer is None:
+        elif admission is Admission.BUFFER:
             r.place = "held"
             self._release(throttle, now)
         else:
--- a/loadbalancer/policy/rate_control.py
+++ b/loadbalancer/policy/rate_control.py
@@ -8,7 +8,7 @@
 from collections import Counter
 from collections.abc import Collection
 
-from loadbalancer.policy.throttle import START_RATE, Throttle
+from loadbalancer.policy.throttle import INITIAL_RATE, Throttle
 from loadbalancer.units import SECOND
 
 FEEDBACK_NS = SECOND // 2
@@ -28,12 +28,12 @@
 
     def __init__(self, throttles: Collection[Throttle], now: int, weight: float = 0.0) -> None:
         self.throttles, self.weight = throttles, weight
-        self.borrowed_rate = START_RATE  # what one that asks for nothing could have
-        self.rate = START_RATE
+        self.borrowed_rate = INITIAL_RATE  # what one that asks for nothing could have
+        self.rate = INITIAL_RATE
         self.failed_rate = 0.0  # the rate at which too many failed, fading with each cut
         self.interval_start_ns = now
         self.attempt_rate = 0.0  # attempts ended a second
-        self.success_rate = START_RATE  # and those of them in time
+        self.success_rate = INITIAL_RATE  # and those of them in time
         self.successes = 0
         self.expired_in_queue = 0  # requests that no upstream had room for in time
         self.failures: Counter[int] = Counter()  # by upstream
@@ -69,7 +69,7 @@
         elif total and any(t.token_missed for t in self.throttles):
             # A short trouble cuts R several times: what it served before must not take ten seconds to reach.
             rise = RETURN if self.rate < WELL_UNDER * self.failed_rate else CLIMB
-            self.rate = min(START_RATE, self.rate * rise + 0.5)
+            self.rate = min(INITIAL_RATE, self.rate * rise + 0.5)
         for t in self.throttles:
             t.demand += 0.5 * (t.arrivals * SECOND / elapsed - t.demand)
             t.arrivals, t.token_missed = 0, False
--- a/loadbalancer/policy/throttle.py
+++ b/loadbalancer/policy/throttle.py
@@ -1,72 +1,86 @@
-"""The token bank and job buffer of one tenant.
-
-Types of the interface: loadbalancer/messages.py.
-"""
+"""The token bank and request buffer that throttle one tenant (interface types: loadbalancer/messages.py)."""
 
 from __future__ import annotations
 
 import random
 from collections import deque
 from collections.abc import Iterable
+from enum import Enum, auto
 
 from loadbalancer.policy.request import Request
 from loadbalancer.units import SECOND
 
-BANK_S = 0.5  # C_T in seconds of tokens
-HOLD_PART = 0.25  # C_J in the shortest aim's tokens: who waits longer for one comes too late
-START_RATE = 10_000.0  # R starts above anything a proxy carries
-SILENT = 0.01  # requests a second: a tenant that asks for less is taken for silent
+BANK_S = 0.5  # C_T, in seconds of tokens
+BANK_MIN = 4  # tokens
+BUFFER_SHARE = 0.25  # C_J, in shortest latency objectives: who waits longer for a token is answered too late
+INITIAL_RATE = 10_000.0  # requests a second, above anything a proxy carries: the highest rate as well
+IDLE_DEMAND = 0.01  # requests a second: a tenant that asks for less counts as silent
+
+
+class Admission(Enum):
+    """What a throttle does with a request that arrives."""
+
+    FORWARD = auto()  # the bank had a token for it
+    BUFFER = auto()  # it waits for a token
+    REJECT = auto()  # the buffer is full
 
 
 class Throttle:
-    """One tenant's gate: the paper's counter U = T - J + C_J in [0, C_J + C_T] (2.1), (2.8)."""
-
-    def __init__(self, weight: float, rng: random.Random, now: int, aim_ns: int = SECOND) -> None:
-        self.weight, self.buffer_s = weight, min(BANK_S, HOLD_PART * aim_ns / SECOND)
-        self.bank_capacity = round(START_RATE * BANK_S)  # C_T
-        self.buffer_capacity = round(START_RATE * self.buffer_s)  # C_J
-        self.counter = self.bank_capacity + self.buffer_capacity  # starts full
-        self.rate = START_RATE
-        self.tick_credit = rng.random()  # phase of the ticks: proxies must not release their holds in step
-        self.updated_ns, self.arrivals = now, 0
+    """The token bank and the request buffer of one tenant, as one counter.
+
+    With T tokens in the bank and J requests in the buffer, U = T - J + C_J (2.1). A token adds one to U and
+    an arrival takes one away, within [0, C_J + C_T] (2.8).
+    """
+
+    def __init__(self, weight: float, rng: random.Random, now: int, objective_ns: int = SECOND) -> None:
+        self.weight = weight
+        self.buffer_s = min(BANK_S, BUFFER_SHARE * objective_ns / SECOND)  # C_J, in seconds of tokens
+        self.bank_capacity = round(INITIAL_RATE * BANK_S)  # C_T
+        self.buffer_capacity = round(INITIAL_RATE * self.buffer_s)  # C_J
+        self.counter = self.bank_capacity + self.buffer_capacity  # U; the bank starts full
+        self.rate = INITIAL_RATE  # tokens a second
+        self.tick_credit = rng.random()  # part of the next token; at random, or proxies would release in step
+        self.updated_ns = now
+        self.arrivals = 0  # in this feedback interval
         self.buffer: deque[Request] = deque()
-        self.demand = 0.0  # requests a second, learned
-        self.over_share = self.wake_scheduled = (
-            False  # it asks more than its share; a timer for the next token is set
-        )
-        self.token_missed = False  # a request found no token since R was last set
+        self.demand = 0.0  # requests a second, smoothed
+        self.over_share = False  # it asks for more than its share
+        self.wake_scheduled = False  # a timer is set for the next token
+        self.token_missed = False  # an arrival found no token in this feedback interval
 
     def set_rate(self, rate: float, now: int) -> None:
-        """Change the rate and with it the capacities; tokens in the bank and requests held stay."""
+        """Change the rate and with it the capacities; tokens in the bank and buffered requests stay."""
         self.accrue(now)
         balance = self.counter - self.buffer_capacity  # T - J
         self.rate = rate
-        self.bank_capacity = max(4, round(rate * BANK_S))
+        self.bank_capacity = max(BANK_MIN, round(rate * BANK_S))
         self.buffer_capacity = max(1, round(rate * self.buffer_s), len(self.buffer))
         self.counter = max(0, min(self.bank_capacity + self.buffer_capacity, balance + self.buffer_capacity))
 
     def accrue(self, now: int) -> None:
+        """Add the tokens of the time since the last call to the counter."""
         self.tick_credit += self.rate * (now - self.updated_ns) / SECOND
-        ticks = int(self.tick_credit)
-        self.updated_ns, self.tick_credit = now, self.tick_credit - ticks
-        self.counter = min(self.bank_capacity + self.buffer_capacity, self.counter + ticks)
+        tokens = int(self.tick_credit)
+        self.tick_credit -= tokens
+        self.updated_ns = now
+        self.counter = min(self.bank_capacity + self.buffer_capacity, self.counter + tokens)
 
-    def admit(self, request: Request, now: int) -> bool | None:
-        """True: send; None: held; False: overflow."""
+    def admit(self, request: Request, now: int) -> Admission:
+        """Take a token for an arrival, buffer it, or reject it where U is 0."""
         self.accrue(now)
         self.arrivals += 1
         if self.counter <= self.buffer_capacity:
             self.token_missed = True
         if self.counter < 1:
-            return False
+            return Admission.REJECT
         self.counter -= 1
         if self.counter >= self.buffer_capacity:
-            return True
+            return Admission.FORWARD
         self.buffer.append(request)
-        return None
+        return Admission.BUFFER
 
     def take_retry_token(self, now: int) -> bool:
-        """Take a token for a copy or a client's retry, if fresh work leaves part of the bank unused."""
+        """Take a token for a hedged request or a client's retry, if fresh work leaves part of the bank."""
         self.accrue(now)
         if self.counter - self.buffer_capacity <= self.bank_capacity // 4:
             return False
@@ -74,22 +88,19 @@
         return True
 
     def release(self, now: int) -> Iterable[Request]:
+        """Give the buffered requests that have a token by now, the oldest first: J = max(0, C_J - U) stay."""
         self.accrue(now)
         while len(self.buffer) > max(0, self.buffer_capacity - self.counter):
             yield self.buffer.popleft()
 
     def remove_buffered(self, request: Request) -> None:
-        """A held request ends: the token it waited for is not needed."""
+        """Drop a buffered request that has ended, and return the token that it waited for."""
         self.buffer.remove(request)
         self.counter += 1
 
     def is_idle(self, now: int) -> bool:
-        """Nothing sets it apart from a new one: it holds nobody, its bank is full, few came of late."""
+        """Tell whether a new throttle would do the same: empty buffer, full bank, next to no demand."""
         self.accrue(now)
-        return not (
-            self.buffer
-            or self.wake_scheduled
-            or self.arrivals
-            or self.demand > SILENT
-            or self.counter < self.bank_capacity + self.buffer_capacity
-        )
+        if self.buffer or self.wake_scheduled or self.arrivals or self.demand > IDLE_DEMAND:
+            return False
+        return self.counter >= self.bank_capacity + self.buffer_capacity
--- a/tests/policy/test_throttle.py
+++ b/tests/policy/test_throttle.py
@@ -21,7 +21,7 @@
 from loadbalancer.policy.balancer import Balancer
 from loadbalancer.policy.rate_control import FEEDBACK_NS, RateController
 from loadbalancer.policy.request import Request
-from loadbalancer.policy.throttle import Throttle
+from loadbalancer.policy.throttle import Admission, Throttle
 from loadbalancer.settings import Limits, RequestClass, Tenant
 from loadbalancer.state.endpoint_pool import EndpointPool
 from loadbalancer.state.endpoint_table import Placement
@@ -56,9 +56,10 @@
         for _ in range(arrivals):
             count += 1
             r = request(count, t)
-            answer = t.admit(r, now)
-            overflow += answer is False
-            if answer is True:
+            admission = t.admit(r, now)
+            if admission is Admission.REJECT:
+                overflow += 1
+            elif admission is Admission.FORWARD:
                 sent.append(r.id)
         path.append(t.counter)
         lost.append(overflow)
@@ -112,8 +113,8 @@
 def test_a_held_request_that_ends_gives_its_token_back() -> None:
     t = throttle(0, 2, 2)
     first, second = request(1, t), request(2, t)
-    assert t.admit(first, 0) is None
-    assert t.admit(second, 0) is None
+    assert t.admit(first, 0) is Admission.BUFFER
+    assert t.admit(second, 0) is Admission.BUFFER
     t.remove_buffered(first)
     assert list(t.release(SECOND)) == [second]
     assert t.counter == 2
@@ -122,7 +123,7 @@
 def test_change_of_rate_keeps_tokens_and_held() -> None:
     t = throttle(0, 2, 2)
     r = request(1, t)
-    assert t.admit(r, 0) is None
+    assert t.admit(r, 0) is Admission.BUFFER
     t.set_rate(100.0, 0)
     assert t.buffer_capacity - t.counter == 1
     assert list(t.buffer) == [r]
