--- a/loadbalancer/policy/balancer.py
+++ b/loadbalancer/policy/balancer.py
@@ -29,9 +29,10 @@
     TimerExpired,
     WatchEndpoints,
 )
-from loadbalancer.policy.concurrency_limit import LIMIT_MAX, ConcurrencyLimit
+from loadbalancer.policy.concurrency_limit import ConcurrencyLimit
 from loadbalancer.policy.endpoint_state import EndpointState
 from loadbalancer.policy.endpoints import LOOKS, Fleet
+from loadbalancer.policy.latency_model import LatencyModel
 from loadbalancer.policy.rate_control import FEEDBACK_NS
 from loadbalancer.policy.request import Attempt, Request
 from loadbalancer.policy.throttle import Admission, Throttle
@@ -66,9 +67,10 @@
         )
         self.throttles = TenantThrottles(settings, self.rng, now, self.shortest_objective_ns)
         self.rate_controller = self.throttles.rate_controller
-        self.concurrency_limit = ConcurrencyLimit()
+        self.latency_model = LatencyModel()
+        self.concurrency_limit = ConcurrencyLimit(self.latency_model)
         # Until something is seen to finish, as long as the slowest class is expected to take.
-        self.concurrency_limit.service_interval_ns = (
+        self.latency_model.service_interval_ns = (
             max((c.latency_objective_ns for c in settings.request_classes.values()), default=SECOND) / 8
         )
         self.fleet = Fleet(settings, self.concurrency_limit, self.rng)
@@ -143,7 +145,7 @@
         aim = min(now + cls.latency_objective_ns, e.deadline_ns)
         r = Request(e.request_id, cls, self.fleet.pool(cls), throttle, e.deadline_ns, aim, e.cost_hint_ns)
         self.requests[r.id] = r
-        need = self.concurrency_limit.expected_ns(r) * (1 + self.concurrency_limit.deviation)
+        need = self.latency_model.expected_ns(r) * (1 + self.latency_model.deviation)
         r.give_up_ns = max(r.objective_ns - int(need), now + (r.deadline_ns - now) // 4)
         self._schedule(r.give_up_ns, "give up", r)  # whatever comes, a request that waits is looked at then
         self.rate_controller.on_arrival(now)
@@ -220,9 +222,8 @@
         if e.result is AttemptResult.OK:
             server.last_answered_ns = max(server.last_answered_ns, a.sent_ns)
             if not r.stalled:
-                self.concurrency_limit.record_success(r, a, e.elapsed_ns)
-            if server.in_subset:
-                self.concurrency_limit.completions[min(server.in_flight, LIMIT_MAX + 1)] += 1
+                self.latency_model.record_success(r, a, e.elapsed_ns)
+            self.concurrency_limit.record_completion(server)
             self.rate_controller.successes += now <= r.objective_ns
             self.rate_controller.failures[server.id] += (
                 now > r.objective_ns and not r.delayed_by_throttle
@@ -241,8 +242,8 @@
             )
             if e.result is AttemptResult.TIMEOUT:
                 # It would have taken longer: what is cut off must not flatten the slope.
-                self.concurrency_limit.record_latency(
-                    a, max(1.3 * e.elapsed_ns, self.concurrency_limit.latency_at(a.load))
+                self.latency_model.record_latency(
+                    a.load, max(1.3 * e.elapsed_ns, self.latency_model.latency_at(a.load))
                 )
             busy = e.result in (AttemptResult.REJECTED, AttemptResult.TIMEOUT)
             self._eject(server, now, self._ejection_base_ns(a) if busy else SECOND / 4)
@@ -411,7 +412,7 @@
                 server is not None
                 and server.reported_load >= 1
                 and server.has_fresh_load(now)
-                and self.concurrency_limit.latency_at(server.reported_load + 1.5) * server.relative_latency
+                and self.latency_model.latency_at(server.reported_load + 1.5) * server.relative_latency
                 > r.objective_ns - now
             )
             if full or (server is None and choices is not None):
@@ -436,12 +437,12 @@
         self.concurrency_limit.record_occupancy(server, now)
         server.in_flight += 1
         server.reported_load += server.reported_ns > 0
-        expected = max(1.0, self.concurrency_limit.expected_ns(r) * server.relative_latency)
+        expected = max(1.0, self.latency_model.expected_ns(r) * server.relative_latency)
         r.attempts.append(Attempt(server, now, expected, max(1.0, server.estimated_load(now))))
         if self.fleet.is_warming_up(server, now):
             # The budget is in requests of mean work: a dear one takes the place of several.
             self._pace_slow_start(
-                server, now, max(1.0, self.concurrency_limit.expected_ns(r) / self.concurrency_limit.mean_ns)
+                server, now, max(1.0, self.latency_model.expected_ns(r) / self.latency_model.mean_ns)
             )
         # Where a late answer is worth nothing, an attempt ends at the aim and leaves its place to another.
         timeout = (
@@ -450,7 +451,7 @@
             else max(1, r.objective_ns - now)
         )
         self.actions.append(Forward(r.id, server.id, timeout))
-        overdue = now + int(expected * (1.3 + 3 * self.concurrency_limit.deviation))
+        overdue = now + int(expected * (1.3 + 3 * self.latency_model.deviation))
         self._schedule(overdue, "overdue", r, len(r.attempts) - 1)
 
     def _feedback(self, now: int) -> None:
--- a/loadbalancer/policy/endpoints.py
+++ b/loadbalancer/policy/endpoints.py
@@ -164,7 +164,8 @@
         # Others may have it in the subset of another pool: all pools that it is in count.
         sharers = sum(p.proxies_sharing for p in self.pools.values() if p.admits(s.endpoint))
         sharers = max(1.0, min(self.settings.proxy_count, sharers))
-        bears = max(self.sustained_throughput, SECOND / self.concurrency_limit.service_interval_ns / sharers)
+        interval_ns = self.concurrency_limit.latency_model.service_interval_ns
+        bears = max(self.sustained_throughput, SECOND / interval_ns / sharers)
         return int(SECOND / (COLD_PART * rules.overload_factor * part * bears))
 
     def concurrency_limit_of(self, s: EndpointState, now: int) -> int:
--- a/loadbalancer/policy/rate_control.py
+++ b/loadbalancer/policy/rate_control.py
@@ -17,7 +17,7 @@
 CLIMB, RETURN = 1.1, 1.5  # R's rise in an interval, and while it is well under what failed last
 WELL_UNDER = 0.8
 SICK_PART = 0.5  # the worse half of the upstreams may fail without R being judged
-EVIDENCE = 8  # outcomes before a figure is believed
+MIN_OUTCOMES = 8  # outcomes before a figure is believed
 
 
 class RateController:
@@ -51,14 +51,14 @@
         bad = sorted(self.failures.values(), reverse=True)
         total = self.successes + sum(bad) + self.expired_in_queue
         # A proxy with little traffic waits for enough outcomes, but not for ever.
-        if elapsed < FEEDBACK_NS or (total < EVIDENCE and elapsed < 4 * FEEDBACK_NS):
+        if elapsed < FEEDBACK_NS or (total < MIN_OUTCOMES and elapsed < 4 * FEEDBACK_NS):
             return
         # The worse half of the upstreams does not count: one sick server is not an overloaded fleet. All but
         # one of a small subset is more than that: a crowded fleet went unseen (incident i430663).
         sick = int(width * SICK_PART)
         self.success_rate = self.successes * SECOND / elapsed
         share = (sum(bad[sick:]) + self.expired_in_queue) / max(
-            total, 2 * EVIDENCE
+            total, 2 * MIN_OUTCOMES
         )  # one bad of five is chance
         self.attempt_rate = (self.successes + sum(bad)) * SECOND / elapsed
         if share > TOLERATED and crowded:
--- /dev/null
+++ b/loadbalancer/state/running_regression.py
@@ -0,0 +1,44 @@
+"""A line fitted by least squares to samples that fade with each new one."""
+
+from __future__ import annotations
+
+
+class RunningRegression:
+    """The sums of a least-squares fit of y over x.
+
+    Each new sample multiplies the weight of the earlier ones by `decay`. The figures below need one sample.
+    """
+
+    __slots__ = ("count", "decay", "sum_x", "sum_xx", "sum_xy", "sum_y")
+
+    def __init__(self, decay: float) -> None:
+        self.decay = decay
+        self.count = 0.0
+        self.sum_x = 0.0
+        self.sum_y = 0.0
+        self.sum_xx = 0.0
+        self.sum_xy = 0.0
+
+    def add(self, x: float, y: float) -> None:
+        """Add a sample."""
+        self.count = self.decay * self.count + 1.0
+        self.sum_x = self.decay * self.sum_x + x
+        self.sum_y = self.decay * self.sum_y + y
+        self.sum_xx = self.decay * self.sum_xx + x * x
+        self.sum_xy = self.decay * self.sum_xy + x * y
+
+    def mean_x(self) -> float:
+        """Return the mean of x."""
+        return self.sum_x / self.count
+
+    def mean_y(self) -> float:
+        """Return the mean of y."""
+        return self.sum_y / self.count
+
+    def variance_x(self) -> float:
+        """Return the variance of x."""
+        return self.sum_xx / self.count - self.mean_x() ** 2
+
+    def covariance(self) -> float:
+        """Return the covariance of x and y."""
+        return self.sum_xy / self.count - self.mean_x() * self.mean_y()
--- a/tests/policy/test_rules.py
+++ b/tests/policy/test_rules.py
@@ -31,7 +31,6 @@
 from loadbalancer.policy.endpoint_state import EndpointState
 from loadbalancer.policy.endpoints import DRAWS, Fleet
 from loadbalancer.policy.rate_control import RateController
-from loadbalancer.policy.request import Attempt
 from loadbalancer.policy.throttle import Throttle
 from loadbalancer.settings import Idempotency, Limits, Prices, RequestClass, Rules, Settings, WeightSource
 from tests.support.policy_harness import (
@@ -394,7 +393,7 @@
         desk.give(arrival(i, desk.now))
         desk.now += 100 * MS
         desk.finish(f"r{i}")
-    assert abs(desk.balancer.concurrency_limit.per_request_ns - 100 * MS) < 10 * MS
+    assert abs(desk.balancer.latency_model.per_request_ns - 100 * MS) < 10 * MS
 
 
 def test_a_tenant_over_its_share_is_found_out() -> None:
@@ -633,13 +632,12 @@
 
 def test_a_request_that_waits_on_others_is_not_taken_for_a_crowd() -> None:
     # Guards against refusing on a quiet day: time spent beside the queue was laid on the requests held.
-    crowding = Balancer(settings(), 1, START).concurrency_limit
-    server = EndpointState(1, upstreams(1)[0])
+    latency_model = Balancer(settings(), 1, START).latency_model
     for i in range(200):
         held = 1.0 + i % 4
-        crowding.record_latency(Attempt(server, 0, 1.0, held), 300 * MS + 50 * MS * held)
-    assert crowding.per_request_ns < 120 * MS
-    assert crowding.base_ns > 150 * MS
+        latency_model.record_latency(held, 300 * MS + 50 * MS * held)
+    assert latency_model.per_request_ns < 120 * MS
+    assert latency_model.base_ns > 150 * MS
 
 
 def test_a_crowded_small_subset_lowers_the_rate() -> None:
--- a/tests/proxy/test_faults.py
+++ b/tests/proxy/test_faults.py
@@ -129,14 +129,14 @@
             for c in clients:
                 await c.send(request(deadline_ms=500))
             await until(lambda: sum(len(u.got) for u in upstreams) == UPSTREAMS)
-            each = balancer.concurrency_limit.per_request_ns
+            each = balancer.latency_model.per_request_ns
             time.sleep(0.7)  # the whole loop stands still
             for c in clients:
                 assert (await c.read()).status in (503, 504)
                 c.close()
             assert ejected(balancer) == 0
             assert not sum(balancer.rate_controller.failures.values())
-            assert balancer.concurrency_limit.per_request_ns == each
+            assert balancer.latency_model.per_request_ns == each
 
     run(test())
 
