--- a/loadbalancer/policy/rate_control.py
+++ b/loadbalancer/policy/rate_control.py
@@ -1,7 +1,4 @@
-"""The adaptive rate of the proxy and its max-min fair shares.
-
-Types of the interface: loadbalancer/messages.py.
-"""
+"""The proxy's adaptive rate and its max-min fair shares (interface types: loadbalancer/messages.py)."""
 
 from __future__ import annotations
 
@@ -11,91 +8,115 @@
 from loadbalancer.policy.throttle import INITIAL_RATE, Throttle
 from loadbalancer.units import SECOND
 
-FEEDBACK_NS = SECOND // 2
-TOLERATED = 0.1  # share of bad outcomes that says nothing
-DEEPEST_CUT = 0.3  # of R in one feedback interval
-CLIMB, RETURN = 1.1, 1.5  # R's rise in an interval, and while it is well under what failed last
-WELL_UNDER = 0.8
-SICK_PART = 0.5  # the worse half of the upstreams may fail without R being judged
-MIN_OUTCOMES = 8  # outcomes before a figure is believed
+FEEDBACK_NS = SECOND // 2  # the feedback interval
+FEEDBACK_MAX_NS = 4 * FEEDBACK_NS  # the same where few attempts end
+MIN_OUTCOMES = 8  # before a figure is believed
+TOLERATED_FAILURES = 0.1  # share of the outcomes that says nothing
+DECREASE_MAX = 0.3  # of the rate, in one interval
+INCREASE_FACTOR = 1.1  # of the rate, in one interval
+RECOVERY_FACTOR = 1.5  # the same while the rate is well below the one that failed last
+RECOVERY_BELOW = 0.8  # of the rate that failed last
+IGNORED_ENDPOINTS = 0.5  # the worse half of the endpoints may fail without a decrease
+DEMAND_SMOOTHING = 0.5  # weight of the last interval in a tenant's demand
+OVER_SHARE_FACTOR = 1.1  # a tenant that asks for more of its share is over it
+TENANT_RATE_MIN = 0.05  # requests a second
 
 
 class RateController:
     """The proxy's rate R, learned from how attempts end, and its division among the tenants.
 
-    What a silent tenant leaves is all lent, so only those that send need be gone through; `weight` is that of
-    all, 0 where they are all here."""
+    What silent tenants leave is all lent, so only those that send are gone through; `weight` is that of all
+    tenants, 0 where `throttles` holds them all.
+    """
 
     def __init__(self, throttles: Collection[Throttle], now: int, weight: float = 0.0) -> None:
         self.throttles, self.weight = throttles, weight
-        self.borrowed_rate = INITIAL_RATE  # what one that asks for nothing could have
-        self.rate = INITIAL_RATE
-        self.failed_rate = 0.0  # the rate at which too many failed, fading with each cut
-        self.interval_start_ns = now
-        self.attempt_rate = 0.0  # attempts ended a second
+        self.rate = INITIAL_RATE  # requests a second, as all rates here
+        self.borrowed_rate = INITIAL_RATE  # what a tenant that asks for nothing could have
+        self.failed_rate = 0.0  # the rate at which too many failed, fading with each decrease
+        self.attempt_rate = 0.0  # attempts that ended
         self.success_rate = INITIAL_RATE  # and those of them in time
-        self.successes = 0
-        self.expired_in_queue = 0  # requests that no upstream had room for in time
-        self.failures: Counter[int] = Counter()  # by upstream
-        self.no_arrivals = True  # no request has come in this interval
+        self.interval_start_ns = now
+        self.successes = 0  # in this interval, as are the next three
+        self.expired_in_queue = 0  # requests that no endpoint had capacity for in time
+        self.failures: Counter[int] = Counter()  # by endpoint
+        self.no_arrivals = True
 
     def on_arrival(self, now: int) -> None:
-        """An interval begins with its first request: the quiet before it, as ahead of a proxy's first
-        clients, would thin out what is sent and served a second, and a cut go far below what is served."""
+        """Let the interval begin with its first request."""
+        # The quiet before it, as ahead of a proxy's first clients, would thin out what is sent and served a
+        # second, and a decrease would go far below what is served.
         if self.no_arrivals and not (self.successes or self.expired_in_queue or self.failures):
             self.interval_start_ns = now
         self.no_arrivals = False
 
-    def adjust(self, now: int, width: int, crowded: bool = True) -> None:
+    def adjust(self, now: int, draw_width: int, is_loaded: bool = True) -> None:
+        """Set the rate and its shares by the interval's outcomes, once it is long enough.
+
+        `draw_width` endpoints were drawn from; only where the fleet `is_loaded` can failures be its overload.
+        """
         elapsed = now - self.interval_start_ns
-        bad = sorted(self.failures.values(), reverse=True)
-        total = self.successes + sum(bad) + self.expired_in_queue
+        attempts = self.successes + self.failures.total()
+        outcomes = attempts + self.expired_in_queue
         # A proxy with little traffic waits for enough outcomes, but not for ever.
-        if elapsed < FEEDBACK_NS or (total < MIN_OUTCOMES and elapsed < 4 * FEEDBACK_NS):
+        if elapsed < FEEDBACK_NS or (outcomes < MIN_OUTCOMES and elapsed < FEEDBACK_MAX_NS):
             return
-        # The worse half of the upstreams does not count: one sick server is not an overloaded fleet. All but
-        # one of a small subset is more than that: a crowded fleet went unseen (incident i430663).
-        sick = int(width * SICK_PART)
         self.success_rate = self.successes * SECOND / elapsed
-        share = (sum(bad[sick:]) + self.expired_in_queue) / max(
-            total, 2 * MIN_OUTCOMES
-        )  # one bad of five is chance
-        self.attempt_rate = (self.successes + sum(bad)) * SECOND / elapsed
-        if share > TOLERATED and crowded:
-            # After a shrink R stands far above what is served: come down to that first.
-            rate = min(self.rate, 1.2 * self.attempt_rate + 1)
-            self.failed_rate = max(0.9 * self.failed_rate, rate)
-            self.rate = max(1.0, 0.9 * self.success_rate, rate * (1 - min(DEEPEST_CUT, share - TOLERATED)))
-        elif total and any(t.token_missed for t in self.throttles):
-            # A short trouble cuts R several times: what it served before must not take ten seconds to reach.
-            rise = RETURN if self.rate < WELL_UNDER * self.failed_rate else CLIMB
-            self.rate = min(INITIAL_RATE, self.rate * rise + 0.5)
-        for t in self.throttles:
-            t.demand += 0.5 * (t.arrivals * SECOND / elapsed - t.demand)
-            t.arrivals, t.token_missed = 0, False
+        self.attempt_rate = attempts * SECOND / elapsed
+        # One failure of five outcomes is chance.
+        failed_share = self._overload_failures(draw_width) / max(outcomes, 2 * MIN_OUTCOMES)
+        if failed_share > TOLERATED_FAILURES and is_loaded:
+            self._decrease(failed_share)
+        elif outcomes and any(t.token_missed for t in self.throttles):
+            self._increase()
+        self._update_demand(elapsed)
         self._share_rate(now)
-        self.interval_start_ns, self.successes, self.expired_in_queue, self.no_arrivals = now, 0, 0, True
+        self.interval_start_ns, self.no_arrivals = now, True
+        self.successes = self.expired_in_queue = 0
         self.failures.clear()
 
+    def _overload_failures(self, draw_width: int) -> int:
+        # The worse half of the endpoints does not count: one bad endpoint is not an overloaded fleet. All but
+        # one of a small subset is more than that: an overloaded fleet went unseen (incident i430663).
+        by_endpoint = sorted(self.failures.values(), reverse=True)
+        return sum(by_endpoint[int(draw_width * IGNORED_ENDPOINTS) :]) + self.expired_in_queue
+
+    def _decrease(self, failed_share: float) -> None:
+        # After the fleet shrank the rate is far above what is served: it comes down to that first.
+        rate = min(self.rate, 1.2 * self.attempt_rate + 1)
+        self.failed_rate = max(0.9 * self.failed_rate, rate)
+        decrease = min(DECREASE_MAX, failed_share - TOLERATED_FAILURES)
+        self.rate = max(1.0, 0.9 * self.success_rate, rate * (1 - decrease))
+
+    def _increase(self) -> None:
+        # A short fault cuts the rate several times: what it served before must not take ten seconds to reach.
+        recovers = self.rate < RECOVERY_BELOW * self.failed_rate
+        self.rate = min(INITIAL_RATE, self.rate * (RECOVERY_FACTOR if recovers else INCREASE_FACTOR) + 0.5)
+
+    def _update_demand(self, elapsed: int) -> None:
+        for throttle in self.throttles:
+            throttle.demand += DEMAND_SMOOTHING * (throttle.arrivals * SECOND / elapsed - throttle.demand)
+            throttle.arrivals, throttle.token_missed = 0, False
+
     def _share_rate(self, now: int) -> None:
-        """Fair shares of R by weight; what quiet tenants leave is lent to those who want more."""
+        """Set the tenants' rates: fair shares by weight, and what others leave lent on top."""
         self.weight = self.weight or sum(t.weight for t in self.throttles)
-        (lent, self.borrowed_rate), (fair, _) = (
-            self._water_fill(self.rate),
-            self._water_fill(self.success_rate),
-        )
-        for i, t in enumerate(self.throttles):
-            t.set_rate(max(self.rate_of_idle_tenant(t.weight), lent[i]), now)
-            t.over_share = t.demand > 1.1 * fair[i]  # it asks more than its share of what is served
+        rates, self.borrowed_rate = self._water_fill(self.rate)
+        served, _ = self._water_fill(self.success_rate)
+        for throttle, rate, fair_share in zip(self.throttles, rates, served, strict=True):
+            throttle.set_rate(max(self.rate_of_idle_tenant(throttle.weight), rate), now)
+            throttle.over_share = throttle.demand > OVER_SHARE_FACTOR * fair_share
 
     def rate_of_idle_tenant(self, weight: float) -> float:
-        """The rate of a tenant of this weight that asks for nothing."""
-        return max(0.05, self.rate * weight / self.weight, self.borrowed_rate)
+        """Return the rate of a tenant of this weight that asks for nothing."""
+        return max(TENANT_RATE_MIN, self.rate * weight / self.weight, self.borrowed_rate)
 
-    def _water_fill(self, left: float) -> tuple[list[float], float]:
-        """Who may have what by need and weight, with all that is left, and what is left."""
+    def _water_fill(self, rate: float) -> tuple[list[float], float]:
+        """Return each tenant's max-min fair share with all that is left, and what is left, of a rate."""
         shares, weights = [0.0] * len(self.throttles), sum(t.weight for t in self.throttles)
-        for i, t in sorted(enumerate(self.throttles), key=lambda it: (it[1].demand / it[1].weight, it[0])):
-            shares[i] = min(t.demand, left * t.weight / weights)
-            left, weights = max(0.0, left - shares[i]), max(1e-9, weights - t.weight)
-        return [share + left for share in shares], left
+        by_need = sorted(enumerate(self.throttles), key=lambda item: item[1].demand / item[1].weight)
+        for i, throttle in by_need:
+            shares[i] = min(throttle.demand, rate * throttle.weight / weights)
+            rate = max(0.0, rate - shares[i])
+            weights = max(1e-9, weights - throttle.weight)
+        return [share + rate for share in shares], rate
