--- /dev/null
+++ b/tests/policy/test_rate_control.py
@@ -0,0 +1,175 @@
+"""The adaptive rate and its max-min fair shares."""
+
+from __future__ import annotations
+
+import random
+
+import pytest
+from hypothesis import given
+from hypothesis import settings as hypothesis_settings
+from hypothesis import strategies as st
+
+from loadbalancer.messages import (
+    AttemptEnded,
+    AttemptResult,
+    EndpointUpdate,
+    EndpointUpdateKind,
+    Event,
+    Forward,
+    SetTimer,
+    TimerExpired,
+)
+from loadbalancer.policy.balancer import Balancer
+from loadbalancer.policy.rate_control import FEEDBACK_NS, RateController
+from loadbalancer.policy.throttle import Throttle
+from loadbalancer.settings import Limits, Settings, Tenant
+from tests.support.policy_harness import MS, SECOND, START, PolicyHarness, arrival, settings, upstreams
+
+DRAW_WIDTH = 8  # endpoints that the proxy draws from
+
+
+class FeedbackDriver:
+    """A rate controller with one tenant, who always asks for more than it gets."""
+
+    def __init__(self) -> None:
+        self.now = 0
+        self.throttle = Throttle(1.0, random.Random(1), 0)
+        self.controller = RateController([self.throttle], 0)
+
+    def interval(self, successes: int, failures_by_endpoint: int) -> None:
+        """Let a feedback interval end with so many successes, and so many failures at each endpoint."""
+        self.now += FEEDBACK_NS
+        self.throttle.arrivals, self.throttle.token_missed = successes, True
+        self.controller.successes = successes
+        if failures_by_endpoint:
+            self.controller.failures.update(dict.fromkeys(range(DRAW_WIDTH), failures_by_endpoint))
+        self.controller.adjust(self.now, DRAW_WIDTH)
+
+
+def test_the_rate_recovers_quickly_from_a_short_fault() -> None:
+    driver = FeedbackDriver()
+    controller = driver.controller
+    driver.interval(150, 0)
+
+    for _ in range(6):
+        driver.interval(int(min(controller.rate, 300) / 4), int(min(controller.rate, 300) / 32))
+    assert controller.rate < 160
+
+    for _ in range(4):
+        driver.interval(int(controller.rate / 2), 0)
+    assert controller.rate > 230
+
+
+def test_the_time_before_the_first_request_is_no_part_of_the_attempt_rate() -> None:
+    harness = PolicyHarness(settings(tenants={"ash": Tenant("ash")}), servers=1)
+    controller = harness.balancer.rate_controller
+    harness.advance(SECOND)  # started and listed, but without clients yet
+
+    for i in range(100):
+        harness.give(arrival(i, harness.now))
+        harness.finish(f"r{i}")
+        harness.advance(5 * MS)
+        if i % 4 == 0:
+            controller.expired_in_queue += 1  # a fifth of the outcomes: more than is tolerated
+    harness.give(arrival("last", harness.now))
+
+    sent = 200.0  # a second, one each 5 ms
+    assert 0.85 * sent < controller.attempt_rate < 1.15 * sent
+    assert sent < controller.rate < 2 * sent  # decreased, to about what is sent
+
+
+def test_one_failure_of_few_outcomes_does_not_hold_the_rate_down() -> None:
+    # Guards against a proxy that rejects for 20 s because it sends too little to be judged.
+    throttle = Throttle(1.0, random.Random(1), 0)
+    controller = RateController([throttle], 0)
+    controller.rate = controller.failed_rate = 10.0
+
+    for i in range(1, 6):
+        controller.successes, controller.expired_in_queue = 4, 1
+        throttle.arrivals, throttle.token_missed = 100, True
+        controller.adjust(4 * i * FEEDBACK_NS, DRAW_WIDTH)
+
+    assert controller.rate > 12
+
+
+def listed_balancer(config: Settings) -> Balancer:
+    """Return a balancer that has been given six endpoints."""
+    balancer = Balancer(config, 1, START)
+    balancer.handle(START, [EndpointUpdate(EndpointUpdateKind.FULL, upstreams(6))])
+    return balancer
+
+
+def failures_after_timeout(tokens_a_second: float) -> int:
+    """Return what counts against the rate when a request waits for a token and its one attempt times out."""
+    balancer = listed_balancer(settings(tenants={"ash": Tenant("ash")}, limits=Limits(max_attempts=1)))
+    throttle = balancer.throttles["ash"]
+    throttle.set_rate(tokens_a_second, START)
+    throttle.counter, throttle.tick_credit = throttle.buffer_capacity, 0.0
+    due: list[tuple[int, Event]] = [(START, arrival(1, START))]
+    for _ in range(40):
+        due.sort(key=lambda item: item[0])
+        now, event = due.pop(0)
+        for action in balancer.handle(now, [event]):
+            if isinstance(action, Forward):
+                outcome = AttemptEnded("r1", 0, action.endpoint_id, AttemptResult.TIMEOUT, 1)
+                due.append((now + action.timeout_ns, outcome))
+            elif isinstance(action, SetTimer):
+                due.append((now + action.delay_ns, TimerExpired(action.name)))
+        if isinstance(event, AttemptEnded):
+            return balancer.rate_controller.failures.total()
+    raise AssertionError("the attempt never ended")
+
+
+def test_a_request_delayed_by_its_throttle_does_not_count_against_the_rate() -> None:
+    assert failures_after_timeout(100.0) == 1  # it was buffered for 10 ms of its 300
+    assert failures_after_timeout(5.0) == 0  # for 200
+
+
+def is_rate_decreased(load: float | None) -> bool:
+    """Tell whether the rate falls when half the attempts fail and endpoints report a load, or none."""
+    balancer = listed_balancer(settings())
+    for endpoint in balancer.fleet.endpoints.values():
+        endpoint.record_load(load, START)
+    controller = balancer.rate_controller
+    controller.successes = 100
+    controller.failures.update(dict.fromkeys(balancer.fleet.endpoints, 20))
+
+    balancer.handle(START + FEEDBACK_NS, [])
+
+    return controller.rate < 1000
+
+
+def test_failures_at_endpoints_with_little_load_do_not_decrease_the_rate() -> None:
+    assert is_rate_decreased(2.0)
+    assert not is_rate_decreased(0.5)
+    assert is_rate_decreased(None)  # unknown: it may be overload
+
+
+@given(
+    st.lists(st.tuples(st.integers(0, 30), st.sampled_from([1, 2, 5])), min_size=1, max_size=8),
+    st.integers(1, 400),
+    st.floats(1.0, 500.0),
+    st.floats(1.0, 500.0),
+)
+@hypothesis_settings(max_examples=100, deadline=None, derandomize=True)
+def test_shares_without_the_silent_tenants_are_those_with_them(
+    senders: list[tuple[int, int]], silent_count: int, rate: float, success_rate: float
+) -> None:
+    weights = [float(weight) for _, weight in senders] + [1.0 + i % 3 for i in range(silent_count)]
+    every = [Throttle(weight, random.Random(i), 0) for i, weight in enumerate(weights)]
+    sending = [Throttle(float(weight), random.Random(i), 0) for i, (_, weight) in enumerate(senders)]
+    full = RateController(every, 0)
+    sparse = RateController(sending, 0, sum(weights))
+
+    for controller, throttles in ((full, every), (sparse, sending)):
+        controller.rate, controller.success_rate = rate, success_rate
+        for throttle, (demand, _) in zip(throttles, senders, strict=False):
+            throttle.demand = float(demand)
+        controller._share_rate(0)
+
+    same, silent = every[: len(sending)], every[len(sending) :]
+    assert [t.rate for t in sending] == pytest.approx([t.rate for t in same], rel=1e-9)
+    assert [t.over_share for t in sending] == [t.over_share for t in same]
+    # One that comes anew has the rate of one that was there all the time.
+    new_rates = [sparse.rate_of_idle_tenant(t.weight) for t in silent]
+    assert new_rates == pytest.approx([t.rate for t in silent], rel=1e-9)
--- /dev/null
+++ b/tests/policy/test_running_regression.py
@@ -0,0 +1,25 @@
+"""The running least-squares fit."""
+
+from __future__ import annotations
+
+import pytest
+
+from loadbalancer.state.running_regression import RunningRegression
+
+
+def test_without_decay_the_figures_are_those_of_all_samples() -> None:
+    regression = RunningRegression(1.0)
+    for x, y in ((1.0, 5.0), (2.0, 7.0), (3.0, 9.0)):
+        regression.add(x, y)
+    assert (regression.mean_x(), regression.mean_y()) == (2.0, 7.0)
+    assert regression.variance_x() == pytest.approx(2 / 3)
+    assert regression.covariance() == pytest.approx(2 * regression.variance_x())  # y = 2 x + 3
+
+
+def test_earlier_samples_fade() -> None:
+    regression = RunningRegression(0.5)
+    regression.add(0.0, 0.0)
+    regression.add(3.0, 6.0)
+    assert regression.count == 1.5
+    assert regression.mean_x() == 2.0
+    assert regression.mean_y() == 4.0
--- /dev/null
+++ b/tests/policy/test_tenant_throttles.py
@@ -0,0 +1,90 @@
+"""The throttles of the tenants that send, however many tenants there are."""
+
+from __future__ import annotations
+
+from dataclasses import dataclass
+
+import pytest
+
+from loadbalancer.messages import AttemptEnded, AttemptResult, EndpointUpdate, EndpointUpdateKind, Forward
+from loadbalancer.policy.balancer import Balancer
+from loadbalancer.policy.rate_control import FEEDBACK_NS
+from loadbalancer.policy.throttle import Throttle
+from loadbalancer.settings import Tenant
+from tests.support.policy_harness import START, PolicyHarness, arrival, settings, upstreams
+
+
+def make_tenants(count: int) -> dict[str, Tenant]:
+    """Return tenants t0, t1, ... of equal quotas."""
+    return {f"t{i}": Tenant(f"t{i}", 1 / count) for i in range(count)}
+
+
+@dataclass
+class Cost:
+    """What the throttles of a proxy cost."""
+
+    throttles: int  # at the end
+    accruals: int  # how often one was worked on
+
+
+def cost_of_tenants(count: int, monkeypatch: pytest.MonkeyPatch) -> Cost:
+    """Serve 20 seconds of requests from twenty tenants, where so many are configured."""
+    balancer, now, accruals = Balancer(settings(tenants=make_tenants(count)), 1, START), START, 0
+    accrue = Throttle.accrue
+
+    def counted(throttle: Throttle, now: int) -> None:
+        nonlocal accruals
+        accruals += 1
+        accrue(throttle, now)
+
+    monkeypatch.setattr(Throttle, "accrue", counted)
+    balancer.handle(now, [EndpointUpdate(EndpointUpdateKind.FULL, upstreams(6))])
+    for i in range(200):
+        now += FEEDBACK_NS // 10
+        for action in balancer.handle(now, [arrival(i, now, tenant=f"t{i % 20}")]):
+            if isinstance(action, Forward):
+                served = AttemptEnded(action.request_id, 0, action.endpoint_id, AttemptResult.OK, 1, True)
+                balancer.handle(now, [served])
+    monkeypatch.undo()
+    return Cost(len(balancer.throttles), accruals)
+
+
+def test_silent_tenants_cost_nothing_however_many_there_are(monkeypatch: pytest.MonkeyPatch) -> None:
+    # A throttle for each was visited and given its share each half second: at 100,000 that took a second.
+    few, many = cost_of_tenants(100, monkeypatch), cost_of_tenants(100_000, monkeypatch)
+    assert few == many
+    assert many.throttles == 20
+
+
+def test_a_tenant_that_comes_back_has_a_full_bank_as_a_new_one() -> None:
+    harness = PolicyHarness(settings(tenants=make_tenants(3)))
+    for i in range(60):  # t1 empties part of its bank, then only t0 sends
+        tenant = "t1" if i < 10 else "t0"
+        harness.give(arrival(i, harness.now, tenant=tenant))
+        harness.finish(f"r{i}")
+        harness.now += FEEDBACK_NS
+    throttles = harness.balancer.throttles
+    assert set(throttles) == {"t0"}
+
+    returned = throttles["t1"]
+
+    assert returned.counter == returned.bank_capacity + returned.buffer_capacity
+    assert returned.rate == harness.balancer.rate_controller.rate_of_idle_tenant(returned.weight)
+
+
+def test_an_unknown_tenant_passes_for_the_first() -> None:
+    throttles = PolicyHarness(settings(tenants=make_tenants(3))).balancer.throttles
+    assert throttles["nobody"] is throttles["t0"]
+
+
+def test_a_tenant_with_a_buffered_request_or_a_token_due_is_not_forgotten() -> None:
+    harness = PolicyHarness(settings(tenants=make_tenants(2)))
+    throttle = harness.balancer.throttles["t1"]
+    throttle.set_rate(0.5, harness.now)
+    throttle.counter = throttle.buffer_capacity
+    harness.give(arrival("buffered", harness.now, tenant="t1"))
+    assert throttle.buffer
+
+    harness.balancer.throttles.forget_idle(harness.now)
+
+    assert harness.balancer.throttles["t1"] is throttle
