--- a/loadbalancer/policy/attempt_results.py
+++ b/loadbalancer/policy/attempt_results.py
@@ -1,14 +1,14 @@
-"""What the end of an attempt says of its endpoint, of the rate and of the concurrency limit.
-
-Types of the interface: loadbalancer/messages.py.
-"""
+"""What is learned from the end of an attempt (interface types: loadbalancer/messages.py)."""
 
 from __future__ import annotations
 
+from collections.abc import Iterable
+
 from loadbalancer.messages import AttemptEnded, AttemptResult
-from loadbalancer.policy.concurrency_limit import LIMIT_MAX, ConcurrencyLimit
+from loadbalancer.policy.concurrency_limit import ConcurrencyLimit
 from loadbalancer.policy.outlier_detection import EJECTION_NS, OutlierDetection
 from loadbalancer.policy.rate_control import RateController
+from loadbalancer.state.endpoint_state import EndpointState
 from loadbalancer.state.request import Attempt, Request
 
 NO_EVIDENCE = (AttemptResult.CANCELLED, AttemptResult.NOT_SENT)  # they say nothing of the connection
@@ -26,6 +26,7 @@
         shortest_objective_ns: int,
     ) -> None:
         self.outlier_detection, self.concurrency_limit = outliers, limit
+        self.latency_model = limit.latency_model
         self.rate_controller = rate_controller
         self.shortest_objective_ns = shortest_objective_ns
 
@@ -45,7 +46,7 @@
                     self._record_timeout(request, attempt, event.elapsed_ns, now)
             case AttemptResult.REJECTED:
                 self.rate_controller.failures[state.id] += 1
-                self.outlier_detection.eject(state, now, self.ejection_base_ns(attempt))
+                self.outlier_detection.eject(state, now, self._ejection_base_ns(attempt))
             case AttemptResult.CONNECT_FAILED:
                 self.rate_controller.failures[state.id] += 1
                 self.outlier_detection.eject(state, now, EJECTION_NS)
@@ -60,9 +61,8 @@
         state = attempt.endpoint_state
         state.last_answered_ns = max(state.last_answered_ns, attempt.sent_ns)
         if not request.stalled:
-            self.concurrency_limit.record_success(request, attempt, elapsed_ns)
-        if state.in_subset:
-            self.concurrency_limit.completions[min(state.in_flight, LIMIT_MAX + 1)] += 1
+            self.latency_model.record_success(request, attempt, elapsed_ns)
+        self.concurrency_limit.record_completion(state)
         if now <= request.objective_ns:
             self.rate_controller.successes += 1
         else:
@@ -73,16 +73,39 @@
     def _record_timeout(self, request: Request, attempt: Attempt, elapsed_ns: int, now: int) -> None:
         self._record_late(request, attempt.endpoint_state.id)
         # It would have taken longer: what is cut off must not flatten the slope.
-        expected_ns = self.concurrency_limit.latency_at(attempt.load)
-        self.concurrency_limit.record_latency(attempt, max(CUT_OFF_FACTOR * elapsed_ns, expected_ns))
-        self.outlier_detection.eject(attempt.endpoint_state, now, self.ejection_base_ns(attempt))
+        expected_ns = self.latency_model.latency_at(attempt.load)
+        self.latency_model.record_latency(attempt.load, max(CUT_OFF_FACTOR * elapsed_ns, expected_ns))
+        self.outlier_detection.eject(attempt.endpoint_state, now, self._ejection_base_ns(attempt))
 
     def _record_late(self, request: Request, endpoint_id: int) -> None:
         """Note a late end: the interval has begun, but the end counts only if its endpoint is to blame."""
         failures = self.rate_controller.failures
         failures[endpoint_id] += 0 if request.delayed_by_throttle else 1
 
-    def ejection_base_ns(self, attempt: Attempt) -> float:
+    def record_overdue(self, attempt: Attempt, now: int) -> None:
+        """Eject the endpoint of an attempt that is out longer than it should take."""
+        state = attempt.endpoint_state
+        self.outlier_detection.eject(state, now, self._ejection_base_ns(attempt))
+        if state.last_answered_ns > attempt.sent_ns:
+            # It answers what came later: this answer is lost, and keeps no place until its client gives up.
+            self.concurrency_limit.record_occupancy(state, now)
+            attempt.overdue = True
+            state.mark_overdue()
+
+    def exclude_stalled(self, requests: Iterable[Request], states: Iterable[EndpointState], now: int) -> None:
+        """Learn nothing from what was open while this proxy stood still: it ends late for that alone.
+
+        Guards against a process that is stopped for a while (a spent share of the processor, a paused or
+        swapping machine) taking its own delay for endpoints that stand still: it would eject them, think
+        them slow, reject what comes next and cut the rate. Harm: an endpoint that stood still in the same
+        moment is found out one attempt later.
+        """
+        for request in requests:
+            request.stalled = request.delayed_by_throttle = True
+        for state in states:
+            state.in_flight_since_ns = now  # nor did endpoints hold them for so long without finishing
+
+    def _ejection_base_ns(self, attempt: Attempt) -> float:
         """Return how long to leave an endpoint alone that did not finish an attempt in time.
 
         Guards against one hopelessly heavy request taking its endpoint from all others for as long as it
--- a/loadbalancer/policy/balancer.py
+++ b/loadbalancer/policy/balancer.py
@@ -9,22 +9,23 @@
 from loadbalancer.policy.attempt_results import AttemptResults
 from loadbalancer.policy.concurrency_limit import ConcurrencyLimit
 from loadbalancer.policy.discovery_retry import DiscoveryRetry
+from loadbalancer.policy.latency_model import LatencyModel
 from loadbalancer.policy.load_probing import LoadProbing, probing_is_cheap
-from loadbalancer.policy.load_reports import estimated_load, has_fresh_load, is_loaded
+from loadbalancer.policy.load_reports import estimated_load, is_loaded
 from loadbalancer.policy.outlier_detection import OutlierDetection
 from loadbalancer.policy.rate_control import FEEDBACK_NS
 from loadbalancer.policy.request import may_forward, may_have_run, may_reject
 from loadbalancer.policy.selection import Selection
 from loadbalancer.policy.slow_start import SlowStart
 from loadbalancer.policy.subsetting import choose_subset
-from loadbalancer.policy.tenant_throttles import TenantThrottles
-from loadbalancer.policy.throttle import Throttle
+from loadbalancer.policy.throttle import Admission, Throttle
 from loadbalancer.settings import Idempotency, RequestClass, Settings
 from loadbalancer.state.endpoint_pool import EndpointPool
 from loadbalancer.state.endpoint_state import EndpointState
 from loadbalancer.state.endpoint_updates import EndpointUpdates
 from loadbalancer.state.fleet import Fleet
-from loadbalancer.state.request import Attempt, QueuePlace, Request
+from loadbalancer.state.request import Attempt, QueuePlace, Request, RequestTable
+from loadbalancer.state.tenant_throttles import TenantThrottles
 from loadbalancer.state.timer_queue import (
     AttemptOverdue,
     GiveUp,
@@ -51,21 +52,22 @@
         self.shortest_objective_ns = min(objectives)
         self.throttles = TenantThrottles(settings, self.rng, now, self.shortest_objective_ns)
         self.rate_controller = self.throttles.rate_controller
-        self.concurrency_limit = limit = ConcurrencyLimit()
+        self.latency_model = LatencyModel()
+        self.concurrency_limit = limit = ConcurrencyLimit(self.latency_model)
         # Until something is seen to finish, as long as the slowest class is expected to take.
-        limit.service_interval_ns = max(objectives) / 8
+        self.latency_model.service_interval_ns = max(objectives) / 8
         self.timers = TimerQueue()
         self.fleet = Fleet(settings)
         probes_load = probing_is_cheap(settings)
         self.endpoint_updates = EndpointUpdates(settings, self.fleet, choose_subset, probes_load)
         self.outlier_detection = OutlierDetection(self.fleet, self.timers, self.rng)
-        self.slow_start = SlowStart(settings, self.fleet, self.timers, limit)
+        self.slow_start = SlowStart(settings, self.fleet, self.timers, self.latency_model)
         self.selection = Selection(self.endpoint_updates, self.slow_start, limit, self.rng)
         self.load_probing = LoadProbing(probes_load, self.selection, self.timers)
         self.attempt_results = AttemptResults(
             self.outlier_detection, limit, self.rate_controller, self.shortest_objective_ns
         )
-        self.requests: dict[str, Request] = {}
+        self.requests = RequestTable()
         self.actions: list[messages.Action] = []
         self.feedback_ns = now
         self.discovery_retry = DiscoveryRetry(settings, self.rng)
@@ -77,7 +79,7 @@
         self.actions = []
         self.throttles.now = now
         if self.timers.lateness_ns(now) > STALL_NS:
-            self._exclude_stalled_samples(now)
+            self.attempt_results.exclude_stalled(self.requests.values(), self.fleet.endpoints.values(), now)
         for event in events:
             self._on_event(event, now)
         for timer in self.timers.pop_due(now):
@@ -125,19 +127,6 @@
                 if self.discovery_retry.start_call(now):
                     self.actions.append(messages.WatchEndpoints(True))
 
-    def _exclude_stalled_samples(self, now: int) -> None:
-        """Leave out what was open while this proxy stood still: it ends late for that alone.
-
-        Guards against a process that is stopped for a while (a spent share of the processor, a paused or
-        swapping machine) taking its own delay for endpoints that stand still: it would eject them, think
-        them slow, reject what comes next and cut the rate. Harm: an endpoint that stood still in the same
-        moment is found out one attempt later.
-        """
-        for request in self.requests.values():
-            request.stalled = request.delayed_by_throttle = True
-        for state in self.fleet.endpoints.values():
-            state.in_flight_since_ns = now  # nor did endpoints hold them for so long without finishing
-
     def _on_request(self, event: messages.RequestArrived, now: int) -> None:
         if event.request_id in self.requests:
             return  # an id is never reused: the first one stands
@@ -147,11 +136,13 @@
         # Whatever comes, a request that waits is looked at then.
         self.timers.schedule(request.give_up_ns, GiveUp(request))
         self.rate_controller.on_arrival(now)
-        # Marked retries take spare tokens only: they must not starve fresh work.
-        answer = throttle.take_retry_token(now) if event.is_retry else throttle.admit(request, now)
-        if answer is False:
+        if event.is_retry:  # marked retries take spare tokens only: they must not starve fresh work
+            admission = Admission.FORWARD if throttle.take_retry_token(now) else Admission.REJECT
+        else:
+            admission = throttle.admit(request, now)
+        if admission is Admission.REJECT:
             self._reject(request)
-        elif answer is None:
+        elif admission is Admission.BUFFER:
             request.place = QueuePlace.THROTTLE_BUFFER
             self._release_buffered(throttle, now)
         else:
@@ -161,20 +152,12 @@
         request_class = self.settings.request_classes.get(event.class_name)
         if request_class is None:
             request_class = RequestClass(event.class_name, Idempotency.NON_IDEMPOTENT)
-        objective_ns = min(now + request_class.latency_objective_ns, event.deadline_ns)
-        pool = self.fleet.pool(request_class)
-        request = Request(
-            event.request_id,
-            request_class,
-            pool,
-            throttle,
-            event.deadline_ns,
-            objective_ns,
-            event.cost_hint_ns,
-        )
-        needed_ns = self.concurrency_limit.expected_ns(request) * (1 + self.concurrency_limit.deviation)
+        pool, deadline_ns, hint_ns = self.fleet.pool(request_class), event.deadline_ns, event.cost_hint_ns
+        objective_ns = min(now + request_class.latency_objective_ns, deadline_ns)
+        request = Request(event.request_id, request_class, pool, throttle, deadline_ns, objective_ns, hint_ns)
+        needed_ns = self.latency_model.expected_ns(request) * (1 + self.latency_model.deviation)
         latest_start_ns = objective_ns - int(needed_ns)
-        request.give_up_ns = max(latest_start_ns, now + (request.deadline_ns - now) // 4)
+        request.give_up_ns = max(latest_start_ns, now + (deadline_ns - now) // 4)
         return request
 
     def _release_buffered(self, throttle: Throttle, now: int) -> None:
@@ -220,7 +203,7 @@
                 pool.blocked_since_ns = pool.blocked_since_ns or now
                 if not self.concurrency_limit.increase(now):
                     break
-            elif state is None or self._would_answer_late(request, state, now):
+            elif state is None or self.selection.would_answer_late(request, state, now):
                 # All that it may go to are busy, or would answer late: it must not stop the queue.
                 self._reject_for_capacity(request)
             else:
@@ -233,57 +216,40 @@
         if not pool.queue:
             pool.blocked_since_ns = 0
 
-    def _would_answer_late(self, request: Request, state: EndpointState, now: int) -> bool:
-        """Tell whether an endpoint that reports a load would answer too late; an idle one never does."""
-        if state.reported_load < 1 or not has_fresh_load(state, now):
-            return False
-        latency_ns = self.concurrency_limit.latency_at(state.reported_load + 1.5) * state.relative_latency
-        return latency_ns > request.objective_ns - now
-
     def _forward(self, request: Request, state: EndpointState, now: int) -> None:
-        limit, request_class = self.concurrency_limit, request.request_class
-        limit.record_occupancy(state, now)
-        state.in_flight += 1
-        if state.reported_ns > 0:
-            state.reported_load += 1
-        expected_ns = max(1.0, limit.expected_ns(request) * state.relative_latency)
+        latency, request_class = self.latency_model, request.request_class
+        self.concurrency_limit.record_occupancy(state, now)
+        state.add_attempt()
+        expected_ns = max(1.0, latency.expected_ns(request) * state.relative_latency)
         request.attempts.append(Attempt(state, now, expected_ns, max(1.0, estimated_load(state, now))))
         if self.slow_start.is_warming_up(state, now):
             # The budget is in requests of mean cost: a costly one takes the place of several.
-            self.slow_start.pace(state, now, max(1.0, limit.expected_ns(request) / limit.mean_ns))
+            self.slow_start.pace(state, now, max(1.0, latency.expected_ns(request) / latency.mean_ns))
         timeout_ns = 0
         if not request_class.late_weight_factor and not request_class.stream:
             # A late answer is worth nothing: the attempt ends then, and leaves its place to another.
             timeout_ns = max(1, request.objective_ns - now)
         self.actions.append(messages.Forward(request.id, state.id, timeout_ns))
-        overdue_ns = now + int(expected_ns * (1.3 + 3 * limit.deviation))
+        overdue_ns = now + int(expected_ns * (1.3 + 3 * latency.deviation))
         self.timers.schedule(overdue_ns, AttemptOverdue(request, len(request.attempts) - 1))
 
     def _on_attempt_ended(self, event: messages.AttemptEnded, now: int) -> None:
-        state = self.fleet.endpoints.get(event.endpoint_id)
-        request = self.requests.get(event.request_id)
-        if request is None or state is None or not 0 <= event.attempt < len(request.attempts):
-            return  # long over, or never sent: nothing is counted
-        attempt = request.attempts[event.attempt]
-        if attempt.result is not None or attempt.endpoint_state is not state:
-            return
+        attempt = self.requests.attempt_that_ended(event)
+        if attempt is None:
+            return  # nothing is counted
+        request, state = self.requests[event.request_id], attempt.endpoint_state
         attempt.result = event.result
         attempt.may_have_run = may_have_run(event.result, self.settings.rules)
         self.concurrency_limit.record_occupancy(state, now)
         if event.load_report and "inflight" in event.load_report:
             state.record_load(event.load_report["inflight"] + 1, now)  # this one leaves it below
         self.attempt_results.record(request, attempt, event, now)
-        if attempt.overdue:
-            state.overdue -= 1
-        else:
-            state.in_flight -= 1
-        state.reported_load = max(0.0, state.reported_load - 1)
+        state.remove_attempt(attempt.overdue)
         if event.request_complete:
             self._finish(request)
         elif not request.finished and not request.attempts_in_flight and not request.streaming:
             self._retry_or_reject(request, now)
-        if request.finished and not request.attempts_in_flight:
-            self.requests.pop(request.id, None)
+        self.requests.drop_if_over(request)
 
     def _retry_or_reject(self, request: Request, now: int) -> None:
         """Nothing is in flight and nothing was served: another attempt, or the final answer."""
@@ -301,14 +267,8 @@
         """Deal with an attempt that is out longer than its endpoint should take: it may stand still."""
         if attempt.result is not None or request.stalled:  # it may have been answered long ago, unheard
             return
-        state, limits = attempt.endpoint_state, self.settings.limits
-        self.outlier_detection.eject(state, now, self.attempt_results.ejection_base_ns(attempt))
-        if state.last_answered_ns > attempt.sent_ns:
-            # It answers what came later: this answer is lost, and keeps no place until its client gives up.
-            self.concurrency_limit.record_occupancy(state, now)
-            attempt.overdue = True
-            state.in_flight -= 1
-            state.overdue += 1
+        self.attempt_results.record_overdue(attempt, now)
+        limits = self.settings.limits
         # Where a cancel stops nothing, the first attempt runs on and a hedged request only adds to the load.
         if request.pool.queue or now + attempt.expected_ns > request.objective_ns or not limits.cancellation:
             return
@@ -342,18 +302,13 @@
         self._finish(request)
 
     def _finish(self, request: Request) -> None:
-        if request.place is QueuePlace.THROTTLE_BUFFER:
-            request.throttle.remove_buffered(request)
-        elif request.place is QueuePlace.POOL_QUEUE:
-            request.pool.queue.remove(request)
-        request.place = QueuePlace.NOT_WAITING
+        request.leave_queue()
         request.finished = True
         if self.settings.limits.cancellation:
             for number, attempt in enumerate(request.attempts):
                 if attempt.result is None:
                     self.actions.append(messages.CancelAttempt(request.id, number))
-        if not request.attempts_in_flight:
-            self.requests.pop(request.id, None)
+        self.requests.drop_if_over(request)
 
     def _on_endpoint_update(self, event: messages.EndpointUpdate, now: int) -> None:
         if event.kind in (messages.EndpointUpdateKind.FAILED, messages.EndpointUpdateKind.WATCH_TIMED_OUT):
--- a/loadbalancer/policy/discovery_retry.py
+++ b/loadbalancer/policy/discovery_retry.py
@@ -1,7 +1,4 @@
-"""When discovery is polled again after a call that failed or a watch that ended.
-
-Types of the interface: loadbalancer/messages.py.
-"""
+"""When discovery is polled again after a failure (interface types: loadbalancer/messages.py)."""
 
 from __future__ import annotations
 
--- a/loadbalancer/policy/load_probing.py
+++ b/loadbalancer/policy/load_probing.py
@@ -1,7 +1,4 @@
-"""Load probing: where proxies are many, the endpoints drawn are asked for their load before a send.
-
-Types of the interface: loadbalancer/messages.py.
-"""
+"""Load probing before a send, where proxies are many (interface types: loadbalancer/messages.py)."""
 
 from __future__ import annotations
 
--- a/loadbalancer/policy/request.py
+++ b/loadbalancer/policy/request.py
@@ -1,7 +1,4 @@
-"""Which further attempt or rejection of a request is legal (rules 1 to 3, placement).
-
-Types of the interface: loadbalancer/messages.py.
-"""
+"""Which further attempt or rejection is legal, rules 1 to 3 (types: loadbalancer/messages.py)."""
 
 from __future__ import annotations
 
--- a/loadbalancer/policy/selection.py
+++ b/loadbalancer/policy/selection.py
@@ -1,7 +1,4 @@
-"""Which endpoint the next attempt goes to: power of two choices, plus the last choice.
-
-Types of the interface: loadbalancer/messages.py.
-"""
+"""Endpoint selection: power of two choices, plus the last choice (types: loadbalancer/messages.py)."""
 
 from __future__ import annotations
 
@@ -10,7 +7,7 @@
 
 from loadbalancer.messages import EndpointStatus
 from loadbalancer.policy.concurrency_limit import ConcurrencyLimit
-from loadbalancer.policy.load_reports import estimated_load
+from loadbalancer.policy.load_reports import estimated_load, has_fresh_load
 from loadbalancer.policy.request import same_deduplication_group
 from loadbalancer.policy.slow_start import SlowStart
 from loadbalancer.settings import DeduplicationScope, Idempotency
@@ -82,6 +79,13 @@
         pool.last_choice = choice
         return choice
 
+    def would_answer_late(self, request: Request, state: EndpointState, now: int) -> bool:
+        """Tell whether an endpoint that reports a load would answer too late; an idle one never does."""
+        if state.reported_load < 1 or not has_fresh_load(state, now):
+            return False
+        latency_ns = self.concurrency_limit.latency_model.latency_at(state.reported_load + 1.5)
+        return latency_ns * state.relative_latency > request.objective_ns - now
+
     def retry_candidates(self, request: Request, now: int) -> list[EndpointState] | None:
         """Return where a request that may have run may go again; None: anywhere."""
         request_class = request.request_class
--- a/loadbalancer/policy/slow_start.py
+++ b/loadbalancer/policy/slow_start.py
@@ -1,11 +1,8 @@
-"""Slow start: how much an endpoint that has just started is sent (rule 4).
-
-Types of the interface: loadbalancer/messages.py.
-"""
+"""Slow start: pacing of endpoints that warm up, rule 4 (types: loadbalancer/messages.py)."""
 
 from __future__ import annotations
 
-from loadbalancer.policy.concurrency_limit import ConcurrencyLimit
+from loadbalancer.policy.latency_model import LatencyModel
 from loadbalancer.settings import Settings
 from loadbalancer.state.endpoint_state import EndpointState
 from loadbalancer.state.fleet import Fleet
@@ -19,9 +16,9 @@
 class SlowStart:
     """Paces what endpoints that are warming up are sent."""
 
-    def __init__(self, settings: Settings, fleet: Fleet, timers: TimerQueue, limit: ConcurrencyLimit) -> None:
+    def __init__(self, settings: Settings, fleet: Fleet, timers: TimerQueue, latency: LatencyModel) -> None:
         self.rules, self.proxy_count = settings.rules, settings.proxy_count
-        self.fleet, self.timers, self.concurrency_limit = fleet, timers, limit
+        self.fleet, self.timers, self.latency_model = fleet, timers, latency
         self.sustained_throughput = 0.0  # own attempts a second that a warm endpoint is seen to carry
 
     def is_warming_up(self, state: EndpointState, now: int) -> bool:
@@ -43,7 +40,7 @@
         pools = self.fleet.pools.values()
         sharers = sum(pool.proxies_sharing for pool in pools if pool.admits(state.endpoint))
         sharers = max(1.0, min(self.proxy_count, sharers))
-        finished = SECOND / self.concurrency_limit.service_interval_ns / sharers
+        finished = SECOND / self.latency_model.service_interval_ns / sharers
         throughput = max(self.sustained_throughput, finished)
         return int(SECOND / (BUDGET_PART * rules.overload_factor * capacity * throughput))
 
--- a/loadbalancer/state/endpoint_state.py
+++ b/loadbalancer/state/endpoint_state.py
@@ -37,3 +37,22 @@
         if load is not None and 0 <= load < LOAD_MAX:
             self.reported_load = load
             self.reported_ns = now
+
+    def add_attempt(self) -> None:
+        """Count an attempt that is sent to it, in its reported load too."""
+        self.in_flight += 1
+        if self.reported_ns > 0:
+            self.reported_load += 1
+
+    def mark_overdue(self) -> None:
+        """Count one of its attempts as overdue from now on."""
+        self.in_flight -= 1
+        self.overdue += 1
+
+    def remove_attempt(self, overdue: bool) -> None:
+        """Count an attempt that has ended no longer."""
+        if overdue:
+            self.overdue -= 1
+        else:
+            self.in_flight -= 1
+        self.reported_load = max(0.0, self.reported_load - 1)
--- a/loadbalancer/state/request.py
+++ b/loadbalancer/state/request.py
@@ -6,7 +6,7 @@
 from enum import Enum
 from typing import TYPE_CHECKING
 
-from loadbalancer.messages import AttemptResult
+from loadbalancer.messages import AttemptEnded, AttemptResult
 from loadbalancer.settings import RequestClass
 
 if TYPE_CHECKING:
@@ -57,7 +57,34 @@
     probed_endpoints: list[EndpointState] = field(default_factory=list)  # asked for their load on its behalf
     probed_ns: int = 0
 
+    def leave_queue(self) -> None:
+        """Wait no longer, wherever it waits."""
+        if self.place is QueuePlace.THROTTLE_BUFFER:
+            self.throttle.remove_buffered(self)
+        elif self.place is QueuePlace.POOL_QUEUE:
+            self.pool.queue.remove(self)
+        self.place = QueuePlace.NOT_WAITING
+
     @property
     def attempts_in_flight(self) -> int:
         """How many of its attempts have not ended."""
         return sum(attempt.result is None for attempt in self.attempts)
+
+
+class RequestTable(dict[str, Request]):
+    """The requests, by id, that have no final answer yet or still have an attempt in flight."""
+
+    def attempt_that_ended(self, event: AttemptEnded) -> Attempt | None:
+        """Return the attempt of an event; None where it was never made, is long over or ended before."""
+        request = self.get(event.request_id)
+        if request is None or not 0 <= event.attempt < len(request.attempts):
+            return None
+        attempt = request.attempts[event.attempt]
+        if attempt.result is not None or attempt.endpoint_state.id != event.endpoint_id:
+            return None
+        return attempt
+
+    def drop_if_over(self, request: Request) -> None:
+        """Forget a request that has its final answer and no attempt in flight."""
+        if request.finished and not request.attempts_in_flight:
+            self.pop(request.id, None)
