--- a/tests/policy/test_rules.py
+++ b/tests/policy/test_rules.py
@@ -28,12 +28,11 @@
     WatchEndpoints,
 )
 from loadbalancer.policy.balancer import Balancer
-from loadbalancer.policy.endpoint_state import EndpointState
-from loadbalancer.policy.endpoints import DRAWS, Fleet
 from loadbalancer.policy.rate_control import RateController
-from loadbalancer.policy.request import Attempt
+from loadbalancer.policy.selection import DRAWS, Selection
 from loadbalancer.policy.throttle import Throttle
 from loadbalancer.settings import Idempotency, Limits, Prices, RequestClass, Rules, Settings, WeightSource
+from loadbalancer.state.endpoint_state import EndpointState
 from tests.support.policy_harness import (
     ANY,
     BIG,
@@ -310,14 +309,15 @@
 def struck(breaks: dict[int, int]) -> set[int]:
     """Which upstreams are ejected when, after 20 good answers each, so many connections break in a row?"""
     desk = PolicyHarness(servers=4)
-    fleet = desk.balancer.fleet
-    for server in fleet.endpoints.values():
+    endpoints = desk.balancer.fleet.endpoints
+    outlier_detection = desk.balancer.outlier_detection
+    for server in endpoints.values():
         for _ in range(20):
-            fleet.record_attempt_end(server, False)
+            outlier_detection.record_attempt_end(server, False)
     return {
         number
         for number, count in breaks.items()
-        if [fleet.record_attempt_end(fleet.endpoints[number], True) for _ in range(count)][-1]
+        if [outlier_detection.record_attempt_end(endpoints[number], True) for _ in range(count)][-1]
     }
 
 
@@ -394,7 +394,7 @@
         desk.give(arrival(i, desk.now))
         desk.now += 100 * MS
         desk.finish(f"r{i}")
-    assert abs(desk.balancer.concurrency_limit.per_request_ns - 100 * MS) < 10 * MS
+    assert abs(desk.balancer.latency_model.per_request_ns - 100 * MS) < 10 * MS
 
 
 def test_a_tenant_over_its_share_is_found_out() -> None:
@@ -633,13 +633,12 @@
 
 def test_a_request_that_waits_on_others_is_not_taken_for_a_crowd() -> None:
     # Guards against refusing on a quiet day: time spent beside the queue was laid on the requests held.
-    crowding = Balancer(settings(), 1, START).concurrency_limit
-    server = EndpointState(1, upstreams(1)[0])
+    latency_model = Balancer(settings(), 1, START).latency_model
     for i in range(200):
         held = 1.0 + i % 4
-        crowding.record_latency(Attempt(server, 0, 1.0, held), 300 * MS + 50 * MS * held)
-    assert crowding.per_request_ns < 120 * MS
-    assert crowding.base_ns > 150 * MS
+        latency_model.record_latency(held, 300 * MS + 50 * MS * held)
+    assert latency_model.per_request_ns < 120 * MS
+    assert latency_model.base_ns > 150 * MS
 
 
 def test_a_crowded_small_subset_lowers_the_rate() -> None:
@@ -737,26 +736,24 @@
     desk = PolicyHarness(servers=10)
     desk.give(arrival("warm", desk.now))
     desk.balancer.concurrency_limit.limit = 5  # all are fit
-    fleet, looked = desk.balancer.fleet, 0
-    fits = type(fleet).is_available
+    selection, pool, looked = desk.balancer.selection, desk.balancer.fleet.default_pool, 0
+    fits = Selection.is_available
 
-    def fit(self: Fleet, server: EndpointState, now: int) -> bool:
+    def fit(self: Selection, server: EndpointState, now: int) -> bool:
         nonlocal looked
         looked += 1
         return fits(self, server, now)
 
-    monkeypatch.setattr(Fleet, "is_available", fit)
+    monkeypatch.setattr(Selection, "is_available", fit)
     for _ in range(20):
         looked = 0
-        drawn = fleet.draw(fleet.default_pool, DRAWS, desk.now + SECOND)
+        drawn = selection.draw(pool, DRAWS, desk.now + SECOND)
         assert len(drawn) >= DRAWS
-        assert all(fits(fleet, s, desk.now + SECOND) for s in drawn)
+        assert all(fits(selection, s, desk.now + SECOND) for s in drawn)
         assert looked <= DRAWS + 1  # with the previous winner
-    for server in fleet.default_pool.endpoints[1:]:
+    for server in pool.endpoints[1:]:
         server.ejected_until_ns = desk.now + 2 * SECOND
-    assert set(fleet.draw(fleet.default_pool, DRAWS, desk.now + SECOND)) <= set(
-        fleet.default_pool.endpoints[:1]
-    )
+    assert set(selection.draw(pool, DRAWS, desk.now + SECOND)) <= set(pool.endpoints[:1])
 
 
 def test_a_single_proxy_uses_all_zones() -> None:
--- a/tests/proxy/test_faults.py
+++ b/tests/proxy/test_faults.py
@@ -87,7 +87,7 @@
             broken = got.first.startswith("GET /stats") and looks % 2 == 1
             await (breaks if broken else answers(200, b'{"inflight":0}'))(got, writer)
 
-        monkeypatch.setattr("loadbalancer.policy.balancer.LOOK_NS", 4 * SECOND)
+        monkeypatch.setattr("loadbalancer.policy.load_probing.PROBE_TIMEOUT_NS", 4 * SECOND)
         monkeypatch.setattr("loadbalancer.proxy.proxy.PROBE_TIMEOUT_S", 4.0)
         upstream = await FakeUpstream(answer).start()
         async with node(Balancer(settings(health_checks=True), 1, time.monotonic_ns()), upstream) as client:
@@ -129,14 +129,14 @@
             for c in clients:
                 await c.send(request(deadline_ms=500))
             await until(lambda: sum(len(u.got) for u in upstreams) == UPSTREAMS)
-            each = balancer.concurrency_limit.per_request_ns
+            each = balancer.latency_model.per_request_ns
             time.sleep(0.7)  # the whole loop stands still
             for c in clients:
                 assert (await c.read()).status in (503, 504)
                 c.close()
             assert ejected(balancer) == 0
             assert not sum(balancer.rate_controller.failures.values())
-            assert balancer.concurrency_limit.per_request_ns == each
+            assert balancer.latency_model.per_request_ns == each
 
     run(test())
 
