--- a/tests/policy/test_rate_control.py
+++ b/tests/policy/test_rate_control.py
@@ -23,7 +23,7 @@
 from loadbalancer.policy.rate_control import FEEDBACK_NS, RateController
 from loadbalancer.policy.throttle import Throttle
 from loadbalancer.settings import Limits, Settings, Tenant
-from tests.support.policy_harness import MS, SECOND, START, PolicyHarness, arrival, settings, upstreams
+from tests.support.policy_harness import MS, SECOND, START, PolicyHarness, arrival, make_endpoints, settings
 
 DRAW_WIDTH = 8  # endpoints that the proxy draws from
 
@@ -61,7 +61,7 @@
 
 
 def test_the_time_before_the_first_request_is_no_part_of_the_attempt_rate() -> None:
-    harness = PolicyHarness(settings(tenants={"ash": Tenant("ash")}), servers=1)
+    harness = PolicyHarness(settings(tenants={"ash": Tenant("ash")}), endpoint_count=1)
     controller = harness.balancer.rate_controller
     harness.advance(SECOND)  # started and listed, but without clients yet
 
@@ -95,7 +95,7 @@
 def listed_balancer(config: Settings) -> Balancer:
     """Return a balancer that has been given six endpoints."""
     balancer = Balancer(config, 1, START)
-    balancer.handle(START, [EndpointUpdate(EndpointUpdateKind.FULL, upstreams(6))])
+    balancer.handle(START, [EndpointUpdate(EndpointUpdateKind.FULL, make_endpoints(6))])
     return balancer
 
 
--- a/tests/policy/test_rules.py
+++ b/tests/policy/test_rules.py
@@ -44,27 +44,28 @@
     SECOND,
     START,
     PolicyHarness,
+    actions_of_type,
     arrival,
-    mixed_fleet,
-    of,
+    make_endpoints,
+    make_mixed_endpoints,
     settings,
-    upstreams,
 )
+from tests.support.rule_checker import FinalAnswer
 
 
 def test_served_request_needs_nothing_more() -> None:
     desk = PolicyHarness()
-    assert len(of(Forward, desk.give(arrival(1, desk.now)))) == 1
-    assert not of(Fail, desk.finish("r1"))
-    assert desk.answer["r1"] == "served"
+    assert len(actions_of_type(Forward, desk.give(arrival(1, desk.now)))) == 1
+    assert not actions_of_type(Fail, desk.finish("r1"))
+    assert desk.answers["r1"] is FinalAnswer.SERVED
 
 
 @pytest.mark.parametrize("cls", [READ, PAY, CELL, ANY])
 def test_no_server_known_is_refused_in_time(cls: RequestClass) -> None:
-    desk = PolicyHarness(servers=0)
+    desk = PolicyHarness(endpoint_count=0)
     desk.give(EndpointUpdate(EndpointUpdateKind.CACHED), arrival(1, desk.now, cls))
     desk.advance(600 * MS)
-    assert desk.answer["r1"] == "refused"
+    assert desk.answers["r1"] is FinalAnswer.REJECTED
 
 
 def test_all_draining_is_refused_in_time() -> None:
@@ -72,21 +73,21 @@
     desk.give(
         EndpointUpdate(
             EndpointUpdateKind.DELTA,
-            [u._replace(status=EndpointStatus.DRAINING) for u in upstreams(6)],
+            [u._replace(status=EndpointStatus.DRAINING) for u in make_endpoints(6)],
         )
     )
     desk.give(arrival(1, desk.now, PAY))
     desk.advance(600 * MS)
-    assert desk.answer["r1"] == "refused"
-    assert "r1" not in desk.sends
+    assert desk.answers["r1"] is FinalAnswer.REJECTED
+    assert "r1" not in desk.attempts
 
 
 def test_timeout_at_the_deadline_of_an_unsafe_request_is_failed() -> None:
     desk = PolicyHarness()
     desk.give(arrival(1, desk.now, PAY))
     desk.advance(600 * MS)
-    assert desk.answer["r1"] == "failed"
-    assert len(desk.sends["r1"]) == 1
+    assert desk.answers["r1"] is FinalAnswer.FAILED
+    assert len(desk.attempts["r1"]) == 1
 
 
 @pytest.mark.parametrize("result", [AttemptResult.REJECTED, AttemptResult.CONNECT_FAILED])
@@ -95,7 +96,7 @@
     desk.give(arrival(1, desk.now, PAY))
     desk.now += MS
     desk.finish("r1", result)
-    assert len(desk.sends["r1"]) == 2
+    assert len(desk.attempts["r1"]) == 2
 
 
 @pytest.mark.parametrize("result", [AttemptResult.ERROR, AttemptResult.RESET, AttemptResult.CANCELLED])
@@ -104,48 +105,50 @@
     desk.give(arrival(1, desk.now, PAY))
     desk.now += MS
     desk.finish("r1", result)
-    assert desk.answer["r1"] == "failed"
+    assert desk.answers["r1"] is FinalAnswer.FAILED
 
 
 @pytest.mark.parametrize("cls", [NEAR, BIG])
 def test_placement_binds_every_attempt(cls: RequestClass) -> None:
     # Guards against a class going where it may not, on retries too: the checker asserts it for each send.
-    desk = PolicyHarness(servers=0)
-    desk.give(EndpointUpdate(EndpointUpdateKind.CACHED, mixed_fleet(12)))
+    desk = PolicyHarness(endpoint_count=0)
+    desk.give(EndpointUpdate(EndpointUpdateKind.CACHED, make_mixed_endpoints(12)))
     for i in range(60):
         desk.give(arrival(i, desk.now, cls))
         desk.now += 5 * MS
-        for request, number in desk.out():
-            if request not in desk.answer:
-                desk.give(desk.result(request, number, (AttemptResult.REJECTED, AttemptResult.OK)[i % 2]))
-    assert len(desk.sends) > 20
+        for request, number in desk.attempts_in_flight():
+            if request not in desk.answers:
+                desk.give(
+                    desk.attempt_ended(request, number, (AttemptResult.REJECTED, AttemptResult.OK)[i % 2])
+                )
+    assert len(desk.attempts) > 20
 
 
 def test_placement_holds_when_its_upstreams_are_gone_and_does_not_stop_others() -> None:
-    desk = PolicyHarness(servers=0)
-    west = [u for u in mixed_fleet(12) if u.zone == "west"]
+    desk = PolicyHarness(endpoint_count=0)
+    west = [u for u in make_mixed_endpoints(12) if u.zone == "west"]
     desk.give(EndpointUpdate(EndpointUpdateKind.CACHED, west))
     desk.give(arrival("near", desk.now, NEAR), arrival("read", desk.now, READ))
-    assert "rread" in desk.sends
-    assert "rnear" not in desk.sends
+    assert "rread" in desk.attempts
+    assert "rnear" not in desk.attempts
     desk.advance(600 * MS)
-    assert desk.answer["rnear"] == "refused"
+    assert desk.answers["rnear"] is FinalAnswer.REJECTED
 
 
 @pytest.mark.parametrize(
     ("cls", "unproven", "answer"),
-    [(PAY, True, "failed"), (CELL, True, None), (PAY, False, None), (READ, True, None)],
+    [(PAY, True, FinalAnswer.FAILED), (CELL, True, None), (PAY, False, None), (READ, True, None)],
 )
 def test_full_is_proof_only_where_it_is_said_to_be(
-    cls: RequestClass, unproven: bool, answer: str | None
+    cls: RequestClass, unproven: bool, answer: FinalAnswer | None
 ) -> None:
     # Guards against a second effect where upstreams also drop what they had begun.
     desk = PolicyHarness(settings(rules=Rules(slow_start_ns=4 * SECOND, rejected_may_have_run=unproven)))
     desk.give(arrival(1, desk.now, cls))
     desk.now += MS
     desk.finish("r1", AttemptResult.REJECTED)
-    assert desk.answer.get("r1") == answer
-    assert len(desk.sends["r1"]) == (1 if answer else 2)
+    assert desk.answers.get("r1") == answer
+    assert len(desk.attempts["r1"]) == (1 if answer else 2)
 
 
 def test_attempts_are_capped() -> None:
@@ -153,24 +156,24 @@
     desk.give(arrival(1, desk.now, READ))
     for _ in range(3):
         desk.now += MS
-        if "r1" not in desk.answer:
+        if "r1" not in desk.answers:
             desk.finish("r1", AttemptResult.REJECTED)
     desk.advance(600 * MS)
-    assert desk.answer["r1"] == "refused"
-    assert len(desk.sends["r1"]) <= 3
+    assert desk.answers["r1"] is FinalAnswer.REJECTED
+    assert len(desk.attempts["r1"]) <= 3
 
 
 def test_an_exhausted_request_in_a_stalled_queue_is_answered() -> None:
-    desk = PolicyHarness(servers=1)
+    desk = PolicyHarness(endpoint_count=1)
     for i in range(30):
         desk.give(arrival(i, desk.now))
     desk.advance(700 * MS)
-    assert len(desk.answer) == 30
+    assert len(desk.answers) == 30
 
 
 def test_a_short_deadline_is_answered_though_the_queue_is_blocked() -> None:
     # Guards against a wake that comes a little early being taken for an old one: no timer was ever set again.
-    desk = PolicyHarness(servers=1)
+    desk = PolicyHarness(endpoint_count=1)
     desk.give(arrival(1, desk.now))
     for i in range(2, 40):
         desk.give(arrival(i, desk.now, wait_ns=3 * MS))
@@ -178,7 +181,7 @@
         desk.timers = [(at - 300, name) for at, name in early]
         desk.advance(30 * MS, step_ns=MS)
     desk.advance(SECOND)
-    assert len(desk.answer) == 39
+    assert len(desk.answers) == 39
 
 
 def test_drained_upstream_gets_nothing_new() -> None:
@@ -186,35 +189,35 @@
     desk.give(
         EndpointUpdate(
             EndpointUpdateKind.DELTA,
-            [u._replace(status=EndpointStatus.DRAINING) for u in upstreams(5)],
+            [u._replace(status=EndpointStatus.DRAINING) for u in make_endpoints(5)],
         )
     )
     for i in range(20):
         desk.give(arrival(i, desk.now))
         desk.advance(20 * MS)
-        for request, number in desk.out():
+        for request, number in desk.attempts_in_flight():
             desk.finish(request, number=number)
-    assert {u.id for sent in desk.sends.values() for u, _ in sent} == {6}
+    assert {u.id for sent in desk.attempts.values() for u, _ in sent} == {6}
 
 
 def test_missing_from_a_full_list_is_gone() -> None:
     desk = PolicyHarness()
-    desk.give(EndpointUpdate(EndpointUpdateKind.FULL, upstreams(1)))
+    desk.give(EndpointUpdate(EndpointUpdateKind.FULL, make_endpoints(1)))
     for i in range(5):
         desk.give(arrival(i, desk.now))
         desk.finish(f"r{i}")
-    assert {u.id for sent in desk.sends.values() for u, _ in sent} == {1}
+    assert {u.id for sent in desk.attempts.values() for u, _ in sent} == {1}
 
 
 def test_cold_upstreams_get_one_request_at_a_time() -> None:
-    desk = PolicyHarness(servers=0)
-    desk.give(EndpointUpdate(EndpointUpdateKind.CACHED, upstreams(4, started_ns=START - MS)))
+    desk = PolicyHarness(endpoint_count=0)
+    desk.give(EndpointUpdate(EndpointUpdateKind.CACHED, make_endpoints(4, started_ns=START - MS)))
     for i in range(40):
         desk.give(arrival(i, desk.now))
         desk.advance(5 * MS)
         held: dict[int, int] = {}
-        for request, number in desk.out():
-            upstream = desk.sends[request][number][0].id
+        for request, number in desk.attempts_in_flight():
+            upstream = desk.attempts[request][number][0].id
             held[upstream] = held.get(upstream, 0) + 1
         assert max(held.values(), default=0) <= 1
 
@@ -223,20 +226,22 @@
     # Guards against forty proxies that each send a cold upstream a little, and together push it over.
     sent = []
     for proxies in (1, 40):
-        desk = PolicyHarness(settings(proxy_count=proxies), servers=0)
-        desk.give(EndpointUpdate(EndpointUpdateKind.CACHED, upstreams(6, started_ns=START - MS)))
+        desk = PolicyHarness(settings(proxy_count=proxies), endpoint_count=0)
+        desk.give(EndpointUpdate(EndpointUpdateKind.CACHED, make_endpoints(6, started_ns=START - MS)))
         for i in range(100):
             desk.give(arrival(i, desk.now))
             desk.advance(5 * MS)
-            for request, number in desk.out():
+            for request, number in desk.attempts_in_flight():
                 desk.finish(request, number=number)
-        sent.append(sum(map(len, desk.sends.values())))
+        sent.append(sum(map(len, desk.attempts.values())))
     assert sent[1] < sent[0] / 2
 
 
 def probing(servers: int = 6) -> PolicyHarness:
     limits = Limits(max_attempts=3, health_checks=True, cancellation=True)
-    return PolicyHarness(settings(limits=limits, load_report_columns=("inflight", "queue")), servers=servers)
+    return PolicyHarness(
+        settings(limits=limits, load_report_columns=("inflight", "queue")), endpoint_count=servers
+    )
 
 
 def test_asks_the_drawn_upstreams_and_sends_to_the_lightest() -> None:
@@ -244,19 +249,19 @@
     desk = probing()
     asked = [a.endpoint_id for a in desk.give(arrival(1, desk.now)) if isinstance(a, CheckHealth)]
     assert asked
-    assert "r1" not in desk.sends
+    assert "r1" not in desk.attempts
     desk.now += MS
     desk.give(
         *(HealthCheckEnded(u, AttemptResult.OK, MS, {"inflight": float(i)}) for i, u in enumerate(asked))
     )
-    assert desk.sends["r1"][0][0].id == asked[0]
+    assert desk.attempts["r1"][0][0].id == asked[0]
 
 
 def test_does_not_wait_for_a_lost_report() -> None:
     desk = probing()
     desk.give(arrival(1, desk.now))
     desk.advance(20 * MS)
-    assert len(desk.sends["r1"]) == 1
+    assert len(desk.attempts["r1"]) == 1
 
 
 def test_an_upstream_just_asked_is_not_asked_again() -> None:
@@ -274,7 +279,7 @@
     asked = [a.endpoint_id for a in desk.give(arrival(1, desk.now)) if isinstance(a, CheckHealth)]
     desk.now += MS
     desk.give(*(HealthCheckEnded(u, AttemptResult.OK, MS, {"inflight": 500.0}) for u in asked))
-    assert desk.answer["r1"] == "refused"
+    assert desk.answers["r1"] is FinalAnswer.REJECTED
 
 
 def test_an_idle_upstream_is_never_too_slow_to_try() -> None:
@@ -283,7 +288,7 @@
     desk.balancer.fleet.endpoints[1].relative_latency = 9.0
     desk.give(arrival(1, desk.now, wait_ns=100 * MS))
     desk.give(HealthCheckEnded(1, AttemptResult.OK, MS, {"inflight": 0.0}))
-    assert len(desk.sends["r1"]) == 1
+    assert len(desk.attempts["r1"]) == 1
 
 
 def test_dear_or_blind_probes_are_not_used() -> None:
@@ -292,13 +297,13 @@
     for config in (dear, settings(limits=limits, load_report_columns=("util",))):
         desk = PolicyHarness(config)
         desk.give(arrival(1, desk.now))
-        assert "r1" in desk.sends
-        assert not of(CheckHealth, desk.log)
+        assert "r1" in desk.attempts
+        assert not actions_of_type(CheckHealth, desk.actions)
 
 
 def test_what_stands_still_together_is_one_strike() -> None:
     # Guards against a pause of one upstream, seen by all its requests, barring it for seconds.
-    desk = PolicyHarness(servers=1)
+    desk = PolicyHarness(endpoint_count=1)
     for i in range(6):
         desk.give(arrival(i, desk.now, wait_ns=100 * MS))
     desk.advance(150 * MS)
@@ -308,7 +313,7 @@
 
 def struck(breaks: dict[int, int]) -> set[int]:
     """Which upstreams are ejected when, after 20 good answers each, so many connections break in a row?"""
-    desk = PolicyHarness(servers=4)
+    desk = PolicyHarness(endpoint_count=4)
     fleet = desk.balancer.fleet
     for server in fleet.endpoints.values():
         for _ in range(20):
@@ -327,7 +332,7 @@
 
 
 def test_broken_connections_do_not_cut_the_rate() -> None:
-    desk = PolicyHarness(servers=4)
+    desk = PolicyHarness(endpoint_count=4)
     for i in range(40):
         desk.give(arrival(i, desk.now))
         desk.finish(f"r{i}", AttemptResult.RESET)
@@ -348,7 +353,7 @@
     subsets: list[int] = []
     for me in range(10):
         b = Balancer(settings(proxy_index=me, proxy_count=10), 1, START)
-        b.handle(START, [EndpointUpdate(EndpointUpdateKind.FULL, upstreams(100))])
+        b.handle(START, [EndpointUpdate(EndpointUpdateKind.FULL, make_endpoints(100))])
         subsets += [s.id for s in b.fleet.default_pool.endpoints[: b.fleet.default_pool.subset_size]]
     assert sorted(subsets) == list(range(1, 101))
 
@@ -358,7 +363,7 @@
     sizes = {}
     for proxies in (3, 20, 400):
         b = Balancer(settings(proxy_index=1, proxy_count=proxies), 1, START)
-        b.handle(START, [EndpointUpdate(EndpointUpdateKind.FULL, upstreams(30))])
+        b.handle(START, [EndpointUpdate(EndpointUpdateKind.FULL, make_endpoints(30))])
         sizes[proxies] = b.fleet.default_pool.subset_size
     assert sizes == {3: 10, 20: 9, 400: 4}
 
@@ -375,15 +380,15 @@
 def test_a_class_with_much_time_keeps_the_queue_short_for_one_with_little() -> None:
     # Incident i31aba8: requests with two seconds to spare filled the line, and quick ones never got in.
     slow = RequestClass("slow", Idempotency.IDEMPOTENT, latency_objective_ns=20 * SECOND)
-    desk = PolicyHarness(settings(request_classes={"slow": slow, "read": READ}), servers=1)
+    desk = PolicyHarness(settings(request_classes={"slow": slow, "read": READ}), endpoint_count=1)
     for i in range(200):
         desk.give(arrival(i, desk.now, slow, wait_ns=20 * SECOND))
         desk.advance(10 * MS)
-        for request, number in desk.out():
-            if desk.now - desk.sends[request][number][1] >= 50 * MS:
+        for request, number in desk.attempts_in_flight():
+            if desk.now - desk.attempts[request][number][1] >= 50 * MS:
                 desk.finish(request, number=number)
     assert len(desk.balancer.fleet.default_pool.queue) < 20
-    assert "refused" in desk.answer.values()
+    assert FinalAnswer.REJECTED in desk.answers.values()
 
 
 def test_the_first_answers_count_more() -> None:
@@ -397,12 +402,12 @@
 
 
 def test_a_tenant_over_its_share_is_found_out() -> None:
-    desk = PolicyHarness(servers=1)
+    desk = PolicyHarness(endpoint_count=1)
     for i in range(600):
         desk.give(arrival(i, desk.now, tenant="birch" if i % 10 == 0 else "ash"))
         desk.advance(5 * MS)
-        for request, number in desk.out():
-            if desk.now - desk.sends[request][number][1] >= 50 * MS:
+        for request, number in desk.attempts_in_flight():
+            if desk.now - desk.attempts[request][number][1] >= 50 * MS:
                 desk.finish(request, number=number)
     assert desk.balancer.throttles["ash"].over_share
     assert not desk.balancer.throttles["birch"].over_share
@@ -417,27 +422,27 @@
         ClientDisconnected("unknown"),
     )
     desk.advance(600 * MS)
-    assert desk.answer["r1"] == "gone"
+    assert desk.answers["r1"] is FinalAnswer.DISCONNECTED
 
 
 def test_late_and_unknown_outcomes_are_harmless() -> None:
     desk = PolicyHarness()
     desk.give(arrival(1, desk.now))
-    late = desk.result("r1", 0, AttemptResult.OK)
+    late = desk.attempt_ended("r1", 0, AttemptResult.OK)
     desk.give(late)
     desk.balancer.handle(desk.now, [late, late._replace(request_id="unknown"), late._replace(endpoint_id=99)])
 
 
 def test_ask_mode_subscribes_and_backs_off() -> None:
     desk = PolicyHarness(settings(discovery_pushes=False))
-    assert not of(WatchEndpoints, desk.log)
+    assert not actions_of_type(WatchEndpoints, desk.actions)
     desk.advance(5 * SECOND)
-    assert len(of(WatchEndpoints, desk.log)) == 1
+    assert len(actions_of_type(WatchEndpoints, desk.actions)) == 1
     gaps, last = [], desk.now
     for _ in range(4):
         desk.give(EndpointUpdate(EndpointUpdateKind.FAILED))
-        before = len(of(WatchEndpoints, desk.log))
-        while len(of(WatchEndpoints, desk.log)) == before:
+        before = len(actions_of_type(WatchEndpoints, desk.actions))
+        while len(actions_of_type(WatchEndpoints, desk.actions)) == before:
             desk.advance(50 * MS)
             assert desk.now - last < 20 * SECOND
         gaps.append(desk.now - last)
@@ -452,7 +457,7 @@
     desk = PolicyHarness(settings(limits=limits))
     desk.give(arrival(1, desk.now, ANY, wait_ns=2 * SECOND))
     desk.now += gone_ms * MS
-    assert bool(of(Forward, desk.finish("r1", AttemptResult.RESET))) is again
+    assert bool(actions_of_type(Forward, desk.finish("r1", AttemptResult.RESET))) is again
 
 
 def test_a_watch_that_fell_silent_is_asked_for_again_at_once() -> None:
@@ -476,7 +481,7 @@
 def test_push_mode_never_calls_discovery() -> None:
     desk = PolicyHarness()
     desk.advance(5 * SECOND)
-    assert not of(WatchEndpoints, desk.log)
+    assert not actions_of_type(WatchEndpoints, desk.actions)
 
 
 def test_no_tenants_and_unknown_class_work() -> None:
@@ -487,17 +492,17 @@
     b.handle(
         START,
         [
-            EndpointUpdate(EndpointUpdateKind.FULL, upstreams(2)),
+            EndpointUpdate(EndpointUpdateKind.FULL, make_endpoints(2)),
             RequestArrived("x", "never-named", "nobody", START + SECOND),
         ],
     )
 
 
 def test_retry_after_is_jittered() -> None:
-    desk = PolicyHarness(servers=0)
+    desk = PolicyHarness(endpoint_count=0)
     desk.give(*(arrival(i, desk.now) for i in range(30)))
     desk.advance(600 * MS)
-    told = {a.retry_after_ns for a in desk.log if isinstance(a, Reject)}
+    told = {a.retry_after_ns for a in desk.actions if isinstance(a, Reject)}
     assert len(told) > 20
 
 
@@ -522,7 +527,7 @@
         seed,
         0,
     )
-    pool = mixed_fleet(servers)
+    pool = make_mixed_endpoints(servers)
     desk.give(EndpointUpdate(EndpointUpdateKind.CACHED, pool))
     for number in range(rng.randint(5, 120)):
         for _ in range(rng.choice([0, 1, 1, 2, 12])):
@@ -538,11 +543,11 @@
                     rng.random() < 0.2,
                 )
             )
-        for request, attempt in desk.out():
+        for request, attempt in desk.attempts_in_flight():
             if rng.random() < 0.4:
-                desk.give(desk.result(request, attempt, rng.choice(RESULTS)))
+                desk.give(desk.attempt_ended(request, attempt, rng.choice(RESULTS)))
         if rng.random() < 0.1:
-            open_ones = [r for r in desk.cls if r not in desk.answer]
+            open_ones = [r for r in desk.request_classes if r not in desk.answers]
             if open_ones:
                 desk.give(ClientDisconnected(rng.choice(open_ones)))
         if rng.random() < 0.1:
@@ -555,7 +560,7 @@
             desk.give(EndpointUpdate(EndpointUpdateKind.FAILED))
         desk.advance(rng.choice([0, 1, 10, 50]) * MS)
     desk.advance(2 * SECOND)
-    assert set(desk.answer) == set(desk.cls)
+    assert set(desk.answers) == set(desk.request_classes)
 
 
 def near_subset(zone: str, me: int, proxies: int, prices: Prices, servers: int = 24) -> list[Endpoint]:
@@ -564,7 +569,7 @@
         1,
         START,
     )
-    b.handle(START, [EndpointUpdate(EndpointUpdateKind.FULL, mixed_fleet(servers))])
+    b.handle(START, [EndpointUpdate(EndpointUpdateKind.FULL, make_mixed_endpoints(servers))])
     return [s.endpoint for s in b.fleet.default_pool.endpoints[: b.fleet.default_pool.subset_size]]
 
 
@@ -596,38 +601,38 @@
 
 
 def test_a_blocked_queue_reaches_one_beyond_the_subset() -> None:
-    desk = PolicyHarness(settings(prices=Prices(connection=0.03), proxy_count=40), servers=0)
-    desk.give(EndpointUpdate(EndpointUpdateKind.CACHED, upstreams(12)))
+    desk = PolicyHarness(settings(prices=Prices(connection=0.03), proxy_count=40), endpoint_count=0)
+    desk.give(EndpointUpdate(EndpointUpdateKind.CACHED, make_endpoints(12)))
     for i in range(60):
         desk.give(arrival(i, desk.now, wait_ns=SECOND))
         desk.advance(20 * MS)
-    assert len({u.id for sent in desk.sends.values() for u, _ in sent}) == 2
+    assert len({u.id for sent in desk.attempts.values() for u, _ in sent}) == 2
 
 
 def live(weights: list[float]) -> EndpointUpdate:
-    pairs = zip(upstreams(len(weights)), weights, strict=True)
+    pairs = zip(make_endpoints(len(weights)), weights, strict=True)
     return EndpointUpdate(EndpointUpdateKind.DELTA, [u._replace(weight=w) for u, w in pairs])
 
 
 def test_live_weights_tell_the_lighter_upstream() -> None:
     # With one request in flight at most, own counts say nothing: the list's figure decides.
-    desk = PolicyHarness(settings(weight_source=WeightSource.LIVE), servers=2)
+    desk = PolicyHarness(settings(weight_source=WeightSource.LIVE), endpoint_count=2)
     desk.give(live([1.0, 1.0]), live([0.1, 0.5]))
     for i in range(12):
         desk.give(arrival(i, desk.now))
         desk.now += MS
         desk.finish(f"r{i}")
-    assert {u.id for sent in desk.sends.values() for u, _ in sent} == {2}
+    assert {u.id for sent in desk.attempts.values() for u, _ in sent} == {2}
 
 
 def test_an_old_report_says_nothing() -> None:
-    desk = PolicyHarness(settings(weight_source=WeightSource.LIVE), servers=1)
+    desk = PolicyHarness(settings(weight_source=WeightSource.LIVE), endpoint_count=1)
     desk.give(live([1.0]), live([0.001]))
     desk.give(arrival(1, desk.now))
-    assert desk.answer["r1"] == "refused"
+    assert desk.answers["r1"] is FinalAnswer.REJECTED
     desk.advance(4 * SECOND)
     desk.give(arrival(2, desk.now))
-    assert len(desk.sends["r2"]) == 1
+    assert len(desk.attempts["r2"]) == 1
 
 
 def test_a_request_that_waits_on_others_is_not_taken_for_a_crowd() -> None:
@@ -652,21 +657,21 @@
 
 @pytest.mark.parametrize("load", [-5.0, 1e300, float("nan"), float("inf")])
 def test_a_report_that_cannot_be_true_says_nothing(load: float) -> None:
-    desk = PolicyHarness(servers=2)
+    desk = PolicyHarness(endpoint_count=2)
     for i in range(6):
         desk.give(arrival(i, desk.now))
         desk.now += 20 * MS
-        upstream = desk.sends[f"r{i}"][0][0].id
+        upstream = desk.attempts[f"r{i}"][0][0].id
         desk.give(AttemptEnded(f"r{i}", 0, upstream, AttemptResult.OK, 20 * MS, True, {"inflight": load}))
-    assert [desk.answer[f"r{i}"] for i in range(6)] == ["served"] * 6
+    assert [desk.answers[f"r{i}"] for i in range(6)] == [FinalAnswer.SERVED] * 6
 
 
 def test_a_caller_s_mistakes_are_not_booked() -> None:
     # An attempt never made, one at another upstream, an upstream never listed, an id that is open already.
-    desk = PolicyHarness(servers=2)
+    desk = PolicyHarness(endpoint_count=2)
     desk.give(arrival(1, desk.now))
-    sent = desk.sends["r1"][0][0].id
-    balancer, good = desk.balancer, desk.result("r1", 0, AttemptResult.OK)
+    sent = desk.attempts["r1"][0][0].id
+    balancer, good = desk.balancer, desk.attempt_ended("r1", 0, AttemptResult.OK)
     balancer.handle(
         desk.now,
         [
@@ -685,9 +690,9 @@
 
 
 def test_upstreams_long_gone_are_forgotten() -> None:
-    desk = PolicyHarness(servers=0)
+    desk = PolicyHarness(endpoint_count=0)
     for i in range(50):
-        desk.give(EndpointUpdate(EndpointUpdateKind.FULL, upstreams(3, first=1 + 3 * i)))
+        desk.give(EndpointUpdate(EndpointUpdateKind.FULL, make_endpoints(3, first=1 + 3 * i)))
         desk.give(arrival(i, desk.now))
         desk.finish(f"r{i}")
         desk.advance(SECOND)
@@ -697,17 +702,17 @@
 
 def overdue_at_one(later_ones_answered: bool) -> PolicyHarness:
     """One upstream takes two at once and owes the first answer for long, whatever it does with later ones."""
-    desk = PolicyHarness(settings(limits=Limits(cancellation=True)), servers=1)
+    desk = PolicyHarness(settings(limits=Limits(cancellation=True)), endpoint_count=1)
     desk.balancer.concurrency_limit.limit = 2
     desk.give(arrival("lost", desk.now, wait_ns=SECOND))
     for i in range(20):
         if later_ones_answered:
             desk.give(arrival(i, desk.now))
             desk.advance(5 * MS)
-            for request in {r for r, _ in desk.out()} - {"rlost"}:
+            for request in {r for r, _ in desk.attempts_in_flight()} - {"rlost"}:
                 desk.finish(request)
         desk.advance(10 * MS)
-    assert ("rlost", 0) in desk.out()
+    assert ("rlost", 0) in desk.attempts_in_flight()
     return desk
 
 
@@ -717,22 +722,22 @@
         desk = overdue_at_one(lost)
         desk.give(arrival("a", desk.now), arrival("b", desk.now))
         desk.advance(1 * MS)
-        assert len({"ra", "rb"} & set(desk.sends)) == sent
+        assert len({"ra", "rb"} & set(desk.attempts)) == sent
 
 
 def test_an_upstream_that_goes_while_an_answer_is_lost_there_is_kept_until_that_is_over() -> None:
     desk = overdue_at_one(True)
-    desk.give(EndpointUpdate(EndpointUpdateKind.FULL, upstreams(2, first=2)))
+    desk.give(EndpointUpdate(EndpointUpdateKind.FULL, make_endpoints(2, first=2)))
     desk.finish("rlost", AttemptResult.CONNECT_FAILED)
-    assert desk.answer["rlost"] == "refused"
+    assert desk.answers["rlost"] is FinalAnswer.REJECTED
     assert set(desk.balancer.fleet.endpoints) == {1, 2, 3}
-    desk.give(EndpointUpdate(EndpointUpdateKind.FULL, upstreams(1, first=2)))
+    desk.give(EndpointUpdate(EndpointUpdateKind.FULL, make_endpoints(1, first=2)))
     assert set(desk.balancer.fleet.endpoints) == {2}
 
 
 def test_a_send_looks_at_all_upstreams_only_where_one_drawn_is_unfit(monkeypatch: pytest.MonkeyPatch) -> None:
     # Guards against work on each send that grows with the subset: processor time ran out (event8052).
-    desk = PolicyHarness(servers=10)
+    desk = PolicyHarness(endpoint_count=10)
     desk.give(arrival("warm", desk.now))
     desk.balancer.concurrency_limit.limit = 5  # all are fit
     fleet, looked = desk.balancer.fleet, 0
@@ -774,4 +779,4 @@
         desk.finish(f"r{i}")
     desk.give(arrival("slow", desk.now))
     desk.advance(150 * MS)
-    assert len(desk.sends["rslow"]) == (2 if may_cancel else 1)
+    assert len(desk.attempts["rslow"]) == (2 if may_cancel else 1)
--- a/tests/policy/test_subsetting.py
+++ b/tests/policy/test_subsetting.py
@@ -294,16 +294,16 @@
 @pytest.mark.parametrize("cls", [ZONE, CELL])
 def test_a_keyed_retry_finds_its_group_in_a_large_fleet(cls: RequestClass) -> None:
     # Guards against a retry that finds no upstream of its cell, of a hundred, among the few in use.
-    desk = PolicyHarness(site(8800, me=3), servers=0)
+    desk = PolicyHarness(site(8800, me=3), endpoint_count=0)
     desk.give(EndpointUpdate(EndpointUpdateKind.CACHED, fleet(30_000)))
     again = 0
     for i in range(60):
         desk.give(arrival(i, desk.now, cls))
         desk.now += 5 * MS
         desk.finish(f"r{i}", AttemptResult.RESET)  # the checker proves that a further send keeps to the group
-        again += len(desk.sends[f"r{i}"]) > 1
+        again += len(desk.attempts[f"r{i}"]) > 1
         desk.now += 5 * MS
-        if f"r{i}" not in desk.answer:
+        if f"r{i}" not in desk.answers:
             desk.finish(f"r{i}")
     assert again >= 55
     assert len(desk.balancer.fleet.endpoints) <= WIDE + RESERVE + 5 * SCAN
@@ -314,7 +314,7 @@
 
 def test_an_upstream_that_left_the_subset_is_not_sent_to_by_one_who_asked_it() -> None:
     # Guards against a request that asked it for its load, and an old entry that no drain reaches any more.
-    desk = PolicyHarness(site(8800, me=3), servers=0)
+    desk = PolicyHarness(site(8800, me=3), endpoint_count=0)
     desk.give(EndpointUpdate(EndpointUpdateKind.CACHED, fleet(2000)))
     fleet_of = desk.balancer.fleet
     asked = fleet_of.default_pool.endpoints[0]
--- a/tests/policy/test_tenant_throttles.py
+++ b/tests/policy/test_tenant_throttles.py
@@ -11,7 +11,7 @@
 from loadbalancer.policy.rate_control import FEEDBACK_NS
 from loadbalancer.policy.throttle import Throttle
 from loadbalancer.settings import Tenant
-from tests.support.policy_harness import START, PolicyHarness, arrival, settings, upstreams
+from tests.support.policy_harness import START, PolicyHarness, arrival, make_endpoints, settings
 
 
 def make_tenants(count: int) -> dict[str, Tenant]:
@@ -38,7 +38,7 @@
         accrue(throttle, now)
 
     monkeypatch.setattr(Throttle, "accrue", counted)
-    balancer.handle(now, [EndpointUpdate(EndpointUpdateKind.FULL, upstreams(6))])
+    balancer.handle(now, [EndpointUpdate(EndpointUpdateKind.FULL, make_endpoints(6))])
     for i in range(200):
         now += FEEDBACK_NS // 10
         for action in balancer.handle(now, [arrival(i, now, tenant=f"t{i % 20}")]):
--- a/tests/proxy/test_client_disconnect.py
+++ b/tests/proxy/test_client_disconnect.py
@@ -461,14 +461,14 @@
         if what == "overdue" and about is desk.balancer.requests["rslow"]
     )
     desk.advance(due - 1 - desk.now)
-    assert len(desk.sends["rslow"]) == 1
+    assert len(desk.attempts["rslow"]) == 1
     desk.now = due
     leave: list[Event] = [ClientDisconnected("rslow")] * gone
     wake = TimerExpired(str(desk.balancer.timer_number))
     said = desk.give(*([*leave, wake] if gone_first else [wake, *leave]))
     assert (CancelAttempt("rslow", 0) in said) == gone
     desk.advance(600 * MS)
-    assert len(desk.sends["rslow"]) == (1 if gone else 2)  # a copy of it was due
+    assert len(desk.attempts["rslow"]) == (1 if gone else 2)  # a copy of it was due
 
 
 @pytest.mark.parametrize("result", [r for r in AttemptResult if r is not AttemptResult.OK])
@@ -479,10 +479,10 @@
 ) -> None:
     desk = desk_with_one_slow(hedging=copies)
     desk.now += 10 * MS
-    leave, end = ClientDisconnected("rslow"), desk.result("rslow", 0, result)
+    leave, end = ClientDisconnected("rslow"), desk.attempt_ended("rslow", 0, result)
     desk.give(leave, end) if gone_first else desk.give(end, leave)
     desk.advance(600 * MS)
-    assert len(desk.sends["rslow"]) == 1
+    assert len(desk.attempts["rslow"]) == 1
     assert "rslow" not in desk.balancer.requests
 
 
@@ -490,10 +490,10 @@
 def test_both_copies_end_after_the_leave(first: int) -> None:
     desk = desk_with_one_slow()
     desk.advance(150 * MS)
-    assert len(desk.sends["rslow"]) == 2
+    assert len(desk.attempts["rslow"]) == 2
     desk.give(ClientDisconnected("rslow"))
     for number in (first, 1 - first):
         desk.finish("rslow", AttemptResult.CONNECT_FAILED, number)
     desk.advance(600 * MS)
-    assert len(desk.sends["rslow"]) == 2
+    assert len(desk.attempts["rslow"]) == 2
     assert "rslow" not in desk.balancer.requests
--- /dev/null
+++ b/tests/support/rule_checker.py
@@ -0,0 +1,204 @@
+"""A checker of rules 1 to 3 and of the grammar of a balancer's actions.
+
+It keeps books of its own from the events and actions alone, and shares no code with the policy.
+"""
+
+from __future__ import annotations
+
+from enum import Enum, auto
+from typing import NamedTuple
+
+from loadbalancer.messages import (
+    NEVER_RAN,
+    Action,
+    AttemptEnded,
+    AttemptResult,
+    CancelAttempt,
+    CheckHealth,
+    ClientDisconnected,
+    Endpoint,
+    EndpointStatus,
+    EndpointUpdate,
+    EndpointUpdateKind,
+    Event,
+    Fail,
+    Forward,
+    Reject,
+    RequestArrived,
+    SendGossip,
+    SetTimer,
+)
+from loadbalancer.settings import DeduplicationScope, Idempotency, RequestClass, Settings
+
+LATE_NS = 20_000_000  # an answer may come so long after its deadline
+GOSSIP_MAX = 256  # bytes
+
+
+class FinalAnswer(Enum):
+    """How a request ended for its client."""
+
+    SERVED = auto()
+    REJECTED = auto()
+    FAILED = auto()
+    DISCONNECTED = auto()
+
+
+class SentAttempt(NamedTuple):
+    """Where and when an attempt went out."""
+
+    endpoint: Endpoint
+    sent_ns: int
+
+
+class RuleChecker:
+    """The books on one balancer's requests; an action against the rules raises `AssertionError`."""
+
+    def __init__(self, config: Settings) -> None:
+        self.config = config
+        self.request_classes: dict[str, RequestClass] = {}
+        self.deadlines: dict[str, int] = {}
+        self.answers: dict[str, FinalAnswer] = {}
+        self.completed: set[str] = set()  # the balancer has been told that they are over
+        self.attempts: dict[str, list[SentAttempt]] = {}
+        self.results: dict[tuple[str, int], AttemptResult] = {}  # by request and number of the attempt
+        self.endpoints: dict[int, Endpoint] = {}
+
+    def attempts_in_flight(self) -> list[tuple[str, int]]:
+        """Return the request and the number of each attempt that has not ended."""
+        return [
+            (request, number)
+            for request, attempts in self.attempts.items()
+            for number in range(len(attempts))
+            if (request, number) not in self.results
+        ]
+
+    def is_complete(self, request: str) -> bool:
+        """Tell whether a request has its final answer or its client is gone."""
+        return request in self.answers or request in self.completed
+
+    def record_event(self, event: Event) -> None:
+        """Book what the balancer is told."""
+        match event:
+            case RequestArrived():
+                self.request_classes[event.request_id] = self.config.request_classes[event.class_name]
+                self.deadlines[event.request_id] = event.deadline_ns
+            case AttemptEnded() if event.request_id in self.request_classes:
+                self._record_attempt_ended(event)
+            case ClientDisconnected():
+                self.answers.setdefault(event.request_id, FinalAnswer.DISCONNECTED)
+                self.completed.add(event.request_id)
+            case EndpointUpdate():
+                self._record_endpoints(event)
+
+    def _record_attempt_ended(self, event: AttemptEnded) -> None:
+        self.results[event.request_id, event.attempt] = event.result
+        if event.result is AttemptResult.OK and event.request_id not in self.answers:
+            self.answers[event.request_id] = FinalAnswer.SERVED
+        if event.request_complete:
+            self.completed.add(event.request_id)
+
+    def _record_endpoints(self, update: EndpointUpdate) -> None:
+        if update.kind in (EndpointUpdateKind.FULL, EndpointUpdateKind.CACHED):
+            for number, endpoint in self.endpoints.items():
+                self.endpoints[number] = endpoint._replace(status=EndpointStatus.REMOVED)
+        self.endpoints |= {endpoint.id: endpoint for endpoint in update.endpoints}
+
+    def check_action(self, action: Action, now: int) -> None:
+        """Check one action against the books, and book it."""
+        limits = self.config.limits
+        match action:
+            case Forward():
+                self._check_forward(action, now)
+            case Reject():
+                self._check_reject(action, now)
+            case Fail():
+                self._record_answer(action.request_id, FinalAnswer.FAILED, now)
+            case CancelAttempt():
+                assert limits.cancellation
+                assert action.attempt < len(self.attempts[action.request_id])
+            case CheckHealth():
+                assert limits.health_checks
+                assert action.endpoint_id in self.endpoints
+            case SendGossip():
+                assert limits.gossip
+                assert len(action.data) <= GOSSIP_MAX
+            case SetTimer():
+                assert action.delay_ns > 0
+
+    def check_deadlines(self, now: int) -> None:
+        """Check that each request whose deadline has passed has its final answer."""
+        for request, deadline in self.deadlines.items():
+            if deadline + LATE_NS < now:
+                assert request in self.answers, f"{request} had no final answer in its time"
+
+    def _attempts_that_may_have_run(self, request: str) -> list[SentAttempt]:
+        proofs = set(NEVER_RAN)
+        if self.config.rules.rejected_may_have_run:
+            proofs.discard(AttemptResult.REJECTED)
+        return [
+            attempt
+            for number, attempt in enumerate(self.attempts.get(request, []))
+            if self.results.get((request, number)) not in proofs
+        ]
+
+    def _record_answer(self, request: str, answer: FinalAnswer, now: int) -> None:
+        assert request in self.request_classes, f"{request} never arrived"
+        earlier = self.answers.get(request)
+        assert earlier is None, f"{request} answered twice: {earlier}, {answer}"
+        assert now <= self.deadlines[request] + LATE_NS, f"{request} answered late"
+        self.answers[request] = answer
+
+    def _check_reject(self, action: Reject, now: int) -> None:
+        cls = self.request_classes[action.request_id]
+        deduplicated_everywhere = (
+            cls.idempotency is Idempotency.IDEMPOTENCY_KEY
+            and cls.deduplication_scope is DeduplicationScope.ALL
+        )
+        is_harmless = (
+            cls.idempotency is Idempotency.IDEMPOTENT
+            or deduplicated_everywhere
+            or not self._attempts_that_may_have_run(action.request_id)
+        )
+        assert is_harmless, f"{action.request_id} rejected though it may have run"
+        self._record_answer(action.request_id, FinalAnswer.REJECTED, now)
+        assert 0 <= action.retry_after_ns <= self.config.limits.max_retry_after_ns
+
+    def _check_forward(self, action: Forward, now: int) -> None:
+        request, endpoint = action.request_id, self.endpoints[action.endpoint_id]
+        assert not self.is_complete(request), f"{request} sent after its end"
+        self._check_placement(request, endpoint)
+        self._check_attempt_limits(request)
+        self._check_repetition(request, endpoint, now)
+        self.attempts.setdefault(request, []).append(SentAttempt(endpoint, now))
+
+    def _check_placement(self, request: str, endpoint: Endpoint) -> None:
+        cls = self.request_classes[request]
+        zones, machine_types = cls.allowed_zones, cls.allowed_machine_types
+        assert endpoint.status is EndpointStatus.READY, f"{request} sent to a draining or removed endpoint"
+        assert zones is None or endpoint.zone in zones, f"{request} sent outside its zones"
+        assert machine_types is None or endpoint.machine_type in machine_types, (
+            f"{request} sent to a machine type not open to it"
+        )
+
+    def _check_attempt_limits(self, request: str) -> None:
+        limits = self.config.limits
+        attempts = self.attempts.get(request, [])
+        assert len(attempts) < limits.max_attempts
+        in_flight = sum((request, number) not in self.results for number in range(len(attempts)))
+        in_flight_max = 2 if limits.hedging else 1
+        assert in_flight < in_flight_max, f"{request}: {in_flight} attempts in flight already"
+
+    def _check_repetition(self, request: str, endpoint: Endpoint, now: int) -> None:
+        cls, earlier = self.request_classes[request], self._attempts_that_may_have_run(request)
+        if not earlier or cls.idempotency is Idempotency.IDEMPOTENT:
+            return
+        assert cls.idempotency is not Idempotency.NON_IDEMPOTENT, (
+            f"{request} is not idempotent, may have run and is sent again"
+        )
+        age_ns = now - earlier[0].sent_ns
+        assert age_ns <= cls.deduplication_window_ns, f"{request} repeated after its window"
+        if cls.deduplication_scope is DeduplicationScope.CELL:
+            cell = (endpoint.zone, endpoint.cell)
+            assert all((first.zone, first.cell) == cell for first, _ in earlier)
+        if cls.deduplication_scope is DeduplicationScope.ZONE:
+            assert all(first.zone == endpoint.zone for first, _ in earlier)
