--- a/tests/policy/test_slow_start.py
+++ b/tests/policy/test_slow_start.py
@@ -21,8 +21,9 @@
     Rules,
     Settings,
 )
-from tests.support.fleet_model import FleetModel, Machine, Traffic
+from tests.support.fleet_model import FleetModel, Traffic
 from tests.support.policy_harness import MS, SECOND
+from tests.support.simulated_endpoint import SimulatedEndpoint
 
 RULES = Rules(
     slow_start_initial_capacity=0.3, slow_start_ns=8800 * MS, overload_factor=2.5, overload_window_ns=SECOND
@@ -91,34 +92,38 @@
             seed,
             shares,
         )
-        machines = list(fleet.machines.values())
-        cold = [m for m in machines if (m.entry.zone, m.entry.machine_type) == (self.zones[0], self.kinds[0])]
+        machines = list(fleet.endpoints.values())
+        cold = [
+            m
+            for m in machines
+            if (m.endpoint.zone, m.endpoint.machine_type) == (self.zones[0], self.kinds[0])
+        ]
         cold = cold[: max(1, int(len(machines) * self.cold))]
         starting = set(cold)
         for node in range(count):
-            fleet.tell(
+            fleet.update_endpoints(
                 node,
                 EndpointUpdateKind.CACHED,
-                [m.entry for m in machines if m not in starting and chance.random() >= self.differ],
+                [m.endpoint for m in machines if m not in starting and chance.random() >= self.differ],
             )
         fleet.stop(cold)
         fleet.run(self.before)
         for m in cold:
-            m.spoils = self.spoils
+            m.error_share = self.spoils
         for some in [[m] for m in cold] if self.after_each_other else [cold]:
             entries = fleet.start(some)
             if self.began:
                 for node in range(count):
-                    fleet.restart(node, [m.entry for m in machines])
+                    fleet.restart(node, [m.endpoint for m in machines])
             else:
-                fleet.tell_all(EndpointUpdateKind.DELTA, entries)
+                fleet.update_all(EndpointUpdateKind.DELTA, entries)
             fleet.run(self.after / len(cold) if self.after_each_other else 0)
         fleet.run(self.after)
-        return max(m.pressure(RULES) for m in cold), fleet
+        return max(m.overload(RULES) for m in cold), fleet
 
-    def machines(self) -> list[Machine]:
+    def machines(self) -> list[SimulatedEndpoint]:
         return [
-            Machine(
+            SimulatedEndpoint(
                 Endpoint(
                     1 + i,
                     EndpointStatus.READY,
@@ -140,7 +145,7 @@
             rules=RULES,
             limits=self.limits,
             prices=self.prices,
-            request_classes={t.cls.name: t.cls for t in self.traffic},
+            request_classes={t.request_class.name: t.request_class for t in self.traffic},
             client_retries_marked=True,
             load_reports_in_responses=self.reports,
             load_report_columns=("inflight",) if self.reports else (),
--- a/tests/support/fleet_model.py
+++ b/tests/support/fleet_model.py
@@ -1,7 +1,6 @@
-"""A small fleet for tests: many `Balancer`s and many upstreams on one simulated clock, from one seed.
+"""A small fleet for tests: many balancers and many endpoints on one simulated clock, from one seed.
 
-It speaks to the module by events and actions alone. Upstreams have a known capacity, queue, and start cold;
-each keeps a book of the work that reaches it, what it turns away and each new connection included.
+The balancers are driven by events and actions alone.
 """
 
 from __future__ import annotations
@@ -9,9 +8,9 @@
 import heapq
 import random
 from bisect import bisect
-from collections import deque
 from collections.abc import Callable, Sequence
 from dataclasses import dataclass, field
+from functools import partial
 from itertools import accumulate
 
 from loadbalancer.messages import (
@@ -21,7 +20,6 @@
     CheckHealth,
     ClientDisconnected,
     Endpoint,
-    EndpointStatus,
     EndpointUpdate,
     EndpointUpdateKind,
     Event,
@@ -34,294 +32,283 @@
     TimerExpired,
 )
 from loadbalancer.policy.balancer import Balancer
-from loadbalancer.settings import RequestClass, Rules, Settings
+from loadbalancer.settings import RequestClass, Settings
 from tests.support.policy_harness import MS, SECOND, START
+from tests.support.simulated_endpoint import SimulatedAttempt, SimulatedEndpoint, WorkArrival
 
+CONNECT_NS = MS  # the way to an endpoint over a new connection, or to none
+ONE_WAY_NS = MS // 4  # the way over an open connection
+HANDSHAKE_WORK = 0.25  # of a new connection, in requests of mean work
+RETRY_DELAY_MS = (20, 160)  # the shortest and longest pause of a client before it retries
 
-@dataclass(eq=False)
-class Machine:
-    """An upstream: `cores` workers before one queue, that turns away what is over `room`."""
-
-    entry: Endpoint
-    rate: float  # requests of mean work a second, warm
-    cores: int = 2
-    room: int = 40
-    spoils: float = 0.0  # share of requests that it answers at once with an error
-    up: bool = True
-    busy: int = 0
-    queue: deque[Attempt] = field(default_factory=deque)
-    book: list[tuple[int, float, bool]] = field(default_factory=list)  # when, work, was it told
-
-    def part(self, now: int, rules: Rules) -> float:
-        start = self.entry.started_ns
-        if not start or now - start >= rules.slow_start_ns:
-            return 1.0
-        return (
-            rules.slow_start_initial_capacity
-            + (1 - rules.slow_start_initial_capacity) * max(0, now - start) / rules.slow_start_ns
-        )
 
-    def pressure(self, rules: Rules) -> float:
-        """The most that came in any window, against what its budget and chance allow; over 1 it falls.
-
-        The budget is that of the window's first moment. Falls of which a third or more came from balancers
-        that had not been told of the start break no rule: they are left out."""
-        worst = total = told = 0.0
-        first = 0
-        book = sorted(self.book)
-        for at, work, knew in book:
-            total, told = total + work, told + work * knew
-            while book[first][0] <= at - rules.overload_window_ns:
-                total, told = total - book[first][1], told - book[first][1] * book[first][2]
-                first += 1
-            if book[first][0] - self.entry.started_ns < rules.slow_start_ns and told > total * 2 / 3:
-                part = self.part(book[first][0], rules)
-                budget = rules.overload_factor * self.rate * part * rules.overload_window_ns / SECOND
-                worst = max(worst, total / (budget + 2 * budget**0.5))
-        return worst
-
-
-@dataclass(eq=False)
-class Attempt:
-    node: int
-    request: str
-    number: int
-    machine: Machine
-    sent_ns: int
-    work: float
-    over: bool = False  # its outcome has been given; the upstream works on it all the same
+@dataclass(frozen=True)
+class Traffic:
+    """A class with its share of the requests and their work, in requests of mean work."""
+
+    request_class: RequestClass
+    share: float = 1.0
+    work: float = 1.0
 
 
 @dataclass
-class Open:
-    cls: RequestClass
-    deadline_ns: int
+class OpenRequest:
+    """A request that a client has sent to a proxy."""
+
+    traffic: Traffic
     work: float
-    tries: int
-    sends: list[Attempt] = field(default_factory=list)
-    over: bool = False
+    retries: int  # before this one
+    attempts: list[SimulatedAttempt] = field(default_factory=list)
+    is_answered: bool = False
 
 
-@dataclass(frozen=True)
-class Traffic:
-    """Classes with their share of the requests and their work, in requests of mean work."""
+@dataclass
+class SimulatedProxy:
+    """A balancer, and what its process has at hand; a restart replaces all of it."""
 
-    cls: RequestClass
-    share: float = 1.0
-    work: float = 1.0
+    balancer: Balancer
+    incarnation: int = 0
+    requests: dict[str, OpenRequest] = field(default_factory=dict)
+    connections: set[int] = field(default_factory=set)  # ids of the endpoints with an open one
+    known_starts: dict[int, int] = field(default_factory=dict)  # of endpoints, by what it has been told
 
 
 class FleetModel:
+    """Proxies, endpoints and clients on one simulated clock.
+
+    Proxies are known by their index. `rate` is that of all clients, in requests a second, and
+    `proxy_shares` says how it is spread.
+    """
+
     def __init__(
         self,
-        count: int,
-        machines: Sequence[Machine],
-        config: Sequence[Settings],
+        proxy_count: int,
+        endpoints: Sequence[SimulatedEndpoint],
+        settings: Sequence[Settings],
         traffic: Sequence[Traffic],
         rate: float,
         seed: int,
-        shares: Sequence[float] | None = None,
+        proxy_shares: Sequence[float] | None = None,
         client_retries: int = 2,
     ) -> None:
         self.rng = random.Random(seed)
-        self.now, self.count, self.sequence = START, count, 0
-        self.machines = {m.entry.id: m for m in machines}
-        self.config, self.traffic, self.rate = config, traffic, rate
-        self.shares = list(accumulate(shares or [1.0] * count))
+        self.now = START
+        self.sequence = 0  # of timers and requests
+        self.endpoints = {simulated.endpoint.id: simulated for simulated in endpoints}
+        self.settings = settings
+        self.rules = settings[0].rules
+        self.rate = rate
+        self.cumulative_shares = list(accumulate(proxy_shares or [1.0] * proxy_count))
         self.client_retries = client_retries
-        self.queue: list[tuple[int, int, Callable[[], None]]] = []
-        self.lives = [0] * count
-        self.nodes = [Balancer(config[i], self.rng.getrandbits(32), self.now) for i in range(count)]
-        self.requests: list[dict[str, Open]] = [{} for _ in range(count)]
-        self.linked: list[set[int]] = [set() for _ in range(count)]
-        self.seen: list[dict[int, int]] = [{} for _ in range(count)]  # starts that each has been told of
-        self.rules = config[0].rules
-        self.served = self.turned_away = 0
-        mean = sum(t.share * t.work for t in traffic)
-        self.traffic = [Traffic(t.cls, t.share, t.work / mean) for t in traffic]
-        self.at(self.now, self._client)
+        self.timers: list[tuple[int, int, Callable[[], None]]] = []  # when, sequence, what to call
+        self.proxies = [SimulatedProxy(self._make_balancer(proxy)) for proxy in range(proxy_count)]
+        self.served = self.rejected = 0  # requests
+        mean_work = sum(t.share * t.work for t in traffic)
+        self.traffic = [Traffic(t.request_class, t.share, t.work / mean_work) for t in traffic]
+        self.schedule(self.now, self._client)
+
+    def _make_balancer(self, proxy: int) -> Balancer:
+        return Balancer(self.settings[proxy], self.rng.getrandbits(32), self.now)
 
     # -- time --
 
-    def at(self, when: int, what: Callable[[], None]) -> None:
+    def schedule(self, at_ns: int, callback: Callable[[], None]) -> None:
+        """Call something at a time."""
         self.sequence += 1
-        heapq.heappush(self.queue, (when, self.sequence, what))
+        heapq.heappush(self.timers, (at_ns, self.sequence, callback))
 
     def run(self, seconds: float) -> None:
+        """Let time pass."""
         end = self.now + int(seconds * SECOND)
-        while self.queue and self.queue[0][0] <= end:
-            self.now, _, what = heapq.heappop(self.queue)
-            what()
+        while self.timers and self.timers[0][0] <= end:
+            self.now, _, callback = heapq.heappop(self.timers)
+            callback()
         self.now = end
 
     # -- discovery --
 
-    def tell(self, node: int, kind: EndpointUpdateKind, entries: Sequence[Endpoint]) -> None:
-        for e in entries:
-            self.seen[node][e.id] = e.started_ns
-        self.give(node, EndpointUpdate(kind, list(entries)))
-
-    def tell_all(self, kind: EndpointUpdateKind, entries: Sequence[Endpoint]) -> None:
-        for node in range(self.count):
-            self.tell(node, kind, entries)
-
-    def start(self, machines: Sequence[Machine]) -> list[Endpoint]:
-        """They start now, cold; nobody has been told yet."""
-        for m in machines:
-            m.entry = m.entry._replace(started_ns=self.now, status=EndpointStatus.READY)
-            m.up, m.busy, m.queue = True, 0, deque()
-            m.book = []
-            for linked in self.linked:
-                linked.discard(m.entry.id)
-        return [m.entry for m in machines]
-
-    def stop(self, machines: Sequence[Machine]) -> list[Endpoint]:
-        """They crash: what they hold breaks."""
-        for m in machines:
-            m.up, m.queue = False, deque()
-            m.entry = m.entry._replace(status=EndpointStatus.REMOVED)
-        for open_requests in self.requests:
-            for o in list(open_requests.values()):
-                for a in o.sends:
-                    if not a.over and not a.machine.up:
-                        self.at(self.now, lambda a=a: self.end(a, AttemptResult.RESET))  # type: ignore[misc]
-        return [m.entry for m in machines]
-
-    def restart(self, node: int, entries: Sequence[Endpoint]) -> None:
-        """A process is killed and begins anew, knowing only the list that it is given."""
-        self.lives[node] += 1
-        self.requests[node], self.seen[node], self.linked[node] = {}, {}, set()
-        self.nodes[node] = Balancer(self.config[node], self.rng.getrandbits(32), self.now)
-        self.tell(node, EndpointUpdateKind.CACHED, entries)
+    def update_endpoints(self, proxy: int, kind: EndpointUpdateKind, endpoints: Sequence[Endpoint]) -> None:
+        """Give one proxy an endpoint update."""
+        for endpoint in endpoints:
+            self.proxies[proxy].known_starts[endpoint.id] = endpoint.started_ns
+        self.give(proxy, EndpointUpdate(kind, list(endpoints)))
+
+    def update_all(self, kind: EndpointUpdateKind, endpoints: Sequence[Endpoint]) -> None:
+        """Give all proxies an endpoint update."""
+        for proxy in range(len(self.proxies)):
+            self.update_endpoints(proxy, kind, endpoints)
+
+    def start(self, endpoints: Sequence[SimulatedEndpoint]) -> list[Endpoint]:
+        """Start endpoints cold, and return what proxies are yet to be told."""
+        for simulated in endpoints:
+            simulated.start(self.now)
+            for proxy in self.proxies:
+                proxy.connections.discard(simulated.endpoint.id)
+        return [simulated.endpoint for simulated in endpoints]
+
+    def stop(self, endpoints: Sequence[SimulatedEndpoint]) -> list[Endpoint]:
+        """Crash endpoints, so that what they hold is reset, and return what proxies are yet to be told."""
+        for simulated in endpoints:
+            simulated.crash()
+        attempts = [a for p in self.proxies for request in p.requests.values() for a in request.attempts]
+        for attempt in attempts:
+            if not attempt.has_ended and not attempt.target.is_running:
+                self.schedule(self.now, partial(self.end_attempt, attempt, AttemptResult.RESET))
+        return [simulated.endpoint for simulated in endpoints]
+
+    def restart(self, proxy: int, endpoints: Sequence[Endpoint]) -> None:
+        """Kill a proxy and start it anew, with a cached list as all that it knows."""
+        incarnation = self.proxies[proxy].incarnation + 1
+        self.proxies[proxy] = SimulatedProxy(self._make_balancer(proxy), incarnation)
+        self.update_endpoints(proxy, EndpointUpdateKind.CACHED, endpoints)
 
     # -- clients --
 
     def _client(self) -> None:
-        node = self._node()
-        t = self.rng.choices(self.traffic, [t.share for t in self.traffic])[0]
-        self._ask(node, t, t.work * self.rng.uniform(0.5, 1.5), 0)
-        self.at(self.now + int(self.rng.expovariate(self.rate) * SECOND), self._client)
+        proxy = self._draw_proxy()
+        traffic = self.rng.choices(self.traffic, [t.share for t in self.traffic])[0]
+        self._send_request(proxy, traffic, traffic.work * self.rng.uniform(0.5, 1.5), 0)
+        self.schedule(self.now + int(self.rng.expovariate(self.rate) * SECOND), self._client)
 
-    def _node(self) -> int:
-        return bisect(self.shares, self.rng.random() * self.shares[-1])
+    def _draw_proxy(self) -> int:
+        return bisect(self.cumulative_shares, self.rng.random() * self.cumulative_shares[-1])
 
-    def _ask(self, node: int, t: Traffic, work: float, tries: int) -> None:
+    def _send_request(self, proxy: int, traffic: Traffic, work: float, retries: int) -> None:
         self.sequence += 1
-        request, deadline = f"q{self.sequence}", self.now + t.cls.client_timeout_ns
-        self.requests[node][request] = Open(t.cls, deadline, work, tries)
-        self.at(deadline, lambda: self._deadline(node, self.lives[node], request))
-        self.give(node, RequestArrived(request, t.cls.name, "", deadline, is_retry=tries > 0))
-
-    def _deadline(self, node: int, life: int, request: str) -> None:
-        o = self.requests[node].get(request)
-        if o is not None and life == self.lives[node]:
-            for a in o.sends:
-                self.end(a, AttemptResult.TIMEOUT)
-            if not o.over:
-                o.over = True
-                self.give(node, ClientDisconnected(request))
-
-    def _again(self, o: Open) -> None:
-        if o.tries < self.client_retries:
-            t = next(t for t in self.traffic if t.cls is o.cls)
-            node = self._node()
-            self.at(
-                self.now + int(self.rng.uniform(20, 160) * MS),
-                lambda: self._ask(node, t, o.work, o.tries + 1),
-            )
-
-    # -- balancers --
-
-    def give(self, node: int, event: Event) -> None:
-        life = self.lives[node]
-        for a in self.nodes[node].handle(self.now, [event]):
-            if type(a) is Forward:
-                self._send(node, a)
-            elif type(a) is SetTimer:
-                self.at(self.now + a.delay_ns, lambda a=a: self._wake(node, life, a.name))  # type: ignore[misc]
-            elif type(a) is Reject or type(a) is Fail:
-                o = self.requests[node][a.request_id]
-                o.over = True
-                self.turned_away += 1
-                if type(a) is Reject:
-                    self._again(o)
-            elif type(a) is CancelAttempt:
-                attempt = self.requests[node][a.request_id].sends[a.attempt]
-                self.at(self.now, lambda x=attempt: self.end(x, AttemptResult.CANCELLED))  # type: ignore[misc]
-            elif type(a) is CheckHealth:
-                self.at(self.now + MS, lambda u=a.endpoint_id: self._probe(node, life, u))  # type: ignore[misc]
-
-    def _wake(self, node: int, life: int, name: str) -> None:
-        if life == self.lives[node]:
-            self.give(node, TimerExpired(name))
-
-    def _probe(self, node: int, life: int, upstream: int) -> None:
-        m = self.machines[upstream]
-        if life == self.lives[node]:
-            report = {"inflight": float(m.busy + len(m.queue))}
-            result = AttemptResult.OK if m.up else AttemptResult.CONNECT_FAILED
-            self.give(node, HealthCheckEnded(upstream, result, MS, report if m.up else None))
-
-    def _send(self, node: int, send: Forward) -> None:
-        o, m = self.requests[node][send.request_id], self.machines[send.endpoint_id]
-        a = Attempt(node, send.request_id, len(o.sends), m, self.now, o.work)
-        o.sends.append(a)
-        fresh = m.entry.id not in self.linked[node]
-        if send.timeout_ns:
-            self.at(self.now + send.timeout_ns, lambda: self.end(a, AttemptResult.TIMEOUT))
-        if not m.up:
-            self.at(self.now + MS, lambda: self.end(a, AttemptResult.CONNECT_FAILED))
+        request, cls = f"q{self.sequence}", traffic.request_class
+        deadline_ns = self.now + cls.client_timeout_ns
+        self.proxies[proxy].requests[request] = OpenRequest(traffic, work, retries)
+        incarnation = self.proxies[proxy].incarnation
+        self.schedule(deadline_ns, partial(self._client_timeout, proxy, incarnation, request))
+        self.give(proxy, RequestArrived(request, cls.name, "", deadline_ns, is_retry=retries > 0))
+
+    def _client_timeout(self, proxy: int, incarnation: int, request: str) -> None:
+        open_request = self.proxies[proxy].requests.get(request)
+        if open_request is None or incarnation != self.proxies[proxy].incarnation:
+            return
+        for attempt in open_request.attempts:
+            self.end_attempt(attempt, AttemptResult.TIMEOUT)
+        if not open_request.is_answered:
+            open_request.is_answered = True
+            self.give(proxy, ClientDisconnected(request))
+
+    def _retry(self, request: OpenRequest) -> None:
+        if request.retries >= self.client_retries:
+            return
+        proxy = self._draw_proxy()
+        at_ns = self.now + int(self.rng.uniform(*RETRY_DELAY_MS) * MS)
+        retries = request.retries + 1
+        self.schedule(at_ns, partial(self._send_request, proxy, request.traffic, request.work, retries))
+
+    # -- proxies --
+
+    def give(self, proxy: int, event: Event) -> None:
+        """Hand one event to a proxy's balancer, and carry out its actions."""
+        state = self.proxies[proxy]
+        for action in state.balancer.handle(self.now, [event]):
+            match action:
+                case Forward():
+                    self._forward(proxy, action)
+                case SetTimer():
+                    expire = partial(self._timer_expired, proxy, state.incarnation, action.name)
+                    self.schedule(self.now + action.delay_ns, expire)
+                case Reject() | Fail():
+                    self._end_request(state.requests[action.request_id], isinstance(action, Reject))
+                case CancelAttempt():
+                    attempt = state.requests[action.request_id].attempts[action.attempt]
+                    self.schedule(self.now, partial(self.end_attempt, attempt, AttemptResult.CANCELLED))
+                case CheckHealth():
+                    check = partial(self._check_health, proxy, state.incarnation, action.endpoint_id)
+                    self.schedule(self.now + MS, check)
+
+    def _end_request(self, request: OpenRequest, may_retry: bool) -> None:
+        request.is_answered = True
+        self.rejected += 1
+        if may_retry:
+            self._retry(request)
+
+    def _timer_expired(self, proxy: int, incarnation: int, name: str) -> None:
+        if incarnation == self.proxies[proxy].incarnation:
+            self.give(proxy, TimerExpired(name))
+
+    def _check_health(self, proxy: int, incarnation: int, endpoint_id: int) -> None:
+        if incarnation != self.proxies[proxy].incarnation:
             return
-        self.linked[node].add(m.entry.id)
-        self.at(self.now + (MS if fresh else MS // 4), lambda: self._reach(a, 0.25 * fresh))
-
-    # -- upstreams --
-
-    def _reach(self, a: Attempt, handshake: float) -> None:
-        m = a.machine
-        if not m.up:
-            return self.end(a, AttemptResult.RESET)
-        told = self.seen[a.node].get(m.entry.id) == m.entry.started_ns
-        m.book.append((self.now, a.work + handshake, told))
-        if m.spoils and self.rng.random() < m.spoils:
-            self.at(self.now + MS // 4, lambda: self.end(a, AttemptResult.ERROR))
-        elif len(m.queue) >= m.room:
-            self.at(self.now + MS // 4, lambda: self.end(a, AttemptResult.REJECTED))
+        target = self.endpoints[endpoint_id]
+        if target.is_running:
+            report = {"inflight": float(target.in_flight)}
+            self.give(proxy, HealthCheckEnded(endpoint_id, AttemptResult.OK, MS, report))
         else:
-            m.queue.append(a)
-            self._work(m)
-
-    def _work(self, m: Machine) -> None:
-        while m.queue and m.busy < m.cores:
-            a = m.queue.popleft()
-            m.busy += 1
-            took = a.work * m.cores / (m.rate * m.part(self.now, self.rules)) * SECOND
-            start = m.entry.started_ns
-            self.at(self.now + int(took), lambda a=a, s=start: self._done(a, s))  # type: ignore[misc]
-
-    def _done(self, a: Attempt, start: int) -> None:
-        m = a.machine
-        if m.up and m.entry.started_ns == start:
-            m.busy -= 1
-            self.end(a, AttemptResult.OK)
-            self._work(m)
-
-    def end(self, a: Attempt, result: AttemptResult) -> None:
-        o = self.requests[a.node].get(a.request)
-        if a.over or o is None or o.sends[a.number] is not a:
+            self.give(proxy, HealthCheckEnded(endpoint_id, AttemptResult.CONNECT_FAILED, MS, None))
+
+    def _forward(self, proxy: int, action: Forward) -> None:
+        request, target = self.proxies[proxy].requests[action.request_id], self.endpoints[action.endpoint_id]
+        number = len(request.attempts)
+        attempt = SimulatedAttempt(proxy, action.request_id, number, target, self.now, request.work)
+        request.attempts.append(attempt)
+        if action.timeout_ns:
+            at_ns = self.now + action.timeout_ns
+            self.schedule(at_ns, partial(self.end_attempt, attempt, AttemptResult.TIMEOUT))
+        connections = self.proxies[proxy].connections
+        if not target.is_running:
+            result = AttemptResult.CONNECT_FAILED
+            self.schedule(self.now + CONNECT_NS, partial(self.end_attempt, attempt, result))
+        elif target.endpoint.id in connections:
+            self.schedule(self.now + ONE_WAY_NS, partial(self._reach_endpoint, attempt, 0.0))
+        else:
+            connections.add(target.endpoint.id)
+            self.schedule(self.now + CONNECT_NS, partial(self._reach_endpoint, attempt, HANDSHAKE_WORK))
+
+    # -- endpoints --
+
+    def _reach_endpoint(self, attempt: SimulatedAttempt, handshake_work: float) -> None:
+        target = attempt.target
+        if not target.is_running:
+            self.end_attempt(attempt, AttemptResult.RESET)
             return
-        a.over = True
-        if result is AttemptResult.OK and not o.over:
-            o.over = True
+        known_start = self.proxies[attempt.proxy].known_starts.get(target.endpoint.id)
+        is_known = known_start == target.endpoint.started_ns
+        target.arrivals.append(WorkArrival(self.now, attempt.work + handshake_work, is_known))
+        if target.error_share and self.rng.random() < target.error_share:
+            self.schedule(self.now + ONE_WAY_NS, partial(self.end_attempt, attempt, AttemptResult.ERROR))
+        elif len(target.queue) >= target.queue_capacity:
+            self.schedule(self.now + ONE_WAY_NS, partial(self.end_attempt, attempt, AttemptResult.REJECTED))
+        else:
+            target.queue.append(attempt)
+            self._serve_queue(target)
+
+    def _serve_queue(self, target: SimulatedEndpoint) -> None:
+        while target.queue and target.busy < target.workers:
+            attempt = target.queue.popleft()
+            target.busy += 1
+            rate = target.rate * target.capacity_fraction(self.now, self.rules)
+            service_ns = int(attempt.work * target.workers / rate * SECOND)
+            serve = partial(self._serve_attempt, attempt, target.endpoint.started_ns)
+            self.schedule(self.now + service_ns, serve)
+
+    def _serve_attempt(self, attempt: SimulatedAttempt, started_ns: int) -> None:
+        target = attempt.target
+        if target.is_running and target.endpoint.started_ns == started_ns:
+            target.busy -= 1
+            self.end_attempt(attempt, AttemptResult.OK)
+            self._serve_queue(target)
+
+    def end_attempt(self, attempt: SimulatedAttempt, result: AttemptResult) -> None:
+        """Give a proxy the result of an attempt, unless that has ended or the proxy has restarted."""
+        request = self.proxies[attempt.proxy].requests.get(attempt.request)
+        if attempt.has_ended or request is None or request.attempts[attempt.number] is not attempt:
+            return
+        attempt.has_ended = True
+        is_served = result is AttemptResult.OK
+        if is_served and not request.is_answered:
+            request.is_answered = True
             self.served += 1
-        report = (
-            {"inflight": float(a.machine.busy + len(a.machine.queue))}
-            if result is AttemptResult.OK and self.config[a.node].load_reports_in_responses
-            else None
-        )
-        self.give(
-            a.node,
-            AttemptEnded(
-                a.request, a.number, a.machine.entry.id, result, self.now - a.sent_ns, o.over, report
-            ),
+        report = None
+        if is_served and self.settings[attempt.proxy].load_reports_in_responses:
+            report = {"inflight": float(attempt.target.in_flight)}
+        elapsed_ns = self.now - attempt.sent_ns
+        endpoint_id = attempt.target.endpoint.id
+        event = AttemptEnded(
+            attempt.request, attempt.number, endpoint_id, result, elapsed_ns, request.is_answered, report
         )
+        self.give(attempt.proxy, event)
