--- a/loadbalancer/proxy/connection_pool.py
+++ b/loadbalancer/proxy/connection_pool.py
@@ -7,12 +7,14 @@
 from dataclasses import dataclass, field
 
 from loadbalancer.proxy.addresses import Address
-from loadbalancer.proxy.http import MAX_ANSWER
-from loadbalancer.proxy.upstream import Connection, Done, Exchange
+from loadbalancer.proxy.http import MAX_RESPONSE_BODY_BYTES
+from loadbalancer.proxy.upstream import Connection, Exchange, ExchangeCallback
 
-IDLE_DEFAULT_S = 10.0  # where the settings do not say how long an upstream keeps a connection
-IDLE_PART = 0.8  # of that time; later, closing and the next request may cross
-KEPT_IDLE = 8  # to one upstream: each takes a place in its table, but a new one costs it work and time
+DEFAULT_IDLE_TIMEOUT_S = 10.0  # where the settings do not say how long an upstream keeps a connection
+IDLE_TIMEOUT_FRACTION = 0.8  # of that time; later, closing and the next request may cross
+MAX_IDLE_CONNECTIONS_PER_ENDPOINT = (
+    8  # to one upstream: each takes a place in its table, but a new one costs it work and time
+)
 
 
 @dataclass(slots=True, eq=False)
@@ -25,9 +27,11 @@
     open_connections: int = 0  # connections, also those that are only coming up
     idle_connections: list[Connection] = field(default_factory=list)
 
-    def start_exchange(self, data: bytes, timeout_s: float | None, done: Done, spare: int = 0) -> Exchange:
+    def start_exchange(
+        self, data: bytes, timeout_s: float | None, done: ExchangeCallback, reserved_connections: int = 0
+    ) -> Exchange:
         """Begin an exchange whose request tells no time left, so that it may be built beforehand."""
-        exchange = Exchange(self, lambda: data, done, spare)
+        exchange = Exchange(self, lambda: data, done, reserved_connections)
         exchange.start(None if timeout_s is None else asyncio.get_running_loop().time() + timeout_s)
         return exchange
 
@@ -42,15 +46,15 @@
                 connection.close()
         return None
 
-    def release(self, connection: Connection, rest_s: float) -> None:
+    def release(self, connection: Connection, quarantine_s: float) -> None:
         if not self.accepts_requests:
             connection.close()
             return
         connection.idle_since = time.monotonic()
-        connection.quarantined_until = connection.idle_since + rest_s
+        connection.quarantined_until = connection.idle_since + quarantine_s
         self.idle_connections.append(connection)
         self.limits.idle_connections[connection] = None
-        if len(self.idle_connections) > KEPT_IDLE:
+        if len(self.idle_connections) > MAX_IDLE_CONNECTIONS_PER_ENDPOINT:
             self.idle_connections[0].close()
 
     def remove_idle(self, connection: Connection) -> None:
@@ -73,26 +77,26 @@
 
     def __init__(
         self,
-        capacity: int,
+        max_connections: int,
         connect_timeout_s: float,
-        conn_idle_s: float,
-        max_body: int = MAX_ANSWER,
-        least_rate: float = 0.0,
+        upstream_idle_timeout_s: float,
+        max_response_body: int = MAX_RESPONSE_BODY_BYTES,
+        min_response_rate: float = 0.0,
     ) -> None:
         self.min_response_rate = (
-            least_rate  # bytes a second of an answer that put off its time-out; 0: it stands
+            min_response_rate  # bytes a second of an answer that put off its time-out; 0: it stands
         )
-        self.max_connections = capacity
+        self.max_connections = max_connections
         self.connect_timeout_s = connect_timeout_s
-        self.idle_timeout_s = conn_idle_s * IDLE_PART or IDLE_DEFAULT_S
-        self.max_response_body = max_body
+        self.idle_timeout_s = upstream_idle_timeout_s * IDLE_TIMEOUT_FRACTION or DEFAULT_IDLE_TIMEOUT_S
+        self.max_response_body = max_response_body
         self.open_connections = 0  # connections, also those that are only coming up
         self.pools: dict[int, ConnectionPool] = {}  # of the upstreams that have been sent something of late
         self.idle_connections: dict[Connection, None] = {}  # of all pools, the longest so first
 
-    def reserve_connection(self, spare: int = 0) -> bool:
+    def reserve_connection(self, reserved: int = 0) -> bool:
         """Is there room for one more connection? An idle one is given up for it."""
-        if self.open_connections < self.max_connections - spare:
+        if self.open_connections < self.max_connections - reserved:
             return True
         oldest = next(iter(self.idle_connections), None)
         if oldest is not None:
--- a/loadbalancer/proxy/downstream.py
+++ b/loadbalancer/proxy/downstream.py
@@ -15,17 +15,19 @@
 
 log = logging.getLogger(__name__)
 READY_PATH = b"/health/ready"
-BACKLOG = 1024
-ACCEPTS = 16  # connections accepted before other work gets its turn
-ACCEPT_PAUSE_S = 0.05  # after the system had no descriptor to give
-LINGER_S = 0.5  # a client that was turned away may still read the answer for so long
-DRAIN = 256 * 1024  # and so much of what it goes on sending is read: unread input would reset the answer
-FLUSH_S = 3.0  # and for the last bytes of a large answer to go out
-SPEAK_S = 2.25  # from connecting, or a request's first byte, to its last one
-IDLE_S = 2.0  # between requests, the least that is promised: some keep theirs for good
-ROOMY = 0.6  # of the places; while more are taken, answers end their connections
-FRESH_S = 0.05  # so young a connection makes no place for others: its request may be on the way
-TICK_S = 0.1  # how often the times above are looked at
+LISTEN_BACKLOG = 1024
+MAX_ACCEPTS_PER_TURN = 16  # connections accepted before other work gets its turn
+ACCEPT_BACKOFF_S = 0.05  # after the system had no descriptor to give
+LINGERING_CLOSE_TIMEOUT_S = 0.5  # a client that was turned away may still read the answer for so long
+LINGERING_CLOSE_MAX_BYTES = (
+    256 * 1024
+)  # and so much of what it goes on sending is read: unread input would reset the answer
+FLUSH_TIMEOUT_S = 3.0  # and for the last bytes of a large answer to go out
+REQUEST_RECEIVE_TIMEOUT_S = 2.25  # from connecting, or a request's first byte, to its last one
+KEEP_ALIVE_TIMEOUT_S = 2.0  # between requests, the least that is promised: some keep theirs for good
+KEEP_ALIVE_MAX_OCCUPANCY = 0.6  # of the places; while more are taken, answers end their connections
+MIN_EVICTION_AGE_S = 0.05  # so young a connection makes no place for others: its request may be on the way
+TIMEOUT_CHECK_INTERVAL_S = 0.1  # how often the times above are looked at
 
 
 class RequestHandler(Protocol):
@@ -90,7 +92,7 @@
     def data_received(self, data: bytes) -> None:
         if self._ended:
             self._discarded_bytes += len(data)
-            if self._discarded_bytes > DRAIN and self._transport is not None:
+            if self._discarded_bytes > LINGERING_CLOSE_MAX_BYTES and self._transport is not None:
                 self._transport.pause_reading()
             return
         received, began = time.monotonic_ns(), self._reader.message_started
@@ -250,24 +252,26 @@
         self._socket.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
         self._socket.setblocking(False)
         self._socket.bind((host, port))
-        self._socket.listen(BACKLOG)
+        self._socket.listen(LISTEN_BACKLOG)
         self._resume_accepting()
         self._enforce_timeouts()
         return int(self._socket.getsockname()[1])
 
     def _enforce_timeouts(self) -> None:
-        for client in self._awaiting_request.closeable(SPEAK_S):
+        for client in self._awaiting_request.closeable(REQUEST_RECEIVE_TIMEOUT_S):
             if client.request_started:
                 client.reject(408)
             else:
                 client.close()
-        for client in self._idle.closeable(IDLE_S):
+        for client in self._idle.closeable(KEEP_ALIVE_TIMEOUT_S):
             client.close()
-        for table, limit_s in ((self._closing, LINGER_S), (self._flushing, FLUSH_S)):
+        for table, limit_s in ((self._closing, LINGERING_CLOSE_TIMEOUT_S), (self._flushing, FLUSH_TIMEOUT_S)):
             while (late := table.oldest(limit_s)) is not None:
                 self.remove(late)
                 late.abort()
-        self._timeout_timer = asyncio.get_running_loop().call_later(TICK_S, self._enforce_timeouts)
+        self._timeout_timer = asyncio.get_running_loop().call_later(
+            TIMEOUT_CHECK_INTERVAL_S, self._enforce_timeouts
+        )
 
     def _resume_accepting(self) -> None:
         if self._socket is not None and not self._accepting:
@@ -284,10 +288,10 @@
     def _accept(self) -> bool:
         """Take in who waits; has nobody been left?"""
         assert self._socket is not None
-        for _ in range(ACCEPTS):
+        for _ in range(MAX_ACCEPTS_PER_TURN):
             if len(self._connections) >= self._capacity and self._eviction_candidate() is None:
                 # Where all are busy, the first to end lets the next one in.
-                self._pause_accepting(FRESH_S if self._awaiting_request else None)
+                self._pause_accepting(MIN_EVICTION_AGE_S if self._awaiting_request else None)
                 return False
             try:
                 accepted, _ = self._socket.accept()
@@ -296,7 +300,7 @@
             except OSError as error:  # no descriptor left: asyncio's own server would stop for a second
                 log.warning("accept: %s", error)
                 self._evict_one()
-                self._pause_accepting(ACCEPT_PAUSE_S)
+                self._pause_accepting(ACCEPT_BACKOFF_S)
                 return False
             if len(self._connections) >= self._capacity:
                 self._evict_one()  # not before one has come: it might be the last that came
@@ -305,8 +309,8 @@
 
     def _eviction_candidate(self) -> ClientConnection | None:
         """Who makes place for a new one: first who is leaving, then who owes a request, then who is idle."""
-        owing = self._closing.oldest() or next(self._awaiting_request.closeable(FRESH_S), None)
-        idle = next(self._idle.closeable(SPEAK_S if self._awaiting_request else 0.0), None)
+        owing = self._closing.oldest() or next(self._awaiting_request.closeable(MIN_EVICTION_AGE_S), None)
+        idle = next(self._idle.closeable(REQUEST_RECEIVE_TIMEOUT_S if self._awaiting_request else 0.0), None)
         return owing or (idle if idle is not None and not idle.has_unsent_data else None)
 
     def _start_connection(self, accepted: socket.socket) -> None:
@@ -351,7 +355,7 @@
     @property
     def nearly_full(self) -> bool:
         """So many connections are held that clients without one may find none."""
-        return len(self._connections) > ROOMY * self._capacity
+        return len(self._connections) > KEEP_ALIVE_MAX_OCCUPANCY * self._capacity
 
     @property
     def flushing(self) -> bool:
@@ -377,7 +381,7 @@
         which no request has begun to come. Are none left of either?"""
         if self._socket is not None and self._accept():
             self.stop_listening()
-        for client in [*self._idle.closeable(), *self._awaiting_request.closeable(FRESH_S)]:
+        for client in [*self._idle.closeable(), *self._awaiting_request.closeable(MIN_EVICTION_AGE_S)]:
             if not client.request_started:
                 client.close()
         return self._socket is None and not (self._idle or self._awaiting_request)
--- a/loadbalancer/proxy/http.py
+++ b/loadbalancer/proxy/http.py
@@ -8,12 +8,12 @@
 
 import httptools
 
-MAX_BODY = 64 * 1024  # bytes of a request's body
-MAX_ANSWER = 1024 * 1024  # of an answer's: upstreams send some of 400 KB, though 64 are agreed
-MAX_HEAD = 16 * 1024  # bytes of a head, or of a body's trailers with it
-FRAMING = 8  # times its body that a chunked message may take: a byte a chunk takes six
-MOST_LOAD = 1e12  # of any figure in a load report; what is above has no meaning
-MAX_ANNOUNCED = 16  # 1xx answers ahead of an answer
+MAX_REQUEST_BODY_BYTES = 64 * 1024  # bytes of a request's body
+MAX_RESPONSE_BODY_BYTES = 1024 * 1024  # of an answer's: upstreams send some of 400 KB, though 64 are agreed
+MAX_HEADER_BYTES = 16 * 1024  # bytes of a head, or of a body's trailers with it
+MAX_FRAMING_FACTOR = 8  # times its body that a chunked message may take: a byte a chunk takes six
+MAX_LOAD_FIGURE = 1e12  # of any figure in a load report; what is above has no meaning
+MAX_INTERIM_RESPONSES = 16  # 1xx answers ahead of an answer
 HOP_BY_HOP = frozenset(
     {
         b"connection",
@@ -29,7 +29,7 @@
         b"content-length",
     }
 )
-REASONS = {
+REASON_PHRASES = {
     200: "OK",
     400: "Bad Request",
     405: "Method Not Allowed",
@@ -71,7 +71,7 @@
 class MessageReader:
     """Cuts what a connection brings into messages; header names come out in lower case."""
 
-    def __init__(self, responses: bool = False, max_body: int = MAX_BODY) -> None:
+    def __init__(self, responses: bool = False, max_body: int = MAX_REQUEST_BODY_BYTES) -> None:
         self._parser = httptools.HttpResponseParser(self) if responses else httptools.HttpRequestParser(self)
         self._max_body = max_body
         self._ready: list[Message] = []
@@ -100,9 +100,9 @@
             self._refuse(400)
         except httptools.HttpParserError:
             self._refuse(400)
-        if not self._in_body and self._fed > MAX_HEAD:
+        if not self._in_body and self._fed > MAX_HEADER_BYTES:
             self._refuse(431)  # a head without end must not fill the memory
-        elif self._fed > MAX_HEAD + FRAMING * self._max_body:
+        elif self._fed > MAX_HEADER_BYTES + MAX_FRAMING_FACTOR * self._max_body:
             self._refuse(413)  # nor must chunk extensions without end keep the parser busy
         if self.error_status:
             self._fresh()
@@ -129,7 +129,7 @@
 
     def _count(self, size: int) -> None:
         self._head_size += size
-        if self._head_size > MAX_HEAD:
+        if self._head_size > MAX_HEADER_BYTES:
             self._refuse(431)
 
     def on_headers_complete(self) -> None:
@@ -163,11 +163,11 @@
             self._interim_responses = 0
             return
         self._interim_responses += 1  # 1xx only announces the answer
-        if self._interim_responses > MAX_ANNOUNCED:
+        if self._interim_responses > MAX_INTERIM_RESPONSES:
             self._refuse(400)
 
 
-def _head(first: bytes, headers: Headers, body: bytes | bytearray, with_length: bool) -> bytes:
+def _serialize_message(first: bytes, headers: Headers, body: bytes | bytearray, with_length: bool) -> bytes:
     lines = [first, *(k + b": " + v for k, v in headers)]
     if with_length:
         lines.append(b"Content-Length: %d" % len(body))
@@ -175,16 +175,18 @@
 
 
 def write_request(method: bytes, target: bytes, headers: Headers, body: bytes | bytearray = b"") -> bytes:
-    return _head(method + b" " + target + b" HTTP/1.1", headers, body, bool(body) or method != b"GET")
+    return _serialize_message(
+        method + b" " + target + b" HTTP/1.1", headers, body, bool(body) or method != b"GET"
+    )
 
 
 def write_response(status: int, headers: Headers, body: bytes | bytearray, close: bool) -> bytes:
-    reason = REASONS.get(status, "Unknown").encode()
+    reason = REASON_PHRASES.get(status, "Unknown").encode()
     extra = [(b"Connection", b"close")] if close else []
-    return _head(b"HTTP/1.1 %d %s" % (status, reason), [*headers, *extra], body, True)
+    return _serialize_message(b"HTTP/1.1 %d %s" % (status, reason), [*headers, *extra], body, True)
 
 
-def whole_number(text: bytes) -> int | None:
+def parse_decimal(text: bytes) -> int | None:
     """A header's plain decimal number; None for anything else, also a number of absurd length."""
     return int(text) if text.isdigit() and len(text) <= 15 else None
 
@@ -197,7 +199,7 @@
         raise ValueError("nested too deep") from None
 
 
-def load_report(text: bytes | bytearray) -> dict[str, float] | None:
+def parse_load_report(text: bytes | bytearray) -> dict[str, float] | None:
     """A load report as the module takes it: the numbers of a JSON object that a load can be."""
     try:
         value = read_json(text)
@@ -208,5 +210,5 @@
     return {
         k: float(v)
         for k, v in value.items()
-        if isinstance(v, int | float) and not isinstance(v, bool) and 0 <= v <= MOST_LOAD
+        if isinstance(v, int | float) and not isinstance(v, bool) and 0 <= v <= MAX_LOAD_FIGURE
     }
--- a/loadbalancer/proxy/proxy.py
+++ b/loadbalancer/proxy/proxy.py
@@ -45,7 +45,7 @@
 from loadbalancer.proxy.downstream import ClientConnection, DownstreamServer
 from loadbalancer.proxy.endpoint_list import EndpointList, EndpointListReader, unix_offset_ns
 from loadbalancer.proxy.gossip import Gossip
-from loadbalancer.proxy.http import Headers, Message, load_report, whole_number, write_request
+from loadbalancer.proxy.http import Headers, Message, parse_decimal, parse_load_report, write_request
 from loadbalancer.proxy.upstream import Exchange
 from loadbalancer.settings import Idempotency, RequestClass
 
@@ -290,7 +290,7 @@
         """A client's request: refused here only if it can't be understood or there is no room."""
         name = request.target[1:].partition(b"?")[0].partition(b"/")[0].decode("latin-1")
         cls = self.config.settings.request_classes.get(name)
-        wait_ms = whole_number(request.header(b"req-deadline-ms"))
+        wait_ms = parse_decimal(request.header(b"req-deadline-ms"))
         ids = [value for key, value in request.headers if key == b"req-id"]
         if request.method not in METHODS.values():
             client.respond(405, [(b"Allow", b"GET, POST")])
@@ -316,7 +316,7 @@
         call.deadline_timer = self._loop.call_at((deadline_ns - NODE_EARLY_NS) / SECOND, self._expire, call)
         cookies = (c.strip() for c in request.header(b"cookie").decode("latin-1").split(";"))
         key = next((c[5:] for c in cookies if c.startswith("user=")), "")
-        cost_us = whole_number(request.header(b"req-cost")) or 0
+        cost_us = parse_decimal(request.header(b"req-cost")) or 0
         self.dispatch(
             RequestArrived(
                 call.id,
@@ -401,8 +401,8 @@
             pool,
             partial(self._serialize_attempt, call.request, end),
             self._on_attempt_ended(call, number, action.endpoint_id, now),
-            wanted=lambda: self._is_wanted(call),
-            rest_s=REST_S,
+            is_wanted=lambda: self._is_wanted(call),
+            quarantine_s=REST_S,
         )
         call.attempt.start(end / SECOND)
 
@@ -436,7 +436,7 @@
         return ended
 
     def _load_report(self, response: Message | None) -> dict[str, float] | None:
-        return load_report(response.header(b"srv-load")) if response is not None else None
+        return parse_load_report(response.header(b"srv-load")) if response is not None else None
 
     def _cancel_attempt(self, action: CancelAttempt) -> None:
         call = self._pending.get(action.request_id)
@@ -457,7 +457,7 @@
             report = None
             if response is not None:
                 result = AttemptResult.OK if response.status == 200 else AttemptResult.REJECTED
-                report = load_report(response.body)
+                report = parse_load_report(response.body)
             self.dispatch(HealthCheckEnded(upstream, result, time.monotonic_ns() - now, report))
 
         host = "{}:{}".format(*pool.address).encode()
--- a/loadbalancer/proxy/upstream.py
+++ b/loadbalancer/proxy/upstream.py
@@ -15,9 +15,9 @@
     from loadbalancer.proxy.connection_pool import ConnectionPool
 
 
-Done = Callable[[AttemptResult, Message | None], None]
-Serialize = Callable[[], bytes]
-TOO_LARGE = 413  # how a reader says so of an answer, too
+ExchangeCallback = Callable[[AttemptResult, Message | None], None]
+RequestSerializer = Callable[[], bytes]
+CONTENT_TOO_LARGE = 413  # how a reader says so of an answer, too
 
 
 class Exchange:
@@ -31,20 +31,22 @@
     def __init__(
         self,
         pool: ConnectionPool,
-        serialize: Serialize,
-        done: Done,
-        spare: int = 0,
-        wanted: Callable[[], bool] = lambda: True,
-        rest_s: float = 0.0,
+        serialize: RequestSerializer,
+        done: ExchangeCallback,
+        reserved_connections: int = 0,
+        is_wanted: Callable[[], bool] = lambda: True,
+        quarantine_s: float = 0.0,
     ) -> None:
         self.pool = pool
-        self.reserved_connections = spare  # places that it must leave to others
-        self.quarantine_s = rest_s  # for which its connection is left alone afterwards
+        self.reserved_connections = reserved_connections  # places that it must leave to others
+        self.quarantine_s = quarantine_s  # for which its connection is left alone afterwards
         self.serialize = serialize
         self.finished = False
         self.response_too_large = False  # its answer was, and so it ended
         self._done = done
-        self._is_wanted = wanted  # asked before it takes a connection and before its first byte; may end it
+        self._is_wanted = (
+            is_wanted  # asked before it takes a connection and before its first byte; may end it
+        )
         self._connection: Connection | None = None
         self._connecting: Connection | None = None
         self._connect_task: asyncio.Task[None] | None = None
@@ -165,7 +167,7 @@
         exchange = self._exchange
         if exchange is None or (self._reader.error_status and not responses):
             if exchange is not None:
-                exchange.response_too_large = self._reader.error_status == TOO_LARGE
+                exchange.response_too_large = self._reader.error_status == CONTENT_TOO_LARGE
             self.fail()  # nobody asked for it, or it can't be read
         elif responses:
             self._exchange = None
--- a/tests/proxy/test_discovery_outage.py
+++ b/tests/proxy/test_discovery_outage.py
@@ -21,7 +21,7 @@
     WatchEndpoints,
 )
 from loadbalancer.policy.balancer import Balancer
-from loadbalancer.proxy.connection_pool import KEPT_IDLE
+from loadbalancer.proxy.connection_pool import MAX_IDLE_CONNECTIONS_PER_ENDPOINT
 from tests.support.policy_harness import SECOND, START, settings
 from tests.support.sockets import (
     HOST,
@@ -275,7 +275,10 @@
     monkeypatch.setattr("loadbalancer.proxy.discovery_client.ASKED_WAIT_MS", 40)
 
     async def test() -> None:
-        upstreams = [await FakeUpstream(answers(200)).start() for _ in range(PLACES // KEPT_IDLE)]
+        upstreams = [
+            await FakeUpstream(answers(200)).start()
+            for _ in range(PLACES // MAX_IDLE_CONNECTIONS_PER_ENDPOINT)
+        ]
         registry = FakeDiscovery()
         heard: Answer = registry.upstream.answer
         if kind == "refuses":
@@ -293,7 +296,7 @@
             for number in numbers.values():
                 pool = client.node._connection_pool(number)
                 assert pool is not None
-                for _ in range(KEPT_IDLE):
+                for _ in range(MAX_IDLE_CONNECTIONS_PER_ENDPOINT):
                     pool.start_exchange(b"GET /read HTTP/1.1\r\n\r\n", None, lambda result, response: None)
             await until(lambda: len(hub.idle_connections) == PLACES)
             idle = [asyncio.create_task(says_nothing(client.port)) for _ in range(PLACES + 30)]
--- a/tests/proxy/test_endpoint_list.py
+++ b/tests/proxy/test_endpoint_list.py
@@ -259,7 +259,9 @@
         try:
             for rate, put_off in ((1000.0, 3.0), (0.0, 0.0)):
                 ended: list[AttemptResult] = []
-                pool = ConnectionPool(ConnectionLimits(2, 2.0, 0.0, least_rate=rate), (HOST, upstream.port))
+                pool = ConnectionPool(
+                    ConnectionLimits(2, 2.0, 0.0, min_response_rate=rate), (HOST, upstream.port)
+                )
                 exchange = pool.start_exchange(
                     b"GET / HTTP/1.1\r\n\r\n",
                     PATIENCE_S,
--- a/tests/proxy/test_proxy.py
+++ b/tests/proxy/test_proxy.py
@@ -418,7 +418,7 @@
 ) -> None:
     async def test() -> None:
         monkeypatch.setattr("loadbalancer.proxy.proxy.LATE_ARRIVALS_S", 0.0)
-        monkeypatch.setattr("loadbalancer.proxy.downstream.FRESH_S", 0.0)
+        monkeypatch.setattr("loadbalancer.proxy.downstream.MIN_EVICTION_AGE_S", 0.0)
         upstream = await FakeUpstream(answers(200, b"it")).start()
         script = ScriptedPolicy()
         sends_first(script)
