--- a/loadbalancer/proxy/downstream.py
+++ b/loadbalancer/proxy/downstream.py
@@ -1,243 +1,60 @@
-"""TODO"""
+"""The listener for clients: admission and eviction of connections, their time-outs and graceful close."""
 
 from __future__ import annotations
 
 import asyncio
-import itertools
 import logging
 import socket
-import time
-from collections.abc import Iterator
-from typing import Protocol, cast
 
-from loadbalancer.proxy.http import Headers, Message, MessageReader, write_response
-from loadbalancer.proxy.socket_state import CLOSED, UNREAD, socket_shows
+from loadbalancer.proxy.client_connection import ClientConnection, RequestHandler
+from loadbalancer.proxy.connection_table import ConnectionTable
 
 log = logging.getLogger(__name__)
-READY_PATH = b"/health/ready"
-LISTEN_BACKLOG = 1024
-MAX_ACCEPTS_PER_TURN = 16  # connections accepted before other work gets its turn
-ACCEPT_BACKOFF_S = 0.05  # after the system had no descriptor to give
-LINGERING_CLOSE_TIMEOUT_S = 0.5  # a client that was turned away may still read the answer for so long
-LINGERING_CLOSE_MAX_BYTES = (
-    256 * 1024
-)  # and so much of what it goes on sending is read: unread input would reset the answer
-FLUSH_TIMEOUT_S = 3.0  # and for the last bytes of a large answer to go out
-REQUEST_RECEIVE_TIMEOUT_S = 2.25  # from connecting, or a request's first byte, to its last one
-KEEP_ALIVE_TIMEOUT_S = 2.0  # between requests, the least that is promised: some keep theirs for good
-KEEP_ALIVE_MAX_OCCUPANCY = 0.6  # of the places; while more are taken, answers end their connections
-MIN_EVICTION_AGE_S = 0.05  # so young a connection makes no place for others: its request may be on the way
-TIMEOUT_CHECK_INTERVAL_S = 0.1  # how often the times above are looked at
-
-
-class RequestHandler(Protocol):
-    """What answers the requests."""
-
-    @property
-    def ready(self) -> bool: ...
-
-    def handle_request(self, client: ClientConnection, request: Message, received_ns: int) -> None: ...
-
-    def handle_disconnect(self, client: ClientConnection) -> None: ...
-
-
-class ClientConnection(asyncio.Protocol):
-    """One client's connection: one request at a time. Sending one ahead of an answer ends it."""
-
-    def __init__(self, server: DownstreamServer, service: RequestHandler) -> None:
-        self._server = server
-        self._service = service
-        self._reader = MessageReader()
-        self._current: Message | None = None
-        self._ended = False
-        self._discarded_bytes = 0  # bytes read since its end
-        self._transport: asyncio.Transport | None = None
-        self.entered_at = 0.0  # it has been in its place of the server's tables since then
-
-    @property
-    def busy(self) -> bool:
-        return self._current is not None
-
-    @property
-    def has_disconnected(self) -> bool:
-        """The client has ended its sending or broken the connection, whether that has been read or not."""
-        return (
-            self._transport is None or self._transport.is_closing() or socket_shows(self._transport, CLOSED)
-        )
 
-    @property
-    def has_unread_data(self) -> bool:
-        """Something lies in its socket that will be read as soon as the loop comes to it."""
-        return (
-            self._transport is not None
-            and self._transport.is_reading()
-            and socket_shows(self._transport, UNREAD)
-        )
-
-    @property
-    def request_started(self) -> bool:
-        """A request has begun to come."""
-        return self._reader.message_started
-
-    @property
-    def has_unsent_data(self) -> bool:
-        """Part of an answer is still to be written."""
-        return self._transport is not None and self._transport.get_write_buffer_size() > 0
-
-    def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        self._transport = cast(asyncio.Transport, transport)
-        if self._ended:  # it had to make place before it came up
-            self._transport.abort()
-
-    def data_received(self, data: bytes) -> None:
-        if self._ended:
-            self._discarded_bytes += len(data)
-            if self._discarded_bytes > LINGERING_CLOSE_MAX_BYTES and self._transport is not None:
-                self._transport.pause_reading()
-            return
-        received, began = time.monotonic_ns(), self._reader.message_started
-        requests = self._reader.feed(data)
-        if self.busy:
-            if (
-                requests or self._reader.message_started or self._reader.error_status
-            ):  # an empty line is none of these
-                self._reject_pipelined()
-        elif self._reader.error_status:
-            self.reject(self._reader.error_status)
-        elif len(requests) > 1 or (requests and self._reader.message_started):
-            self.reject(400)
-        elif requests:
-            self._begin(requests[0], received)
-        elif self._reader.message_started and not began:
-            self._server.expect_request(self)
-
-    def _reject_pipelined(self) -> None:
-        """More came while a request is in hand: neither is served."""
-        self._abandon_request()
-        self.reject(400)
-
-    def eof_received(self) -> None:
-        """A client that ends its sending has gone away, though part of an earlier answer may still go out."""
-        self._abandon_request()
-        self.close()
-
-    def connection_lost(self, error: Exception | None) -> None:
-        self._ended = True
-        self._server.remove(self)
-        self._abandon_request()
-
-    def _abandon_request(self) -> None:
-        """Nobody waits for the current request any more."""
-        if self.busy:
-            self._current = None
-            self._service.handle_disconnect(self)
-
-    def pause_writing(self) -> None:
-        """It does not read its answers: no more requests of it, and its time runs."""
-        if self._transport is not None and not self._ended:
-            self._transport.pause_reading()
-
-    def resume_writing(self) -> None:
-        if self._transport is not None and not self._ended:
-            self._transport.resume_reading()
-
-    def _begin(self, request: Message, received_ns: int) -> None:
-        self._current = request
-        self._server.update_idle(self)
-        if request.target.partition(b"?")[0] == READY_PATH:
-            self.respond(200 if self._service.ready else 503)
-        else:
-            self._service.handle_request(self, request, received_ns)
-
-    def respond(self, status: int, headers: Headers = (), body: bytes | bytearray = b"") -> None:
-        """The final answer of the current request."""
-        if self._current is None or self._transport is None:
-            return
-        last = not self._current.keep_alive or self._server.draining or self._server.nearly_full
-        self._current = None
-        self._transport.write(write_response(status, headers, body, last))
-        if last:
-            self.close()
-        else:
-            self._server.update_idle(self)
-
-    def reject(self, status: int) -> None:
-        """Say what is wrong and end the connection."""
-        if self._ended:
-            return
-        self._ended = True
-        self._server.start_closing(self)
-        if self._transport is None:
-            return
-        self._transport.write(write_response(status, (), b"", True))
-        # Closing at once, with unread input, resets the connection: the answer would be lost on its way.
-        if self._transport.can_write_eof():
-            self._transport.write_eof()
-
-    def close(self) -> None:
-        """Close the connection between requests; what has been answered is still written, for a while."""
-        self._ended = True
-        self._server.start_closing(self, self.has_unsent_data)
-        if self._transport is not None:
-            self._transport.close()
-
-    def abort(self) -> None:
-        self._ended = True
-        if self._transport is not None:
-            self._transport.abort()
+LISTEN_BACKLOG = 1024
 
+# Connections accepted before other work gets its turn.
+MAX_ACCEPTS_PER_TURN = 16
 
-class ConnectionTable:
-    """Connections in the order in which they came to it."""
+# Pause of accepting after the system had no file descriptor to give.
+ACCEPT_BACKOFF_S = 0.05
 
-    def __init__(self) -> None:
-        self._members: dict[ClientConnection, None] = {}
+# From connecting, or from a request's first byte, to its last byte.
+REQUEST_RECEIVE_TIMEOUT_S = 2.25
 
-    def __iter__(self) -> Iterator[ClientConnection]:
-        return iter(list(self._members))
+# Between requests. It is the least that clients are promised: some keep idle connections for good.
+KEEP_ALIVE_TIMEOUT_S = 2.0
 
-    def __len__(self) -> int:
-        return len(self._members)
+# For a client that was rejected to read the answer.
+LINGERING_CLOSE_TIMEOUT_S = 0.5
 
-    def __contains__(self, client: ClientConnection) -> bool:
-        return client in self._members
+# For the last bytes of a large answer to go out after a close.
+FLUSH_TIMEOUT_S = 3.0
 
-    def add(self, client: ClientConnection) -> None:
-        self._members.pop(client, None)
-        client.entered_at = asyncio.get_running_loop().time()
-        self._members[client] = None
+# How often the time-outs above are looked at.
+TIMEOUT_CHECK_INTERVAL_S = 0.1
 
-    def discard(self, client: ClientConnection) -> None:
-        self._members.pop(client, None)
+# Part of the capacity; with more connections open, answers end their connections.
+KEEP_ALIVE_MAX_OCCUPANCY = 0.6
 
-    def oldest(self, age_s: float = 0.0) -> ClientConnection | None:
-        """The first that came, if it has been here for so long."""
-        client = next(iter(self._members), None)
-        if client is None or asyncio.get_running_loop().time() - client.entered_at < age_s:
-            return None
-        return client
-
-    def closeable(self, age_s: float = 0.0) -> Iterator[ClientConnection]:
-        """Who has been here for so long and may be closed between requests, oldest first: what lies unread
-        in a socket may be a request, which has been taken."""
-        latest = asyncio.get_running_loop().time() - age_s
-        return (
-            c for c in itertools.takewhile(lambda c: c.entered_at <= latest, self) if not c.has_unread_data
-        )
+# A younger connection without a request is not evicted: its first request may be on the way.
+MIN_EVICTION_AGE_S = 0.05
 
 
 class DownstreamServer:
-    """Listens, bounds the connections and the times that clients may take for what they owe."""
+    """Listens for clients, and bounds their connections' number and the time they take to send and to read.
+
+    A connection is in at most one of four tables: waiting for a request of the client, idle between requests,
+    closing, or flushing the last answer. One whose request is being handled is in none.
+    """
 
-    def __init__(self, service: RequestHandler, capacity: int) -> None:
-        self._service = service
+    def __init__(self, handler: RequestHandler, capacity: int) -> None:
+        self._handler = handler
         self._capacity = capacity
         self._connections: set[ClientConnection] = set()
-        self._idle = ConnectionTable()  # between requests
-        self._awaiting_request = (
-            ConnectionTable()
-        )  # a request of theirs is due: the first one, or one that has begun
-        self._closing = ConnectionTable()  # closed or turned away, their last bytes still on the way
+        self._idle = ConnectionTable()  # kept alive between requests
+        self._awaiting_request = ConnectionTable()  # the first request is due, or one has started
+        self._closing = ConnectionTable()  # closed or rejected, the last bytes still on their way
         self._flushing = ConnectionTable()  # closed, but a good part of an answer is still to be written
         self._accept_tasks: set[asyncio.Task[object]] = set()
         self._socket: socket.socket | None = None
@@ -246,7 +63,11 @@
         self.draining = False
 
     def listen(self, host: str, port: int) -> int:
-        """Start to listen; gives the port."""
+        """Start to listen.
+
+        Returns:
+            The port, chosen by the system if `port` is 0.
+        """
         family = socket.AF_INET6 if ":" in host else socket.AF_INET
         self._socket = socket.socket(family, socket.SOCK_STREAM)
         self._socket.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
@@ -257,21 +78,17 @@
         self._enforce_timeouts()
         return int(self._socket.getsockname()[1])
 
-    def _enforce_timeouts(self) -> None:
-        for client in self._awaiting_request.closeable(REQUEST_RECEIVE_TIMEOUT_S):
-            if client.request_started:
-                client.reject(408)
-            else:
-                client.close()
-        for client in self._idle.closeable(KEEP_ALIVE_TIMEOUT_S):
-            client.close()
-        for table, limit_s in ((self._closing, LINGERING_CLOSE_TIMEOUT_S), (self._flushing, FLUSH_TIMEOUT_S)):
-            while (late := table.oldest(limit_s)) is not None:
-                self.remove(late)
-                late.abort()
-        self._timeout_timer = asyncio.get_running_loop().call_later(
-            TIMEOUT_CHECK_INTERVAL_S, self._enforce_timeouts
-        )
+    @property
+    def nearly_full(self) -> bool:
+        """Whether so many connections are open that clients without one may find no room."""
+        return len(self._connections) > KEEP_ALIVE_MAX_OCCUPANCY * self._capacity
+
+    @property
+    def flushing(self) -> bool:
+        """Whether part of any answer is still to be written."""
+        return bool(self._flushing) or any(client.has_unsent_data for client in self._connections)
+
+    # -- admission --
 
     def _resume_accepting(self) -> None:
         if self._socket is not None and not self._accepting:
@@ -279,6 +96,7 @@
             asyncio.get_running_loop().add_reader(self._socket, self._accept)
 
     def _pause_accepting(self, for_s: float | None = None) -> None:
+        """Leave new connections in the listen queue, until something resumes or the time is over."""
         if self._socket is not None and self._accepting:
             self._accepting = False
             asyncio.get_running_loop().remove_reader(self._socket)
@@ -286,37 +104,41 @@
                 asyncio.get_running_loop().call_later(for_s, self._resume_accepting)
 
     def _accept(self) -> bool:
-        """Take in who waits; has nobody been left?"""
+        """Accept connections from the listen queue as far as there is room.
+
+        Returns:
+            Whether the listen queue was found empty.
+        """
         assert self._socket is not None
         for _ in range(MAX_ACCEPTS_PER_TURN):
-            if len(self._connections) >= self._capacity and self._eviction_candidate() is None:
+            if self._full and self._eviction_candidate() is None:
                 # Where all are busy, the first to end lets the next one in.
                 self._pause_accepting(MIN_EVICTION_AGE_S if self._awaiting_request else None)
                 return False
             try:
                 accepted, _ = self._socket.accept()
-            except (BlockingIOError, InterruptedError, ConnectionAbortedError) as error:
-                return isinstance(error, BlockingIOError)
+            except BlockingIOError:
+                return True
+            except (InterruptedError, ConnectionAbortedError):
+                return False
             except OSError as error:  # no descriptor left: asyncio's own server would stop for a second
                 log.warning("accept: %s", error)
                 self._evict_one()
                 self._pause_accepting(ACCEPT_BACKOFF_S)
                 return False
-            if len(self._connections) >= self._capacity:
-                self._evict_one()  # not before one has come: it might be the last that came
+            if self._full:
+                self._evict_one()  # only now that one has come: it might have been the last that came
             self._start_connection(accepted)
         return False
 
-    def _eviction_candidate(self) -> ClientConnection | None:
-        """Who makes place for a new one: first who is leaving, then who owes a request, then who is idle."""
-        owing = self._closing.oldest() or next(self._awaiting_request.closeable(MIN_EVICTION_AGE_S), None)
-        idle = next(self._idle.closeable(REQUEST_RECEIVE_TIMEOUT_S if self._awaiting_request else 0.0), None)
-        return owing or (idle if idle is not None and not idle.has_unsent_data else None)
+    @property
+    def _full(self) -> bool:
+        return len(self._connections) >= self._capacity
 
     def _start_connection(self, accepted: socket.socket) -> None:
         accepted.setblocking(False)
         accepted.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-        client = ClientConnection(self, self._service)
+        client = ClientConnection(self, self._handler)
         self._connections.add(client)
         self._awaiting_request.add(client)
         task: asyncio.Task[object] = asyncio.get_running_loop().create_task(
@@ -328,57 +150,108 @@
     async def _attach_transport(self, client: ClientConnection, accepted: socket.socket) -> None:
         try:
             await asyncio.get_running_loop().connect_accepted_socket(lambda: client, accepted)
-        except OSError:  # it has gone in the meantime
+        except OSError:  # the client has gone in the meantime
             accepted.close()
             self.remove(client)
 
-    def update_idle(self, client: ClientConnection) -> None:
-        """The connection has become busy or idle."""
+    # -- eviction --
+
+    def _eviction_candidate(self) -> ClientConnection | None:
+        """Return the connection that makes room for a new one, if any may be aborted.
+
+        Closing ones go first, then those that owe a request, then idle ones.
+        """
+        closing = self._closing.oldest()
+        if closing is not None:
+            return closing
+        owing = next(self._awaiting_request.closeable(MIN_EVICTION_AGE_S), None)
+        if owing is not None:
+            return owing
+        idle_age_s = REQUEST_RECEIVE_TIMEOUT_S if self._awaiting_request else 0.0
+        idle = next(self._idle.closeable(idle_age_s), None)
+        if idle is None or idle.has_unsent_data:
+            return None
+        return idle
+
+    def _evict_one(self) -> bool:
+        """Abort one connection to make room at once.
+
+        Returns:
+            Whether there was one that could be aborted.
+        """
+        client = self._eviction_candidate()
+        if client is None:
+            return False
+        self.remove(client)
+        client.abort()
+        return True
+
+    # -- states of the connections --
+
+    def mark_busy(self, client: ClientConnection) -> None:
+        """Note that a request of the client is being handled."""
         self._awaiting_request.discard(client)
         self._idle.discard(client)
-        if not client.busy:
-            self._idle.add(client)
-            self._resume_accepting()
+
+    def mark_idle(self, client: ClientConnection) -> None:
+        """Note that the connection is kept alive for the client's next request."""
+        self._awaiting_request.discard(client)
+        self._idle.add(client)
+        self._resume_accepting()
 
     def expect_request(self, client: ClientConnection) -> None:
-        """A request has begun to come: the rest is due."""
+        """Note that a request has started, and that the rest is due."""
         if client in self._idle:  # for the first request, the time runs from connecting
             self._idle.discard(client)
             self._awaiting_request.add(client)
 
     def start_closing(self, client: ClientConnection, flushing: bool = False) -> None:
+        """Note that the connection is ending; `flushing` if part of an answer is still to be written."""
         self._awaiting_request.discard(client)
         self._idle.discard(client)
         if client in self._connections:
             (self._flushing if flushing else self._closing).add(client)
 
-    @property
-    def nearly_full(self) -> bool:
-        """So many connections are held that clients without one may find none."""
-        return len(self._connections) > KEEP_ALIVE_MAX_OCCUPANCY * self._capacity
-
-    @property
-    def flushing(self) -> bool:
-        return bool(self._flushing) or any(client.has_unsent_data for client in self._connections)
-
     def remove(self, client: ClientConnection) -> None:
+        """Forget a connection that has ended, and accept others in its place."""
         self._connections.discard(client)
         for table in (self._idle, self._awaiting_request, self._closing, self._flushing):
             table.discard(client)
         self._resume_accepting()
 
-    def _evict_one(self) -> bool:
-        """Make place for one connection at once."""
-        client = self._eviction_candidate()
-        if client is None:
-            return False
-        self.remove(client)
-        client.abort()
-        return True
+    # -- time-outs --
+
+    def _enforce_timeouts(self) -> None:
+        """End the connections whose time is over, now and at intervals."""
+        for client in self._awaiting_request.closeable(REQUEST_RECEIVE_TIMEOUT_S):
+            if client.request_started:
+                client.reject(408)
+            else:
+                client.close()
+        for client in self._idle.closeable(KEEP_ALIVE_TIMEOUT_S):
+            client.close()
+        self._abort_older_than(self._closing, LINGERING_CLOSE_TIMEOUT_S)
+        self._abort_older_than(self._flushing, FLUSH_TIMEOUT_S)
+        self._timeout_timer = asyncio.get_running_loop().call_later(
+            TIMEOUT_CHECK_INTERVAL_S, self._enforce_timeouts
+        )
+
+    def _abort_older_than(self, table: ConnectionTable, limit_s: float) -> None:
+        while (client := table.oldest(limit_s)) is not None:
+            self.remove(client)
+            client.abort()
+
+    # -- shutdown --
 
     def continue_shutdown(self) -> bool:
-        """Close to new clients once all that the system has accepted are taken in, and close connections on
-        which no request has begun to come. Are none left of either?"""
+        """Take the next step of the graceful shutdown.
+
+        New clients are refused once all connections that the system has accepted are taken in; connections on
+        which no request has started are closed.
+
+        Returns:
+            Whether the listener is closed and no connection is left that may still bring a request.
+        """
         if self._socket is not None and self._accept():
             self.stop_listening()
         for client in [*self._idle.closeable(), *self._awaiting_request.closeable(MIN_EVICTION_AGE_S)]:
@@ -387,6 +260,7 @@
         return self._socket is None and not (self._idle or self._awaiting_request)
 
     def stop_listening(self) -> None:
+        """Close the listening socket."""
         self._pause_accepting()
         if self._socket is not None:
             self._socket.close()
--- a/loadbalancer/proxy/proxy.py
+++ b/loadbalancer/proxy/proxy.py
@@ -40,9 +40,10 @@
     WatchEndpoints,
 )
 from loadbalancer.proxy.addresses import Address, Packed, unpack_address
+from loadbalancer.proxy.client_connection import ClientConnection
 from loadbalancer.proxy.connection_pool import ConnectionLimits, ConnectionPool
 from loadbalancer.proxy.discovery_client import MAX_LIST, MEMORY_PART, DiscoveryClient, WatchResult
-from loadbalancer.proxy.downstream import ClientConnection, DownstreamServer
+from loadbalancer.proxy.downstream import DownstreamServer
 from loadbalancer.proxy.endpoint_list import EndpointList, EndpointListReader, unix_offset_ns
 from loadbalancer.proxy.gossip import Gossip
 from loadbalancer.proxy.http import Headers, Message, parse_decimal, parse_load_report, write_request
--- a/loadbalancer/proxy/upstream.py
+++ b/loadbalancer/proxy/upstream.py
@@ -9,7 +9,7 @@
 
 from loadbalancer.messages import AttemptResult
 from loadbalancer.proxy.http import Message, MessageReader
-from loadbalancer.proxy.socket_state import UNREAD, socket_shows
+from loadbalancer.proxy.socket_state import has_unread_input
 
 if TYPE_CHECKING:
     from loadbalancer.proxy.connection_pool import ConnectionPool
@@ -148,7 +148,7 @@
         return (
             self._transport is not None
             and not self._transport.is_closing()
-            and not socket_shows(self._transport, UNREAD)
+            and not has_unread_input(self._transport)
         )
 
     def send(self, exchange: Exchange) -> None:
--- a/tests/proxy/test_downstream.py
+++ b/tests/proxy/test_downstream.py
@@ -11,7 +11,8 @@
 import pytest
 
 from loadbalancer.messages import Action, ClientDisconnected, Event, Fail, RequestArrived, TimerExpired
-from loadbalancer.proxy.downstream import ClientConnection, ConnectionTable
+from loadbalancer.proxy.client_connection import ClientConnection
+from loadbalancer.proxy.connection_table import ConnectionTable
 from tests.support.sockets import HOST, PATIENCE_S, ScriptedPolicy, node, request, run, until
 
 READY = b"GET /health/ready HTTP/1.1\r\n\r\n"
