--- a/loadbalancer/proxy/http.py
+++ b/loadbalancer/proxy/http.py
@@ -1,20 +1,49 @@
-"""TODO"""
+"""HTTP/1.1 messages without I/O: an incremental reader with limits, and the serialization of messages."""
 
 from __future__ import annotations
 
-import json
 from collections.abc import Iterable
 from dataclasses import dataclass, field
 
 import httptools
 
-MAX_REQUEST_BODY_BYTES = 64 * 1024  # bytes of a request's body
-MAX_RESPONSE_BODY_BYTES = 1024 * 1024  # of an answer's: upstreams send some of 400 KB, though 64 are agreed
-MAX_HEADER_BYTES = 16 * 1024  # bytes of a head, or of a body's trailers with it
-MAX_FRAMING_FACTOR = 8  # times its body that a chunked message may take: a byte a chunk takes six
-MAX_LOAD_FIGURE = 1e12  # of any figure in a load report; what is above has no meaning
-MAX_INTERIM_RESPONSES = 16  # 1xx answers ahead of an answer
-HOP_BY_HOP = frozenset(
+# Of a request.
+MAX_REQUEST_BODY_BYTES = 64 * 1024
+
+# Of a response: upstreams send some of 400 KB, though 64 KB are agreed.
+MAX_RESPONSE_BODY_BYTES = 1024 * 1024
+
+# Of a message's start line and headers, or of the trailers together with them.
+MAX_HEADER_BYTES = 16 * 1024
+
+# Bytes that a chunked message may take for each byte that its body may have: a byte a chunk takes six.
+MAX_FRAMING_FACTOR = 8
+
+# 1xx responses ahead of a final one.
+MAX_INTERIM_RESPONSES = 16
+
+# Digits of a number in a header.
+MAX_DECIMAL_DIGITS = 15
+
+FIRST_FINAL_STATUS = 200
+BAD_REQUEST = 400
+CONTENT_TOO_LARGE = 413
+REQUEST_HEADER_FIELDS_TOO_LARGE = 431
+
+REASON_PHRASES = {
+    200: "OK",
+    400: "Bad Request",
+    405: "Method Not Allowed",
+    408: "Request Timeout",
+    409: "Conflict",
+    413: "Content Too Large",
+    431: "Request Header Fields Too Large",
+    503: "Service Unavailable",
+    504: "Gateway Timeout",
+}
+
+# Headers of one connection, or of one message's framing: a proxy does not forward them.
+HOP_BY_HOP_HEADERS = frozenset(
     {
         b"connection",
         b"keep-alive",
@@ -29,126 +58,134 @@
         b"content-length",
     }
 )
-REASON_PHRASES = {
-    200: "OK",
-    400: "Bad Request",
-    405: "Method Not Allowed",
-    408: "Request Timeout",
-    409: "Conflict",
-    413: "Content Too Large",
-    431: "Request Header Fields Too Large",
-    503: "Service Unavailable",
-    504: "Gateway Timeout",
-}
+
 Headers = Iterable[tuple[bytes, bytes]]
+"""Names and values, in the order in which they are sent."""
 
 
 @dataclass(slots=True, eq=False)
 class Message:
-    """A request (method, target) or a response (status), whole."""
+    """A whole request (with `method` and `target`) or response (with `status`)."""
 
     headers: list[tuple[bytes, bytes]]
+    """Names in lower case and values, as they came."""
     body: bytearray
     keep_alive: bool
     method: bytes = b""
     target: bytes = b""
     status: int = 0
-    _first: dict[bytes, bytes] = field(init=False)  # of each name the first value
+    _first_values: dict[bytes, bytes] = field(init=False)
 
     def __post_init__(self) -> None:
-        self._first = dict(reversed(self.headers))
+        self._first_values = dict(reversed(self.headers))
 
     def header(self, name: bytes) -> bytes:
-        return self._first.get(name, b"")
+        """Return the first value of a header, given in lower case; empty if there is none."""
+        return self._first_values.get(name, b"")
 
     def end_to_end(self) -> list[tuple[bytes, bytes]]:
-        """The headers that a proxy passes on."""
+        """Return the headers that a proxy forwards."""
         connection = self.header(b"connection")
-        named = {n.strip().lower() for n in connection.split(b",")} if connection else ()
-        return [(k, v) for k, v in self.headers if k not in HOP_BY_HOP and k not in named]
+        listed = {name.strip().lower() for name in connection.split(b",")} if connection else ()
+        return [
+            (name, value)
+            for name, value in self.headers
+            if name not in HOP_BY_HOP_HEADERS and name not in listed
+        ]
 
 
 class MessageReader:
-    """Cuts what a connection brings into messages; header names come out in lower case."""
+    """Cuts the bytes of a connection into messages; `error_status` says when they can't be read on."""
 
     def __init__(self, responses: bool = False, max_body: int = MAX_REQUEST_BODY_BYTES) -> None:
         self._parser = httptools.HttpResponseParser(self) if responses else httptools.HttpRequestParser(self)
         self._max_body = max_body
-        self._ready: list[Message] = []
-        self._fed = 0  # bytes of a message that is not whole yet, its framing included
-        self._interim_responses = 0  # 1xx answers ahead of the one that counts
-        self.message_started = False  # a message has begun that is not whole yet
-        self.error_status = (
-            0  # what to tell a peer that sent what HTTP or our limits do not allow; reading is over
-        )
-        self._fresh()
-
-    def _fresh(self) -> None:
+        self._complete: list[Message] = []
+        self._bytes_fed = 0  # of a message that is not whole yet, with its framing
+        self._interim_responses = 0  # 1xx responses ahead of the final one
+        self.message_started = False
+        """Part of a message has come that is not whole yet."""
+        self.error_status = 0
+        """What to answer to a peer that broke HTTP or a limit of ours; 0 if it did not."""
+        self._reset_message()
+
+    def _reset_message(self) -> None:
         self._headers: list[tuple[bytes, bytes]] = []
         self._target = b""
         self._body = bytearray()
-        self._head_size = 0
+        self._header_bytes = 0
         self._in_body = False
 
     def feed(self, data: bytes) -> list[Message]:
-        """The messages that are now whole; `bad` is set if what came after them can't be read."""
-        self._fed += len(data)
+        """Return the messages that are now whole; `error_status` is set if what came after can't be read."""
+        self._bytes_fed += len(data)
         try:
             self._parser.feed_data(data)
         except httptools.HttpParserUpgrade:
-            self._ready = self._ready[:-1]  # no other protocol is spoken here
-            self._refuse(400)
+            self._complete = self._complete[:-1]  # no other protocol is spoken here
+            self._set_error(BAD_REQUEST)
         except httptools.HttpParserError:
-            self._refuse(400)
-        if not self._in_body and self._fed > MAX_HEADER_BYTES:
-            self._refuse(431)  # a head without end must not fill the memory
-        elif self._fed > MAX_HEADER_BYTES + MAX_FRAMING_FACTOR * self._max_body:
-            self._refuse(413)  # nor must chunk extensions without end keep the parser busy
+            self._set_error(BAD_REQUEST)
+        self._check_message_size()
         if self.error_status:
-            self._fresh()
-        ready, self._ready = self._ready, []
-        return ready
-
-    def _refuse(self, status: int) -> None:
+            self._reset_message()
+        complete, self._complete = self._complete, []
+        return complete
+
+    def _check_message_size(self) -> None:
+        """Bound what a message without end may take of the memory (its head) and of the parser's time."""
+        if not self._in_body and self._bytes_fed > MAX_HEADER_BYTES:
+            self._set_error(REQUEST_HEADER_FIELDS_TOO_LARGE)
+        elif self._bytes_fed > MAX_HEADER_BYTES + MAX_FRAMING_FACTOR * self._max_body:
+            self._set_error(CONTENT_TOO_LARGE)  # for example chunk extensions without end
+
+    def _set_error(self, status: int) -> None:
+        """Set the error, unless there was one before."""
         self.error_status = self.error_status or status
 
-    # -- called by httptools --
+    # -- callbacks of httptools --
 
     def on_message_begin(self) -> None:
+        """A message starts."""
         self.message_started = True
 
     def on_url(self, url: bytes) -> None:
+        """Part of the request's target has come."""
         self._target += url
-        self._count(len(url))
+        self._count_header_bytes(len(url))
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        self._count(len(name) + len(value) + 4)
-        # Behind a chunked body come trailers. They must not pass for headers that the head did not have.
+        """A header has come, or a trailer after a chunked body."""
+        self._count_header_bytes(len(name) + len(value) + len(b": \r\n"))
+        # Trailers must not pass for headers that the head did not have.
         if not self._in_body and not self.error_status:
             self._headers.append((name.lower(), value))
 
-    def _count(self, size: int) -> None:
-        self._head_size += size
-        if self._head_size > MAX_HEADER_BYTES:
-            self._refuse(431)
+    def _count_header_bytes(self, size: int) -> None:
+        self._header_bytes += size
+        if self._header_bytes > MAX_HEADER_BYTES:
+            self._set_error(REQUEST_HEADER_FIELDS_TOO_LARGE)
 
     def on_headers_complete(self) -> None:
+        """The head is whole: check what it announces."""
         self._in_body = True
         if self._parser.get_http_version() not in ("1.0", "1.1"):
-            self._refuse(400)
+            self._set_error(BAD_REQUEST)
         for name, value in self._headers:
             if name == b"content-length" and int(value) > self._max_body:
-                self._refuse(413)  # not only when that much has come
+                self._set_error(CONTENT_TOO_LARGE)  # not only when that much has come
             elif name == b"transfer-encoding" and value.strip().lower() != b"chunked":
-                self._refuse(400)  # a coding that would have to be undone
+                self._set_error(BAD_REQUEST)  # a coding that would have to be undone
 
     def on_body(self, data: bytes) -> None:
+        """Part of the body has come."""
         if len(self._body) + len(data) > self._max_body:
-            self._refuse(413)
+            self._set_error(CONTENT_TOO_LARGE)
         if not self.error_status:
             self._body += data
 
     def on_message_complete(self) -> None:
+        """A message is whole."""
         if self.error_status:
             return
         message = Message(self._headers, self._body, self._parser.should_keep_alive())
@@ -156,59 +193,44 @@
             message.method, message.target = self._parser.get_method(), self._target
         else:
             message.status = self._parser.get_status_code()
-        self._fed, self.message_started = 0, False
-        self._fresh()
-        if message.status == 0 or message.status >= 200:
-            self._ready.append(message)
+        self._bytes_fed = 0
+        self.message_started = False
+        self._reset_message()
+        if 0 < message.status < FIRST_FINAL_STATUS:
+            self._count_interim_response()
+        else:
+            self._complete.append(message)
             self._interim_responses = 0
-            return
-        self._interim_responses += 1  # 1xx only announces the answer
+
+    def _count_interim_response(self) -> None:
+        """Drop a 1xx response: it only announces the final one."""
+        self._interim_responses += 1
         if self._interim_responses > MAX_INTERIM_RESPONSES:
-            self._refuse(400)
+            self._set_error(BAD_REQUEST)
 
 
-def _serialize_message(first: bytes, headers: Headers, body: bytes | bytearray, with_length: bool) -> bytes:
-    lines = [first, *(k + b": " + v for k, v in headers)]
+def _serialize_message(
+    start_line: bytes, headers: Headers, body: bytes | bytearray, with_length: bool
+) -> bytes:
+    lines = [start_line, *(name + b": " + value for name, value in headers)]
     if with_length:
         lines.append(b"Content-Length: %d" % len(body))
     return b"\r\n".join(lines) + b"\r\n\r\n" + body
 
 
 def write_request(method: bytes, target: bytes, headers: Headers, body: bytes | bytearray = b"") -> bytes:
-    return _serialize_message(
-        method + b" " + target + b" HTTP/1.1", headers, body, bool(body) or method != b"GET"
-    )
+    """Serialize a request; its Content-Length is added, except to a GET without a body."""
+    with_length = bool(body) or method != b"GET"
+    return _serialize_message(method + b" " + target + b" HTTP/1.1", headers, body, with_length)
 
 
 def write_response(status: int, headers: Headers, body: bytes | bytearray, close: bool) -> bytes:
+    """Serialize a response with its Content-Length; `close` announces the end of the connection."""
     reason = REASON_PHRASES.get(status, "Unknown").encode()
-    extra = [(b"Connection", b"close")] if close else []
-    return _serialize_message(b"HTTP/1.1 %d %s" % (status, reason), [*headers, *extra], body, True)
+    connection = [(b"Connection", b"close")] if close else []
+    return _serialize_message(b"HTTP/1.1 %d %s" % (status, reason), [*headers, *connection], body, True)
 
 
 def parse_decimal(text: bytes) -> int | None:
-    """A header's plain decimal number; None for anything else, also a number of absurd length."""
-    return int(text) if text.isdigit() and len(text) <= 15 else None
-
-
-def read_json(text: bytes | bytearray | str) -> object:
-    """What a JSON text says; ValueError also for one that is nested too deep to be read."""
-    try:
-        return json.loads(text)
-    except RecursionError:
-        raise ValueError("nested too deep") from None
-
-
-def parse_load_report(text: bytes | bytearray) -> dict[str, float] | None:
-    """A load report as the module takes it: the numbers of a JSON object that a load can be."""
-    try:
-        value = read_json(text)
-    except ValueError:
-        return None
-    if not isinstance(value, dict):
-        return None
-    return {
-        k: float(v)
-        for k, v in value.items()
-        if isinstance(v, int | float) and not isinstance(v, bool) and 0 <= v <= MAX_LOAD_FIGURE
-    }
+    """Return a header's plain decimal number; None for anything else, also a number of absurd length."""
+    return int(text) if text.isdigit() and len(text) <= MAX_DECIMAL_DIGITS else None
--- a/loadbalancer/proxy/proxy.py
+++ b/loadbalancer/proxy/proxy.py
@@ -46,7 +46,8 @@
 from loadbalancer.proxy.downstream import DownstreamServer
 from loadbalancer.proxy.endpoint_list import EndpointList, EndpointListReader, unix_offset_ns
 from loadbalancer.proxy.gossip import Gossip
-from loadbalancer.proxy.http import Headers, Message, parse_decimal, parse_load_report, write_request
+from loadbalancer.proxy.http import Headers, Message, parse_decimal, write_request
+from loadbalancer.proxy.load_report import parse_load_report
 from loadbalancer.proxy.upstream import Exchange
 from loadbalancer.settings import Idempotency, RequestClass
 
--- a/loadbalancer/proxy/upstream.py
+++ b/loadbalancer/proxy/upstream.py
@@ -8,7 +8,7 @@
 from typing import TYPE_CHECKING, cast
 
 from loadbalancer.messages import AttemptResult
-from loadbalancer.proxy.http import Message, MessageReader
+from loadbalancer.proxy.http import CONTENT_TOO_LARGE, Message, MessageReader
 from loadbalancer.proxy.socket_state import has_unread_input
 
 if TYPE_CHECKING:
@@ -17,7 +17,6 @@
 
 ExchangeCallback = Callable[[AttemptResult, Message | None], None]
 RequestSerializer = Callable[[], bytes]
-CONTENT_TOO_LARGE = 413  # how a reader says so of an answer, too
 
 
 class Exchange:
