--- /dev/null
+++ b/tests/policy/test_disconnect.py
@@ -0,0 +1,80 @@
+"""The policy alone: it is told of a disconnect and of what else is due in one batch."""
+
+from __future__ import annotations
+
+import pytest
+
+from loadbalancer.messages import AttemptResult, CancelAttempt, ClientDisconnected, Event, TimerExpired
+from loadbalancer.settings import Limits
+from tests.support import policy_harness as bench
+from tests.support.sockets import MS
+
+
+def harness_with_slow_attempt(hedging: bool = True) -> bench.PolicyHarness:
+    """One attempt is in flight; its endpoint has been known to respond sooner than this one will."""
+    limits = Limits(max_attempts=4, hedging=hedging, cancellation=True)
+    harness = bench.PolicyHarness(bench.settings(limits=limits))
+    for i in range(20):
+        harness.give(bench.arrival(i, harness.now))
+        harness.now += 10 * MS
+        harness.finish(f"r{i}")
+    harness.give(bench.arrival("slow", harness.now))
+    return harness
+
+
+@pytest.mark.parametrize("disconnect_first", [False, True])
+@pytest.mark.parametrize("disconnected", [False, True])
+def test_disconnect_and_a_hedged_request_due_in_one_batch(disconnected: bool, disconnect_first: bool) -> None:
+    harness = harness_with_slow_attempt()
+    due = next(
+        at
+        for at, _, what, about, _ in harness.balancer.timers
+        if what == "overdue" and about is harness.balancer.requests["rslow"]
+    )
+    harness.advance(due - 1 - harness.now)
+    assert len(harness.sends["rslow"]) == 1
+
+    harness.now = due
+    disconnect: list[Event] = [ClientDisconnected("rslow")] if disconnected else []
+    wake = TimerExpired(str(harness.balancer.timer_number))
+    actions = harness.give(*([*disconnect, wake] if disconnect_first else [wake, *disconnect]))
+
+    assert (CancelAttempt("rslow", 0) in actions) == disconnected
+    harness.advance(600 * MS)
+    assert len(harness.sends["rslow"]) == (1 if disconnected else 2)  # a hedged request was due
+
+
+@pytest.mark.parametrize("result", [result for result in AttemptResult if result is not AttemptResult.OK])
+@pytest.mark.parametrize("disconnect_first", [False, True])
+@pytest.mark.parametrize("hedging", [False, True])
+def test_disconnect_and_the_end_of_an_attempt_in_one_batch(
+    result: AttemptResult, disconnect_first: bool, hedging: bool
+) -> None:
+    harness = harness_with_slow_attempt(hedging)
+    harness.now += 10 * MS
+    disconnect = ClientDisconnected("rslow")
+    end = harness.result("rslow", 0, result)
+
+    if disconnect_first:
+        harness.give(disconnect, end)
+    else:
+        harness.give(end, disconnect)
+
+    harness.advance(600 * MS)
+    assert len(harness.sends["rslow"]) == 1
+    assert "rslow" not in harness.balancer.requests
+
+
+@pytest.mark.parametrize("first_to_end", [0, 1])
+def test_both_attempts_of_a_hedged_request_end_after_the_disconnect(first_to_end: int) -> None:
+    harness = harness_with_slow_attempt()
+    harness.advance(150 * MS)
+    assert len(harness.sends["rslow"]) == 2
+
+    harness.give(ClientDisconnected("rslow"))
+    for number in (first_to_end, 1 - first_to_end):
+        harness.finish("rslow", AttemptResult.CONNECT_FAILED, number)
+
+    harness.advance(600 * MS)
+    assert len(harness.sends["rslow"]) == 2
+    assert "rslow" not in harness.balancer.requests
--- a/tests/proxy/test_unread_disconnect.py
+++ b/tests/proxy/test_unread_disconnect.py
@@ -1,15 +1,14 @@
-"""Clients that leave while their request waits: it must not be sent on afterwards.
+"""Clients that disconnect while their request waits: it must not be forwarded afterwards.
 
-The bad order is made to happen: a client's end is put into its socket without a turn of the loop, so that it
-lies there unread when the token or the connection comes."""
+The bad order is made to happen: a client's disconnect is put into its socket without a turn of the loop, so
+that it lies there unread when the token or the connection comes.
+"""
 
 from __future__ import annotations
 
 import asyncio
-import socket
-import struct
 import time
-from collections.abc import Callable, Iterable
+from collections.abc import Iterable
 
 import pytest
 
@@ -24,10 +23,21 @@
     TimerExpired,
 )
 from loadbalancer.policy.balancer import Balancer
+from tests.support.clients import (
+    Disconnect,
+    assert_only_later_request_is_forwarded,
+    client_with_unread_response,
+    each_disconnect,
+    first_connection,
+    forward_to_first,
+    forwarding_policy,
+    half_close,
+    plain_socket,
+    targets,
+    transport_of,
+)
 from tests.support.sockets import (
-    HOST,
     Answer,
-    Client,
     FakeUpstream,
     ReceivedRequest,
     ScriptedPolicy,
@@ -35,248 +45,186 @@
     answers,
     node,
     request,
-    run,
     settings,
     until,
 )
 
-Leave = Callable[[socket.socket], None]
-
-
-def fin(mine: socket.socket) -> None:
-    mine.close()
-
-
-def half_close(mine: socket.socket) -> None:
-    mine.shutdown(socket.SHUT_WR)
+# Whether the policy acts before the loop has read the disconnect.
+unread_or_read = pytest.mark.parametrize("unread", [False, True])
 
 
-def rst(mine: socket.socket) -> None:
-    mine.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
-    mine.close()
+def forward_at_timer(policy: ScriptedPolicy, request_id: str) -> None:
+    """Buffer what arrives, and forward the request when a timer expires: its token has come."""
+    policy.react = lambda event: (
+        [Forward(request_id, policy.ids()[0])] if isinstance(event, TimerExpired) else ()
+    )
 
 
-LEAVES = pytest.mark.parametrize("leave", [fin, half_close, rst])
-
-
-async def connected(client: Client) -> socket.socket:
-    """A plain socket to the node: what is done to it is done at once, between two turns of the loop."""
-    mine = socket.socket()
-    mine.setblocking(False)
-    await asyncio.get_running_loop().sock_connect(mine, (HOST, client.port))
-    return mine
+@each_disconnect
+@unread_or_read
+async def test_buffered_request_of_a_disconnected_client_is_not_forwarded(
+    disconnect: Disconnect, unread: bool
+) -> None:
+    upstream = await FakeUpstream(answers(200)).start()
+    policy = ScriptedPolicy()
+    async with node(policy, upstream) as client, plain_socket(client) as sock:
+        sock.send(request("/read/abandoned"))
+        await until(lambda: policy.of(RequestArrived))
+        forward_at_timer(policy, "1")
+
+        disconnect(sock)
+        if not unread:
+            await until(lambda: policy.of(ClientDisconnected))
+        client.node.dispatch(TimerExpired("token"))
+
+        await until(lambda: policy.of(ClientDisconnected) and policy.of(AttemptEnded))
+        await assert_only_later_request_is_forwarded(upstream, client, policy)
+        assert policy.of(ClientDisconnected) == [ClientDisconnected("1")]
+
+
+@each_disconnect
+async def test_buffered_request_of_a_disconnected_client_is_not_forwarded_on_an_idle_connection(
+    disconnect: Disconnect,
+) -> None:
+    upstream = await FakeUpstream(answers(200)).start()
+    policy = forwarding_policy()
+    async with node(policy, upstream) as client, plain_socket(client) as sock:
+        assert (await client.ask(request("/read/first"))).status == 200
+        forward_at_timer(policy, "2")
+        sock.send(request("/read/abandoned"))
+        await until(lambda: len(policy.of(RequestArrived)) == 2)
 
+        disconnect(sock)
+        client.node.dispatch(TimerExpired("token"))
 
-def send_first(script: ScriptedPolicy, event: Event) -> Iterable[Action]:
-    return [Forward(event.request_id, script.ids()[0])] if isinstance(event, RequestArrived) else ()
+        await until(lambda: policy.of(ClientDisconnected))
+        await assert_only_later_request_is_forwarded(upstream, client, policy, received_before=1)
 
 
-async def nothing_but(
-    upstream: FakeUpstream, client: Client, script: ScriptedPolicy, before: int = 0
-) -> None:
-    """A later request of another client is served, and no other has come to the upstream since."""
-    script.react = lambda event: send_first(script, event)
-    assert (await client.another().ask(request("/read/barrier"))).status == 200
-    assert [got.first.split()[1] for got in upstream.got[before:]] == ["/read/barrier"]
-    assert not client.node._pending
-
-
-@LEAVES
-@pytest.mark.parametrize("same_turn", [False, True])
-def test_a_held_request_whose_client_left_is_not_sent(leave: Leave, same_turn: bool) -> None:
-    async def test() -> None:
-        upstream = await FakeUpstream(answers(200)).start()
-        script = ScriptedPolicy()
-        async with node(script, upstream) as client:
-            mine = await connected(client)
-            mine.send(request("/read/left"))
-            await until(lambda: script.of(RequestArrived))
-            script.react = lambda e: [Forward("1", script.ids()[0])] if isinstance(e, TimerExpired) else ()
-            leave(mine)
-            if not same_turn:
-                await until(lambda: script.of(ClientDisconnected))
-            client.node.dispatch(TimerExpired("token"))
-            await until(lambda: script.of(ClientDisconnected) and script.of(AttemptEnded))
-            await nothing_but(upstream, client, script)
-            assert script.of(ClientDisconnected) == [ClientDisconnected("1")]
-            mine.close()
-
-    run(test())
-
-
-@LEAVES
-def test_a_held_request_whose_client_left_is_not_sent_on_a_kept_connection(leave: Leave) -> None:
-    async def test() -> None:
-        upstream = await FakeUpstream(answers(200)).start()
-        script = ScriptedPolicy(lambda event: send_first(script, event))
-        async with node(script, upstream) as client:
-            assert (await client.ask(request("/read/first"))).status == 200
-            script.react = lambda e: [Forward("2", script.ids()[0])] if isinstance(e, TimerExpired) else ()
-            mine = await connected(client)
-            mine.send(request("/read/left"))
-            await until(lambda: len(script.of(RequestArrived)) == 2)
-            leave(mine)
-            client.node.dispatch(TimerExpired("token"))
-            await until(lambda: script.of(ClientDisconnected))
-            await nothing_but(upstream, client, script, before=1)
-            mine.close()
-
-    run(test())
-
-
-@LEAVES
-@pytest.mark.parametrize("same_turn", [False, True])
-def test_a_request_whose_client_left_while_its_connection_came_up_is_not_sent(
-    monkeypatch: pytest.MonkeyPatch, leave: Leave, same_turn: bool
+@each_disconnect
+@unread_or_read
+async def test_request_of_a_client_that_disconnects_during_connect_is_not_forwarded(
+    monkeypatch: pytest.MonkeyPatch, disconnect: Disconnect, unread: bool
 ) -> None:
-    async def test() -> None:
-        upstream = await FakeUpstream(answers(200)).start()
-        script = ScriptedPolicy(lambda event: send_first(script, event))
-        up = asyncio.Event()
-        loop = asyncio.get_running_loop()
-        original = loop.create_connection
-
-        async def comes_up_late(*args: object, **options: object) -> object:
-            made = await original(*args, **options)  # type: ignore[call-overload]
-            await up.wait()
-            if same_turn:
-                leave(mine)
-            return made
-
-        async with node(script, upstream) as client:
-            mine = await connected(client)
-            monkeypatch.setattr(loop, "create_connection", comes_up_late)
-            mine.send(request("/read/left"))
-            await until(lambda: upstream.opened)
-            if not same_turn:
-                leave(mine)
-                await until(lambda: script.of(ClientDisconnected))
-            up.set()
-            await until(lambda: script.of(ClientDisconnected))
-            monkeypatch.setattr(loop, "create_connection", original)
-            await nothing_but(upstream, client, script)
-            assert [o.result for o in script.of(AttemptEnded)][0] is AttemptResult.CANCELLED
-            mine.close()
-
-    run(test())
-
-
-@LEAVES
-@pytest.mark.parametrize("same_turn", [False, True])
-def test_a_request_whose_client_left_between_two_attempts_is_not_sent_again(
-    leave: Leave, same_turn: bool
+    upstream = await FakeUpstream(answers(200)).start()
+    policy = forwarding_policy()
+    may_be_up = asyncio.Event()
+    loop = asyncio.get_running_loop()
+    create_connection = loop.create_connection
+
+    async def create_connection_late(*args: object, **options: object) -> object:
+        connection = await create_connection(*args, **options)  # type: ignore[call-overload]
+        await may_be_up.wait()
+        if unread:
+            disconnect(sock)
+        return connection
+
+    async with node(policy, upstream) as client, plain_socket(client) as sock:
+        monkeypatch.setattr(loop, "create_connection", create_connection_late)
+        sock.send(request("/read/abandoned"))
+        await until(lambda: upstream.opened)
+
+        if not unread:
+            disconnect(sock)
+            await until(lambda: policy.of(ClientDisconnected))
+        may_be_up.set()
+
+        await until(lambda: policy.of(ClientDisconnected))
+        monkeypatch.setattr(loop, "create_connection", create_connection)
+        await assert_only_later_request_is_forwarded(upstream, client, policy)
+        assert policy.of(AttemptEnded)[0].result is AttemptResult.CANCELLED
+
+
+@each_disconnect
+@unread_or_read
+async def test_request_of_a_client_that_disconnects_between_two_attempts_is_not_retried(
+    disconnect: Disconnect, unread: bool
 ) -> None:
-    async def test() -> None:
-        answer: list[Answer] = [answers(200), answers(503, b"", "Srv-Declined: 1")]
-
-        async def next_answer(got: ReceivedRequest, writer: Writer) -> None:
-            await answer.pop()(got, writer)
-
-        upstream = await FakeUpstream(next_answer).start()
-        script = ScriptedPolicy()
-        async with node(script, upstream) as client:
-            mine = await connected(client)
-
-            def react(event: Event) -> Iterable[Action]:
-                if isinstance(event, AttemptEnded) and same_turn and not event.request_complete:
-                    leave(mine)
-                    return [Forward(event.request_id, event.endpoint_id)]
-                if isinstance(event, TimerExpired):
-                    return [Forward("1", script.ids()[0])]
-                return send_first(script, event)
-
-            script.react = react
-            mine.send(request("/read/left"))
-            await until(lambda: script.of(AttemptEnded))
-            if not same_turn:
-                leave(mine)
-                await until(lambda: script.of(ClientDisconnected))
-                client.node.dispatch(TimerExpired("again"))
-            await until(lambda: script.of(ClientDisconnected))
-            await nothing_but(upstream, client, script, before=1)
-            mine.close()
-
-    run(test())
-
-
-async def unread_answer(client: Client, size: int, upstream: FakeUpstream) -> socket.socket:
-    """A client that was answered and has not read: a good part of the answer is still the node's to write."""
-    upstream.answer = answers(200, b"x" * size)
-    mine = socket.socket()
-    mine.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 2048)
-    mine.setblocking(False)
-    await asyncio.get_running_loop().sock_connect(mine, (HOST, client.port))
-    await until(lambda: any(c._transport for c in client.node.downstream._connections))
-    side = next(iter(client.node.downstream._connections))
-    assert side._transport is not None
-    side._transport.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
-    mine.send(request("/read/large"))
-    await until(lambda: side.has_unsent_data)
-    upstream.answer = answers(200)
-    return mine
-
-
-def test_a_leave_is_told_also_while_an_earlier_answer_is_still_to_be_written() -> None:
-    # The transport ends only when its last byte is out: the client's end must not wait for that.
-    async def test() -> None:
-        upstream = await FakeUpstream(answers(200)).start()
-        script = ScriptedPolicy(lambda event: send_first(script, event))
-        async with node(script, upstream) as client:
-            mine = await unread_answer(client, 50_000, upstream)  # short of pausing what is read
-            side = next(iter(client.node.downstream._connections))
-            script.react = lambda event: ()
-            mine.send(request("/read/left"))
-            await until(lambda: len(script.of(RequestArrived)) == 2)
-            half_close(mine)
-            await until(lambda: script.of(ClientDisconnected))
-            assert side.has_unsent_data
-            assert side in client.node.downstream._flushing
-            await nothing_but(upstream, client, script, before=1)
-            mine.close()
-
-    run(test())
-
-
-def test_a_request_whose_client_left_while_reading_was_paused_is_not_sent() -> None:
-    async def test() -> None:
-        upstream = await FakeUpstream(answers(200)).start()
-        script = ScriptedPolicy(lambda event: send_first(script, event))
-        async with node(script, upstream) as client:
-            mine = await unread_answer(client, 900_000, upstream)
-            side = next(iter(client.node.downstream._connections))
-            assert side._transport is not None
-            assert not side._transport.is_reading()
-            mine.send(request("/read/left"))
-            half_close(mine)
-            while len(script.of(RequestArrived)) < 2:  # reads on until the node does
-                await asyncio.get_running_loop().sock_recv(mine, 1 << 16)
-            await until(lambda: script.of(ClientDisconnected))
-            await nothing_but(upstream, client, script, before=1)
-            mine.close()
-
-    run(test())
-
-
-@LEAVES
-def test_the_real_module_sends_no_held_request_whose_client_left(leave: Leave) -> None:
-    async def test() -> None:
-        upstream = await FakeUpstream(answers(200)).start()
-        balancer = Balancer(settings(), 1, time.monotonic_ns())
-        async with node(balancer, upstream) as client:
-            throttle = balancer.throttles[""]
-            # No token left, and none comes however long this takes: the next request waits for one.
-            throttle.set_rate(0.001, time.monotonic_ns())
-            throttle.counter = throttle.buffer_capacity
-            mine = await connected(client)
-            mine.send(request("/read/left"))
-            await until(lambda: throttle.buffer)
-            leave(mine)
-            await until(lambda: not throttle.buffer)
-            throttle.wake_scheduled = False  # what was set for the token then is far away
-            throttle.set_rate(4.0, time.monotonic_ns())
-            await client.send(request("/read/stays"))
-            assert (await client.read()).status == 200  # the next token is its own
-            assert [got.first.split()[1] for got in upstream.got] == ["/read/stays"]
-            mine.close()
-
-    run(test())
+    responses: list[Answer] = [answers(503, b"", "Srv-Declined: 1"), answers(200)]
+
+    async def next_response(received: ReceivedRequest, writer: Writer) -> None:
+        await responses.pop(0)(received, writer)
+
+    upstream = await FakeUpstream(next_response).start()
+    policy = ScriptedPolicy()
+    async with node(policy, upstream) as client, plain_socket(client) as sock:
+
+        def react(event: Event) -> Iterable[Action]:
+            if isinstance(event, AttemptEnded) and unread and not event.request_complete:
+                disconnect(sock)
+                return [Forward(event.request_id, event.endpoint_id)]
+            if isinstance(event, TimerExpired):
+                return [Forward("1", policy.ids()[0])]
+            return forward_to_first(policy, event)
+
+        policy.react = react
+        sock.send(request("/read/abandoned"))
+        await until(lambda: policy.of(AttemptEnded))
+        if not unread:
+            disconnect(sock)
+            await until(lambda: policy.of(ClientDisconnected))
+            client.node.dispatch(TimerExpired("again"))
+
+        await until(lambda: policy.of(ClientDisconnected))
+        await assert_only_later_request_is_forwarded(upstream, client, policy, received_before=1)
+
+
+async def test_disconnect_is_notified_while_an_earlier_response_is_unwritten() -> None:
+    # The transport ends only when its last byte is out: the client's disconnect must not wait for that.
+    upstream = await FakeUpstream(answers(200)).start()
+    policy = forwarding_policy()
+    async with (
+        node(policy, upstream) as client,
+        client_with_unread_response(client, upstream, 50_000) as sock,  # too little to pause reading
+    ):
+        connection = first_connection(client)
+        policy.react = lambda event: ()
+        sock.send(request("/read/abandoned"))
+        await until(lambda: len(policy.of(RequestArrived)) == 2)
+
+        half_close(sock)
+
+        await until(lambda: policy.of(ClientDisconnected))
+        assert connection.has_unsent_data
+        assert connection in client.node.downstream._flushing
+        await assert_only_later_request_is_forwarded(upstream, client, policy, received_before=1)
+
+
+async def test_request_of_a_client_that_disconnects_while_reading_is_paused_is_not_forwarded() -> None:
+    upstream = await FakeUpstream(answers(200)).start()
+    policy = forwarding_policy()
+    async with (
+        node(policy, upstream) as client,
+        client_with_unread_response(client, upstream, 900_000) as sock,
+    ):
+        assert not transport_of(first_connection(client)).is_reading()
+
+        sock.send(request("/read/abandoned"))
+        half_close(sock)
+        while len(policy.of(RequestArrived)) < 2:  # the client reads on until the proxy does
+            await asyncio.get_running_loop().sock_recv(sock, 1 << 16)
+
+        await until(lambda: policy.of(ClientDisconnected))
+        await assert_only_later_request_is_forwarded(upstream, client, policy, received_before=1)
+
+
+@each_disconnect
+async def test_balancer_forwards_no_buffered_request_of_a_disconnected_client(disconnect: Disconnect) -> None:
+    upstream = await FakeUpstream(answers(200)).start()
+    balancer = Balancer(settings(), 1, time.monotonic_ns())
+    async with node(balancer, upstream) as client, plain_socket(client) as sock:
+        throttle = balancer.throttles[""]
+        # No token left, and none comes however long this takes: the next request waits for one.
+        throttle.set_rate(0.001, time.monotonic_ns())
+        throttle.counter = throttle.buffer_capacity
+        sock.send(request("/read/abandoned"))
+        await until(lambda: throttle.buffer)
+
+        disconnect(sock)
+
+        await until(lambda: not throttle.buffer)
+        throttle.wake_scheduled = False  # what was scheduled for the token then is far away
+        throttle.set_rate(4.0, time.monotonic_ns())
+        await client.send(request("/read/stays"))
+        assert (await client.read()).status == 200  # the next token is its own
+        assert targets(upstream) == ["/read/stays"]
--- a/tests/support/clients.py
+++ b/tests/support/clients.py
@@ -1,17 +1,18 @@
-"""Clients on plain sockets, and the ways in which they disconnect."""
+"""Clients on plain sockets, the ways in which they disconnect, and what must hold afterwards."""
 
 from __future__ import annotations
 
 import asyncio
 import socket
 import struct
-from collections.abc import AsyncIterator, Callable
+from collections.abc import AsyncIterator, Callable, Iterable
 from contextlib import asynccontextmanager
 
 import pytest
 
+from loadbalancer.messages import Action, Event, Forward, RequestArrived
 from loadbalancer.proxy.client_connection import ClientConnection
-from tests.support.sockets import HOST, Client
+from tests.support.sockets import HOST, Client, FakeUpstream, ScriptedPolicy, answers, request, until
 
 READY_REQUEST = b"GET /health/ready HTTP/1.1\r\n\r\n"
 
@@ -57,3 +58,47 @@
     """The transport of a connection that is set up."""
     assert connection._transport is not None
     return connection._transport
+
+
+@asynccontextmanager
+async def client_with_unread_response(
+    client: Client, upstream: FakeUpstream, response_bytes: int
+) -> AsyncIterator[socket.socket]:
+    """A client that has not read its response: a good part of that is still the proxy's to write."""
+    async with plain_socket(client, receive_buffer=2048) as sock:
+        await until(lambda: any(connection._transport for connection in client.node.downstream._connections))
+        connection = first_connection(client)
+        proxy_socket = transport_of(connection).get_extra_info("socket")
+        proxy_socket.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
+        upstream.answer = answers(200, b"x" * response_bytes)
+        sock.send(request("/read/large"))
+        await until(lambda: connection.has_unsent_data)
+        upstream.answer = answers(200)
+        yield sock
+
+
+def forward_to_first(policy: ScriptedPolicy, event: Event) -> Iterable[Action]:
+    """Forward each request that arrives to the first endpoint."""
+    return [Forward(event.request_id, policy.ids()[0])] if isinstance(event, RequestArrived) else ()
+
+
+def forwarding_policy() -> ScriptedPolicy:
+    """A policy that forwards each request that arrives to the first endpoint."""
+    policy = ScriptedPolicy()
+    policy.react = lambda event: forward_to_first(policy, event)
+    return policy
+
+
+async def assert_only_later_request_is_forwarded(
+    upstream: FakeUpstream, client: Client, policy: ScriptedPolicy, received_before: int = 0
+) -> None:
+    """Assert that a later request of another client is served, and that it alone has come to the upstream."""
+    policy.react = lambda event: forward_to_first(policy, event)
+    assert (await client.another().ask(request("/read/later"))).status == 200
+    assert targets(upstream)[received_before:] == ["/read/later"]
+    assert not client.node._pending
+
+
+def targets(upstream: FakeUpstream) -> list[str]:
+    """The targets of the requests that came, in their order."""
+    return [received.first.split()[1] for received in upstream.got]
