--- a/tests/proxy/test_client_connection.py
+++ b/tests/proxy/test_client_connection.py
@@ -4,22 +4,17 @@
 
 import asyncio
 import socket
-from collections.abc import Iterable
 from typing import cast
 
 import pytest
 
-from loadbalancer.messages import Action, ClientDisconnected, Event, Fail, RequestArrived, TimerExpired
-from tests.support.clients import READY_REQUEST, first_connection, transport_of
+from loadbalancer.messages import ClientDisconnected, Fail, RequestArrived, TimerExpired
+from tests.support.clients import READY_REQUEST, fail_all, first_connection, transport_of
 from tests.support.sockets import ScriptedPolicy, node, request, until
 
 CHUNKED = "Transfer-Encoding: chunked"
 
 
-def fail_all(event: Event) -> Iterable[Action]:
-    return [Fail(event.request_id)] if isinstance(event, RequestArrived) else ()
-
-
 @pytest.mark.parametrize(
     ("data", "status"),
     [
--- a/tests/proxy/test_client_disconnect.py
+++ b/tests/proxy/test_client_disconnect.py
@@ -341,7 +341,7 @@
     monkeypatch.setattr("loadbalancer.proxy.proxy.REST_S", 0.0)
     all_received = asyncio.Event()
 
-    async def answer(received: ReceivedRequest, writer: Writer) -> None:
+    async def answer(_received: ReceivedRequest, writer: Writer) -> None:
         await all_received.wait()
         writer.write(written(200))
 
@@ -354,7 +354,7 @@
         await until(lambda: len(upstream.got) == 6)
         all_received.set()
         await until(lambda: len(policy.of(AttemptEnded)) == 6)  # an idle connection for each
-        policy.react = lambda event: ()
+        policy.react = lambda _event: ()
         for i, sock in enumerate(socks):
             sock.send(request(f"/read/{i}"))
             await until(lambda i=i: len(policy.of(RequestArrived)) == 7 + i)  # type: ignore[misc]
--- a/tests/proxy/test_downstream.py
+++ b/tests/proxy/test_downstream.py
@@ -5,24 +5,20 @@
 import asyncio
 import errno
 import socket
-from collections.abc import Callable, Iterable
+from collections.abc import Callable
 
 import pytest
 
-from loadbalancer.messages import Action, Event, Fail, RequestArrived, TimerExpired
+from loadbalancer.messages import Fail, RequestArrived, TimerExpired
 from loadbalancer.proxy.client_connection import ClientConnection
 from loadbalancer.proxy.connection_table import ConnectionTable
 from loadbalancer.proxy.downstream import DownstreamServer
-from tests.support.clients import READY_REQUEST, plain_socket
+from tests.support.clients import READY_REQUEST, fail_all, plain_socket
 from tests.support.sockets import HOST, PATIENCE_S, Client, ScriptedPolicy, node, request, until
 
 SOCKETS_FOR_EIGHT_CLIENTS = 32 + 16
 
 
-def fail_all(event: Event) -> Iterable[Action]:
-    return [Fail(event.request_id)] if isinstance(event, RequestArrived) else ()
-
-
 def first(table: ConnectionTable) -> ClientConnection:
     return next(iter(table._members))
 
--- a/tests/proxy/test_faults.py
+++ b/tests/proxy/test_faults.py
@@ -1,4 +1,4 @@
-"""The real module and the node together, over loopback sockets, while upstreams are in trouble."""
+"""The policy and the proxy together, over loopback sockets, while endpoints are at fault."""
 
 from __future__ import annotations
 
@@ -19,21 +19,20 @@
     breaks,
     node,
     request,
-    run,
     settings,
     silent,
     until,
     written,
 )
 
-UPSTREAMS = 4
+ENDPOINTS = 4
 
 
-def breaks_every(nth: int) -> Answer:
-    """Breaks the connection under the second request and every so manieth one from there."""
+def reset_every(nth: int) -> Answer:
+    """Reset the connection under the second request, and under every nth one from there."""
     count = 0
 
-    async def answer(got: ReceivedRequest, writer: Writer) -> None:
+    async def answer(_received: ReceivedRequest, writer: Writer) -> None:
         nonlocal count
         count += 1
         if count % nth == 2 % nth:
@@ -44,125 +43,119 @@
     return answer
 
 
-def ejected(balancer: Balancer) -> int:
-    return sum(s.ejected_until_ns > time.monotonic_ns() for s in balancer.fleet.endpoints.values())
+async def start_upstreams(answer: Answer, count: int) -> list[FakeUpstream]:
+    return [await FakeUpstream(answer).start() for _ in range(count)]
 
 
-def test_connections_that_break_everywhere_leave_no_upstream_alone() -> None:
-    # Guards against a bad network, whose breaks strike all alike, taking most of a sound fleet out of use.
-    async def test() -> None:
-        upstreams = [await FakeUpstream(breaks_every(4)).start() for _ in range(UPSTREAMS)]
-        balancer = Balancer(settings(), 1, time.monotonic_ns())
-        most = 0
-        async with node(balancer, *upstreams) as client:
-            for _ in range(60):
-                assert (await client.ask(request())).status == 200  # safe to repeat: sent again at once
-                most = max(most, ejected(balancer))
-        assert sum(len(u.got) for u in upstreams) >= 70  # so many did break
-        assert most <= 1  # the first break of all has no other to be compared with
+def ejected_count(balancer: Balancer) -> int:
+    now = time.monotonic_ns()
+    return sum(endpoint.ejected_until_ns > now for endpoint in balancer.fleet.endpoints.values())
 
-    run(test())
 
+async def test_resets_at_all_endpoints_eject_no_more_than_one() -> None:
+    # Guards against a bad network, whose resets strike all alike, taking most of a healthy fleet out of use.
+    upstreams = [await FakeUpstream(reset_every(4)).start() for _ in range(ENDPOINTS)]
+    balancer = Balancer(settings(), 1, time.monotonic_ns())
+    most_ejected = 0
+    async with node(balancer, *upstreams) as client:
+        for _ in range(60):
+            assert (await client.ask(request())).status == 200  # idempotent: retried at once
+            most_ejected = max(most_ejected, ejected_count(balancer))
+    assert sum(len(upstream.got) for upstream in upstreams) >= 70  # so many were reset
+    assert most_ejected <= 1  # the first reset of all has no other to be compared with
 
-def test_an_upstream_that_alone_breaks_what_it_is_sent_is_left_at_once() -> None:
-    async def test() -> None:
-        sound = [await FakeUpstream(answers(200)).start() for _ in range(UPSTREAMS - 1)]
-        upstreams = [await FakeUpstream(breaks).start(), *sound]
-        async with node(Balancer(settings(), 1, time.monotonic_ns()), *upstreams) as client:
-            for _ in range(30):
-                assert (await client.ask(request())).status == 200
-        assert len(upstreams[0].got) <= 2
 
-    run(test())
-
-
-def test_a_look_that_breaks_is_taken_once_more(monkeypatch: pytest.MonkeyPatch) -> None:
-    # Guards against each broken probe costing a request the whole time an answer would be waited for.
-    async def test() -> None:
-        looks = 0
-
-        async def answer(got: ReceivedRequest, writer: Writer) -> None:
-            nonlocal looks
-            looks += got.first.startswith("GET /stats")
-            broken = got.first.startswith("GET /stats") and looks % 2 == 1
-            await (breaks if broken else answers(200, b'{"inflight":0}'))(got, writer)
-
-        monkeypatch.setattr("loadbalancer.policy.balancer.LOOK_NS", 4 * SECOND)
-        monkeypatch.setattr("loadbalancer.proxy.proxy.PROBE_TIMEOUT_S", 4.0)
-        upstream = await FakeUpstream(answer).start()
-        async with node(Balancer(settings(health_checks=True), 1, time.monotonic_ns()), upstream) as client:
-            begun = time.monotonic_ns()
+async def test_endpoint_that_alone_resets_connections_is_ejected_at_once() -> None:
+    outlier = await FakeUpstream(breaks).start()
+    healthy = await start_upstreams(answers(200), ENDPOINTS - 1)
+    async with node(Balancer(settings(), 1, time.monotonic_ns()), outlier, *healthy) as client:
+        for _ in range(30):
             assert (await client.ask(request())).status == 200
-            assert looks == 2
-            assert time.monotonic_ns() - begun < 2 * SECOND
+    assert len(outlier.got) <= 2
 
-    run(test())
 
+async def test_load_probe_that_is_reset_is_retried(monkeypatch: pytest.MonkeyPatch) -> None:
+    # Guards against each broken probe costing a request the whole time a response would be waited for.
+    probes = 0
 
-def test_a_hopelessly_heavy_request_takes_its_upstream_from_nobody(monkeypatch: pytest.MonkeyPatch) -> None:
-    # Guards against a few requests of many times the usual work barring upstream after upstream.
-    async def test() -> None:
-        monkeypatch.setattr(
-            "loadbalancer.policy.balancer.STALL_NS", 60 * SECOND
-        )  # a slow machine changes nothing here
-        upstream = await FakeUpstream(silent).start()
-        balancer = Balancer(settings(), 1, time.monotonic_ns())
-        async with node(balancer, upstream) as client:
-            got = await client.ask(request("/read", "Req-Cost: 60000000", deadline_ms=500))  # a minute
-            assert got.status in (503, 504)
-            assert len(upstream.got) == 1
-            server = next(iter(balancer.fleet.endpoints.values()))
-            await until(lambda: server.consecutive_failures)
-            assert server.ejected_until_ns - time.monotonic_ns() < 1.25 * balancer.shortest_objective_ns
-
-    run(test())
-
-
-def test_what_a_balancer_itself_stood_still_for_is_held_against_no_upstream() -> None:
+    async def answer(received: ReceivedRequest, writer: Writer) -> None:
+        nonlocal probes
+        is_probe = received.first.startswith("GET /stats")
+        if is_probe:
+            probes += 1
+        if is_probe and probes % 2 == 1:
+            await breaks(received, writer)
+        else:
+            await answers(200, b'{"inflight":0}')(received, writer)
+
+    monkeypatch.setattr("loadbalancer.policy.balancer.LOOK_NS", 4 * SECOND)
+    monkeypatch.setattr("loadbalancer.proxy.proxy.PROBE_TIMEOUT_S", 4.0)
+    upstream = await FakeUpstream(answer).start()
+    async with node(Balancer(settings(health_checks=True), 1, time.monotonic_ns()), upstream) as client:
+        begun = time.monotonic_ns()
+        assert (await client.ask(request())).status == 200
+        assert probes == 2
+        assert time.monotonic_ns() - begun < 2 * SECOND
+
+
+async def test_request_of_excessive_cost_ejects_no_endpoint(monkeypatch: pytest.MonkeyPatch) -> None:
+    # Guards against a few requests of many times the usual work barring endpoint after endpoint.
+    a_minute_us = 60_000_000
+    # A slow machine changes nothing here.
+    monkeypatch.setattr("loadbalancer.policy.balancer.STALL_NS", 60 * SECOND)
+    upstream = await FakeUpstream(silent).start()
+    balancer = Balancer(settings(), 1, time.monotonic_ns())
+    async with node(balancer, upstream) as client:
+        response = await client.ask(request("/read", f"Req-Cost: {a_minute_us}", deadline_ms=500))
+        assert response.status in (503, 504)
+        assert len(upstream.got) == 1
+        endpoint = next(iter(balancer.fleet.endpoints.values()))
+        await until(lambda: endpoint.consecutive_failures)
+        ejection_ns = endpoint.ejected_until_ns - time.monotonic_ns()
+        assert ejection_ns < 1.25 * balancer.shortest_objective_ns
+
+
+async def test_event_loop_stall_is_held_against_no_endpoint() -> None:
     # Guards against a stopped process, such as one that has spent its share of the processor, taking all
-    # upstreams for dead when it goes on.
-    async def test() -> None:
-        upstreams = [await FakeUpstream(silent).start() for _ in range(UPSTREAMS)]
-        balancer = Balancer(settings(), 1, time.monotonic_ns())
-        async with node(balancer, *upstreams) as client:
-            clients = [client.another() for _ in range(UPSTREAMS)]
-            for c in clients:
-                await c.send(request(deadline_ms=500))
-            await until(lambda: sum(len(u.got) for u in upstreams) == UPSTREAMS)
-            each = balancer.concurrency_limit.per_request_ns
-            time.sleep(0.7)  # the whole loop stands still
-            for c in clients:
-                assert (await c.read()).status in (503, 504)
-                c.close()
-            assert ejected(balancer) == 0
-            assert not sum(balancer.rate_controller.failures.values())
-            assert balancer.concurrency_limit.per_request_ns == each
-
-    run(test())
-
-
-def test_a_keyed_retry_does_not_go_out_past_its_window_on_a_connection_that_comes_up_late(
+    # endpoints for dead when it goes on.
+    upstreams = await start_upstreams(silent, ENDPOINTS)
+    balancer = Balancer(settings(), 1, time.monotonic_ns())
+    async with node(balancer, *upstreams) as client:
+        clients = [client.another() for _ in range(ENDPOINTS)]
+        for other in clients:
+            await other.send(request(deadline_ms=500))
+        await until(lambda: sum(len(upstream.got) for upstream in upstreams) == ENDPOINTS)
+        per_request_ns = balancer.concurrency_limit.per_request_ns
+
+        time.sleep(0.7)  # the whole loop stands still
+
+        for other in clients:
+            assert (await other.read()).status in (503, 504)
+            other.close()
+        assert ejected_count(balancer) == 0
+        assert not sum(balancer.rate_controller.failures.values())
+        assert balancer.concurrency_limit.per_request_ns == per_request_ns
+
+
+async def test_retry_with_idempotency_key_on_a_late_connection_is_not_sent_after_its_window(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    # Guards against a second run: by then the upstreams have forgotten the first one.
-    async def test() -> None:
-        upstream = await FakeUpstream(breaks).start()
-        balancer = Balancer(settings(connect_timeout_ns=1000 * MS), 1, time.monotonic_ns())
-        sent: list[float] = []
-        loop = asyncio.get_running_loop()
-        original = loop.create_connection
-
-        async def create_connection(*args: object, **options: object) -> object:
-            sent.append(time.monotonic())
-            if len(sent) > 1:  # up in time, but only once the window of 1 s is over
-                await until(lambda: time.monotonic() > sent[0] + 1.05)
-            return await original(*args, **options)  # type: ignore[call-overload]
-
-        async with node(balancer, upstream, connect_timeout_ns=3000 * MS) as client:
-            await client.send(b"")
-            monkeypatch.setattr(loop, "create_connection", create_connection)
-            got = await client.ask(request("/book", "Idempotency-Key: k", method="POST"))
-            assert got.status in (503, 504)
-            assert len(upstream.got) == 1
-
-    run(test())
+    # Guards against a second execution: by then the upstreams have forgotten the first one.
+    upstream = await FakeUpstream(breaks).start()
+    balancer = Balancer(settings(connect_timeout_ns=1000 * MS), 1, time.monotonic_ns())
+    connects_at: list[float] = []
+    loop = asyncio.get_running_loop()
+    original = loop.create_connection
+
+    async def create_connection(*args: object, **options: object) -> object:
+        connects_at.append(time.monotonic())
+        if len(connects_at) > 1:  # up in time, but only once the window of 1 s is over
+            await until(lambda: time.monotonic() > connects_at[0] + 1.05)
+        return await original(*args, **options)  # type: ignore[call-overload]
+
+    async with node(balancer, upstream, connect_timeout_ns=3000 * MS) as client:
+        await client.send(b"")
+        monkeypatch.setattr(loop, "create_connection", create_connection)
+        response = await client.ask(request("/book", "Idempotency-Key: k", method="POST"))
+        assert response.status in (503, 504)
+        assert len(upstream.got) == 1
--- a/tests/proxy/test_unread_disconnect.py
+++ b/tests/proxy/test_unread_disconnect.py
@@ -178,7 +178,7 @@
         client_with_unread_response(client, upstream, 50_000) as sock,  # too little to pause reading
     ):
         connection = first_connection(client)
-        policy.react = lambda event: ()
+        policy.react = lambda _event: ()
         sock.send(request("/read/abandoned"))
         await until(lambda: len(policy.of(RequestArrived)) == 2)
 
--- a/tests/support/clients.py
+++ b/tests/support/clients.py
@@ -10,7 +10,7 @@
 
 import pytest
 
-from loadbalancer.messages import Action, Event, Forward, RequestArrived
+from loadbalancer.messages import Action, Event, Fail, Forward, RequestArrived
 from loadbalancer.proxy.client_connection import ClientConnection
 from tests.support.sockets import HOST, Client, FakeUpstream, ScriptedPolicy, answers, request, until
 
@@ -77,6 +77,11 @@
         yield sock
 
 
+def fail_all(event: Event) -> Iterable[Action]:
+    """Fail each request that arrives."""
+    return [Fail(event.request_id)] if isinstance(event, RequestArrived) else ()
+
+
 def forward_to_first(policy: ScriptedPolicy, event: Event) -> Iterable[Action]:
     """Forward each request that arrives to the first endpoint."""
     return [Forward(event.request_id, policy.ids()[0])] if isinstance(event, RequestArrived) else ()
