--- a/loadbalancer/proxy/downstream.py
+++ b/loadbalancer/proxy/downstream.py
@@ -45,8 +45,8 @@
     """Listens for clients, and bounds their connections' number and the time they take to send and to read.
 
     Its tables hold the connections by what they wait for: a request of the client, the next request after an
-    answer, the end of a lingering close, or the last bytes of an answer. One whose request is being handled is
-    in none of them.
+    answer, the end of a lingering close, or the last bytes of an answer. A connection whose request is being
+    handled is in none of them.
     """
 
     def __init__(self, handler: RequestHandler, capacity: int) -> None:
