--- /dev/null
+++ b/loadbalancer/proxy/pending_requests.py
@@ -0,0 +1,185 @@
+"""The pending requests: those that were admitted and have no final answer yet.
+
+Each gets exactly one final answer, at its deadline at the latest, unless its client disconnects first.
+"""
+
+from __future__ import annotations
+
+import asyncio
+from collections.abc import Callable
+from dataclasses import dataclass
+
+from loadbalancer.messages import AttemptResult, ClientDisconnected, Event, Reject, RequestArrived
+from loadbalancer.proxy.downstream import ClientConnection
+from loadbalancer.proxy.http import Headers, Message, whole_number
+from loadbalancer.proxy.request_validation import (
+    DUPLICATE_ID,
+    TOO_MANY_PENDING,
+    RejectedRequest,
+    ValidRequest,
+)
+from loadbalancer.proxy.upstream import Exchange
+from loadbalancer.units import MS, SECOND
+
+# The policy's deadline comes before the client's, so that its answer has time to reach the client.
+POLICY_DEADLINE_MARGIN_NS = 4 * MS
+# The proxy's own deadline comes between the two, for requests that the policy has left open.
+PROXY_DEADLINE_MARGIN_NS = 3 * MS // 2
+MICROSECOND_NS = 1000
+GATEWAY_TIMEOUT = 504
+SERVICE_UNAVAILABLE = 503
+USER_COOKIE = "user="
+
+
+@dataclass(slots=True, eq=False)
+class PendingRequest:
+    """A request that was admitted and has no final answer yet."""
+
+    id: str
+    client: ClientConnection
+    request: Message
+    client_request_id: bytes
+    deadline_ns: int  # the proxy's own, on the monotonic clock
+    deadline_timer: asyncio.TimerHandle | None = None
+    attempt_count: int = 0
+    exchange: Exchange | None = None  # that of the attempt in flight
+    finished: bool = False
+
+
+class PendingRequests:
+    """All pending requests, by their ids and by their clients."""
+
+    def __init__(self, on_event: Callable[[Event], None], max_pending: int) -> None:
+        """Start with none pending.
+
+        Args:
+            on_event: Is told of arrivals and of clients that wait no longer.
+            max_pending: How many may be pending at once; 0 for any number.
+        """
+        self._on_event = on_event
+        self._max_pending = max_pending
+        self._loop = asyncio.get_running_loop()
+        self._by_id: dict[str, PendingRequest] = {}
+        self._by_client: dict[ClientConnection, PendingRequest] = {}
+        self._client_request_ids: set[bytes] = set()
+        self._request_count = 0
+
+    def __len__(self) -> int:
+        return len(self._by_id)
+
+    def __contains__(self, request_id: str) -> bool:
+        return request_id in self._by_id
+
+    def get(self, request_id: str) -> PendingRequest | None:
+        """Give the request of that id while it is pending."""
+        return self._by_id.get(request_id)
+
+    def snapshot(self) -> list[PendingRequest]:
+        """Give all of them, in the order of their arrival; they may be finished while the list is read."""
+        return list(self._by_id.values())
+
+    def admit(
+        self, client: ClientConnection, request: Message, valid_request: ValidRequest, received_ns: int
+    ) -> RejectedRequest | None:
+        """Admit a request and report its arrival.
+
+        Returns:
+            The answer to give where the request is not admitted, None where it is.
+        """
+        if valid_request.client_request_id in self._client_request_ids:
+            return DUPLICATE_ID
+        if self._max_pending and len(self._by_id) >= self._max_pending:
+            return TOO_MANY_PENDING
+        self._request_count += 1
+        client_deadline_ns = received_ns + valid_request.timeout_ns
+        pending = PendingRequest(
+            id=str(self._request_count),
+            client=client,
+            request=request,
+            client_request_id=valid_request.client_request_id,
+            deadline_ns=client_deadline_ns - PROXY_DEADLINE_MARGIN_NS,
+        )
+        self._by_id[pending.id] = pending
+        self._by_client[client] = pending
+        self._client_request_ids.add(pending.client_request_id)
+        pending.deadline_timer = self._loop.call_at(pending.deadline_ns / SECOND, self._expire, pending)
+        policy_deadline_ns = client_deadline_ns - POLICY_DEADLINE_MARGIN_NS
+        self._on_event(_arrival(pending.id, valid_request.class_name, policy_deadline_ns, request))
+        return None
+
+    def finish(
+        self,
+        pending: PendingRequest,
+        status: int,
+        headers: Headers = (),
+        body: bytes | bytearray = b"",
+    ) -> None:
+        """Give a request its final answer, unless it has had it."""
+        if not pending.finished:
+            self._remove(pending)
+            pending.client.respond(status, headers, body)
+
+    def reject(self, action: Reject) -> None:
+        """Answer that the request was rejected and may be sent again, maybe after some time."""
+        pending = self._by_id.get(action.request_id)
+        if pending is None:
+            return
+        headers = []
+        if action.retry_after_ns > 0:
+            headers.append((b"Retry-After", b"%.3f" % (action.retry_after_ns / SECOND)))
+        self.finish(pending, SERVICE_UNAVAILABLE, headers)
+
+    def fail(self, request_id: str) -> None:
+        """Answer that the request failed; it may have had an effect."""
+        pending = self._by_id.get(request_id)
+        if pending is not None:
+            self.finish(pending, GATEWAY_TIMEOUT)
+
+    def fail_all(self) -> None:
+        """Fail whatever is still pending."""
+        for pending in self.snapshot():
+            self.finish(pending, GATEWAY_TIMEOUT)
+
+    def on_disconnect(self, client: ClientConnection) -> None:
+        """Forget the request of a client that has closed its connection."""
+        pending = self._by_client.get(client)
+        if pending is not None:
+            self._remove(pending)
+            self._on_event(ClientDisconnected(pending.id))
+
+    def _expire(self, pending: PendingRequest) -> None:
+        self.finish(pending, GATEWAY_TIMEOUT)
+        self._on_event(ClientDisconnected(pending.id))
+
+    def _remove(self, pending: PendingRequest) -> None:
+        """Forget a request and cancel its attempt in flight."""
+        pending.finished = True
+        if pending.deadline_timer is not None:
+            pending.deadline_timer.cancel()
+        del self._by_id[pending.id]
+        del self._by_client[pending.client]
+        self._client_request_ids.discard(pending.client_request_id)
+        if pending.exchange is not None:
+            pending.exchange.finish(AttemptResult.CANCELLED)
+
+
+def _arrival(request_id: str, class_name: str, deadline_ns: int, request: Message) -> RequestArrived:
+    cost_us = whole_number(request.header(b"req-cost")) or 0
+    return RequestArrived(
+        request_id=request_id,
+        class_name=class_name,
+        tenant=request.header(b"req-owner").decode("latin-1"),
+        deadline_ns=deadline_ns,
+        cost_hint_ns=cost_us * MICROSECOND_NS,
+        idempotency_key=_user_cookie(request),
+        is_retry=request.header(b"req-retry") == b"1",
+    )
+
+
+def _user_cookie(request: Message) -> str:
+    """Give the value of the cookie `user`, by which requests are kept on one endpoint."""
+    for cookie in request.header(b"cookie").decode("latin-1").split(";"):
+        name_and_value = cookie.strip()
+        if name_and_value.startswith(USER_COOKIE):
+            return name_and_value[len(USER_COOKIE) :]
+    return ""
--- a/tests/proxy/test_client_disconnect.py
+++ b/tests/proxy/test_client_disconnect.py
@@ -105,7 +105,9 @@
                 self.happen()
             return made
 
-        monkeypatch.setattr("loadbalancer.proxy.proxy.REST_S", 0.0 if self.when == "decided" else 60.0)
+        monkeypatch.setattr(
+            "loadbalancer.proxy.attempts.QUARANTINE_S", 0.0 if self.when == "decided" else 60.0
+        )
         if self.when == "connected":
             monkeypatch.setattr(loop, "create_connection", create_connection)
 
@@ -113,7 +115,7 @@
         """The client leaves: now, and that is read; or unread, when its request would be sent."""
         if self.when == "read":
             leave(mine)
-            await until(lambda: self.request not in client.node._pending)
+            await until(lambda: self.request not in client.node._pending_requests)
         else:
             self.happens = lambda: leave(mine)
 
@@ -187,7 +189,7 @@
                 writer.write(written(200))
 
         monkeypatch.setattr("loadbalancer.policy.balancer.LOOK_NS", int(PATIENCE_S * 1000) * MS)
-        monkeypatch.setattr("loadbalancer.proxy.proxy.PROBE_TIMEOUT_S", PATIENCE_S)
+        monkeypatch.setattr("loadbalancer.proxy.health_checks.TIMEOUT_S", PATIENCE_S)
         upstream, balancer = await FakeUpstream(answer).start(), real(health_checks=True)
         module = Late(balancer, when)
         module.watch(monkeypatch, upstream)
@@ -230,7 +232,7 @@
             await until(lambda: upstream.got)
             await module.goes(leave, mine, client)  # read: while the first one is out
             free.set()
-            await until(lambda: not client.node._pending)
+            await until(lambda: not client.node._pending_requests)
             await served(client)
             assert sent(upstream) == ["/read/left", "/read/barrier"]
             assert not module.happens
@@ -296,7 +298,7 @@
     monkeypatch: pytest.MonkeyPatch, leave: Leave, kept: bool
 ) -> None:
     async def test() -> None:
-        monkeypatch.setattr("loadbalancer.proxy.proxy.REST_S", 0.0)
+        monkeypatch.setattr("loadbalancer.proxy.attempts.QUARANTINE_S", 0.0)
         upstream = await FakeUpstream(answers(200)).start()
         script = ScriptedPolicy(lambda event: send_first(script, event))
         async with node(script, upstream) as client:
@@ -314,7 +316,7 @@
 @LEAVES
 def test_the_loop_is_busy_with_a_long_batch(monkeypatch: pytest.MonkeyPatch, leave: Leave) -> None:
     async def test() -> None:
-        monkeypatch.setattr("loadbalancer.proxy.proxy.REST_S", 0.0)
+        monkeypatch.setattr("loadbalancer.proxy.attempts.QUARANTINE_S", 0.0)
         all_came = asyncio.Event()
 
         async def answer(got: ReceivedRequest, writer: Writer) -> None:
--- a/tests/proxy/test_downstream.py
+++ b/tests/proxy/test_downstream.py
@@ -99,7 +99,7 @@
     async def test() -> None:
         async with node(ScriptedPolicy(), max_pending_requests=1) as client:
             await client.send(request())
-            await until(lambda: client.node._pending)
+            await until(lambda: client.node._pending_requests)
             got = await client.another().ask(request())
             assert got.status == 503
             assert float(got.headers["retry-after"]) > 0
@@ -120,8 +120,8 @@
             assert (await client.read()).status == 400
             assert await client.closed()
             assert len(script.of(RequestArrived)) == len(script.of(ClientDisconnected)) == apart
-            assert not client.node._pending
-            assert not client.node._open_request_ids
+            assert not client.node._pending_requests
+            assert not client.node._pending_requests._client_request_ids
 
     run(test())
 
@@ -304,7 +304,7 @@
         script = ScriptedPolicy(lambda e: [Fail("1")] if isinstance(e, TimerExpired) else ())
         async with node(script) as client:
             await client.send(request(name="one"))
-            await until(lambda: client.node._pending)
+            await until(lambda: client.node._pending_requests)
             assert (await client.another().ask(request(name="one"))).status == 409
             client.node.dispatch(TimerExpired("now"))
             assert (await client.read()).status == 504  # the open one goes on as if nothing had come
--- a/tests/proxy/test_faults.py
+++ b/tests/proxy/test_faults.py
@@ -88,7 +88,7 @@
             await (breaks if broken else answers(200, b'{"inflight":0}'))(got, writer)
 
         monkeypatch.setattr("loadbalancer.policy.balancer.LOOK_NS", 4 * SECOND)
-        monkeypatch.setattr("loadbalancer.proxy.proxy.PROBE_TIMEOUT_S", 4.0)
+        monkeypatch.setattr("loadbalancer.proxy.health_checks.TIMEOUT_S", 4.0)
         upstream = await FakeUpstream(answer).start()
         async with node(Balancer(settings(health_checks=True), 1, time.monotonic_ns()), upstream) as client:
             begun = time.monotonic_ns()
--- a/tests/proxy/test_proxy.py
+++ b/tests/proxy/test_proxy.py
@@ -33,7 +33,10 @@
     TimerExpired,
 )
 from loadbalancer.policy.balancer import Balancer
-from loadbalancer.proxy.proxy import MODULE_EARLY_NS, NODE_EARLY_NS, REST_S, Proxy, leave_s
+from loadbalancer.proxy.attempts import QUARANTINE_S
+from loadbalancer.proxy.pending_requests import POLICY_DEADLINE_MARGIN_NS, PROXY_DEADLINE_MARGIN_NS
+from loadbalancer.proxy.proxy import Proxy
+from loadbalancer.proxy.shutdown import shutdown_timeout_s
 from loadbalancer.settings import RequestClass, Settings
 from tests.support.sockets import (
     HOST,
@@ -216,14 +219,16 @@
 def rests(balancer: Proxy) -> None:
     """As if all kept connections had been left alone for long enough."""
     for connection in balancer._connection_limits.idle_connections:
-        connection.quarantined_until -= REST_S
+        connection.quarantined_until -= QUARANTINE_S
 
 
 def test_a_second_answer_that_comes_late_does_not_pass_for_that_to_the_next_request(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     async def test() -> None:
-        monkeypatch.setattr("loadbalancer.proxy.proxy.REST_S", 60.0)  # a slow machine changes nothing here
+        monkeypatch.setattr(
+            "loadbalancer.proxy.attempts.QUARANTINE_S", 60.0
+        )  # a slow machine changes nothing here
         writers: list[asyncio.StreamWriter] = []
 
         async def answer(got: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
@@ -329,7 +334,7 @@
             draining = asyncio.create_task(client.node.drain())
             await until(lambda: not client.node.ready)
             assert (await client.ask(request())).status == 200  # for a moment none is open
-            assert not client.node._pending
+            assert not client.node._pending_requests
             late = client.another()
             await late.send(request("/read/late"))
             await until(lambda: client.node.downstream._socket is None)
@@ -343,7 +348,7 @@
 def test_what_waits_in_the_backlog_at_a_drain_is_answered_too(monkeypatch: pytest.MonkeyPatch) -> None:
     # Guards against closing to new clients while some of them, accepted by the system, wait for a place.
     async def test() -> None:
-        monkeypatch.setattr("loadbalancer.proxy.proxy.LATE_ARRIVALS_S", 0.0)
+        monkeypatch.setattr("loadbalancer.proxy.shutdown.LATE_CONNECTIONS_S", 0.0)
         script = ScriptedPolicy()
         async with node(script, sockets=32 + 16) as client:  # so eight clients
             busy = [client.another() for _ in range(8)]
@@ -384,13 +389,13 @@
 )
 def test_a_drain_is_over_before_the_soonest_kill(limits_ms: list[int], leaves_s: float) -> None:
     classes = [RequestClass(str(ms), client_timeout_ns=ms * MS) for ms in limits_ms]
-    assert leave_s(classes) == pytest.approx(leaves_s)
+    assert shutdown_timeout_s(classes) == pytest.approx(leaves_s)
 
 
 def test_what_is_open_at_the_end_of_a_drain_is_answered(monkeypatch: pytest.MonkeyPatch) -> None:
     # Guards against leaving to SIGKILL what came late, where the longest deadline is short.
     async def test() -> None:
-        monkeypatch.setattr("loadbalancer.proxy.proxy.LATE_ARRIVALS_S", 0.0)
+        monkeypatch.setattr("loadbalancer.proxy.shutdown.LATE_CONNECTIONS_S", 0.0)
         upstream = await FakeUpstream(silent).start()
         script = ScriptedPolicy()
         sends_first(script)
@@ -417,7 +422,7 @@
     monkeypatch: pytest.MonkeyPatch, kept: bool
 ) -> None:
     async def test() -> None:
-        monkeypatch.setattr("loadbalancer.proxy.proxy.LATE_ARRIVALS_S", 0.0)
+        monkeypatch.setattr("loadbalancer.proxy.shutdown.LATE_CONNECTIONS_S", 0.0)
         monkeypatch.setattr("loadbalancer.proxy.downstream.FRESH_S", 0.0)
         upstream = await FakeUpstream(answers(200, b"it")).start()
         script = ScriptedPolicy()
@@ -668,8 +673,8 @@
             assert [(o.result, o.request_complete) for o in script.of(AttemptEnded)] == [
                 (AttemptResult.CANCELLED, True)
             ]
-            assert not client.node._pending
-            assert not client.node._pending_by_client
+            assert not client.node._pending_requests
+            assert not client.node._pending_requests._by_client
 
     run(test())
 
@@ -757,7 +762,7 @@
         def send(event: Event) -> Iterable[Action]:
             if isinstance(event, (RequestArrived, AttemptEnded)) and len(ends) < attempts:
                 arrival = script.of(RequestArrived)[0]
-                deadline = arrival.deadline_ns + MODULE_EARLY_NS - NODE_EARLY_NS
+                deadline = arrival.deadline_ns + POLICY_DEADLINE_MARGIN_NS - PROXY_DEADLINE_MARGIN_NS
                 ends.append(client.node._decision_time_ns + timeout_ns if timeout_ns else deadline)
                 upstreams = script.ids()
                 return [
@@ -1032,7 +1037,7 @@
                     mine.shutdown(socket.SHUT_WR)
             time.sleep(0.15)  # and the attempt's time is over, all in one turn
             await until(lambda: script.of(AttemptEnded))
-            await until(lambda: not client.node._pending)
+            await until(lambda: not client.node._pending_requests)
             assert len(script.of(AttemptEnded)) == 1
             assert len(upstream.got) == 1
             assert len(script.of(ClientDisconnected)) <= 1
--- a/tests/proxy/test_unread_disconnect.py
+++ b/tests/proxy/test_unread_disconnect.py
@@ -78,7 +78,7 @@
     script.react = lambda event: send_first(script, event)
     assert (await client.another().ask(request("/read/barrier"))).status == 200
     assert [got.first.split()[1] for got in upstream.got[before:]] == ["/read/barrier"]
-    assert not client.node._pending
+    assert not client.node._pending_requests
 
 
 @LEAVES
