--- a/loadbalancer/proxy/gossip.py
+++ b/loadbalancer/proxy/gossip.py
@@ -1,4 +1,4 @@
-"""TODO"""
+"""Gossip: datagrams between the proxies. They may be lost, and nothing waits for an answer."""
 
 from __future__ import annotations
 
@@ -10,38 +10,60 @@
 from loadbalancer.proxy.addresses import Address
 
 log = logging.getLogger(__name__)
-MAX_MESSAGE = 256
+MAX_MESSAGE_BYTES = 256
+ALL_PEERS = -1  # as a recipient
 
 
 class Gossip(asyncio.DatagramProtocol):
-    """Sends to peers by number, and hands on what comes from their addresses."""
+    """Sends messages to peers by their index, and hands on those that come from their addresses."""
 
     def __init__(
-        self, peers: Sequence[Address], everyone: Address | None, me: int, heard: Callable[[int, bytes], None]
+        self,
+        peers: Sequence[Address],
+        all_peers: Address | None,
+        proxy_index: int,
+        on_message: Callable[[int, bytes], None],
     ) -> None:
+        """Set up gossip; it sends nothing before it has a socket.
+
+        Args:
+            peers: The addresses of all proxies, by their index.
+            all_peers: The address that reaches all peers at once, None if there is none.
+            proxy_index: This proxy's own index; what comes from its address is dropped.
+            on_message: Is called with the sender's index and the message.
+        """
         self._peers = peers
-        self._numbers = {address: i for i, address in enumerate(peers) if i != me}
-        self._everyone = everyone
-        self._heard = heard
+        self._all_peers = all_peers
+        self._indexes = {address: index for index, address in enumerate(peers) if index != proxy_index}
+        self._on_message = on_message
         self._transport: asyncio.DatagramTransport | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """Take the socket."""
         self._transport = cast(asyncio.DatagramTransport, transport)
 
     def datagram_received(self, data: bytes, address: tuple[str | object, int]) -> None:
-        sender = self._numbers.get(cast(Address, address[:2]))
-        if sender is not None and len(data) <= MAX_MESSAGE:
-            self._heard(sender, data)
+        """Hand on a message of a peer; drop what comes from elsewhere or is too long."""
+        sender = self._indexes.get(cast(Address, address[:2]))
+        if sender is not None and len(data) <= MAX_MESSAGE_BYTES:
+            self._on_message(sender, data)
 
     def error_received(self, error: Exception) -> None:
-        log.info("peers: %s", error)
+        """Log that the system could not deliver a message: the peer may be down."""
+        log.info("gossip: message to a peer not delivered: %s", error)
 
-    def send(self, data: bytes, peer: int) -> None:
-        """To one peer, or to all (-1). Messages may be lost: nothing is said of one that can't be sent."""
-        address = self._everyone if peer < 0 else self._peers[peer] if peer < len(self._peers) else None
-        if self._transport is not None and address is not None and len(data) <= MAX_MESSAGE:
+    def send(self, data: bytes, recipient: int) -> None:
+        """Send a message to the peer of that index or to `ALL_PEERS`; drop it if that can't be done."""
+        address = self._address_of(recipient)
+        if self._transport is not None and address is not None and len(data) <= MAX_MESSAGE_BYTES:
             self._transport.sendto(data, address)
 
+    def _address_of(self, recipient: int) -> Address | None:
+        if recipient <= ALL_PEERS:
+            return self._all_peers
+        return self._peers[recipient] if recipient < len(self._peers) else None
+
     def close(self) -> None:
+        """Close the socket."""
         if self._transport is not None:
             self._transport.close()
--- a/loadbalancer/proxy/proxy.py
+++ b/loadbalancer/proxy/proxy.py
@@ -70,6 +70,7 @@
     """One load balancer process: its sockets, its timers and the policy that decides for it."""
 
     def __init__(self, config: Configuration, policy: Policy) -> None:
+        """Set up all parts inside a running event loop; nothing is sent or accepted before `start`."""
         self.config = config
         limits = config.settings.limits
         self._loop = asyncio.get_running_loop()
