--- /dev/null
+++ b/tests/proxy/test_attempt_results.py
@@ -0,0 +1,175 @@
+"""Results of attempts: what a response or a broken connection means to the policy."""
+
+from __future__ import annotations
+
+import asyncio
+import socket
+import struct
+
+import pytest
+
+from loadbalancer.messages import (
+    AttemptEnded,
+    AttemptResult,
+)
+from tests.support.async_tests import async_test
+from tests.support.scripted import (
+    fail_unless_complete,
+    forwarding_policy,
+    hold_connections,
+    results,
+)
+from tests.support.sockets import (
+    HOST,
+    MS,
+    Answer,
+    FakeUpstream,
+    answers,
+    breaks,
+    known,
+    node,
+    request,
+    sends_raw,
+    silent,
+    until,
+    written,
+)
+
+DECLINED = "Srv-Declined: 1"
+
+
+@pytest.mark.parametrize(
+    ("answer", "result"),
+    [
+        (answers(200, b"x"), AttemptResult.OK),
+        (answers(500), AttemptResult.ERROR),
+        (answers(503, b"", DECLINED), AttemptResult.REJECTED),
+        (answers(504, b"", DECLINED), AttemptResult.REJECTED),
+        (answers(503), AttemptResult.ERROR),
+        (answers(404), AttemptResult.ERROR),
+        (answers(500, b"", DECLINED), AttemptResult.ERROR),
+        (breaks, AttemptResult.RESET),
+        (sends_raw(b"no http\r\n"), AttemptResult.RESET),
+        (sends_raw(b"HTTP/1.1 200 X\r\nContent-Length: 9\r\n\r\nhalf", close=True), AttemptResult.RESET),
+        (answers(200, b"x" * 400_000), AttemptResult.OK),
+        (answers(200, b"x" * (1024 * 1024 + 1)), AttemptResult.RESET),
+        (sends_raw(b"HTTP/1.1 200 X\r\nContent-Length: 3000000000\r\n\r\nabc"), AttemptResult.RESET),
+        (
+            sends_raw(b"HTTP/1.1 200 X\r\nContent-Length: 3\r\nContent-Length: 2\r\n\r\nab"),
+            AttemptResult.RESET,
+        ),
+        (sends_raw(b"HTTP/1.1 200 X\r\nContent-Length: -1\r\n\r\nab"), AttemptResult.RESET),
+        (
+            sends_raw(b"HTTP/1.1 200 X\r\nTransfer-Encoding: chunked\r\n\r\n1\r\na\r\nzz\r\n"),
+            AttemptResult.RESET,
+        ),
+        (
+            sends_raw(b"HTTP/1.1 200 X\r\nTransfer-Encoding: gzip, chunked\r\n\r\n0\r\n\r\n"),
+            AttemptResult.RESET,
+        ),
+        (sends_raw(b"HTTP/1.1 OK 200\r\nContent-Length: 1\r\n\r\na"), AttemptResult.RESET),
+        (sends_raw(b"ICY 200 OK\r\nContent-Length: 1\r\n\r\na"), AttemptResult.RESET),
+        (sends_raw(b"HTTP/1.1 200 X\r\n" + b"X: y\r\n" * 4000), AttemptResult.RESET),
+        (sends_raw(b"HTTP/1.1 102 X\r\n\r\n" * 17 + written(200)), AttemptResult.RESET),
+    ],
+)
+@async_test
+async def test_the_response_determines_the_result(answer: Answer, result: AttemptResult) -> None:
+    upstream = await FakeUpstream(answer).start()
+    policy = forwarding_policy(fail_unless_complete)
+    async with node(policy, upstream) as client:
+        got = await client.ask(request())
+        assert got.status == (200 if result is AttemptResult.OK else 504)
+        assert results(policy) == [result]
+        assert len(upstream.got) == 1  # nothing is retried without the policy
+
+
+@pytest.mark.parametrize(
+    ("report", "expected"),
+    [
+        ("1" + "0" * 400, None),
+        ("[" * 10_000, None),
+        ('{"inflight":1' + "0" * 400 + "}", {}),
+        ("{", None),
+        ('{"inflight":-3,"queue":2}', {"queue": 2.0}),
+        ('{"inflight":1e400,"queue":true}', {}),
+        ("3", None),
+    ],
+)
+@async_test
+async def test_an_unreadable_load_report_is_dropped(report: str, expected: object) -> None:
+    upstream = await FakeUpstream(answers(200, b"it", f"Srv-Load: {report}")).start()
+    policy = forwarding_policy()
+    async with node(policy, upstream, in_answers=True) as client:
+        for number in (1, 2):
+            assert (await client.ask(request())).body == b"it"
+            await until(lambda number=number: len(policy.of(AttemptEnded)) == number)  # type: ignore[misc]
+        assert [(o.result, o.load_report) for o in policy.of(AttemptEnded)] == [
+            (AttemptResult.OK, expected)
+        ] * 2
+
+
+@async_test
+async def test_a_refused_connection_is_a_connect_failure() -> None:
+    upstream = await FakeUpstream(silent).start()
+    upstream.stop()
+    policy = forwarding_policy(fail_unless_complete)
+    async with node(policy, upstream) as client:
+        assert (await client.ask(request())).status == 504
+        assert results(policy) == [AttemptResult.CONNECT_FAILED]
+
+
+@async_test
+async def test_a_connect_timeout_is_a_connect_failure(monkeypatch: pytest.MonkeyPatch) -> None:
+    upstream = await FakeUpstream(silent).start()
+    policy = forwarding_policy(fail_unless_complete)
+    async with node(policy, upstream, connect_timeout_ns=20 * MS) as client:
+        await client.send(request())
+        hold_connections(monkeypatch, asyncio.Event())
+        assert (await client.read()).status == 504
+        assert results(policy) == [AttemptResult.CONNECT_FAILED]
+
+
+@async_test
+async def test_a_reset_before_the_last_byte_is_written_is_a_connect_failure() -> None:
+    held: list[asyncio.StreamWriter] = []
+
+    async def serve(_reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        held.append(writer)  # reads nothing: what is sent stays with the sender
+
+    server = await asyncio.start_server(serve, HOST, 0, limit=1)
+    policy = forwarding_policy(fail_unless_complete)
+    port = server.sockets[0].getsockname()[1]
+    async with node(policy, known_list=known(port)) as client:
+        pool = client.node._connection_pool(next(iter(client.node.endpoint_addresses())))
+        assert pool is not None
+        ended: list[AttemptResult] = []
+        exchange = pool.start_exchange(
+            b"x" * 50_000_000, None, lambda result, _response: ended.append(result)
+        )
+        await until(lambda: held and not exchange.unsent)
+        held[0].transport.abort()
+        await until(lambda: ended)
+        assert ended == [AttemptResult.CONNECT_FAILED]
+    server.close()
+
+
+@async_test
+async def test_a_reset_before_the_request_is_a_connect_failure(monkeypatch: pytest.MonkeyPatch) -> None:
+    loop = asyncio.get_running_loop()
+    original = loop.create_connection
+    with socket.create_server((HOST, 0)) as listener:
+
+        async def create_connection(*args: object, **options: object) -> object:
+            made = await original(*args, **options)  # type: ignore[call-overload]
+            accepted, _ = listener.accept()
+            accepted.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
+            accepted.close()
+            return made
+
+        policy = forwarding_policy(fail_unless_complete)
+        async with node(policy, known_list=known(listener.getsockname()[1])) as client:
+            await client.send(b"")
+            monkeypatch.setattr(loop, "create_connection", create_connection)
+            assert (await client.ask(request("/pay", method="POST"))).status == 504
+            assert results(policy) == [AttemptResult.CONNECT_FAILED]
--- /dev/null
+++ b/tests/proxy/test_attempts.py
@@ -0,0 +1,183 @@
+"""Attempts over loopback sockets: timeouts, cancellation and the deadline that is forwarded."""
+
+from __future__ import annotations
+
+import asyncio
+import socket
+import time
+from collections.abc import Iterable
+
+import pytest
+
+from loadbalancer.messages import (
+    Action,
+    AttemptEnded,
+    AttemptResult,
+    CancelAttempt,
+    ClientDisconnected,
+    Event,
+    Fail,
+    Forward,
+    Reject,
+    RequestArrived,
+    SetTimer,
+    TimerExpired,
+)
+from loadbalancer.proxy.pending_requests import POLICY_DEADLINE_MARGIN_NS, PROXY_DEADLINE_MARGIN_NS
+from tests.support.async_tests import async_test
+from tests.support.scripted import (
+    connect,
+    fail_unless_complete,
+    forward_requests,
+    hold_connections,
+    results,
+)
+from tests.support.sockets import (
+    HOST,
+    MS,
+    FakeUpstream,
+    ReceivedRequest,
+    ScriptedPolicy,
+    known,
+    node,
+    request,
+    silent,
+    until,
+    written,
+)
+
+
+@async_test
+async def test_a_timed_out_attempt_closes_its_connection_and_drops_the_late_response() -> None:
+    release = asyncio.Event()
+
+    async def late(_received: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
+        if len(upstream.got) == 1:
+            await release.wait()
+            writer.write(b"HTTP/1.1 200 X\r\nContent-Length: 4\r\n\r\nlate")
+        else:
+            writer.write(b"HTTP/1.1 200 X\r\nContent-Length: 5\r\n\r\nfresh")
+
+    upstream = await FakeUpstream(late).start()
+    policy = ScriptedPolicy()
+
+    def retry(event: Event) -> Iterable[Action]:
+        if isinstance(event, AttemptEnded) and event.result is AttemptResult.TIMEOUT:
+            release.set()
+            return [Forward(event.request_id, event.endpoint_id)]
+        return ()
+
+    forward_requests(policy, retry, timeout_ns=30 * MS)
+    async with node(policy, upstream) as client:
+        assert (await client.ask(request())).body == b"fresh"
+        assert upstream.opened == 2
+        await until(lambda: upstream.closed == 1)
+        assert [(o.result, o.attempt) for o in policy.of(AttemptEnded)] == [
+            (AttemptResult.TIMEOUT, 0),
+            (AttemptResult.OK, 1),
+        ]
+
+
+@async_test
+async def test_a_timed_out_attempt_has_closed_before_the_policy_is_told() -> None:
+    with socket.create_server((HOST, 0)) as listener:
+        listener.setblocking(False)
+        accepted: list[socket.socket] = []
+        ended: list[bytes] = []
+        policy = ScriptedPolicy()
+
+        def check_closed(event: Event) -> Iterable[Action]:
+            if isinstance(event, AttemptEnded) and event.result is AttemptResult.TIMEOUT:
+                ended.append(accepted[0].recv(65536))  # empty at the end of the stream
+                return [Fail(event.request_id)]
+            return ()
+
+        forward_requests(policy, check_closed, timeout_ns=30 * MS)
+        async with node(policy, known_list=known(listener.getsockname()[1])) as client:
+            await client.send(request())
+            loop = asyncio.get_running_loop()
+            accepted.append((await loop.sock_accept(listener))[0])
+            assert (await loop.sock_recv(accepted[0], 65536)).startswith(b"GET /read")
+            assert (await client.read()).status == 504
+            assert ended == [b""]
+        accepted[0].close()
+
+
+@async_test
+async def test_a_cancelled_attempt_closes_its_connection() -> None:
+    upstream = await FakeUpstream(silent).start()
+    policy = ScriptedPolicy()
+    forward_requests(
+        policy,
+        lambda e: [CancelAttempt("1", 0)] if isinstance(e, TimerExpired) else fail_unless_complete(e),
+    )
+    async with node(policy, upstream) as client:
+        await client.send(request())
+        await until(lambda: upstream.got)
+        client.node.dispatch(TimerExpired("now"))
+        assert (await client.read()).status == 504
+        await until(lambda: upstream.closed == 1)
+        assert results(policy) == [AttemptResult.CANCELLED]
+
+
+@async_test
+async def test_a_stall_after_the_decision_does_not_extend_the_timeout() -> None:
+    upstream = await FakeUpstream(silent).start()
+    policy = ScriptedPolicy()
+
+    def react(event: Event) -> Iterable[Action]:
+        if isinstance(event, RequestArrived):
+            timeout = event.deadline_ns - time.monotonic_ns()
+            time.sleep(0.02)  # the process gets no processor for a while
+            return [Forward(event.request_id, policy.ids()[0], timeout), SetTimer(timeout, "end")]
+        if isinstance(event, AttemptEnded) and event.result is AttemptResult.TIMEOUT:
+            return [Reject(event.request_id)]
+        return ()
+
+    policy.react = react
+    async with node(policy, upstream) as client:
+        assert (await client.ask(request(deadline_ms=150))).status == 503
+        assert results(policy) == [AttemptResult.TIMEOUT]
+        await until(lambda: policy.of(TimerExpired))
+        assert not policy.of(ClientDisconnected)
+
+
+@pytest.mark.parametrize("timeout_ns", [0, 2000 * MS], ids=["to the deadline", "to its timeout"])
+@pytest.mark.parametrize("attempts", [1, 2])
+@async_test
+async def test_a_late_connection_shortens_the_forwarded_deadline(
+    monkeypatch: pytest.MonkeyPatch, attempts: int, timeout_ns: int
+) -> None:
+    connect_ns = 40 * MS
+    ends: list[int] = []  # of the attempts, by the clock
+    received: list[int] = []  # when the last one had come
+
+    async def answer(_received: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
+        received.append(time.monotonic_ns())
+        writer.write(written(200))
+
+    def forward(event: Event) -> Iterable[Action]:
+        if isinstance(event, (RequestArrived, AttemptEnded)) and len(ends) < attempts:
+            arrival = policy.of(RequestArrived)[0]
+            deadline = arrival.deadline_ns + POLICY_DEADLINE_MARGIN_NS - PROXY_DEADLINE_MARGIN_NS
+            ends.append(client.node._decision_time_ns + timeout_ns if timeout_ns else deadline)
+            upstreams = policy.ids()
+            return [Forward(arrival.request_id, upstreams[-1 if len(ends) == attempts else 0], timeout_ns)]
+        return ()
+
+    refusing, upstream = await FakeUpstream(silent).start(), await FakeUpstream(answer).start()
+    refusing.stop()
+    policy, up = ScriptedPolicy(forward), asyncio.Event()
+    async with node(policy, refusing, upstream) as client:
+        await connect(client)
+        hold_connections(monkeypatch, up, upstream.port)
+        await client.send(request())
+        await until(lambda: len(ends) == attempts)
+        begun = time.monotonic_ns()
+        await until(lambda: time.monotonic_ns() - begun >= connect_ns)
+        opened = time.monotonic_ns()
+        up.set()
+        assert (await client.read()).status == 200
+        told_ns = int(upstream.got[0].headers["req-deadline-ms"]) * MS
+        # It was written between these two times, and what it tells is in whole milliseconds.
+        assert ends[-1] - received[0] - MS < told_ns <= ends[-1] - opened
--- /dev/null
+++ b/tests/proxy/test_gossip.py
@@ -0,0 +1,74 @@
+"""Gossip between two proxies over loopback sockets."""
+
+from __future__ import annotations
+
+import asyncio
+
+from loadbalancer.configuration import Configuration
+from loadbalancer.messages import (
+    GossipReceived,
+    SendGossip,
+    TimerExpired,
+)
+from loadbalancer.proxy.addresses import Address
+from loadbalancer.proxy.proxy import Proxy
+from loadbalancer.settings import Settings
+from tests.support.async_tests import async_test
+from tests.support.scripted import on_timer
+from tests.support.sockets import (
+    HOST,
+    ScriptedPolicy,
+    until,
+)
+
+
+async def free_datagram_addresses(count: int) -> list[Address]:
+    loop = asyncio.get_running_loop()
+    bound = [await loop.create_datagram_endpoint(asyncio.DatagramProtocol, (HOST, 0)) for _ in range(count)]
+    addresses = [transport.get_extra_info("sockname") for transport, _ in bound]
+    for transport, _ in bound:
+        transport.close()
+    await asyncio.sleep(0)  # closed transports end in the event loop's next turn
+    return addresses
+
+
+def gossip_config(index: int, addresses: list[Address]) -> Configuration:
+    """Configure one of two proxies; a message to all peers goes to the second one alone."""
+    return Configuration(
+        f"n{index}",
+        (HOST, 0),
+        (HOST, 1),
+        index,
+        1024,
+        Settings(proxy_index=index, proxy_count=2),
+        peer_listen=addresses[index],
+        peers=addresses,
+        peers_all=addresses[1],
+    )
+
+
+@async_test
+async def test_gossip_reaches_one_peer_or_all() -> None:
+    addresses = await free_datagram_addresses(2)
+    unknown_peer, too_long = 9, b"x" * 257
+    sender = ScriptedPolicy(
+        on_timer(
+            lambda: [
+                SendGossip(b"one", 1),
+                SendGossip(b"all"),
+                SendGossip(b"x", unknown_peer),
+                SendGossip(too_long),
+            ]
+        )
+    )
+    receiver = ScriptedPolicy()
+    proxies = [Proxy(gossip_config(i, addresses), policy) for i, policy in enumerate((sender, receiver))]
+    for proxy in proxies:
+        await proxy.start()
+
+    proxies[0].dispatch(TimerExpired("now"))
+
+    await until(lambda: len(receiver.of(GossipReceived)) == 2)
+    assert set(receiver.of(GossipReceived)) == {GossipReceived(0, b"one"), GossipReceived(0, b"all")}
+    for proxy in proxies:
+        proxy.close()
--- /dev/null
+++ b/tests/proxy/test_requests.py
@@ -0,0 +1,233 @@
+"""Requests over loopback sockets: from their arrival to the one final answer."""
+
+from __future__ import annotations
+
+import asyncio
+import os
+import socket
+import time
+from collections.abc import Iterable
+
+import pytest
+
+from loadbalancer.messages import (
+    Action,
+    AttemptEnded,
+    AttemptResult,
+    ClientDisconnected,
+    Event,
+    Fail,
+    Forward,
+    Reject,
+    RequestArrived,
+    SetTimer,
+    TimerExpired,
+)
+from loadbalancer.policy.balancer import Balancer
+from tests.support.async_tests import async_test
+from tests.support.scripted import (
+    connect,
+    fail_unless_complete,
+    forward_requests,
+    forwarding_policy,
+)
+from tests.support.sockets import (
+    HOST,
+    MS,
+    FakeUpstream,
+    ReceivedRequest,
+    ScriptedPolicy,
+    answers,
+    node,
+    request,
+    settings,
+    silent,
+    until,
+    written,
+)
+
+
+@async_test
+async def test_a_request_is_forwarded_unchanged() -> None:
+    upstream = await FakeUpstream(answers(200, b"\x00quote\r\n", "Content-Type: x/y", "Srv-Load: {}")).start()
+    policy = forwarding_policy()
+    async with node(policy, upstream) as client:
+        got = await client.ask(
+            request(
+                "/pay/a%20b?x=1&y=%2F",
+                "Idempotency-Key: k1",
+                "Cookie: a=b; user=7f3a",
+                "Req-Owner: acme",
+                "Req-Cost: 1200",
+                "Req-Retry: 1",
+                "Connection: x-hop",
+                "X-Hop: 1",
+                method="POST",
+                body=b"\x01body",
+                name="9b1f03aa",
+            )
+        )
+        assert (got.status, got.body) == (200, b"\x00quote\r\n")
+        assert got.headers["content-type"] == "x/y"
+        assert "srv-load" not in got.headers
+        forwarded = upstream.got[0]
+        assert (forwarded.first, forwarded.body) == ("POST /pay/a%20b?x=1&y=%2F HTTP/1.1", b"\x01body")
+        assert (forwarded.headers["req-id"], forwarded.headers["idempotency-key"]) == ("9b1f03aa", "k1")
+        assert 4000 < int(forwarded.headers["req-deadline-ms"]) <= 5000
+        assert "x-hop" not in forwarded.headers
+    arrival = policy.of(RequestArrived)[0]
+    assert (arrival.class_name, arrival.tenant, arrival.idempotency_key) == ("pay", "acme", "7f3a")
+    assert arrival.cost_hint_ns == 1_200_000
+    assert arrival.is_retry
+    assert time.monotonic_ns() + 5000 * MS - arrival.deadline_ns > 0
+    ended = policy.of(AttemptEnded)[0]
+    assert (ended.result, ended.attempt, ended.request_complete) == (AttemptResult.OK, 0, True)
+    assert ended.elapsed_ns > 0
+
+
+@async_test
+async def test_a_proxy_with_the_real_policy_serves() -> None:
+    upstream = await FakeUpstream(answers(200, b'{"inflight": 1}')).start()
+    async with node(Balancer(settings(health_checks=True), 1, time.monotonic_ns()), upstream) as client:
+        for _ in range(3):
+            assert (await client.ask(request())).status == 200
+    assert sum(g.first.startswith("GET /read") for g in upstream.got) == 3
+
+
+@async_test
+async def test_a_rejection_is_answered_at_once_with_retry_after() -> None:
+    policy = ScriptedPolicy(
+        lambda e: [Reject(e.request_id, 437 * MS)] if isinstance(e, RequestArrived) else ()
+    )
+    async with node(policy) as client:
+        begun = time.monotonic()
+        got = await client.ask(request())
+        assert got.status == 503
+        assert got.headers["retry-after"] == "0.437"
+        assert time.monotonic() - begun < 2.5  # of the five seconds that the client would wait
+
+
+@async_test
+async def test_a_proxy_in_its_start_pause_is_not_ready_but_serves() -> None:
+    upstream = await FakeUpstream(answers(200)).start()
+    policy = forwarding_policy()
+    async with node(policy, upstream, rest_s=3600.0) as client:
+        assert (await connect(client)).status == 503
+        assert (await client.ask(request())).status == 200
+    async with node(policy, upstream) as client:
+        assert (await connect(client)).status == 200
+
+
+@async_test
+async def test_one_attempt_at_a_time_and_none_after_the_final_answer() -> None:
+    upstream = await FakeUpstream(silent).start()
+    policy = ScriptedPolicy()
+
+    def react(event: Event) -> Iterable[Action]:
+        if isinstance(event, RequestArrived):
+            endpoint_id = policy.ids()[0]
+            return [Forward(event.request_id, endpoint_id)] * 2
+        if isinstance(event, TimerExpired):
+            return [Fail("1"), Fail("1"), Forward("1", policy.ids()[0])]
+        return ()
+
+    policy.react = react
+    async with node(policy, upstream) as client:
+        await client.send(request())
+        await until(lambda: upstream.got)
+        client.node.dispatch(TimerExpired("now"))
+        assert (await client.read()).status == 504
+        await until(lambda: upstream.closed == 1)
+        ended = {(o.attempt, o.result, o.request_complete) for o in policy.of(AttemptEnded)}
+        assert ended == {
+            (1, AttemptResult.NOT_SENT, False),
+            (0, AttemptResult.CANCELLED, True),
+            (0, AttemptResult.NOT_SENT, True),
+        }
+        assert len(upstream.got) == 1
+        assert policy.deepest == 1
+        assert (await connect(client)).status == 200  # one answer only
+
+
+@async_test
+async def test_a_client_disconnect_cancels_its_request() -> None:
+    upstream = await FakeUpstream(silent).start()
+    policy = forwarding_policy()
+    async with node(policy, upstream) as client:
+        await client.send(request())
+        await until(lambda: upstream.got)
+        client.close()
+        await until(lambda: upstream.closed == 1)
+        assert policy.of(ClientDisconnected) == [ClientDisconnected("1")]
+        assert [(o.result, o.request_complete) for o in policy.of(AttemptEnded)] == [
+            (AttemptResult.CANCELLED, True)
+        ]
+        assert not client.node._pending_requests
+        assert not client.node._pending_requests._by_client
+
+
+@async_test
+async def test_a_request_that_the_policy_leaves_open_fails_at_its_deadline() -> None:
+    policy = ScriptedPolicy()
+    async with node(policy) as client:
+        begun = time.monotonic()
+        assert (await client.ask(request(deadline_ms=80))).status == 504
+        assert time.monotonic() - begun > 0.05
+        assert policy.of(ClientDisconnected) == [ClientDisconnected("1")]
+
+
+@async_test
+async def test_an_error_in_the_policy_does_not_stop_the_proxy() -> None:
+    def react(event: Event) -> Iterable[Action]:
+        if isinstance(event, RequestArrived) and event.request_id == "1":
+            raise RuntimeError("bug")
+        return [Fail(event.request_id)] if isinstance(event, RequestArrived) else ()
+
+    async with node(ScriptedPolicy(react)) as client:
+        assert (await client.ask(request(deadline_ms=50))).status == 504
+        assert (await client.ask(request())).status == 504
+
+
+@async_test
+async def test_a_timer_expires_under_its_name() -> None:
+    policy = ScriptedPolicy(lambda e: [SetTimer(2 * MS, "next")] if e == TimerExpired("first") else ())
+    async with node(policy) as client:
+        client.node.dispatch(TimerExpired("first"))
+        await until(lambda: TimerExpired("next") in policy.events)
+
+
+@pytest.mark.parametrize(
+    "order", [("response", "disconnect"), ("disconnect", "response"), ("disconnect",), ("response",)]
+)
+@async_test
+async def test_timeout_disconnect_and_late_response_in_one_turn_end_a_request_once(
+    order: tuple[str, ...],
+) -> None:
+    writers: list[asyncio.StreamWriter] = []
+
+    async def wait(_received: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
+        writers.append(writer)
+
+    upstream = await FakeUpstream(wait).start()
+    policy = forwarding_policy(fail_unless_complete, timeout_ns=100 * MS)
+    async with node(policy, upstream) as client:
+        client_socket = socket.socket()
+        client_socket.setblocking(False)
+        await asyncio.get_running_loop().sock_connect(client_socket, (HOST, client.port))
+        client_socket.send(request())
+        await until(lambda: writers)
+        for event in order:
+            if event == "response":
+                os.write(writers[0].transport.get_extra_info("socket").fileno(), written(200, b"late"))
+            else:
+                client_socket.shutdown(socket.SHUT_WR)
+        time.sleep(0.15)  # the attempt's timeout expires too, all in one turn
+        await until(lambda: policy.of(AttemptEnded))
+        await until(lambda: not client.node._pending_requests)
+        assert len(policy.of(AttemptEnded)) == 1
+        assert len(upstream.got) == 1
+        assert len(policy.of(ClientDisconnected)) <= 1
+        forward_requests(policy)
+        upstream.answer = answers(200, b"next")
+        assert (await client.ask(request())).body == b"next"  # it does not get the late response
+        client_socket.close()
--- /dev/null
+++ b/tests/proxy/test_shutdown.py
@@ -0,0 +1,188 @@
+"""Graceful shutdown: everything that comes until its end is answered."""
+
+from __future__ import annotations
+
+import asyncio
+import socket
+import time
+from collections.abc import Iterable
+from typing import cast
+
+import pytest
+
+from loadbalancer.messages import (
+    Action,
+    Event,
+    Fail,
+    RequestArrived,
+    TimerExpired,
+)
+from loadbalancer.proxy.shutdown import shutdown_timeout_s
+from loadbalancer.settings import RequestClass
+from tests.support.async_tests import async_test
+from tests.support.scripted import connect, forwarding_policy
+from tests.support.sockets import (
+    MS,
+    FakeUpstream,
+    ReceivedRequest,
+    ScriptedPolicy,
+    answers,
+    node,
+    request,
+    silent,
+    until,
+    written,
+)
+
+
+def fail_all(event: Event) -> Iterable[Action]:
+    """Fail each request that arrives, and all earlier ones when a timer expires."""
+    if isinstance(event, TimerExpired):
+        return [Fail(str(number)) for number in range(1, 9)]
+    return [Fail(event.request_id)] if isinstance(event, RequestArrived) else ()
+
+
+@pytest.fixture
+def no_late_connections(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Let the shutdown not wait for late connections."""
+    monkeypatch.setattr("loadbalancer.proxy.shutdown.LATE_CONNECTIONS_S", 0.0)
+
+
+@async_test
+async def test_requests_that_come_late_in_a_shutdown_are_answered() -> None:
+    release = asyncio.Event()
+
+    async def answer(got: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
+        if "/late" in got.first:
+            await release.wait()
+        writer.write(written(200, b"it"))
+
+    upstream = await FakeUpstream(answer).start()
+    policy = forwarding_policy()
+    async with node(policy, upstream) as client:
+        draining = asyncio.create_task(client.node.drain())
+        await until(lambda: not client.node.ready)
+        assert (await client.ask(request())).status == 200  # for a moment none is pending
+        assert not client.node._pending_requests
+        late = client.another()
+        await late.send(request("/read/late"))
+        await until(lambda: client.node.downstream._socket is None)
+        asyncio.get_running_loop().call_later(0.1, release.set)
+        assert (await late.read()).body == b"it"
+        await draining
+
+
+@pytest.mark.usefixtures("no_late_connections")
+@async_test
+async def test_the_backlog_is_answered_in_a_shutdown(monkeypatch: pytest.MonkeyPatch) -> None:
+    # Guards against an end of listening while clients that the system has accepted wait for a connection.
+    policy = ScriptedPolicy()
+    async with node(policy, sockets=32 + 16) as client:  # so eight clients
+        busy = [client.another() for _ in range(8)]
+        for other in busy:
+            await other.send(request())
+        await until(lambda: len(policy.of(RequestArrived)) == len(busy))
+        late = [client.another() for _ in range(2)]
+        for other in late:
+            await other.send(request())
+        paused = asyncio.Event()
+        monkeypatch.setattr(client.node.downstream, "_pause_accepting", lambda _for_s=None: paused.set())
+        draining = asyncio.create_task(client.node.drain())
+        await paused.wait()  # the shutdown has come to the backlog
+        monkeypatch.undo()
+        policy.react = fail_all
+        client.node.dispatch(TimerExpired("now"))
+        for other in (*busy, *late):
+            got = await other.read()
+            assert got.status == 504
+            assert got.headers["connection"] == "close"
+        await draining
+        assert len(policy.of(RequestArrived)) == len(busy) + len(late)
+
+
+@pytest.mark.parametrize(
+    ("timeouts_ms", "shutdown_s"),
+    [
+        ([], 3.5),
+        ([0], 3.5),
+        ([250], 0.75),
+        ([800, 2000], 2.5),
+        ([2000, 0], 3.5),
+        ([3000], 3.5),
+        ([220, 4600], 3.5),
+    ],
+)
+def test_a_shutdown_ends_before_the_earliest_kill(timeouts_ms: list[int], shutdown_s: float) -> None:
+    classes = [RequestClass(str(ms), client_timeout_ns=ms * MS) for ms in timeouts_ms]
+    assert shutdown_timeout_s(classes) == pytest.approx(shutdown_s)
+
+
+@pytest.mark.usefixtures("no_late_connections")
+@async_test
+async def test_pending_requests_are_answered_at_the_end_of_a_shutdown() -> None:
+    # Guards against leaving to SIGKILL what came late, where the longest deadline is short.
+    upstream = await FakeUpstream(silent).start()
+    policy = forwarding_policy()
+    async with node(policy, upstream, limit_ns=100 * MS) as client:
+        await client.send(request(deadline_ms=600_000))
+        await until(lambda: upstream.got)
+        begun = time.monotonic()
+        draining = asyncio.create_task(client.node.drain())
+        assert (await client.read()).status == 504
+        assert time.monotonic() - begun < 2.5  # soon after 0.6 s; a fixed time for all settings is 3.4 s
+        await draining
+
+
+@pytest.mark.usefixtures("no_late_connections")
+@pytest.mark.parametrize("kept", [False, True], ids=["new connection", "kept-alive connection"])
+@async_test
+async def test_a_half_read_request_is_answered_in_a_shutdown(
+    monkeypatch: pytest.MonkeyPatch, kept: bool
+) -> None:
+    monkeypatch.setattr("loadbalancer.proxy.downstream.FRESH_S", 0.0)
+    upstream = await FakeUpstream(answers(200, b"it")).start()
+    policy = forwarding_policy()
+    async with node(policy, upstream) as client:
+        if kept:
+            assert (await client.ask(request())).status == 200
+        idle = client.another()
+        assert (await connect(idle)).status == 200
+        data = request()
+        await client.send(data[:-3])
+        await until(lambda: any(c.request_started for c in client.node.downstream._connections))
+        draining = asyncio.create_task(client.node.drain())
+        assert await idle.closed()  # the shutdown has come to connections between requests
+        await client.send(data[-3:])
+        got = await client.read()
+        assert (got.body, got.headers["connection"]) == (b"it", "close")
+        await draining
+
+
+@async_test
+async def test_a_large_response_is_written_completely_in_a_shutdown() -> None:
+    body = bytes(range(256)) * 1000
+    upstream = await FakeUpstream(answers(200, body)).start()
+    policy = forwarding_policy()
+    async with node(policy, upstream) as client:
+        await client.send(b"")
+        assert client.writer is not None
+        client_side = cast(asyncio.Transport, client.writer.transport)
+        client_side.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
+        client_side.pause_reading()
+        await until(lambda: client.node.downstream._connections)
+        server_side = next(iter(client.node.downstream._connections))
+        await until(lambda: server_side._transport)
+        assert server_side._transport is not None
+        server_side._transport.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
+        draining = asyncio.create_task(client.node.drain())
+        await until(lambda: not client.node.ready)
+        await client.send(request())
+        await until(lambda: client.node.downstream._flushing)
+        await until(lambda: client.node.downstream._socket is None)
+        assert not draining.done()
+        for transport in (client_side, server_side._transport):  # small buffers would take long
+            for option in (socket.SO_RCVBUF, socket.SO_SNDBUF):
+                transport.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, option, 1 << 20)
+        client_side.resume_reading()
+        assert (await client.read()).body == body
+        await draining
--- /dev/null
+++ b/tests/proxy/test_upstream_connections.py
@@ -0,0 +1,222 @@
+"""Connections to endpoints: when one is reused, closed or refused."""
+
+from __future__ import annotations
+
+import asyncio
+import os
+import socket
+
+import pytest
+
+from loadbalancer.messages import (
+    AttemptEnded,
+    AttemptResult,
+    Forward,
+    RequestArrived,
+    TimerExpired,
+)
+from tests.support.async_tests import async_test
+from tests.support.scripted import (
+    end_quarantine,
+    fail_unless_complete,
+    forward_requests,
+    forwarding_policy,
+    on_timer,
+    results,
+)
+from tests.support.sockets import (
+    MS,
+    FakeUpstream,
+    ReceivedRequest,
+    ScriptedPolicy,
+    answers,
+    node,
+    request,
+    sends_raw,
+    silent,
+    until,
+    written,
+)
+
+
+@pytest.mark.parametrize(
+    "behind",
+    [written(200, b"mine"), b"\xd1\xaanoise\r\n\r\n", b"HTTP/1.1 2"],
+    ids=["second response", "noise", "part of a response"],
+)
+@async_test
+async def test_bytes_after_a_response_close_the_connection(behind: bytes) -> None:
+    upstream = await FakeUpstream(sends_raw(written(200, b"mine") + behind)).start()
+    policy = forwarding_policy(fail_unless_complete)
+    async with node(policy, upstream) as client:
+        for number in (1, 2):
+            assert (await client.ask(request())).body == b"mine"
+            assert upstream.opened == len(upstream.got) == number
+            assert not client.node._connection_limits.idle_connections
+        assert results(policy) == [AttemptResult.OK] * 2
+
+
+@async_test
+async def test_a_late_second_response_is_not_given_to_the_next_request(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
+    # A quarantine so long that a slow machine changes nothing.
+    monkeypatch.setattr("loadbalancer.proxy.attempts.QUARANTINE_S", 60.0)
+    writers: list[asyncio.StreamWriter] = []
+
+    async def answer(_received: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
+        writers.append(writer)
+        if len(writers) == 1:
+            writer.write(written(200, b"first"))
+            return
+        writers[0].write(written(200, b"first"))  # once more, when the next request is there
+        await writers[0].drain()
+        await until(lambda: upstream.closed or len(policy.of(AttemptEnded)) > 1)
+        writer.write(written(200, b"second"))
+
+    upstream = await FakeUpstream(answer).start()
+    policy = forwarding_policy(fail_unless_complete)
+    async with node(policy, upstream) as client:
+        assert (await client.ask(request())).body == b"first"
+        assert (await client.ask(request())).body == b"second"
+
+
+@async_test
+async def test_interim_responses_are_skipped_also_in_pieces() -> None:
+    async def answer(_received: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
+        interim = b"HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 X\r\nLink: y\r\n\r\n"
+        for byte in interim + written(200, b"it"):
+            writer.write(bytes([byte]))
+            await asyncio.sleep(0)
+
+    upstream = await FakeUpstream(answer).start()
+    policy = forwarding_policy(fail_unless_complete)
+    async with node(policy, upstream) as client:
+        for _ in range(2):
+            got = await client.ask(request())
+            assert (got.status, got.body) == (200, b"it")
+            assert "link" not in got.headers
+            end_quarantine(client.node)
+        assert upstream.opened == 1
+
+
+@async_test
+async def test_a_connection_near_its_idle_timeout_is_not_reused() -> None:
+    upstream = await FakeUpstream(answers(200)).start()
+    policy = forwarding_policy()
+    async with node(policy, upstream, connection_idle_timeout_ns=15_000 * MS) as client:
+        for opened in (1, 1, 2):
+            assert (await client.ask(request())).status == 200
+            end_quarantine(client.node)
+            assert upstream.opened == opened
+            if len(upstream.got) == 2:
+                pool = next(iter(client.node._connection_limits.pools.values()))
+                pool.idle_connections[0].idle_since -= 12.5  # as if it had been idle for so long
+        await until(lambda: upstream.closed == 1)
+
+
+@async_test
+async def test_a_connection_that_its_endpoint_has_just_closed_is_not_reused() -> None:
+    upstream = await FakeUpstream(answers(200)).start()
+    policy = forwarding_policy()
+    async with node(policy, upstream) as client:
+        assert (await client.ask(request())).status == 200
+        pool = next(iter(client.node._connection_limits.pools.values()))
+        transport = pool.idle_connections[0]._transport
+        assert transport is not None
+        transport.close()  # as it does when the other end closes; the pool is told a turn later
+        ended: list[AttemptResult] = []
+        pool.start_exchange(
+            b"GET /read HTTP/1.1\r\n\r\n", None, lambda result, _response: ended.append(result)
+        )
+        assert not ended
+        await until(lambda: ended)
+        assert ended == [AttemptResult.OK]
+        assert upstream.opened == 2
+
+
+@pytest.mark.parametrize("unread", [b"", written(200, b"nobody's")], ids=["end of stream", "second response"])
+@async_test
+async def test_an_idle_connection_with_unread_data_is_not_reused(unread: bytes) -> None:
+    # Guards against a close, or a second response, that comes in the turn of the next attempt.
+    writers: list[asyncio.StreamWriter] = []
+
+    async def answer(_received: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
+        writers.append(writer)
+        writer.write(written(200, b"mine"))
+
+    upstream = await FakeUpstream(answer).start()
+    policy = forwarding_policy()
+    async with node(policy, upstream) as client:
+        assert (await client.ask(request())).status == 200
+        end_quarantine(client.node)
+        policy.react = on_timer(lambda: [Forward("2", policy.ids()[0])])
+        await client.send(request("/pay", method="POST"))
+        await until(lambda: len(policy.of(RequestArrived)) == 2)
+        endpoint_socket = writers[0].transport.get_extra_info("socket")
+        if unread:
+            os.write(endpoint_socket.fileno(), unread)
+        else:
+            endpoint_socket.shutdown(socket.SHUT_WR)
+        client.node.dispatch(TimerExpired("retry"))  # in the same turn
+        assert (await client.read()).body == b"mine"
+        assert upstream.opened == 2
+        assert results(policy) == [AttemptResult.OK] * 2
+
+
+@async_test
+async def test_connections_to_endpoints_are_limited() -> None:
+    upstream = await FakeUpstream(silent).start()
+    policy = forwarding_policy(fail_unless_complete)
+    async with node(policy, upstream, sockets=32 + 16) as client:  # so eight on either side
+        others = [client.another() for _ in range(8)]
+        for other in others[:7]:
+            await other.send(request())
+        await until(lambda: len(upstream.got) == 7)
+        client.node._connection_limits.max_connections = 7
+        assert (await client.ask(request())).status == 504
+        assert client.node._connection_limits.open_connections == 7
+        assert results(policy) == [AttemptResult.CONNECT_FAILED]
+        for other in others:
+            other.close()
+        await until(lambda: client.node._connection_limits.open_connections == 0)
+
+
+@async_test
+async def test_idle_connections_are_reused_for_concurrent_requests() -> None:
+    waiting: list[asyncio.StreamWriter] = []
+
+    async def wait(_received: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
+        waiting.append(writer)
+
+    upstream = await FakeUpstream(wait).start()
+    policy = forwarding_policy()
+    async with node(policy, upstream) as client:
+        others = [client.another() for _ in range(6)]
+        for turn in range(1, 4):
+            for other in others:
+                await other.send(request())
+            await until(lambda: len(waiting) == len(others))
+            for writer in waiting:
+                writer.write(written(200))
+            waiting.clear()
+            for other in others:
+                assert (await other.read()).status == 200
+            end_quarantine(client.node)
+            assert (len(upstream.got), upstream.opened) == (6 * turn, 6)
+        for other in others:
+            other.close()
+
+
+@async_test
+async def test_an_idle_connection_is_closed_for_one_to_another_endpoint() -> None:
+    first, second = await FakeUpstream(answers(200)).start(), await FakeUpstream(answers(200)).start()
+    policy = ScriptedPolicy()
+    async with node(policy, first, second) as client:
+        client.node._connection_limits.max_connections = 1
+        for index, upstream in enumerate((first, second)):
+            forward_requests(policy, index=index)
+            assert (await client.ask(request())).status == 200
+            assert len(upstream.got) == 1
+            assert client.node._connection_limits.open_connections == 1
+        await until(lambda: first.closed == 1)
--- /dev/null
+++ b/tests/support/scripted.py
@@ -0,0 +1,106 @@
+"""Reactions of scripted policies, and what tests do to a running proxy."""
+
+from __future__ import annotations
+
+import asyncio
+from collections.abc import Callable, Iterable
+
+import pytest
+
+from loadbalancer.messages import (
+    Action,
+    AttemptEnded,
+    AttemptResult,
+    Event,
+    Fail,
+    Forward,
+    RequestArrived,
+    TimerExpired,
+)
+from loadbalancer.proxy.attempts import QUARANTINE_S
+from loadbalancer.proxy.proxy import Proxy
+from tests.support.sockets import Client, ReceivedRequest, ScriptedPolicy, known, listing
+
+READY_REQUEST = b"GET /health/ready HTTP/1.1\r\n\r\n"
+
+Reaction = Callable[[Event], Iterable[Action]]
+
+
+def do_nothing(_event: Event) -> Iterable[Action]:
+    return ()
+
+
+def fail_unless_complete(event: Event) -> Iterable[Action]:
+    """Fail a request whose attempt ended without a final answer."""
+    if isinstance(event, AttemptEnded) and not event.request_complete:
+        return [Fail(event.request_id)]
+    return ()
+
+
+def retry_unless_complete(event: Event) -> Iterable[Action]:
+    """Forward a request whose attempt ended without a final answer to the same endpoint again."""
+    if isinstance(event, AttemptEnded) and not event.request_complete:
+        return [Forward(event.request_id, event.endpoint_id)]
+    return ()
+
+
+def on_timer(actions: Callable[[], Iterable[Action]]) -> Reaction:
+    """Do this whenever a timer expires."""
+    return lambda event: actions() if isinstance(event, TimerExpired) else ()
+
+
+def forward_requests(
+    policy: ScriptedPolicy, then: Reaction = do_nothing, timeout_ns: int = 0, index: int = 0
+) -> None:
+    """From now on, forward each request to the endpoint of that index; `then` reacts to other events."""
+
+    def react(event: Event) -> Iterable[Action]:
+        if isinstance(event, RequestArrived):
+            return [Forward(event.request_id, policy.ids()[index], timeout_ns)]
+        return then(event)
+
+    policy.react = react
+
+
+def forwarding_policy(then: Reaction = do_nothing, timeout_ns: int = 0) -> ScriptedPolicy:
+    """Make a policy that forwards each request to the first endpoint."""
+    policy = ScriptedPolicy()
+    forward_requests(policy, then, timeout_ns)
+    return policy
+
+
+def results(policy: ScriptedPolicy) -> list[AttemptResult]:
+    """Give the results of all attempts, in the order in which they ended."""
+    return [ended.result for ended in policy.of(AttemptEnded)]
+
+
+async def connect(client: Client) -> ReceivedRequest:
+    """Open the client's connection, and give the proxy's answer on whether it is ready."""
+    return await client.ask(READY_REQUEST)
+
+
+def end_quarantine(proxy: Proxy) -> None:
+    """Go on as if all idle connections had been left alone for long enough."""
+    for connection in proxy._connection_limits.idle_connections:
+        connection.quarantined_until -= QUARANTINE_S
+
+
+def update_first_endpoint(proxy: Proxy, version: int, **row: object) -> None:
+    """Apply a change of the first endpoint at once, as discovery would send it."""
+    changed = {**known(1)["hosts"][0], **row}
+    proxy._on_watch_result(listing({"seq": version, "whole": False, "hosts": [changed]}))
+
+
+def hold_connections(
+    monkeypatch: pytest.MonkeyPatch, until_set: asyncio.Event, port: int | None = None
+) -> None:
+    """Let new connections (where a port is given, those to it) come up only once the event is set."""
+    loop = asyncio.get_running_loop()
+    original = loop.create_connection
+
+    async def create_connection(*args: object, **options: object) -> object:
+        if port is None or port in args:
+            await until_set.wait()
+        return await original(*args, **options)  # type: ignore[call-overload]
+
+    monkeypatch.setattr(loop, "create_connection", create_connection)
