--- a/loadbalancer/proxy/request_validation.py
+++ b/loadbalancer/proxy/request_validation.py
@@ -9,13 +9,13 @@
 from loadbalancer.settings import Idempotency, RequestClass
 from loadbalancer.units import MS
 
-METHODS = {
+METHOD_BY_IDEMPOTENCY = {
     Idempotency.IDEMPOTENT: b"GET",
     Idempotency.IDEMPOTENCY_KEY: b"POST",
     Idempotency.NON_IDEMPOTENT: b"POST",
 }
-KNOWN_METHODS = frozenset(METHODS.values())
-LONGEST_DEADLINE_MS = 600_000  # longer deadlines are cut to this one
+ALLOWED_METHODS = frozenset(METHOD_BY_IDEMPOTENCY.values())
+MAX_DEADLINE_MS = 600_000  # longer deadlines are cut to this one
 RETRY_AFTER_S = b"1"  # for a client that finds too many pending requests
 
 
@@ -36,16 +36,15 @@
     timeout_ns: int  # from the time at which the request was received
 
 
-UNKNOWN_METHOD = RejectedRequest(405, [(b"Allow", b"GET, POST")])
+UNKNOWN_METHOD = RejectedRequest(405, ((b"Allow", b"GET, POST"),))
 MALFORMED = RejectedRequest(400)
 # An endpoint reads no body behind a GET and would take it for the next request.
 BODY_NOT_ALLOWED = RejectedRequest(400)
-# Two open requests with one id: it could not be told to which of them an answer belongs.
+# Of two pending requests with one id, it could not be told to which of them a response belongs.
 DUPLICATE_ID = RejectedRequest(409)
-TOO_MANY_PENDING = RejectedRequest(503, [(b"Retry-After", RETRY_AFTER_S)])
-WRONG_METHOD = {
-    method: RejectedRequest(405, [(b"Allow", method)]) for method in KNOWN_METHODS
-}  # by the method that the class allows
+TOO_MANY_PENDING = RejectedRequest(503, ((b"Retry-After", RETRY_AFTER_S),))
+# By the method that the request class allows.
+WRONG_METHOD = {method: RejectedRequest(405, ((b"Allow", method),)) for method in ALLOWED_METHODS}
 
 
 def validate_request(request: Message, classes: Mapping[str, RequestClass]) -> ValidRequest | RejectedRequest:
@@ -54,7 +53,7 @@
     The first part of the path names the request class. `Req-Id` must be there once, `Req-Deadline-Ms` must
     be a positive whole number, and the method must be that of the class.
     """
-    if request.method not in KNOWN_METHODS:
+    if request.method not in ALLOWED_METHODS:
         return UNKNOWN_METHOD
     class_name = request.target[1:].partition(b"?")[0].partition(b"/")[0].decode("latin-1")
     request_class = classes.get(class_name)
@@ -64,9 +63,9 @@
         return MALFORMED
     if len(request_ids) != 1 or not request_ids[0]:
         return MALFORMED
-    allowed_method = METHODS[request_class.idempotency]
+    allowed_method = METHOD_BY_IDEMPOTENCY[request_class.idempotency]
     if request.method != allowed_method:
         return WRONG_METHOD[allowed_method]
     if request.method == b"GET" and request.body:
         return BODY_NOT_ALLOWED
-    return ValidRequest(class_name, request_ids[0], min(timeout_ms, LONGEST_DEADLINE_MS) * MS)
+    return ValidRequest(class_name, request_ids[0], min(timeout_ms, MAX_DEADLINE_MS) * MS)
