--- a/loadbalancer/proxy/request_validation.py
+++ b/loadbalancer/proxy/request_validation.py
@@ -27,7 +27,7 @@
     headers: Headers = ()
 
 
-@dataclass(frozen=True, slots=True)
+@dataclass(slots=True)  # not frozen: one is made for each request, and that takes a multiple of the time
 class ValidRequest:
     """What the proxy needs of a request that can be admitted."""
 
