--- a/loadbalancer/proxy/proxy.py
+++ b/loadbalancer/proxy/proxy.py
@@ -117,16 +117,16 @@
 
     # -- start and end --
 
-    async def start(self, rest_s: float = 0.0) -> int:
-        """Apply the cached endpoint list, then listen; ready only after a pause.
+    async def start(self, ready_delay_s: float = 0.0) -> int:
+        """Apply the cached endpoint list, then listen; ready only after a delay.
 
         Args:
-            rest_s: How long the proxy serves without being ready yet.
+            ready_delay_s: How long the proxy serves without reporting that it is ready.
 
         Returns:
             The port on which it listens.
         """
-        self._ready_at_s = self._loop.time() + rest_s
+        self._ready_at_s = self._loop.time() + ready_delay_s
         self._apply_known_list()
         if self.config.peer_listen is not None:
             await self._loop.create_datagram_endpoint(lambda: self._gossip, self.config.peer_listen)
--- a/tests/proxy/test_requests.py
+++ b/tests/proxy/test_requests.py
@@ -3,6 +3,7 @@
 from __future__ import annotations
 
 import asyncio
+import logging
 import os
 import socket
 import time
@@ -18,6 +19,7 @@
     Event,
     Fail,
     Forward,
+    LogMessage,
     Reject,
     RequestArrived,
     SetTimer,
@@ -30,6 +32,7 @@
     fail_unless_complete,
     forward_requests,
     forwarding_policy,
+    on_timer,
 )
 from tests.support.sockets import (
     HOST,
@@ -108,7 +111,7 @@
 
 
 @async_test
-async def test_a_proxy_in_its_start_pause_is_not_ready_but_serves() -> None:
+async def test_a_proxy_within_its_ready_delay_is_not_ready_but_serves() -> None:
     upstream = await FakeUpstream(answers(200)).start()
     policy = forwarding_policy()
     async with node(policy, upstream, rest_s=3600.0) as client:
@@ -177,7 +180,9 @@
 
 
 @async_test
-async def test_an_error_in_the_policy_does_not_stop_the_proxy() -> None:
+async def test_an_error_in_the_policy_does_not_stop_the_proxy(
+    caplog: pytest.LogCaptureFixture,
+) -> None:
     def react(event: Event) -> Iterable[Action]:
         if isinstance(event, RequestArrived) and event.request_id == "1":
             raise RuntimeError("bug")
@@ -186,6 +191,17 @@
     async with node(ScriptedPolicy(react)) as client:
         assert (await client.ask(request(deadline_ms=50))).status == 504
         assert (await client.ask(request())).status == 504
+    assert "n: policy: error, events dropped: [RequestArrived(request_id='1'" in caplog.text
+    assert "RuntimeError: bug" in caplog.text
+
+
+@async_test
+async def test_a_message_of_the_policy_is_logged(caplog: pytest.LogCaptureFixture) -> None:
+    caplog.set_level(logging.INFO)
+    policy = ScriptedPolicy(on_timer(lambda: [LogMessage("table is full")]))
+    async with node(policy) as client:
+        client.node.dispatch(TimerExpired("now"))
+    assert "n: policy: table is full" in caplog.text
 
 
 @async_test
--- a/tests/proxy/test_shutdown.py
+++ b/tests/proxy/test_shutdown.py
@@ -119,7 +119,9 @@
 
 @pytest.mark.usefixtures("no_late_connections")
 @async_test
-async def test_pending_requests_are_answered_at_the_end_of_a_shutdown() -> None:
+async def test_pending_requests_are_answered_at_the_end_of_a_shutdown(
+    caplog: pytest.LogCaptureFixture,
+) -> None:
     # Guards against leaving to SIGKILL what came late, where the longest deadline is short.
     upstream = await FakeUpstream(silent).start()
     policy = forwarding_policy()
@@ -131,6 +133,7 @@
         assert (await client.read()).status == 504
         assert time.monotonic() - begun < 2.5  # soon after 0.6 s; a fixed time for all settings is 3.4 s
         await draining
+    assert "n: graceful shutdown: timeout after 0.60 s, failing 1 pending requests" in caplog.text
 
 
 @pytest.mark.usefixtures("no_late_connections")
