--- a/tests/proxy/test_attempt_results.py
+++ b/tests/proxy/test_attempt_results.py
@@ -12,7 +12,6 @@
     AttemptEnded,
     AttemptResult,
 )
-from tests.support.async_tests import async_test
 from tests.support.scripted import (
     fail_unless_complete,
     forwarding_policy,
@@ -73,7 +72,6 @@
         (sends_raw(b"HTTP/1.1 102 X\r\n\r\n" * 17 + written(200)), AttemptResult.RESET),
     ],
 )
-@async_test
 async def test_the_response_determines_the_result(answer: Answer, result: AttemptResult) -> None:
     upstream = await FakeUpstream(answer).start()
     policy = forwarding_policy(fail_unless_complete)
@@ -96,7 +94,6 @@
         ("3", None),
     ],
 )
-@async_test
 async def test_an_unreadable_load_report_is_dropped(report: str, expected: object) -> None:
     upstream = await FakeUpstream(answers(200, b"it", f"Srv-Load: {report}")).start()
     policy = forwarding_policy()
@@ -109,7 +106,6 @@
         ] * 2
 
 
-@async_test
 async def test_a_refused_connection_is_a_connect_failure() -> None:
     upstream = await FakeUpstream(silent).start()
     upstream.stop()
@@ -119,7 +115,6 @@
         assert results(policy) == [AttemptResult.CONNECT_FAILED]
 
 
-@async_test
 async def test_a_connect_timeout_is_a_connect_failure(monkeypatch: pytest.MonkeyPatch) -> None:
     upstream = await FakeUpstream(silent).start()
     policy = forwarding_policy(fail_unless_complete)
@@ -130,7 +125,6 @@
         assert results(policy) == [AttemptResult.CONNECT_FAILED]
 
 
-@async_test
 async def test_a_reset_before_the_last_byte_is_written_is_a_connect_failure() -> None:
     held: list[asyncio.StreamWriter] = []
 
@@ -154,7 +148,6 @@
     server.close()
 
 
-@async_test
 async def test_a_reset_before_the_request_is_a_connect_failure(monkeypatch: pytest.MonkeyPatch) -> None:
     loop = asyncio.get_running_loop()
     original = loop.create_connection
--- a/tests/proxy/test_attempts.py
+++ b/tests/proxy/test_attempts.py
@@ -24,7 +24,6 @@
     TimerExpired,
 )
 from loadbalancer.proxy.pending_requests import POLICY_DEADLINE_MARGIN_NS, PROXY_DEADLINE_MARGIN_NS
-from tests.support.async_tests import async_test
 from tests.support.scripted import (
     connect,
     fail_unless_complete,
@@ -47,7 +46,6 @@
 )
 
 
-@async_test
 async def test_a_timed_out_attempt_closes_its_connection_and_drops_the_late_response() -> None:
     release = asyncio.Event()
 
@@ -78,7 +76,6 @@
         ]
 
 
-@async_test
 async def test_a_timed_out_attempt_has_closed_before_the_policy_is_told() -> None:
     with socket.create_server((HOST, 0)) as listener:
         listener.setblocking(False)
@@ -103,7 +100,6 @@
         accepted[0].close()
 
 
-@async_test
 async def test_a_cancelled_attempt_closes_its_connection() -> None:
     upstream = await FakeUpstream(silent).start()
     policy = ScriptedPolicy()
@@ -120,7 +116,6 @@
         assert results(policy) == [AttemptResult.CANCELLED]
 
 
-@async_test
 async def test_a_stall_after_the_decision_does_not_extend_the_timeout() -> None:
     upstream = await FakeUpstream(silent).start()
     policy = ScriptedPolicy()
@@ -144,7 +139,6 @@
 
 @pytest.mark.parametrize("timeout_ns", [0, 2000 * MS], ids=["to the deadline", "to its timeout"])
 @pytest.mark.parametrize("attempts", [1, 2])
-@async_test
 async def test_a_late_connection_shortens_the_forwarded_deadline(
     monkeypatch: pytest.MonkeyPatch, attempts: int, timeout_ns: int
 ) -> None:
--- a/tests/proxy/test_endpoint_changes.py
+++ b/tests/proxy/test_endpoint_changes.py
@@ -12,7 +12,6 @@
     RequestArrived,
     TimerExpired,
 )
-from tests.support.async_tests import async_test
 from tests.support.scripted import (
     connect,
     fail_unless_complete,
@@ -39,7 +38,6 @@
 
 
 @pytest.mark.parametrize("health", ["draining", "removed"])
-@async_test
 async def test_a_drain_cancels_an_attempt_that_waits_for_its_connection(
     monkeypatch: pytest.MonkeyPatch, health: str
 ) -> None:
@@ -60,7 +58,6 @@
         assert not upstream.got
 
 
-@async_test
 async def test_an_attempt_that_waits_for_its_connection_follows_a_move(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
@@ -83,7 +80,6 @@
     new.stop()
 
 
-@async_test
 async def test_a_connection_to_a_former_address_is_not_reused() -> None:
     release = asyncio.Event()
 
@@ -106,7 +102,6 @@
     new.stop()
 
 
-@async_test
 async def test_an_endpoint_removed_and_added_again_gets_one_attempt(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
--- a/tests/proxy/test_gossip.py
+++ b/tests/proxy/test_gossip.py
@@ -13,7 +13,6 @@
 from loadbalancer.proxy.addresses import Address
 from loadbalancer.proxy.proxy import Proxy
 from loadbalancer.settings import Settings
-from tests.support.async_tests import async_test
 from tests.support.scripted import on_timer
 from tests.support.sockets import (
     HOST,
@@ -47,7 +46,6 @@
     )
 
 
-@async_test
 async def test_gossip_reaches_one_peer_or_all() -> None:
     addresses = await free_datagram_addresses(2)
     unknown_peer, too_long = 9, b"x" * 257
--- a/tests/proxy/test_health_checks.py
+++ b/tests/proxy/test_health_checks.py
@@ -10,7 +10,6 @@
     HealthCheckEnded,
     TimerExpired,
 )
-from tests.support.async_tests import async_test
 from tests.support.scripted import (
     forward_requests,
     on_timer,
@@ -27,7 +26,6 @@
 )
 
 
-@async_test
 async def test_health_checks_leave_connections_for_attempts() -> None:
     upstream = await FakeUpstream(silent).start()
     policy = ScriptedPolicy(on_timer(lambda: [CheckHealth(policy.ids()[0])] * 20))
@@ -40,7 +38,6 @@
         await until(lambda: any("/read" in got.first for got in upstream.got))
 
 
-@async_test
 async def test_health_checks_return_load_reports() -> None:
     responses = [
         (200, b'{"inflight": 3, "queue": 1, "bad": "x"}'),
--- a/tests/proxy/test_requests.py
+++ b/tests/proxy/test_requests.py
@@ -26,7 +26,6 @@
     TimerExpired,
 )
 from loadbalancer.policy.balancer import Balancer
-from tests.support.async_tests import async_test
 from tests.support.scripted import (
     connect,
     fail_unless_complete,
@@ -50,7 +49,6 @@
 )
 
 
-@async_test
 async def test_a_request_is_forwarded_unchanged() -> None:
     upstream = await FakeUpstream(answers(200, b"\x00quote\r\n", "Content-Type: x/y", "Srv-Load: {}")).start()
     policy = forwarding_policy()
@@ -88,7 +86,6 @@
     assert ended.elapsed_ns > 0
 
 
-@async_test
 async def test_a_proxy_with_the_real_policy_serves() -> None:
     upstream = await FakeUpstream(answers(200, b'{"inflight": 1}')).start()
     async with node(Balancer(settings(health_checks=True), 1, time.monotonic_ns()), upstream) as client:
@@ -97,7 +94,6 @@
     assert sum(g.first.startswith("GET /read") for g in upstream.got) == 3
 
 
-@async_test
 async def test_a_rejection_is_answered_at_once_with_retry_after() -> None:
     policy = ScriptedPolicy(
         lambda e: [Reject(e.request_id, 437 * MS)] if isinstance(e, RequestArrived) else ()
@@ -110,7 +106,6 @@
         assert time.monotonic() - begun < 2.5  # of the five seconds that the client would wait
 
 
-@async_test
 async def test_a_proxy_within_its_ready_delay_is_not_ready_but_serves() -> None:
     upstream = await FakeUpstream(answers(200)).start()
     policy = forwarding_policy()
@@ -121,7 +116,6 @@
         assert (await connect(client)).status == 200
 
 
-@async_test
 async def test_one_attempt_at_a_time_and_none_after_the_final_answer() -> None:
     upstream = await FakeUpstream(silent).start()
     policy = ScriptedPolicy()
@@ -152,7 +146,6 @@
         assert (await connect(client)).status == 200  # one answer only
 
 
-@async_test
 async def test_a_client_disconnect_cancels_its_request() -> None:
     upstream = await FakeUpstream(silent).start()
     policy = forwarding_policy()
@@ -169,7 +162,6 @@
         assert not client.node._pending_requests._by_client
 
 
-@async_test
 async def test_a_request_that_the_policy_leaves_open_fails_at_its_deadline() -> None:
     policy = ScriptedPolicy()
     async with node(policy) as client:
@@ -179,7 +171,6 @@
         assert policy.of(ClientDisconnected) == [ClientDisconnected("1")]
 
 
-@async_test
 async def test_an_error_in_the_policy_does_not_stop_the_proxy(
     caplog: pytest.LogCaptureFixture,
 ) -> None:
@@ -195,7 +186,6 @@
     assert "RuntimeError: bug" in caplog.text
 
 
-@async_test
 async def test_a_message_of_the_policy_is_logged(caplog: pytest.LogCaptureFixture) -> None:
     caplog.set_level(logging.INFO)
     policy = ScriptedPolicy(on_timer(lambda: [LogMessage("table is full")]))
@@ -204,7 +194,6 @@
     assert "n: policy: table is full" in caplog.text
 
 
-@async_test
 async def test_a_timer_expires_under_its_name() -> None:
     policy = ScriptedPolicy(lambda e: [SetTimer(2 * MS, "next")] if e == TimerExpired("first") else ())
     async with node(policy) as client:
@@ -215,7 +204,6 @@
 @pytest.mark.parametrize(
     "order", [("response", "disconnect"), ("disconnect", "response"), ("disconnect",), ("response",)]
 )
-@async_test
 async def test_timeout_disconnect_and_late_response_in_one_turn_end_a_request_once(
     order: tuple[str, ...],
 ) -> None:
--- a/tests/proxy/test_shutdown.py
+++ b/tests/proxy/test_shutdown.py
@@ -19,7 +19,6 @@
 )
 from loadbalancer.proxy.shutdown import shutdown_timeout_s
 from loadbalancer.settings import RequestClass
-from tests.support.async_tests import async_test
 from tests.support.scripted import connect, forwarding_policy
 from tests.support.sockets import (
     MS,
@@ -48,7 +47,6 @@
     monkeypatch.setattr("loadbalancer.proxy.shutdown.LATE_CONNECTIONS_S", 0.0)
 
 
-@async_test
 async def test_requests_that_come_late_in_a_shutdown_are_answered() -> None:
     release = asyncio.Event()
 
@@ -73,7 +71,6 @@
 
 
 @pytest.mark.usefixtures("no_late_connections")
-@async_test
 async def test_the_backlog_is_answered_in_a_shutdown(monkeypatch: pytest.MonkeyPatch) -> None:
     # Guards against an end of listening while clients that the system has accepted wait for a connection.
     policy = ScriptedPolicy()
@@ -118,7 +115,6 @@
 
 
 @pytest.mark.usefixtures("no_late_connections")
-@async_test
 async def test_pending_requests_are_answered_at_the_end_of_a_shutdown(
     caplog: pytest.LogCaptureFixture,
 ) -> None:
@@ -138,7 +134,6 @@
 
 @pytest.mark.usefixtures("no_late_connections")
 @pytest.mark.parametrize("kept", [False, True], ids=["new connection", "kept-alive connection"])
-@async_test
 async def test_a_half_read_request_is_answered_in_a_shutdown(
     monkeypatch: pytest.MonkeyPatch, kept: bool
 ) -> None:
@@ -161,7 +156,6 @@
         await draining
 
 
-@async_test
 async def test_a_large_response_is_written_completely_in_a_shutdown() -> None:
     body = bytes(range(256)) * 1000
     upstream = await FakeUpstream(answers(200, body)).start()
--- a/tests/proxy/test_upstream_connections.py
+++ b/tests/proxy/test_upstream_connections.py
@@ -15,7 +15,6 @@
     RequestArrived,
     TimerExpired,
 )
-from tests.support.async_tests import async_test
 from tests.support.scripted import (
     end_quarantine,
     fail_unless_complete,
@@ -44,7 +43,6 @@
     [written(200, b"mine"), b"\xd1\xaanoise\r\n\r\n", b"HTTP/1.1 2"],
     ids=["second response", "noise", "part of a response"],
 )
-@async_test
 async def test_bytes_after_a_response_close_the_connection(behind: bytes) -> None:
     upstream = await FakeUpstream(sends_raw(written(200, b"mine") + behind)).start()
     policy = forwarding_policy(fail_unless_complete)
@@ -56,7 +54,6 @@
         assert results(policy) == [AttemptResult.OK] * 2
 
 
-@async_test
 async def test_a_late_second_response_is_not_given_to_the_next_request(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
@@ -81,7 +78,6 @@
         assert (await client.ask(request())).body == b"second"
 
 
-@async_test
 async def test_interim_responses_are_skipped_also_in_pieces() -> None:
     async def answer(_received: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
         interim = b"HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 X\r\nLink: y\r\n\r\n"
@@ -100,7 +96,6 @@
         assert upstream.opened == 1
 
 
-@async_test
 async def test_a_connection_near_its_idle_timeout_is_not_reused() -> None:
     upstream = await FakeUpstream(answers(200)).start()
     policy = forwarding_policy()
@@ -115,7 +110,6 @@
         await until(lambda: upstream.closed == 1)
 
 
-@async_test
 async def test_a_connection_that_its_endpoint_has_just_closed_is_not_reused() -> None:
     upstream = await FakeUpstream(answers(200)).start()
     policy = forwarding_policy()
@@ -136,7 +130,6 @@
 
 
 @pytest.mark.parametrize("unread", [b"", written(200, b"nobody's")], ids=["end of stream", "second response"])
-@async_test
 async def test_an_idle_connection_with_unread_data_is_not_reused(unread: bytes) -> None:
     # Guards against a close, or a second response, that comes in the turn of the next attempt.
     writers: list[asyncio.StreamWriter] = []
@@ -164,7 +157,6 @@
         assert results(policy) == [AttemptResult.OK] * 2
 
 
-@async_test
 async def test_connections_to_endpoints_are_limited() -> None:
     upstream = await FakeUpstream(silent).start()
     policy = forwarding_policy(fail_unless_complete)
@@ -182,7 +174,6 @@
         await until(lambda: client.node._connection_limits.open_connections == 0)
 
 
-@async_test
 async def test_idle_connections_are_reused_for_concurrent_requests() -> None:
     waiting: list[asyncio.StreamWriter] = []
 
@@ -208,7 +199,6 @@
             other.close()
 
 
-@async_test
 async def test_an_idle_connection_is_closed_for_one_to_another_endpoint() -> None:
     first, second = await FakeUpstream(answers(200)).start(), await FakeUpstream(answers(200)).start()
     policy = ScriptedPolicy()
