--- a/tests/proxy/test_client_connection.py
+++ b/tests/proxy/test_client_connection.py
@@ -80,7 +80,7 @@
 async def test_request_beyond_the_maximum_of_pending_ones_is_rejected() -> None:
     async with node(ScriptedPolicy(), max_pending_requests=1) as client:
         await client.send(request())
-        await until(lambda: client.node._pending)
+        await until(lambda: client.node._pending_requests)
         response = await client.another().ask(request())
         assert response.status == 503
         assert float(response.headers["retry-after"]) > 0
@@ -90,7 +90,7 @@
     policy = ScriptedPolicy(lambda event: [Fail("1")] if isinstance(event, TimerExpired) else ())
     async with node(policy) as client:
         await client.send(request(name="one"))
-        await until(lambda: client.node._pending)
+        await until(lambda: client.node._pending_requests)
         assert (await client.another().ask(request(name="one"))).status == 409
 
         client.node.dispatch(TimerExpired("now"))
@@ -115,8 +115,8 @@
         assert await client.closed()
         assert len(policy.of(RequestArrived)) == int(sent_apart)
         assert len(policy.of(ClientDisconnected)) == int(sent_apart)
-        assert not client.node._pending
-        assert not client.node._open_request_ids
+        assert not client.node._pending_requests
+        assert not client.node._pending_requests._client_request_ids
 
 
 async def test_empty_line_between_requests_is_ignored() -> None:
--- a/tests/proxy/test_client_disconnect.py
+++ b/tests/proxy/test_client_disconnect.py
@@ -124,7 +124,7 @@
     def watch_connections(self, monkeypatch: pytest.MonkeyPatch, *upstreams: FakeUpstream) -> None:
         """Make the attempts use idle connections or new ones, as the time of the disconnect wants it."""
         quarantine_s = 0.0 if self._when is DisconnectTime.DECIDED else 60.0
-        monkeypatch.setattr("loadbalancer.proxy.proxy.REST_S", quarantine_s)
+        monkeypatch.setattr("loadbalancer.proxy.attempts.QUARANTINE_S", quarantine_s)
         if self._when is not DisconnectTime.CONNECTED:
             return
         loop = asyncio.get_running_loop()
@@ -143,7 +143,7 @@
         """Disconnect now, and wait until that is read; or arrange it for when the request is forwarded."""
         if self._when is DisconnectTime.READ:
             disconnect(sock)
-            await until(lambda: self._request_id not in client.node._pending)
+            await until(lambda: self._request_id not in client.node._pending_requests)
         else:
             self._pending_disconnect = lambda: disconnect(sock)
 
@@ -218,7 +218,7 @@
             writer.write(written(200))
 
     monkeypatch.setattr("loadbalancer.policy.load_probing.PROBE_TIMEOUT_NS", int(PATIENCE_S * 1000) * MS)
-    monkeypatch.setattr("loadbalancer.proxy.proxy.PROBE_TIMEOUT_S", PATIENCE_S)
+    monkeypatch.setattr("loadbalancer.proxy.health_checks.TIMEOUT_S", PATIENCE_S)
     upstream = await FakeUpstream(answer).start()
     balancer = balancer_of(health_checks=True)
     policy = DisconnectInjector(balancer, when)
@@ -261,7 +261,7 @@
         await policy.disconnect(disconnect, sock, client)  # where it is read: while the first one is out
         may_respond.set()
 
-        await until(lambda: not client.node._pending)
+        await until(lambda: not client.node._pending_requests)
         await ask_until_served(client)
         assert forwarded(upstream) == ["/read/abandoned", "/read/later"]
         assert policy.done
@@ -319,7 +319,7 @@
 async def test_request_and_disconnect_in_the_listen_backlog(
     monkeypatch: pytest.MonkeyPatch, disconnect: Disconnect, idle_connection: bool
 ) -> None:
-    monkeypatch.setattr("loadbalancer.proxy.proxy.REST_S", 0.0)
+    monkeypatch.setattr("loadbalancer.proxy.attempts.QUARANTINE_S", 0.0)
     upstream = await FakeUpstream(answers(200)).start()
     policy = forwarding_policy()
     async with node(policy, upstream) as client:
@@ -338,7 +338,7 @@
 async def test_disconnects_during_a_long_batch(
     monkeypatch: pytest.MonkeyPatch, disconnect: Disconnect
 ) -> None:
-    monkeypatch.setattr("loadbalancer.proxy.proxy.REST_S", 0.0)
+    monkeypatch.setattr("loadbalancer.proxy.attempts.QUARANTINE_S", 0.0)
     all_received = asyncio.Event()
 
     async def answer(_received: ReceivedRequest, writer: Writer) -> None:
--- a/tests/proxy/test_faults.py
+++ b/tests/proxy/test_faults.py
@@ -89,7 +89,7 @@
             await answers(200, b'{"inflight":0}')(received, writer)
 
     monkeypatch.setattr("loadbalancer.policy.load_probing.PROBE_TIMEOUT_NS", 4 * SECOND)
-    monkeypatch.setattr("loadbalancer.proxy.proxy.PROBE_TIMEOUT_S", 4.0)
+    monkeypatch.setattr("loadbalancer.proxy.health_checks.TIMEOUT_S", 4.0)
     upstream = await FakeUpstream(answer).start()
     async with node(Balancer(settings(health_checks=True), 1, time.monotonic_ns()), upstream) as client:
         begun = time.monotonic_ns()
--- a/tests/support/clients.py
+++ b/tests/support/clients.py
@@ -101,7 +101,7 @@
     policy.react = lambda event: forward_to_first(policy, event)
     assert (await client.another().ask(request("/read/later"))).status == 200
     assert targets(upstream)[received_before:] == ["/read/later"]
-    assert not client.node._pending
+    assert not client.node._pending_requests
 
 
 def targets(upstream: FakeUpstream) -> list[str]:
