--- /dev/null
+++ b/loadbalancer/proxy/endpoint_updates.py
@@ -0,0 +1,145 @@
+"""Applies endpoint lists: stores the addresses and reports the endpoints to the policy.
+
+A long list is applied in slices of a fraction of a millisecond, as deltas, so that requests are served
+meanwhile. A short list that comes in between is applied at once; the long list then leaves out the endpoints
+that the short one named.
+"""
+
+from __future__ import annotations
+
+import asyncio
+from collections import deque
+from collections.abc import Callable, Iterable, Iterator
+
+from loadbalancer.messages import Endpoint, EndpointStatus, EndpointUpdate, EndpointUpdateKind
+from loadbalancer.proxy.discovery_client import WatchResult
+from loadbalancer.proxy.endpoint_addresses import EndpointAddresses
+from loadbalancer.proxy.endpoint_list import EndpointList, EndpointListReader
+
+SLICE_ENTRIES = 64  # entries of a long list that are applied between two turns of the event loop
+SLICE_IDS = SLICE_ENTRIES * SLICE_ENTRIES  # the same for steps that only copy ids
+SWEEP_SEGMENTS = 1  # of the host numbers at each sweep: all segments take some four minutes
+
+
+class EndpointUpdater:
+    """Applies endpoint lists in the order in which they came."""
+
+    def __init__(
+        self,
+        reader: EndpointListReader,
+        addresses: EndpointAddresses,
+        on_update: Callable[[EndpointUpdate], None],
+    ) -> None:
+        self._reader = reader
+        self._addresses = addresses
+        self._on_update = on_update
+        self._pending: deque[EndpointList] = deque()  # the list that is being applied, then those that wait
+        self._task: asyncio.Task[None] | None = None
+
+    @property
+    def task(self) -> asyncio.Task[None] | None:
+        """The task that applies the pending lists; None if there are none."""
+        return self._task
+
+    def is_pending(self, endpoint_list: EndpointList) -> bool:
+        """Whether a list waits to be applied or is applied in part."""
+        return endpoint_list in self._pending
+
+    def close(self) -> None:
+        """Apply nothing more."""
+        if self._task is not None:
+            self._task.cancel()
+
+    def apply_cached(self, endpoint_list: EndpointList | None) -> None:
+        """Apply the last known list at the start, in one go; the list is empty afterwards."""
+        if endpoint_list is None:
+            self._on_update(EndpointUpdate(EndpointUpdateKind.CACHED, ()))
+            return
+        # A generator, since a list of all endpoints would be a second copy of a long list.
+        endpoints: Iterable[Endpoint] = self._store(endpoint_list, 0, len(endpoint_list))
+        if len(endpoint_list) <= SLICE_ENTRIES:
+            endpoints = list(endpoints)
+        self._on_update(EndpointUpdate(EndpointUpdateKind.CACHED, endpoints))
+        for _ in endpoints:
+            pass  # stores the addresses of what the policy has not read
+        endpoint_list.clear()
+
+    def on_watch_result(self, result: WatchResult) -> None:
+        """Take what ended a call to discovery: a failure, or a list to apply now or in slices."""
+        if not isinstance(result, EndpointList):
+            self._on_update(EndpointUpdate(result))
+        elif self._needs_slices(result):
+            self._pending.append(result)
+            if self._task is None:
+                self._task = asyncio.get_running_loop().create_task(self._apply_pending())
+        elif result.complete or len(result):
+            self._apply_at_once(result)
+
+    def _needs_slices(self, endpoint_list: EndpointList) -> bool:
+        if len(endpoint_list) > SLICE_ENTRIES:
+            return True
+        if not endpoint_list.complete:
+            return False
+        many_listed = len(self._addresses) > 2 * SLICE_ENTRIES
+        return bool(endpoint_list.unreadable or self._pending or many_listed)
+
+    def _apply_at_once(self, endpoint_list: EndpointList) -> None:
+        endpoints = list(self._store(endpoint_list, 0, len(endpoint_list)))
+        for older in self._pending:
+            older.superseded.update(endpoint_list.ids)
+        kind = EndpointUpdateKind.DELTA
+        if endpoint_list.complete:
+            kind = EndpointUpdateKind.FULL
+            self._addresses.remove(self._addresses.by_id.keys() - set(endpoint_list.ids))
+        self._on_update(EndpointUpdate(kind, endpoints))
+
+    async def _apply_pending(self) -> None:
+        while self._pending:
+            await self._apply_in_slices(self._pending[0])
+            self._pending.popleft()
+        self._task = None
+
+    async def _apply_in_slices(self, endpoint_list: EndpointList) -> None:
+        unlisted: set[int] = set()  # endpoints that are known and not in a complete list
+        known = list(self._addresses.by_id) if endpoint_list.complete else []
+        for first in range(0, len(known), SLICE_IDS):
+            unlisted.update(known[first : first + SLICE_IDS])
+            await asyncio.sleep(0)
+        unlisted.difference_update(endpoint_list.unreadable)
+        for first in range(0, len(endpoint_list), SLICE_ENTRIES):
+            end = min(first + SLICE_ENTRIES, len(endpoint_list))
+            unlisted.difference_update(endpoint_list.ids[first:end])
+            endpoints = list(self._store(endpoint_list, first, end))
+            self._on_update(EndpointUpdate(EndpointUpdateKind.DELTA, endpoints))
+            await asyncio.sleep(0)
+        await self._remove_in_slices(list(unlisted), endpoint_list.superseded)
+
+    async def _remove_in_slices(self, unlisted: list[int], superseded: set[int]) -> None:
+        for first in range(0, len(unlisted), SLICE_ENTRIES):
+            # A list that came meanwhile may have named some of them.
+            removed = [n for n in unlisted[first : first + SLICE_ENTRIES] if n not in superseded]
+            self._addresses.remove(removed)
+            endpoints = [Endpoint(endpoint_id, EndpointStatus.REMOVED) for endpoint_id in removed]
+            self._on_update(EndpointUpdate(EndpointUpdateKind.DELTA, endpoints))
+            await asyncio.sleep(0)
+
+    def _store(self, endpoint_list: EndpointList, first: int, end: int) -> Iterator[Endpoint]:
+        """Store the addresses of a part of a list, and give its endpoints for the policy."""
+        for index in range(first, end):
+            endpoint_id = endpoint_list.ids[index]
+            if endpoint_id in endpoint_list.superseded:
+                continue
+            attributes = endpoint_list.attributes[index]
+            status = attributes[0]
+            if status is EndpointStatus.REMOVED:
+                self._addresses.remove([endpoint_id])
+            elif status is EndpointStatus.READY:
+                self._addresses.set(endpoint_id, endpoint_list.addresses[index])
+            else:
+                self._addresses.set(endpoint_id, None)
+            yield Endpoint(endpoint_id, *attributes)
+
+    def sweep_host_numbers(self, segments: int = SWEEP_SEGMENTS) -> None:
+        """Free the numbers of hosts that are gone, unless a list that is not applied yet may name them."""
+        if self._reader.reads == 0 and not self._pending:
+            self._reader.host_numbers.sweep(self._addresses.by_id, segments)
--- a/loadbalancer/proxy/proxy.py
+++ b/loadbalancer/proxy/proxy.py
@@ -6,8 +6,7 @@
 import logging
 import random
 import time
-from collections import deque
-from collections.abc import Callable, Iterable, Iterator
+from collections.abc import Callable, Iterable
 from dataclasses import dataclass
 from functools import partial
 from typing import Protocol, assert_never
@@ -21,10 +20,7 @@
     CheckHealth,
     ClientDisconnected,
     CloseIdleConnections,
-    Endpoint,
-    EndpointStatus,
     EndpointUpdate,
-    EndpointUpdateKind,
     Event,
     Fail,
     FetchEndpoints,
@@ -39,11 +35,13 @@
     TimerExpired,
     WatchEndpoints,
 )
-from loadbalancer.proxy.addresses import Address, Packed, unpack_address
+from loadbalancer.proxy.addresses import Address
 from loadbalancer.proxy.connection_pool import ConnectionLimits, ConnectionPool
 from loadbalancer.proxy.discovery_client import MAX_LIST, MEMORY_PART, DiscoveryClient, WatchResult
 from loadbalancer.proxy.downstream import ClientConnection, DownstreamServer
-from loadbalancer.proxy.endpoint_list import EndpointList, EndpointListReader, unix_offset_ns
+from loadbalancer.proxy.endpoint_addresses import EndpointAddresses
+from loadbalancer.proxy.endpoint_list import EndpointListReader, unix_offset_ns
+from loadbalancer.proxy.endpoint_updates import EndpointUpdater
 from loadbalancer.proxy.gossip import Gossip
 from loadbalancer.proxy.http import Headers, Message, load_report, whole_number, write_request
 from loadbalancer.proxy.upstream import Exchange
@@ -69,8 +67,6 @@
 PROBE_SPARE = 8  # one in so many places for connections is none for a probe: attempts come first
 FULL_RETRY_S = b"1"  # what a client is told that finds no room for its request
 SWEEP_S = 1.0
-SWEEP_SEGMENTS = 1  # of the host numbers, at a sweep: all of them in some four minutes
-SLICE = 64  # entries of a long list that are put in force at a stretch: a fraction of a millisecond
 LATE_ARRIVALS_S = 0.5  # after SIGTERM, new connections go on coming for so long
 WIND_UP_S = 0.01  # how often it is looked at what is left then
 # SIGKILL comes no sooner than the longest deadline (these seconds at most) and KILL_S after SIGTERM.
@@ -130,14 +126,11 @@
             room, limits.connect_timeout_ns / SECOND, limits.connection_idle_timeout_ns / SECOND
         )
         self.downstream = DownstreamServer(self, room)
-        self._addresses: dict[
-            int, Packed | None
-        ] = {}  # where listed upstreams are; None: they take nothing new
-        self._update_task: asyncio.Task[None] | None = None  # puts long lists in force, in slices
-        self._pending_updates: deque[EndpointList] = deque()  # the one in hand, and those that wait
         self._list_reader = EndpointListReader(
             unix_offset_ns(), None if config.known is None else config.known.host_numbers
         )
+        self._addresses = EndpointAddresses(self._connection_limits)
+        self._endpoint_updater = EndpointUpdater(self._list_reader, self._addresses, self._on_endpoint_update)
         self._discovery_client = DiscoveryClient(
             config.discovery,
             self._list_reader,
@@ -164,32 +157,17 @@
         return self.downstream.listen(*self.config.listen)
 
     def _apply_known_list(self) -> None:
-        known: Iterable[Endpoint] = ()
-        if self.config.known is not None:
-            listing = self._list_reader.accept(self.config.known)
-            self._discovery_client.start_from(listing)
-            known = self._endpoints_of(
-                listing
-            )  # noted as the module goes through it, or a long list stood twice
-            if len(listing) <= SLICE:
-                known = list(known)
-        self.dispatch(EndpointUpdate(EndpointUpdateKind.CACHED, known))
-        if self.config.known is not None:
-            for _ in known:
-                pass  # what the module has left
-            self.config.known.clear()
+        known = self.config.known
+        if known is not None:
+            self._discovery_client.start_from(self._list_reader.accept(known))
+        self._endpoint_updater.apply_cached(known)
 
     def _sweep_once(self) -> None:
         self._connection_limits.close_expired()
         self._connection_limits.forget_empty_pools()
-        self._sweep_host_numbers()
+        self._endpoint_updater.sweep_host_numbers()
         self._sweep_timer = self._loop.call_later(SWEEP_S, self._sweep_once)
 
-    def _sweep_host_numbers(self, segments: int = SWEEP_SEGMENTS) -> None:
-        """Free numbers of hosts that are gone, unless a list that is not in force yet may name them."""
-        if not self._list_reader.reads and not self._pending_updates:
-            self._list_reader.host_numbers.sweep(self._addresses, segments)
-
     @property
     def ready(self) -> bool:
         return not self._draining and self._loop.time() >= self._ready_at_s
@@ -219,8 +197,7 @@
         for call in list(self._pending.values()):
             self._finish(call, 504)
         self._discovery_client.stop()
-        if self._update_task is not None:
-            self._update_task.cancel()
+        self._endpoint_updater.close()
         if self._sweep_timer is not None:
             self._sweep_timer.cancel()
         for pool in self._connection_limits.pools.values():
@@ -468,96 +445,19 @@
             self._connection_limits.max_connections // PROBE_SPARE,
         )
 
-    def _on_watch_result(self, listing: WatchResult) -> None:
-        if not isinstance(listing, EndpointList):
-            self.dispatch(EndpointUpdate(listing))
-        elif len(listing) > SLICE or (
-            listing.complete
-            and (listing.unreadable or self._pending_updates or len(self._addresses) > 2 * SLICE)
-        ):
-            self._pending_updates.append(listing)
-            if self._update_task is None:
-                self._update_task = self._loop.create_task(self._apply_pending_updates())
-        elif listing.complete or len(listing):
-            upstreams = list(self._endpoints_of(listing))
-            for older in self._pending_updates:
-                older.superseded.update(listing.ids)
-            if listing.complete:
-                self._remove_addresses(self._addresses.keys() - set(listing.ids))
-            self._apply_update(
-                upstreams, EndpointUpdateKind.FULL if listing.complete else EndpointUpdateKind.DELTA
-            )
+    def _on_watch_result(self, result: WatchResult) -> None:
+        self._endpoint_updater.on_watch_result(result)
 
-    async def _apply_pending_updates(self) -> None:
-        """Put long lists in force in slices, as changes, so that requests go on meanwhile."""
-        while self._pending_updates:
-            listing = self._pending_updates[0]
-            left: set[int] = set()
-            held = list(self._addresses) if listing.complete else []
-            for first in range(0, len(held), SLICE * SLICE):
-                left.update(held[first : first + SLICE * SLICE])
-                await asyncio.sleep(0)
-            left.difference_update(listing.unreadable)
-            for first in range(0, len(listing), SLICE):
-                left.difference_update(listing.ids[first : first + SLICE])
-                self._apply_update(list(self._endpoints_of(listing, first, first + SLICE)))
-                await asyncio.sleep(0)
-            missing = list(left)
-            for first in range(0, len(missing), SLICE):
-                gone = [n for n in missing[first : first + SLICE] if n not in listing.superseded]
-                self._remove_addresses(gone)
-                self._apply_update([Endpoint(number, EndpointStatus.REMOVED) for number in gone])
-                await asyncio.sleep(0)
-            self._pending_updates.popleft()
-        self._update_task = None
-
-    def _apply_update(
-        self, upstreams: list[Endpoint], kind: EndpointUpdateKind = EndpointUpdateKind.DELTA
-    ) -> None:
+    def _on_endpoint_update(self, update: EndpointUpdate) -> None:
         self._cancel_unsent_attempts()
-        self.dispatch(EndpointUpdate(kind, upstreams))
-
-    def _endpoints_of(
-        self, listing: EndpointList, first: int = 0, end: int | None = None
-    ) -> Iterator[Endpoint]:
-        """These of a listing's upstreams for the module; where they are is noted on the way."""
-        for i in range(first, len(listing) if end is None else min(end, len(listing))):
-            number, profile, address = listing.ids[i], listing.attributes[i], listing.addresses[i]
-            if number in listing.superseded:
-                continue
-            if profile[0] is EndpointStatus.REMOVED:
-                self._remove_addresses([number])
-            else:
-                self._set_address(number, address if profile[0] is EndpointStatus.READY else None)
-            yield Endpoint(number, *profile)
-
-    def _set_address(self, number: int, address: Packed | None) -> None:
-        if self._addresses.get(number, 0) != address:
-            self._addresses[number] = address
-            # It drains or has moved: what comes up at its old address belongs to it no more.
-            if (pool := self._connection_limits.pools.pop(number, None)) is not None:
-                pool.retire()
-
-    def _remove_addresses(self, numbers: Iterable[int]) -> None:
-        for number in numbers:
-            self._addresses.pop(number, None)
-            if (pool := self._connection_limits.pools.pop(number, None)) is not None:
-                pool.retire()
-
-    def _connection_pool(self, number: int) -> ConnectionPool | None:
-        """The connections to an upstream that may be sent something new, made where it is first used."""
-        pool = self._connection_limits.pools.get(number)
-        if pool is None and (address := self._addresses.get(number)) is not None:
-            pool = self._connection_limits.pools[number] = ConnectionPool(
-                self._connection_limits, unpack_address(address)
-            )
-        return pool
+        self.dispatch(update)
+
+    def _connection_pool(self, endpoint_id: int) -> ConnectionPool | None:
+        return self._addresses.connection_pool(endpoint_id)
 
     def endpoint_addresses(self) -> dict[int, Address]:
-        """Where each is that may be sent something new."""
-        return {
-            number: unpack_address(packed) for number, packed in self._addresses.items() if packed is not None
-        }
+        """Return the addresses of the endpoints that take new requests."""
+        return self._addresses.ready()
 
     def _cancel_unsent_attempts(self) -> None:
         """No first byte may go to an upstream that drains or is gone, also not when its connection is up."""
--- a/scale_test/hollow.py
+++ b/scale_test/hollow.py
@@ -52,8 +52,9 @@
             return
         at = len(self.in_force)
         self.in_force.append((listing.version, time.monotonic_ns()))
-        if listing in self._pending_updates and self._update_task is not None:
-            wait = self._loop.create_task(self._until_in_force(at, self._update_task))
+        applying = self._endpoint_updater.task
+        if self._endpoint_updater.is_pending(listing) and applying is not None:
+            wait = self._loop.create_task(self._until_in_force(at, applying))
             self._waits.add(wait)
             wait.add_done_callback(self._waits.discard)
 
--- a/tests/proxy/test_discovery_client.py
+++ b/tests/proxy/test_discovery_client.py
@@ -120,7 +120,7 @@
             balancer._on_watch_result(
                 read(changed(2, entry("s1", 4), entry("s0", 3), whole=True), balancer._list_reader)
             )
-            await until(lambda: balancer._update_task is None)
+            await until(lambda: balancer._endpoint_updater.task is None)
             assert ports(balancer) == {3: SHARED, 4: SHARED + 1}
 
     run(test())
@@ -139,7 +139,7 @@
                 version = (balancer._list_reader._newest or 0) + 1
                 balancer._on_watch_result(read(changed(version, *hosts, whole=whole), balancer._list_reader))
                 if swept:
-                    balancer._sweep_host_numbers(SEGMENTS)
+                    balancer._endpoint_updater.sweep_host_numbers(SEGMENTS)
 
             if whole:
                 told(entry(f"s{stays}", stays + 1), whole=True)
@@ -161,13 +161,13 @@
             balancer, reader = client.node, client.node._list_reader
             many = [entry(f"s{i}", i + 1) for i in range(1, 100)]
             balancer._on_watch_result(read(changed(2, *many, whole=True), reader))  # put in force in slices
-            assert balancer._update_task is not None
-            balancer._sweep_host_numbers(SEGMENTS)
+            assert balancer._endpoint_updater.task is not None
+            balancer._endpoint_updater.sweep_host_numbers(SEGMENTS)
             assert len(reader.host_numbers) == 100
             assert list(read(changed(3, entry("new", 200)), reader).ids) == [SHARED + 100]  # none is free
-            await until(lambda: balancer._update_task is None)
-            balancer._sweep_host_numbers(SEGMENTS)
-            assert len(reader.host_numbers) == len(balancer._addresses) == 99
+            await until(lambda: balancer._endpoint_updater.task is None)
+            balancer._endpoint_updater.sweep_host_numbers(SEGMENTS)
+            assert len(reader.host_numbers) == len(balancer._addresses.by_id) == 99
             assert list(read(changed(4, entry("newer", 201)), reader).ids) == [SHARED]
 
     run(test())
@@ -184,14 +184,14 @@
             read(changed(1, entry("late")), reader)  # older than the last: not taken
             abandoned = reader.steps(bytearray(json.dumps(known(*range(1, 200))).encode()))
             next(abandoned)
-            balancer._sweep_host_numbers(SEGMENTS)
+            balancer._endpoint_updater.sweep_host_numbers(SEGMENTS)
             assert len(reader.host_numbers) > 50  # what is being read may name any
             abandoned.close()
             for _ in range(SEGMENTS):  # as once a second
                 assert balancer._sweep_timer is not None
                 balancer._sweep_timer.cancel()
                 balancer._sweep_once()
-            assert len(reader.host_numbers) == len(balancer._addresses) == 1
+            assert len(reader.host_numbers) == len(balancer._addresses.by_id) == 1
 
     run(test())
 
@@ -306,11 +306,11 @@
             balancer._on_watch_result(
                 read({"seq": 2, "whole": False, "hosts": [entry("s0", health="removed")]})
             )
-            assert set(balancer._addresses) == {number_of("s1")}
+            assert set(balancer._addresses.by_id) == {number_of("s1")}
             balancer._on_watch_result(read({"seq": 3, "whole": True, "hosts": []}))
-            assert not balancer._addresses
+            assert not balancer._addresses.by_id
             assert not balancer._connection_limits.pools
-            assert not balancer._pending_updates
+            assert not balancer._endpoint_updater._pending
 
     run(test())
 
@@ -338,10 +338,10 @@
             assert [u.zone for u in update.endpoints] == ["east"]
             assert asking == [True]
             assert registry.calls[1][1].startswith("/registry/instances?after=2&")
-            assert len(client.node._addresses) == 2 == len(client.node.endpoint_addresses())
+            assert len(client.node._addresses.by_id) == 2 == len(client.node.endpoint_addresses())
             registry.change("s9", health="removed")
             await until(lambda: len(script.of(EndpointUpdate)) == 3)
-            assert len(client.node._addresses) == 1 == len(client.node.endpoint_addresses())
+            assert len(client.node._addresses.by_id) == 1 == len(client.node.endpoint_addresses())
 
     run(test())
 
@@ -416,7 +416,7 @@
             await until(lambda: len(registry.calls) >= 3)
             assert registry.calls[2][0] - registry.calls[0][0] > 0.1  # it backs off
             assert len(script.of(EndpointUpdate)) == 1
-            assert len(client.node._addresses) == 1
+            assert len(client.node._addresses.by_id) == 1
             registry.broken = b""
             registry.change("s9", dial="127.0.0.1:9")
             await until(lambda: len(client.node.endpoint_addresses()) == 2)
@@ -452,7 +452,7 @@
             client.node.dispatch(TimerExpired("fetch"))
             await until(lambda: len(script.of(EndpointUpdate)) == 2)
             assert script.of(EndpointUpdate)[1].kind is EndpointUpdateKind.FULL
-            assert not client.node._addresses
+            assert not client.node._addresses.by_id
             assert not client.node._connection_limits.pools
             assert registry.calls[2][1] == "/registry/instances"
 
--- a/tests/proxy/test_endpoint_list.py
+++ b/tests/proxy/test_endpoint_list.py
@@ -23,8 +23,9 @@
 from loadbalancer.proxy import addresses, endpoint_list
 from loadbalancer.proxy.connection_pool import ConnectionLimits, ConnectionPool
 from loadbalancer.proxy.endpoint_list import STRIDE, EndpointList, EndpointListReader, number_of, run_through
+from loadbalancer.proxy.endpoint_updates import SLICE_ENTRIES
 from loadbalancer.proxy.errors import EndpointListError
-from loadbalancer.proxy.proxy import SLICE, Proxy
+from loadbalancer.proxy.proxy import Proxy
 from loadbalancer.state import endpoint_table
 from tests.support.sockets import (
     HOST,
@@ -148,15 +149,15 @@
         script, turns = ScriptedPolicy(), 0
         async with node(script, known_list=whole(3)) as client:
             client.node._on_watch_result(listing(whole(1000, 2, first=2)))
-            while client.node._update_task is not None:
+            while client.node._endpoint_updater.task is not None:
                 await asyncio.sleep(0)
                 turns += 1
-            assert turns >= 1000 // SLICE  # so many turns of the loop were others' too
-            assert max(len(list(update.endpoints)) for update in told(script)) <= SLICE
+            assert turns >= 1000 // SLICE_ENTRIES  # so many turns of the loop were others' too
+            assert max(len(list(update.endpoints)) for update in told(script)) <= SLICE_ENTRIES
             assert {update.kind for update in told(script)} == {EndpointUpdateKind.DELTA}
             gone = {number for number, state in states(script).items() if state is EndpointStatus.REMOVED}
             assert gone == {number_of("s0"), number_of("s1")}  # s2 is in both
-            assert set(client.node._addresses) == {number_of(f"s{i}") for i in range(2, 1002)}
+            assert set(client.node._addresses.by_id) == {number_of(f"s{i}") for i in range(2, 1002)}
             assert (
                 not client.node._connection_limits.pools
             )  # no connections, nor a place for any, where nothing is sent
@@ -177,17 +178,17 @@
                 "hosts": [entry("s499", health="draining"), entry("s498", health="removed"), entry("new", 7)],
             }
             balancer._on_watch_result(listing(last))  # in force at once
-            assert balancer._update_task is not None
+            assert balancer._endpoint_updater.task is not None
             names = ("s499", "s498", "new")
             assert [u.id for u in told(script)[-1].endpoints] == [number_of(name) for name in names]
-            await until(lambda: balancer._update_task is None)
+            await until(lambda: balancer._endpoint_updater.task is None)
             assert states(script)[number_of("s499")] is EndpointStatus.DRAINING
             assert states(script)[number_of("s498")] is EndpointStatus.REMOVED
             assert states(script)[number_of("new")] is EndpointStatus.READY
-            assert len(balancer._addresses) == 500
+            assert len(balancer._addresses.by_id) == 500
             assert not {number_of("s499"), number_of("s498")} & set(balancer.endpoint_addresses())
             balancer._on_watch_result(listing(whole(300, 5)))  # a newer whole list counts again
-            await until(lambda: balancer._update_task is None)
+            await until(lambda: balancer._endpoint_updater.task is None)
             assert len(balancer.endpoint_addresses()) == 300
 
     run(test())
@@ -199,9 +200,9 @@
         async with node(script, known_list=whole(3)) as client:
             for version, count in ((2, 700), (3, 2)):
                 client.node._on_watch_result(listing(whole(count, version)))
-                await until(lambda: client.node._update_task is None)
-            assert max(len(list(update.endpoints)) for update in told(script)) <= SLICE
-            assert len(client.node._addresses) == 2
+                await until(lambda: client.node._endpoint_updater.task is None)
+            assert max(len(list(update.endpoints)) for update in told(script)) <= SLICE_ENTRIES
+            assert len(client.node._addresses.by_id) == 2
 
     run(test())
 
