--- a/loadbalancer/configuration.py
+++ b/loadbalancer/configuration.py
@@ -11,10 +11,10 @@
     EndpointList,
     EndpointListParser,
     read_beside,
-    run_through,
     unix_offset_ns,
 )
 from loadbalancer.proxy.errors import EndpointListError
+from loadbalancer.proxy.steps import run_through
 from loadbalancer.settings import Settings, read_settings
 
 CHUNK = 16 * 1024  # bytes of a configuration that are read at a stretch
--- a/loadbalancer/proxy/endpoint_list.py
+++ b/loadbalancer/proxy/endpoint_list.py
@@ -6,12 +6,12 @@
 import logging
 import time
 from array import array
-from collections.abc import Generator, Iterable, Iterator
+from collections.abc import Iterable, Iterator
 from contextlib import contextmanager
 from decimal import Decimal
 from functools import cache
 from sys import intern
-from typing import Any, NamedTuple, TypeVar, cast
+from typing import Any, NamedTuple
 
 import ijson
 from ijson.backends.yajl2_c import basic_parse_coro
@@ -19,6 +19,7 @@
 from loadbalancer.messages import Endpoint, EndpointStatus
 from loadbalancer.proxy.addresses import NOWHERE, Address, Packed, pack_address, unpack_address
 from loadbalancer.proxy.errors import EndpointListError
+from loadbalancer.proxy.steps import Steps, run_through
 from loadbalancer.state.endpoint_table import EndpointAttributes
 from loadbalancer.state.host_numbers import HostNumbers
 
@@ -32,7 +33,6 @@
 }
 STARTS, ENDS = frozenset({"start_map", "start_array"}), frozenset({"end_map", "end_array"})
 FINGERPRINT = b"fingerprint"  # makes the second hash of a name independent of the first
-T = TypeVar("T")
 Event = tuple[str, object]  # of the JSON parser
 
 
@@ -200,15 +200,6 @@
         return self._host_numbers.assign(preferred, fingerprint)
 
 
-def run_through(steps: Generator[None, None, T]) -> T:
-    """All steps at once."""
-    while True:
-        try:
-            next(steps)
-        except StopIteration as end:
-            return cast(T, end.value)
-
-
 class EndpointListReader:
     """Reads discovery's answers, and takes none that is older than the last."""
 
@@ -222,7 +213,7 @@
         """Read it in one go; BadList if it is none."""
         return run_through(self.steps(bytearray(text)))
 
-    def steps(self, text: bytearray) -> Generator[None, None, EndpointList]:
+    def steps(self, text: bytearray) -> Steps[EndpointList]:
         """The same in steps of a fraction of a millisecond, which use the text up."""
         rows, over = EndpointListParser(self._offset_ns, self.host_numbers), False
         with self._reading(), _readable() as (parser, events):
@@ -263,7 +254,7 @@
         raise EndpointListError(str(error).strip().partition("\n")[0]) from None
 
 
-def read_beside(chunks: Iterable[bytes], key: str, rows: EndpointListParser) -> Generator[None, None, Any]:
+def read_beside(chunks: Iterable[bytes], key: str, rows: EndpointListParser) -> Steps[Any]:
     """A JSON value, in a step a chunk; `rows` takes the list under a key of its object, which is left out."""
     value, depth, inside = ijson.ObjectBuilder(), 0, False
     with _readable() as (parser, events):
--- a/loadbalancer/proxy/endpoint_updates.py
+++ b/loadbalancer/proxy/endpoint_updates.py
@@ -12,13 +12,17 @@
 from collections.abc import Callable, Iterable, Iterator
 
 from loadbalancer.messages import Endpoint, EndpointStatus, EndpointUpdate, EndpointUpdateKind
-from loadbalancer.proxy.discovery_client import WatchResult
+from loadbalancer.proxy.discovery_call import WatchFailure, WatchResult
 from loadbalancer.proxy.endpoint_addresses import EndpointAddresses
 from loadbalancer.proxy.endpoint_list import EndpointList, EndpointListReader
 
 SLICE_ENTRIES = 64  # entries of a long list that are applied between two turns of the event loop
 SLICE_IDS = SLICE_ENTRIES * SLICE_ENTRIES  # the same for steps that only copy ids
 SWEEP_SEGMENTS = 1  # of the host numbers at each sweep: all segments take some four minutes
+FAILURE_KINDS = {
+    WatchFailure.CALL_FAILED: EndpointUpdateKind.FAILED,
+    WatchFailure.TIMED_OUT: EndpointUpdateKind.WATCH_TIMED_OUT,
+}
 
 
 class EndpointUpdater:
@@ -66,8 +70,8 @@
 
     def on_watch_result(self, result: WatchResult) -> None:
         """Take what ended a call to discovery: a failure, or a list to apply now or in slices."""
-        if not isinstance(result, EndpointList):
-            self._on_update(EndpointUpdate(result))
+        if isinstance(result, WatchFailure):
+            self._on_update(EndpointUpdate(FAILURE_KINDS[result]))
         elif self._needs_slices(result):
             self._pending.append(result)
             if self._task is None:
--- a/loadbalancer/proxy/proxy.py
+++ b/loadbalancer/proxy/proxy.py
@@ -37,7 +37,8 @@
 )
 from loadbalancer.proxy.addresses import Address
 from loadbalancer.proxy.connection_pool import ConnectionLimits, ConnectionPool
-from loadbalancer.proxy.discovery_client import MAX_LIST, MEMORY_PART, DiscoveryClient, WatchResult
+from loadbalancer.proxy.discovery_call import WatchResult, list_size_limit
+from loadbalancer.proxy.discovery_client import DiscoveryClient
 from loadbalancer.proxy.downstream import ClientConnection, DownstreamServer
 from loadbalancer.proxy.endpoint_addresses import EndpointAddresses
 from loadbalancer.proxy.endpoint_list import EndpointListReader, unix_offset_ns
@@ -137,7 +138,7 @@
             config.settings.discovery_pushes,
             random.Random(config.seed + 1),
             self._on_watch_result,
-            min(MAX_LIST, config.memory_bytes // MEMORY_PART or MAX_LIST),
+            list_size_limit(config.memory_bytes),
         )
         self._gossip = Gossip(config.peers, config.peers_all, config.settings.proxy_index, self._on_gossip)
         self._policy = module
--- a/scale_test/hollow.py
+++ b/scale_test/hollow.py
@@ -12,7 +12,7 @@
 from loadbalancer.configuration import Configuration, read_config
 from loadbalancer.messages import Action, EndpointUpdate, EndpointUpdateKind, Event
 from loadbalancer.policy.balancer import Balancer
-from loadbalancer.proxy.discovery_client import WatchResult
+from loadbalancer.proxy.discovery_call import WatchResult
 from loadbalancer.proxy.endpoint_list import EndpointList
 from loadbalancer.proxy.proxy import Proxy
 from scale_test.part import serve
--- a/tests/proxy/test_discovery_client.py
+++ b/tests/proxy/test_discovery_client.py
@@ -375,8 +375,8 @@
     # Guards against a drain told on such a watch being unknown still when it counts as told: a pause as
     # after a call that failed, of 0.5 to 1.5 s, is as long as all the time that is left then.
     async def test() -> None:
-        monkeypatch.setattr("loadbalancer.proxy.discovery_client.ASKED_WAIT_MS", 20)
-        monkeypatch.setattr("loadbalancer.proxy.discovery_client.OVERDUE_S", 0.02)
+        monkeypatch.setattr("loadbalancer.proxy.discovery_client.POLL_WAIT_MS", 20)
+        monkeypatch.setattr("loadbalancer.proxy.discovery_call.TIMEOUT_MARGIN_S", 0.02)
         registry = FakeDiscovery()
         heard: Answer = registry.upstream.answer
 
@@ -523,7 +523,7 @@
             old.broken = written(503)
             old.change("s1")  # the watch ends
             await until(lambda: client.node._discovery_client._watch_call is None)
-            assert client.node._discovery_client._retry is None
+            assert client.node._discovery_client._watch_timer is None
             new.broken = b""
             await until(lambda: len(new.calls) > 1 and "after=3" in new.calls[-1][1])
         new.upstream.stop()
@@ -546,7 +546,7 @@
                 client.node.move_discovery(address)
             await until(lambda: len(new[1].calls) == 2)
             assert not new[0].calls
-            assert client.node._discovery_client._successor is None
+            assert client.node._discovery_client._handover is None
             assert hosts(script) == [number_of("s8")]
         for registry in new:
             registry.upstream.stop()
@@ -577,12 +577,15 @@
             await until(lambda: old.calls)
             client.node.move_discovery((HOST, new.upstream.port))
             await until(lambda: new.upstream.got)
+            handover = client.node._discovery_client._handover
+            assert handover is not None
             client.node.move_discovery((HOST, new.upstream.port))
-            await until(lambda: client.node._discovery_client._successor is None)
+            assert client.node._discovery_client._handover is handover
+            await until(lambda: client.node._discovery_client._handover is None)
             assert hosts(script) == [number_of("s9")]
             await until(lambda: len(new.upstream.got) == 2)
             assert [("after=" in got.first) for got in new.upstream.got] == [False, True]
-            assert client.node._discovery_client._handover_failures == 0
+            assert handover.backoff.failures == 0
         new.upstream.stop()
 
     run(test())
@@ -659,7 +662,7 @@
             await is_told_once(2)
             await is_told_once(3)
             new.broken = b""
-            await until(lambda: discovery._successor is None)
+            await until(lambda: discovery._handover is None)
             assert hosts(script) == [number_of("s9")]
         new.upstream.stop()
 
@@ -675,7 +678,7 @@
         async with node(script, registry=old, known_list=known(5), asked=True) as client:
             await closes_in_handover(old, new, client, script)
             client.node.dispatch(TimerExpired(asked))
-            await until(lambda: client.node._discovery_client._target.refuses)
+            await until(lambda: client.node._discovery_client._target.refuses_connections)
             client.node.move_discovery((HOST, old.upstream.port))
             await until(lambda: failures(script) >= 2)  # it is still closed, and is asked
         new.upstream.stop()
@@ -724,7 +727,7 @@
             assert states(script) == [EndpointStatus.READY, EndpointStatus.DRAINING]
             assert not client.node.endpoint_addresses()
             new.rows["s0"]["health"], new.version = "draining", 2
-            await until(lambda: client.node._discovery_client._successor is None)
+            await until(lambda: client.node._discovery_client._handover is None)
             assert EndpointStatus.READY not in states(script)[1:]
         new.upstream.stop()
 
--- a/tests/proxy/test_discovery_outage.py
+++ b/tests/proxy/test_discovery_outage.py
@@ -127,12 +127,12 @@
 def shorten(monkeypatch: pytest.MonkeyPatch) -> None:
     """All waits but the one of a watch where the list is asked for: what hides behind that is not seen."""
     for name, value in (
-        ("AGENT_WAIT_MS", 40),
-        ("RETURN_WAIT_MS", 20),
-        ("OVERDUE_S", 0.1),
-        ("HANDOVER_WAIT_S", 0.0),
+        ("discovery_client.AGENT_WAIT_MS", 40),
+        ("discovery_client.RECOVERY_WAIT_MS", 20),
+        ("discovery_call.TIMEOUT_MARGIN_S", 0.1),
+        ("discovery_handover.HANDOVER_WAIT_S", 0.0),
     ):
-        monkeypatch.setattr(f"loadbalancer.proxy.discovery_client.{name}", value)
+        monkeypatch.setattr(f"loadbalancer.proxy.{name}", value)
 
 
 @pytest.mark.parametrize("asked", [True, False])
@@ -211,10 +211,10 @@
         registry.upstream = machine = Machine(registry.upstream.answer, refuses)
         module = Balancer(node_settings(asked=asked), 1, time.monotonic_ns())
         monkeypatch.setattr(
-            "loadbalancer.proxy.discovery_client.ASKED_WAIT_MS", 40
+            "loadbalancer.proxy.discovery_client.POLL_WAIT_MS", 40
         )  # the first call too must be given up
         async with node(module, registry=registry, known_list=known(5), asked=asked) as client:
-            await until(lambda: client.node._discovery_client._failures >= 3)
+            await until(lambda: client.node._discovery_client._watch_backoff.failures >= 3)
             registry.change("s0", health="draining")
             await machine.comes_back()
             await until(lambda: not client.node.endpoint_addresses())
@@ -240,14 +240,16 @@
         async with node(ScriptedPolicy(), registry=old, known_list=known(5)) as client:
             await until(lambda: old.calls)
             client.node.move_discovery((HOST, new.upstream.port))
-            await until(lambda: client.node._discovery_client._handover_failures >= 2)
+            handover = client.node._discovery_client._handover
+            assert handover is not None
+            await until(lambda: handover.backoff.failures >= 2)
             assert client.node.endpoint_addresses()
             if isinstance(new.upstream, Machine):
                 await new.upstream.comes_back()
             else:
                 new.upstream.answer = heard
             await until(lambda: not client.node.endpoint_addresses())
-            assert client.node._discovery_client._successor is None
+            assert client.node._discovery_client._handover is None
         new.upstream.stop()
 
     run(test())
@@ -272,7 +274,7 @@
     kind: str, asked: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     shorten(monkeypatch)
-    monkeypatch.setattr("loadbalancer.proxy.discovery_client.ASKED_WAIT_MS", 40)
+    monkeypatch.setattr("loadbalancer.proxy.discovery_client.POLL_WAIT_MS", 40)
 
     async def test() -> None:
         upstreams = [await FakeUpstream(answers(200)).start() for _ in range(PLACES // KEPT_IDLE)]
@@ -312,7 +314,7 @@
                     + discovery._target.pool.limits.open_connections,
                 )
 
-            while discovery._failures < 4:
+            while discovery._watch_backoff.failures < 4:
                 await asks()
             registry.change("s0", port=upstreams[0].port, health="draining")
             if isinstance(registry.upstream, Machine):
--- a/tests/proxy/test_endpoint_list.py
+++ b/tests/proxy/test_endpoint_list.py
@@ -22,10 +22,11 @@
 from loadbalancer.policy.balancer import Balancer
 from loadbalancer.proxy import addresses, endpoint_list
 from loadbalancer.proxy.connection_pool import ConnectionLimits, ConnectionPool
-from loadbalancer.proxy.endpoint_list import STRIDE, EndpointList, EndpointListReader, number_of, run_through
+from loadbalancer.proxy.endpoint_list import STRIDE, EndpointList, EndpointListReader, number_of
 from loadbalancer.proxy.endpoint_updates import SLICE_ENTRIES
 from loadbalancer.proxy.errors import EndpointListError
 from loadbalancer.proxy.proxy import Proxy
+from loadbalancer.proxy.steps import run_through
 from loadbalancer.state import endpoint_table
 from tests.support.sockets import (
     HOST,
@@ -232,7 +233,7 @@
         try:
             await until(lambda: caplog.records)
             assert [r.getMessage() for r in caplog.records] == [
-                f"discovery: a list of over {len(long) - 1} bytes is turned down; the old list stays"
+                f"discovery: a list of over {len(long) - 1} bytes is rejected; the old list stays"
             ]
             assert len(balancer.endpoint_addresses()) == 3
             assert len(script.of(EndpointUpdate)) == 1
