--- a/loadbalancer/configuration.py
+++ b/loadbalancer/configuration.py
@@ -14,10 +14,10 @@
     EndpointList,
     EndpointListParser,
     read_beside,
-    run_through,
     unix_offset_ns,
 )
 from loadbalancer.proxy.errors import EndpointListError
+from loadbalancer.proxy.steps import run_through
 from loadbalancer.settings import Json, Settings, read_settings
 
 CHUNK_BYTES = 16 * 1024  # of the file that are parsed in one step
