--- a/scale_test/__main__.py
+++ b/scale_test/__main__.py
@@ -15,7 +15,7 @@
 import psutil
 
 from scale_test import report
-from scale_test.part import ROOT
+from scale_test.child_process import ROOT
 from scale_test.plan import COURSES, MAX_ZONES, Plan, PlanError
 from scale_test.run import run
 
--- a/scale_test/discovery.py
+++ b/scale_test/discovery.py
@@ -12,8 +12,8 @@
 from pathlib import Path
 from urllib.parse import parse_qs, urlsplit
 
+from scale_test.child_process import serve
 from scale_test.courses import COURSES
-from scale_test.part import serve
 from scale_test.plan import Plan
 from scale_test.registry import Registry
 
--- a/scale_test/hollow.py
+++ b/scale_test/hollow.py
@@ -15,7 +15,7 @@
 from loadbalancer.proxy.discovery_client import WatchResult
 from loadbalancer.proxy.endpoint_list import EndpointList
 from loadbalancer.proxy.proxy import Proxy
-from scale_test.part import serve
+from scale_test.child_process import serve
 from scale_test.report import NEVER_NS
 
 
--- a/scale_test/load.py
+++ b/scale_test/load.py
@@ -9,7 +9,7 @@
 from collections.abc import Coroutine
 from typing import Any
 
-from scale_test.part import serve
+from scale_test.child_process import serve
 
 STAND_INS = 8  # listening; all upstreams of the list lead to one of them
 WORK_S = 0.004  # an upstream's time for a request
--- a/scale_test/run.py
+++ b/scale_test/run.py
@@ -18,7 +18,7 @@
 import psutil
 
 from scale_test import report
-from scale_test.part import ROOT, Process, helper
+from scale_test.child_process import ROOT, Process, helper
 from scale_test.plan import MB, Plan, PlanError, memory_limit, zone_name
 from scale_test.report import Row, row
 
--- /dev/null
+++ b/scale_test/slopes/fakes.py
@@ -0,0 +1,133 @@
+"""Fakes of upstreams and of discovery on loopback, and a client."""
+
+from __future__ import annotations
+
+import asyncio
+from collections.abc import AsyncIterator, Awaitable, Callable, Sequence
+from contextlib import suppress
+from dataclasses import dataclass
+
+import orjson
+
+from scale_test.slopes.inputs import Json, endpoint_list
+
+HOST = "127.0.0.1"
+END_OF_HEAD = b"\r\n\r\n"
+
+ConnectionHandler = Callable[[asyncio.StreamReader, asyncio.StreamWriter], Awaitable[None]]
+
+
+@dataclass(frozen=True)
+class ListChange:
+    """A version of the list and the host that changed in it."""
+
+    version: int
+    host: str
+
+
+class FakeServices:
+    """Upstreams (all at one address) and discovery; counts what comes and goes."""
+
+    def __init__(self, rows: Sequence[Json]) -> None:
+        self.rows = {row["host"]: row for row in rows}
+        self.version = 1
+        self.discovery_bytes = 0
+        self.answers = 0
+        self.watches = 0
+        self.upstream_connections = 0
+        self.upstream_delay_s = 0.0
+        self._changes: list[ListChange] = []
+        self._changed = asyncio.Event()
+
+    def change(self, host: str, **fields: object) -> None:
+        """Make a version in which these fields of a host's row changed, and answer the watches."""
+        self.version += 1
+        self.rows[host] |= fields
+        self._changes.append(ListChange(self.version, host))
+        self._changed.set()
+        self._changed = asyncio.Event()
+
+    async def serve_discovery(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        """Answer a balancer's calls for the list and its watches."""
+        async for head in read_heads(reader):
+            query = head.split(b" ", 2)[1].decode().partition("?")[2]
+            parameters = dict(part.split("=") for part in query.split("&") if part)
+            after = int(parameters["after"]) if "after" in parameters else None
+            if after is not None:
+                self.watches += 1
+                if after >= self.version:
+                    with suppress(TimeoutError):
+                        await asyncio.wait_for(self._changed.wait(), int(parameters["wait_ms"]) / 1000)
+            data = http_response(orjson.dumps(self._list_after(after)))
+            self.discovery_bytes += len(head) + len(data)
+            self.answers += 1
+            writer.write(data)
+
+    def _list_after(self, after: int | None) -> Json:
+        if after is None:
+            return endpoint_list(list(self.rows.values()), self.version, True)
+        hosts = dict.fromkeys(change.host for change in self._changes if change.version > after)
+        return endpoint_list([self.rows[host] for host in hosts], self.version, False)
+
+    async def serve_upstream(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        """Answer requests as an upstream, each after the delay."""
+        self.upstream_connections += 1
+        async for _ in read_heads(reader):
+            await asyncio.sleep(self.upstream_delay_s)
+            writer.write(http_response(b"served"))
+        self.upstream_connections -= 1
+
+
+async def read_heads(reader: asyncio.StreamReader) -> AsyncIterator[bytes]:
+    """The requests that come on a connection; none has a body."""
+    with suppress(OSError, asyncio.IncompleteReadError):
+        while True:
+            yield await reader.readuntil(END_OF_HEAD)
+
+
+def until_cancelled(handle: ConnectionHandler) -> ConnectionHandler:
+    """Let a handler end quietly with the event loop: the fakes are stopped in the middle of requests."""
+
+    async def handle_until_cancelled(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        with suppress(asyncio.CancelledError):
+            await handle(reader, writer)
+        writer.close()
+
+    return handle_until_cancelled
+
+
+def http_response(body: bytes) -> bytes:
+    """A response with status 200."""
+    return b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(body) + body
+
+
+class Client:
+    """One client's connection to the balancer."""
+
+    def __init__(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        self._reader = reader
+        self._writer = writer
+
+    @classmethod
+    async def connect(cls, port: int) -> Client:
+        """Open a connection."""
+        return cls(*await asyncio.open_connection(HOST, port))
+
+    async def get(self, request_id: int) -> bool:
+        """Send one request.
+
+        Returns:
+            Whether it was served.
+
+        Raises:
+            OSError: The connection was lost.
+            asyncio.IncompleteReadError: The connection was closed before the response's end.
+        """
+        self._writer.write(
+            b"GET /c0 HTTP/1.1\r\nHost: h\r\nReq-Id: %d\r\nReq-Owner: t0\r\n"
+            b"Req-Deadline-Ms: 5000\r\n\r\n" % request_id
+        )
+        head = await self._reader.readuntil(END_OF_HEAD)
+        size = int(head.partition(b"Content-Length: ")[2].partition(b"\r\n")[0])
+        await self._reader.readexactly(size)
+        return head.startswith(b"HTTP/1.1 200")
--- /dev/null
+++ b/scale_test/slopes/policy_harness.py
@@ -0,0 +1,91 @@
+"""A policy harness: a balancer's decisions in this process, driven by a clock of its own."""
+
+from __future__ import annotations
+
+import statistics
+from collections.abc import Sequence
+
+from loadbalancer.messages import (
+    Action,
+    AttemptEnded,
+    AttemptResult,
+    Endpoint,
+    EndpointUpdate,
+    EndpointUpdateKind,
+    Event,
+    Forward,
+    RequestArrived,
+)
+from loadbalancer.policy.balancer import Balancer
+from scale_test.slopes.inputs import NS_PER_S
+from scale_test.slopes.measuring import Figures, timed
+
+LOAD_PROBING_NS = NS_PER_S // 2  # the policy probes loads once in this time
+TIMER_STEP_NS = NS_PER_S // 100
+PROBING_MARGIN_NS = NS_PER_S // 50  # the last part of the interval holds the probing alone
+EVENT_GAP_NS = 10**6
+REQUEST_GAP_NS = 10**4
+REQUEST_TIMEOUT_NS = 60 * NS_PER_S
+ATTEMPT_NS = 10**7
+SENDING_TENANTS = 40
+
+
+class PolicyHarness:
+    """A policy and its clock: sends it events, and measures what they take."""
+
+    def __init__(self, balancer: Balancer) -> None:
+        self.balancer = balancer
+        self.now = NS_PER_S
+        self.requests = 0
+
+    def handle(self, *events: Event, later_ns: int = EVENT_GAP_NS) -> list[Action]:
+        """Move the clock and give the policy these events."""
+        self.now += later_ns
+        return self.balancer.handle(self.now, events)
+
+    def set_endpoints(self, endpoints: Sequence[Endpoint]) -> PolicyHarness:
+        """Give the policy a full list of endpoints."""
+        self.handle(EndpointUpdate(EndpointUpdateKind.FULL, endpoints))
+        return self
+
+    def arrive(
+        self, request_class: str = "c0", tenant: str = "t0", later_ns: int = REQUEST_GAP_NS
+    ) -> Forward | None:
+        """Let a request arrive; returns its first attempt, or None where it is not forwarded at once."""
+        self.requests += 1
+        arrival = RequestArrived(str(self.requests), request_class, tenant, self.now + REQUEST_TIMEOUT_NS)
+        for action in self.handle(arrival, later_ns=later_ns):
+            if isinstance(action, Forward):
+                return action
+        return None
+
+    def end(self, attempt: Forward | None) -> list[Action]:
+        """End an attempt well; nothing happens where there was none."""
+        if attempt is None:
+            return []
+        ended = AttemptEnded(attempt.request_id, 0, attempt.endpoint_id, AttemptResult.OK, ATTEMPT_NS, True)
+        return self.handle(ended, later_ns=REQUEST_GAP_NS)
+
+    def request_cpu_s(self, requests: int = 40) -> float:
+        """Measure the processor time of one request, its outcome included."""
+        classes = self.balancer.settings.request_classes
+
+        def serve() -> None:
+            for number in range(requests):
+                name = f"c{number}"
+                self.end(self.arrive(name if name in classes else "c0", f"t{number}"))
+
+        return timed(serve, 3).cpu_s / requests
+
+    def load_probing_figures(self, times: int = 6) -> Figures:
+        """Measure the load probing of each half second: its mean and its longest processor time."""
+        self.handle(later_ns=LOAD_PROBING_NS)  # from here on it comes each half second
+        taken = [self._load_probing_cpu_s() for _ in range(times)]
+        return {"look_s": statistics.mean(taken), "look_top_s": max(taken)}
+
+    def _load_probing_cpu_s(self) -> float:
+        end = self.now + LOAD_PROBING_NS
+        while self.now < end - PROBING_MARGIN_NS:  # some traffic, and all timers on time
+            self.end(self.arrive(tenant=f"t{self.requests % SENDING_TENANTS}"))
+            self.handle(later_ns=TIMER_STEP_NS)
+        return timed(lambda: self.handle(later_ns=end - self.now)).cpu_s
--- /dev/null
+++ b/scale_test/slopes/real_balancer.py
@@ -0,0 +1,122 @@
+"""A real balancer, started by the deploy file's `run` before the fakes."""
+
+from __future__ import annotations
+
+import asyncio
+import os
+import subprocess
+import tempfile
+import tomllib
+from collections.abc import AsyncIterator
+from contextlib import asynccontextmanager
+from pathlib import Path
+
+import orjson
+
+from scale_test.child_process import ROOT
+from scale_test.slopes.fakes import HOST, FakeServices, until_cancelled
+from scale_test.slopes.inputs import NS_PER_S, Json, endpoint_list
+from scale_test.slopes.measuring import Figures
+
+READY_LINE = "ready on port "
+READY_POLL_S = 0.05
+LOG_TAIL = 500  # characters of the log in an error
+
+
+class BalancerEndedError(Exception):
+    """The balancer has ended before it was ready."""
+
+
+class RealBalancer:
+    """A running balancer and what it has used."""
+
+    def __init__(self, pid: int, port: int) -> None:
+        self.pid = pid
+        self.port = port
+
+    def cpu_s(self) -> float:
+        """Processor seconds of all its threads so far."""
+        tasks = Path(f"/proc/{self.pid}/task").iterdir()
+        return sum(int((task / "schedstat").read_text().split()[0]) for task in tasks) / NS_PER_S
+
+    def memory(self) -> Figures:
+        """Resident bytes now and at their peak."""
+        lines = Path(f"/proc/{self.pid}/status").read_text().splitlines()
+        status = dict(line.split(":", 1) for line in lines)
+
+        def in_bytes(key: str) -> int:
+            return 1024 * int(status[key].split()[0])
+
+        return {"rss_b": in_bytes("VmRSS"), "top_b": in_bytes("VmHWM")}
+
+
+def port_of(server: asyncio.Server) -> int:
+    """The port that a server listens on."""
+    return int(server.sockets[0].getsockname()[1])
+
+
+def configuration(services: FakeServices, discovery: str, settings: Json, known: bool) -> Json:
+    """The balancer's configuration file; with `known` it holds the full list."""
+    config: Json = {
+        "name": "n0",
+        "listen": f"{HOST}:0",
+        "discovery": discovery,
+        "seed": "1",
+        "settings": settings,
+        "limits": {"sockets": 16384},
+    }
+    if known:
+        config["known"] = endpoint_list(list(services.rows.values()))
+    return config
+
+
+@asynccontextmanager
+async def running_balancer(
+    services: FakeServices, settings: Json, known: bool = False
+) -> AsyncIterator[RealBalancer]:
+    """Start the fakes and a balancer, wait until it is ready, and end all afterwards.
+
+    Raises:
+        BalancerEndedError: The balancer has ended before it was ready.
+    """
+    discovery = await asyncio.start_server(until_cancelled(services.serve_discovery), HOST, 0)
+    upstream = await asyncio.start_server(until_cancelled(services.serve_upstream), HOST, 0)
+    for row in services.rows.values():
+        row["dial"] = f"{HOST}:{port_of(upstream)}"
+    config = configuration(services, f"{HOST}:{port_of(discovery)}", settings, known)
+    with tempfile.TemporaryDirectory() as folder:
+        log = Path(folder) / "log"
+        process = start_process(Path(folder), log, config)
+        try:
+            yield RealBalancer(process.pid, await ready_port(process, log))
+        finally:
+            process.kill()
+            process.wait()
+            discovery.close()
+            upstream.close()
+
+
+def start_process(folder: Path, log: Path, config: Json) -> subprocess.Popen[bytes]:
+    """Start the balancer as the platform does."""
+    run = tomllib.loads((ROOT / "deploy/balancer.toml").read_text())["run"]
+    path = folder / "config.json"
+    path.write_bytes(orjson.dumps(config))
+    with log.open("wb") as file:
+        return subprocess.Popen(
+            ["/bin/sh", "-c", run],
+            cwd=ROOT,
+            stdout=file,
+            stderr=file,
+            env={**os.environ, "RELAY_CONFIG": str(path)},
+        )
+
+
+async def ready_port(process: subprocess.Popen[bytes], log: Path) -> int:
+    """Wait until the balancer's log says that it is ready, and on which port."""
+    while True:
+        text = log.read_text()
+        if READY_LINE in text:
+            return int(text.partition(READY_LINE)[2].split()[0])
+        if process.poll() is not None:
+            raise BalancerEndedError(f"the balancer has ended: {text[-LOG_TAIL:]}")
+        await asyncio.sleep(READY_POLL_S)
--- a/tests/scale_test/test_slopes.py
+++ b/tests/scale_test/test_slopes.py
@@ -10,23 +10,28 @@
 import pytest
 from click.testing import CliRunner
 
-from scale_test import slopes
+from scale_test.child_process import ROOT
+from scale_test.slopes import process_subjects
+from scale_test.slopes.__main__ import main
+from scale_test.slopes.fit import Point, Slope, fit
+from scale_test.slopes.inputs import endpoint_list, endpoint_row
+from scale_test.slopes.subjects import SUBJECTS, measure
 
 
 def test_a_line_is_fitted_and_its_power_told() -> None:
-    line = slopes.fit([(x, 3 + 2 * x) for x in (1, 10, 100, 1000)])
-    assert line["base"] == pytest.approx(3)
-    assert line["each"] == pytest.approx(2)
-    assert slopes.fit([(x, x * x) for x in (1, 10, 100)])["power"] == pytest.approx(2)
+    line = fit([Point(x, 3 + 2 * x) for x in (1, 10, 100, 1000)])
+    assert line.base == pytest.approx(3)
+    assert line.each == pytest.approx(2)
+    assert fit([Point(x, x * x) for x in (1, 10, 100)]).power == pytest.approx(2)
 
 
 def test_a_figure_that_is_nothing_or_has_one_size_has_no_power() -> None:
-    assert slopes.fit([(1, 0.0), (10, 0.0)]) == {"base": 0, "each": 0, "power": 0}
-    assert slopes.fit([(10, 5.0)]) == {"base": 5, "each": 0, "power": 0}
+    assert fit([Point(1, 0.0), Point(10, 0.0)]) == Slope(0, 0, 0)
+    assert fit([Point(10, 5.0)]) == Slope(5, 0, 0)
 
 
 @pytest.mark.parametrize(
-    "name, counted",
+    ("name", "counted"),
     [
         ("upstreams", {"list_b", "change_b", "memory_b", "objects", "change_s", "zone_s", "look_s"}),
         ("services", {"list_b", "change_b", "memory_b", "objects", "change_s", "zone_s", "look_s"}),
@@ -36,30 +41,30 @@
     ],
 )
 def test_a_tiny_run_gives_every_size_and_figure(name: str, counted: set[str]) -> None:
-    result = slopes.measure(name, (1, 2, 4))
+    result = measure(name, (1, 2, 4))
     assert [p["size"] for p in result["points"]] == [1, 2, 4]
     assert counted <= set(result["slopes"])
     assert all(set(p) == {"size", *result["slopes"]} for p in result["points"])
 
 
 def test_sizes_span_two_decades_in_at_least_four_steps() -> None:
-    for _, sizes in slopes.SUBJECTS.values():
-        assert len(sizes) >= 4
-        assert sizes[-1] >= 100 * sizes[0]
+    for subject in SUBJECTS.values():
+        assert len(subject.sizes) >= 4
+        assert subject.sizes[-1] >= 100 * subject.sizes[0]
 
 
 def test_counts_that_are_known_come_out() -> None:
-    points = slopes.measure("upstreams", (50, 100))["points"]
-    rows = [len(orjson.dumps(slopes.row(i))) + 1 for i in range(100)]  # a comma or the bracket ends each
-    envelope = len(orjson.dumps(slopes.listed([]))) - 1
+    points = measure("upstreams", (50, 100))["points"]
+    rows = [len(orjson.dumps(endpoint_row(i))) + 1 for i in range(100)]  # a comma or the bracket ends each
+    envelope = len(orjson.dumps(endpoint_list([]))) - 1
     assert [p["list_b"] for p in points] == [envelope + sum(rows[:50]), envelope + sum(rows)]
-    assert [p["open"] for p in slopes.measure("requests", (3, 30))["points"]] == [3, 30]
+    assert [p["open"] for p in measure("requests", (3, 30))["points"]] == [3, 30]
 
 
 def test_results_are_added_to_the_file(tmp_path: Path) -> None:
     file = tmp_path / "slopes.json"
     for name in ("tenants", "requests"):
-        told = CliRunner().invoke(slopes.main, [name, "--sizes", "2,4", "--json", str(file)])
+        told = CliRunner().invoke(main, [name, "--sizes", "2,4", "--json", str(file)])
         assert told.exit_code == 0, told.output
         assert told.output.split()[0] == name
     held = orjson.loads(file.read_bytes())
@@ -70,14 +75,14 @@
 
 @pytest.fixture(scope="module")
 def built() -> None:
-    build = tomllib.loads((slopes.ROOT / "deploy" / "balancer.toml").read_text())["build"]
-    subprocess.run(["/bin/sh", "-c", build], cwd=slopes.ROOT, check=True, timeout=600)
+    build = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())["build"]
+    subprocess.run(["/bin/sh", "-c", build], cwd=ROOT, check=True, timeout=600)
 
 
 @pytest.mark.usefixtures("built")
 def test_a_real_balancer_takes_a_list_and_its_changes(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(slopes, "QUIET_S", 0.4)
-    figures = slopes.process(8)
+    monkeypatch.setattr(process_subjects, "QUIET_S", 0.4)
+    figures = process_subjects.process(8)
     assert figures["taken"] == 1
     assert figures["list_b"] > 8 * 100
     assert figures["change_b"] > 100
@@ -85,5 +90,5 @@
 
 @pytest.mark.usefixtures("built")
 def test_a_real_balancer_holds_what_is_open() -> None:
-    figures = slopes.connections(3)
+    figures = process_subjects.connections(3)
     assert (figures["upstream_connections"], figures["served"]) == (3, 3)
