--- a/scale_test/__main__.py
+++ b/scale_test/__main__.py
@@ -1,4 +1,4 @@
-"""python -m scale_test: see --help."""
+"""The command `python -m scale_test`: see `--help`."""
 
 from __future__ import annotations
 
@@ -6,7 +6,8 @@
 import signal
 import subprocess
 import sys
-from dataclasses import asdict, fields
+from collections.abc import Callable
+from dataclasses import asdict, dataclass, fields
 from pathlib import Path
 from typing import Any
 
@@ -16,10 +17,11 @@
 
 from scale_test import report
 from scale_test.child_process import ROOT
-from scale_test.plan import COURSES, MAX_ZONES, Plan, PlanError
-from scale_test.run import run
+from scale_test.errors import PlanError, ScaleTestError
+from scale_test.experiment import ExperimentResult, run_experiment
+from scale_test.plan import MAX_ZONES, Plan, Scenario
 
-DEFAULT = Plan()
+EXIT_REFUSED, EXIT_INTERRUPTED = 2, 130
 NOTES = """\
 'loaded' is the first real balancer, the one with clients; 'real' are the others. Of balancers, the median,
 99th and worst are over them; a hollow one's processor time and memory are its part of its process, and with
@@ -30,53 +32,99 @@
 Positive = click.IntRange(min=1)
 Count = click.IntRange(min=0)
 Seconds = click.FloatRange(min=0.0, max=86_400.0, min_open=True)
-OPTIONS: dict[str, tuple[Any, str]] = {
-    "upstreams": (click.IntRange(1, 1_000_000), "Upstreams in the list."),
-    "real": (Count, "Balancers run as the deploy file says; the first gets clients."),
-    "hollow": (Count, "Balancers with no clients, many in a process."),
-    "hollow_processes": (Positive, "Processes for the hollow ones."),
-    "replicas": (Count, "replicas_of_me told to all; 0: as many as run."),
-    "zones": (click.IntRange(1, MAX_ZONES), "Zones that the upstreams are in."),
-    "duration": (Seconds, "Seconds that the course takes."),
-    "quiet": (Seconds, "Seconds without changes, before the course."),
-    "changes": (click.FloatRange(min=0.0, max=10_000.0), "List changes a second; 0: as on an ordinary day."),
-    "configured": (Count, "Changes of configuration a day, at 160,000 upstreams."),
-    "restarted": (Count, "Restarted or replaced upstreams a day, at 160,000."),
-    "failed": (Count, "Failed upstreams a day, at 160,000."),
-    "course": (
-        click.Choice(COURSES),
-        "day: churn; zone: and a zone lost and back cold; "
-        "back: and discovery cut off, then all call at once.",
+
+
+@dataclass(frozen=True)
+class Option:
+    """An option of the command line: the type of its value, and its help."""
+
+    kind: Any
+    help: str
+
+
+OPTIONS = {
+    "upstreams": Option(click.IntRange(1, 1_000_000), "Upstreams in the list."),
+    "real": Option(Count, "Balancers run as the deploy file says; the first gets clients."),
+    "hollow": Option(Count, "Balancers with no clients, many in a process."),
+    "hollow_processes": Option(Positive, "Processes for the hollow ones."),
+    "replicas": Option(Count, "replicas_of_me told to all; 0: as many as run."),
+    "zones": Option(click.IntRange(1, MAX_ZONES), "Zones that the upstreams are in."),
+    "duration": Option(Seconds, "Seconds that the course takes."),
+    "quiet": Option(Seconds, "Seconds without changes, before the course."),
+    "changes": Option(
+        click.FloatRange(min=0.0, max=10_000.0), "List changes a second; 0: as on an ordinary day."
+    ),
+    "configured": Option(Count, "Changes of configuration a day, at 160,000 upstreams."),
+    "restarted": Option(Count, "Restarted or replaced upstreams a day, at 160,000."),
+    "failed": Option(Count, "Failed upstreams a day, at 160,000."),
+    "course": Option(
+        click.Choice([scenario.value for scenario in Scenario]),
+        "day: churn; zone: and an outage of a zone, which comes back cold; "
+        "back: and an outage of discovery, then all call at once.",
     ),
-    "wholes": (
+    "wholes": Option(
         click.IntRange(0, 1000),
-        "Whole lists told to the one with clients and a hollow one, at the end.",
+        "Full lists sent to the one with clients and a hollow one, at the end.",
     ),
-    "mode": (click.Choice(["ask", "push"]), "How the settings say that lists come."),
-    "requests": (click.FloatRange(min=0.0, max=5000.0), "Requests a second to that balancer."),
-    "known": (bool, "Whether the configuration holds the list."),
-    "held": (Count, "Bytes that a balancer holds for an upstream: for the look ahead at memory."),
-    "patience": (Seconds, "Seconds until all have to be ready."),
-    "seed": (int, "Seed of the course, of the clients and of the balancers."),
+    "mode": Option(click.Choice(["ask", "push"]), "How the settings say that lists come."),
+    "requests": Option(click.FloatRange(min=0.0, max=5000.0), "Requests a second to that balancer."),
+    "known": Option(bool, "Whether the configuration holds the list."),
+    "held": Option(Count, "Bytes that a balancer holds for an upstream: for the estimate of memory."),
+    "patience": Option(Seconds, "Seconds until all have to be ready."),
+    "seed": Option(int, "Seed of the course, of the clients and of the balancers."),
 }
 
 
-def commit() -> str:
+def current_commit() -> str:
+    """The commit that is run, with a mark where files differ from it."""
     done = subprocess.run(
         ["git", "describe", "--always", "--dirty"], cwd=ROOT, capture_output=True, text=True, check=False
     )
     return done.stdout.strip()
 
 
-async def interruptible(plan: Plan) -> tuple[list[report.Row], list[str]]:
-    """A signal ends the run once: its end is not cut short by another one."""
-    task, loop = asyncio.create_task(run(plan)), asyncio.get_running_loop()
+async def run_until_signal(plan: Plan) -> ExperimentResult:
+    """Run an experiment; a signal ends it once: its end is not cut short by another one."""
+    task = asyncio.create_task(run_experiment(plan))
+
+    def stop() -> None:
+        if not task.cancelling():
+            task.cancel()
+
     for number in (signal.SIGINT, signal.SIGTERM):
-        loop.add_signal_handler(number, lambda: task.cancelling() or task.cancel())
+        asyncio.get_running_loop().add_signal_handler(number, stop)
     return await task
 
 
+def write_figures(path: Path, plan: Plan, commit: str, result: ExperimentResult) -> None:
+    """Write the figures, with what they were measured on."""
+    content = {
+        "commit": commit,
+        "arguments": asdict(plan),
+        "changes_a_second": plan.changes_a_second,
+        "machine": {"processors": psutil.cpu_count(), "memory": psutil.virtual_memory().total},
+        "notes": result.notes,
+        "rows": report.rows_as_json(result.rows),
+    }
+    path.write_bytes(orjson.dumps(content, option=orjson.OPT_INDENT_2))
+
+
+def plan_options(command: Callable[..., None]) -> Callable[..., None]:
+    """Add an option for each field of the plan."""
+    default = Plan()
+    for field in reversed(fields(Plan)):
+        option = OPTIONS[field.name]
+        name = field.name.replace("_", "-")
+        flag = f"--{name}/--no-{name}" if option.kind is bool else f"--{name}"
+        decorate = click.option(
+            flag, field.name, type=option.kind, help=option.help, default=getattr(default, field.name)
+        )
+        command = decorate(command)
+    return command
+
+
 @click.command(context_settings={"show_default": True})
+@plan_options
 @click.option(
     "--json",
     "path",
@@ -89,48 +137,28 @@
     plan.check()
     if path is not None and not path.parent.is_dir():
         raise PlanError(f"--json {path}: no such folder")
-    version = commit()  # what is run, not what the folder holds when it ends
-    rows, notes = asyncio.run(interruptible(plan))
-    click.echo(report.table(rows, [*notes, NOTES]))
+    commit = current_commit()  # what is run, not what the folder holds when it ends
+    result = asyncio.run(run_until_signal(plan))
+    click.echo(report.format_table(result.rows, [*result.notes, NOTES]))
     if path is not None:
-        path.write_bytes(
-            orjson.dumps(
-                {
-                    "commit": version,
-                    "arguments": asdict(plan),
-                    "changes_a_second": plan.changes_a_second,
-                    "machine": {"processors": psutil.cpu_count(), "memory": psutil.virtual_memory().total},
-                    "notes": notes,
-                    "rows": report.as_json(rows),
-                },
-                option=orjson.OPT_INDENT_2,
-            )
-        )
-
-
-for field in reversed(fields(Plan)):
-    kind, text = OPTIONS[field.name]
-    name = field.name.replace("_", "-")
-    flag = f"--{name}/--no-{name}" if kind is bool else f"--{name}"
-    command = click.option(flag, field.name, type=kind, help=text, default=getattr(DEFAULT, field.name))(
-        command
-    )
+        write_figures(path, plan, commit, result)
 
 
 def main() -> int:
+    """Run the command; returns its exit status, and prints an error in one line."""
     try:
         command(standalone_mode=False)
-    except click.exceptions.Exit as end:
-        return end.exit_code
+    except click.exceptions.Exit as error:
+        return error.exit_code
     except click.ClickException as error:
         click.echo(f"scale: {error.format_message()}", err=True)
-        return 2
-    except PlanError as error:
+        return EXIT_REFUSED
+    except ScaleTestError as error:
         click.echo(f"scale: {error}", err=True)
-        return 2
+        return EXIT_REFUSED
     except (KeyboardInterrupt, asyncio.CancelledError, click.exceptions.Abort):
         click.echo("scale: stopped", err=True)
-        return 130
+        return EXIT_INTERRUPTED
     return 0
 
 
--- /dev/null
+++ b/scale_test/balancer_config.py
@@ -0,0 +1,102 @@
+"""The configuration files of the balancers of an experiment."""
+
+from __future__ import annotations
+
+from collections.abc import Sequence
+from pathlib import Path
+from typing import Any
+
+import orjson
+
+from scale_test.plan import Plan, zone_name
+
+NS_PER_MS = 1_000_000
+REQUEST_CLASS, TENANT = "reading", "ash"
+
+Json = dict[str, Any]
+Address = tuple[str, int]
+
+
+def format_address(address: Address) -> str:
+    """An address as the configuration has it."""
+    host, port = address
+    return f"{host}:{port}"
+
+
+def settings(plan: Plan, index: int, zone: str) -> Json:
+    """The settings of the balancer with this index among all replicas."""
+    profile = {
+        "name": REQUEST_CLASS,
+        "repeat": "read_like",
+        "aim_ns": 400 * NS_PER_MS,
+        "worth": 1.0,
+        "late_worth": 0.2,
+        "hard_limit_ns": 2000 * NS_PER_MS,
+    }
+    limits = {
+        "send_cap": 3,
+        "may_cancel": True,
+        "retry_after": True,
+        "conn_idle_ns": 60_000 * NS_PER_MS,
+        "connect_timeout_ns": 200 * NS_PER_MS,
+    }
+    rules = {
+        "ask_within_ns": 10_000 * NS_PER_MS,
+        "stop_sending_within_ns": 250 * NS_PER_MS,
+        "cold_ns": 8000 * NS_PER_MS,
+    }
+    return {
+        "me": index,
+        "replicas_of_me": plan.replica_count,
+        "locality": zone,
+        "zones": [zone_name(number) for number in range(plan.zones)],
+        "registry_mode": plan.mode,
+        "weight_source": "none",
+        "realms": [{"name": TENANT, "share": 1.0}],
+        "profiles": [profile],
+        "limits": limits,
+        "rules": rules,
+        "prices": {"connection": 0.03, "cross_zone": 0.025},
+    }
+
+
+class ConfigurationWriter:
+    """Writes the configuration of each balancer, by its number."""
+
+    def __init__(
+        self, plan: Plan, folder: Path, discovery_addresses: Sequence[Address], known_list: bytes
+    ) -> None:
+        self._plan = plan
+        self._folder = folder
+        self._discovery_addresses = discovery_addresses
+        self._known_list = known_list  # JSON text: it is large, and the same for all
+
+    def configuration(self, number: int) -> Json:
+        """A balancer's configuration, without its address and the endpoint list."""
+        plan = self._plan
+        index = number * plan.replica_count // plan.balancers
+        return {
+            "name": f"n{index}",
+            "discovery": format_address(self._discovery_addresses[number]),
+            "seed": f"{plan.seed}-{number}",
+            "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
+            "settings": settings(plan, index, zone_name(number % plan.zones)),
+        }
+
+    def write(self, name: str, number: int, listen: str) -> Path:
+        """Write a balancer's configuration, with the endpoint list."""
+        path = self._folder / f"{name}.json"
+        text = orjson.dumps({**self.configuration(number), "listen": listen})
+        path.write_bytes(text[:-1] + b',"known":%b}' % self._known_list)
+        return path
+
+    def hollow_balancer(self, number: int) -> Json:
+        """What a process of hollow balancers has to know of one, beside the configuration of them all."""
+        configuration = self.configuration(number)
+        return {
+            "name": configuration["name"],
+            "discovery": self._discovery_addresses[number],
+            "seed": self._plan.seed + number,
+            "me": configuration["settings"]["me"],
+            "zone": configuration["settings"]["locality"],
+        }
--- a/scale_test/child_process.py
+++ b/scale_test/child_process.py
@@ -1,39 +1,59 @@
-"""The processes of a run: each leads a process group of its own, and none outlives the run."""
+"""The processes of an experiment: each leads a process group of its own, and none outlives the experiment.
+
+A helper is a child process that carries out commands: one JSON line each on its standard input, and one line
+each in return.
+"""
 
 from __future__ import annotations
 
 import asyncio
 import contextlib
+import inspect
 import os
 import signal
 import sys
 from asyncio.subprocess import DEVNULL, PIPE
 from collections.abc import Awaitable, Callable, Mapping
+from enum import StrEnum
 from pathlib import Path
 from typing import Any
 
 import orjson
 
-from scale_test.plan import PlanError
+from scale_test.errors import ExperimentError
 
 ROOT = Path(__file__).parent.parent
-LONGEST_LINE = 2**30
+MAX_LINE_BYTES = 2**30
+
 Commands = Mapping[str, Callable[..., Awaitable[object]]]
 
 
-class Process:
-    """A process that was started for the run, and its log."""
+class HelperRole(StrEnum):
+    """What a helper does; the value is its module."""
+
+    DISCOVERY = "discovery_process"
+    HOLLOW = "hollow"
+    LOAD = "load_generator"
+
+
+class ChildProcess:
+    """A process that was started for the experiment, and its log."""
 
     def __init__(self, name: str, process: asyncio.subprocess.Process, log: Path) -> None:
-        self.name, self.process, self.log = name, process, log
+        self.name = name
+        self.process = process
+        self.log = log
 
     @property
     def pid(self) -> int:
+        """The process's number."""
         return self.process.pid
 
     @classmethod
-    async def start(cls, name: str, folder: Path, *command: str, talks: bool = False, **env: str) -> Process:
-        """Start it with a temporary folder of its own; one that talks is asked on its standard input."""
+    async def start(
+        cls, name: str, folder: Path, *command: str, piped: bool = False, **env: str
+    ) -> ChildProcess:
+        """Start it with a temporary folder of its own; `piped` connects its standard input and output."""
         temporary = folder / f"{name}.tmp"
         temporary.mkdir()
         log = folder / f"{name}.log"
@@ -41,49 +61,63 @@
             process = await asyncio.create_subprocess_exec(
                 *command,
                 cwd=ROOT,
-                stdin=PIPE if talks else DEVNULL,
-                stdout=PIPE if talks else out,
+                stdin=PIPE if piped else DEVNULL,
+                stdout=PIPE if piped else out,
                 stderr=out,
                 env={**os.environ, "TMPDIR": str(temporary), **env},
-                limit=LONGEST_LINE,
+                limit=MAX_LINE_BYTES,
                 start_new_session=True,
             )
         return cls(name, process, log)
 
-    def ended(self) -> PlanError:
+    @classmethod
+    async def start_helper(cls, role: HelperRole, name: str, folder: Path) -> ChildProcess:
+        """Start a helper."""
+        return await cls.start(name, folder, sys.executable, "-m", f"scale_test.{role}", piped=True)
+
+    def ended_error(self) -> ExperimentError:
+        """The error that says that it has ended, with the last line of its log."""
         lines = self.log.read_text(errors="replace").strip().splitlines()
-        return PlanError(f"{self.name} has ended: {lines[-1] if lines else 'it said nothing'}")
+        return ExperimentError(f"{self.name} has ended: {lines[-1] if lines else 'it said nothing'}")
+
+    async def call(self, command: str, **arguments: object) -> Any:
+        """Give a helper one command, and wait for its result.
 
-    async def ask(self, do: str, **arguments: object) -> Any:
-        """Give a helper one command; it answers with one line."""
-        assert self.process.stdin is not None and self.process.stdout is not None
+        Raises:
+            ExperimentError: The helper has ended.
+        """
+        assert self.process.stdin is not None
+        assert self.process.stdout is not None
         with contextlib.suppress(ConnectionError):
-            self.process.stdin.write(orjson.dumps({"do": do, **arguments}) + b"\n")
+            self.process.stdin.write(orjson.dumps({"command": command, "arguments": arguments}) + b"\n")
             await self.process.stdin.drain()
         line = await self.process.stdout.readline()
         if not line:
             await self.process.wait()
-            raise self.ended()
+            raise self.ended_error()
         return orjson.loads(line)
 
     async def kill(self) -> None:
+        """End it and its process group, and wait for its end."""
         if self.process.returncode is None:
             with contextlib.suppress(ProcessLookupError):
                 os.killpg(self.pid, signal.SIGKILL)
             await self.process.wait()
 
 
-async def helper(role: str, name: str, folder: Path) -> Process:
-    return await Process.start(name, folder, sys.executable, "-m", f"scale_test.{role}", talks=True)
+def commands_of(handler: object) -> Commands:
+    """The public coroutine methods of an object, by name."""
+    methods = inspect.getmembers(handler, inspect.iscoroutinefunction)
+    return {name: method for name, method in methods if not name.startswith("_")}
 
 
 async def serve(commands: Commands) -> None:
-    """In a helper: work off commands until the run closes the pipe."""
+    """Carry out commands, in a helper, until the experiment closes the pipe."""
     loop = asyncio.get_running_loop()
-    reader = asyncio.StreamReader(limit=LONGEST_LINE)
+    reader = asyncio.StreamReader(limit=MAX_LINE_BYTES)
     await loop.connect_read_pipe(lambda: asyncio.StreamReaderProtocol(reader), sys.stdin)
     while line := await reader.readline():
-        command = orjson.loads(line)
-        answer = await commands[command.pop("do")](**command)
-        sys.stdout.buffer.write(orjson.dumps(answer) + b"\n")
+        request = orjson.loads(line)
+        result = await commands[request["command"]](**request["arguments"])
+        sys.stdout.buffer.write(orjson.dumps(result) + b"\n")
         sys.stdout.flush()
--- /dev/null
+++ b/scale_test/cluster.py
@@ -0,0 +1,205 @@
+"""The processes of an experiment: discovery, upstreams, real and hollow balancers."""
+
+from __future__ import annotations
+
+import asyncio
+import socket
+import time
+import tomllib
+from collections.abc import Sequence
+from dataclasses import dataclass
+from pathlib import Path
+
+import psutil
+
+from scale_test.balancer_config import Address, ConfigurationWriter, format_address
+from scale_test.child_process import ROOT, ChildProcess, HelperRole
+from scale_test.errors import ExperimentError
+from scale_test.helpers import DiscoveryHelper, HollowHelper, LoadHelper
+from scale_test.plan import BYTES_PER_MB, Plan, memory_limit
+
+STARTS_AT_ONCE = 4  # balancers that start side by side: they share the machine
+WATCH_INTERVAL_S = 0.25  # how often memory is looked at
+READY_POLL_S = 0.02
+HOSTS_PER_SUBNET = 250
+NS_PER_S = 1_000_000_000
+
+
+@dataclass(frozen=True)
+class StartTimes:
+    """Seconds until each balancer was ready."""
+
+    real_s: list[float]
+    hollow_s: list[float]
+
+
+def free_address(number: int) -> Address:
+    """A free port on a loopback address of its own."""
+    host = f"127.8.{number // HOSTS_PER_SUBNET}.{number % HOSTS_PER_SUBNET + 1}"
+    with socket.socket() as probe:
+        probe.bind((host, 0))
+        return host, int(probe.getsockname()[1])
+
+
+async def is_ready(address: Address) -> bool:
+    """Whether the balancer there answers that it is ready."""
+    try:
+        reader, writer = await asyncio.open_connection(*address)
+    except OSError:
+        return False
+    try:
+        writer.write(b"GET /health/ready HTTP/1.1\r\nHost: scale\r\nConnection: close\r\n\r\n")
+        return b" 200 " in await reader.readline()
+    except OSError:
+        return False
+    finally:
+        writer.close()
+
+
+class Cluster:
+    """Starts the processes, watches them and ends them all."""
+
+    discovery: DiscoveryHelper
+
+    def __init__(self, plan: Plan, folder: Path) -> None:
+        self.plan = plan
+        self.folder = folder
+        self.processes: list[ChildProcess] = []
+        self.real: list[ChildProcess] = []
+        self.hollow: list[HollowHelper] = []
+        self.discovery_addresses: list[Address] = []  # by the balancers' numbers: real ones first
+        self.listen_addresses = [free_address(number) for number in range(plan.real)]
+        self._start_slots = asyncio.Semaphore(STARTS_AT_ONCE)
+
+    async def start_helper(self, role: HelperRole, name: str) -> ChildProcess:
+        """Start a helper that is watched and ended with the others."""
+        process = await ChildProcess.start_helper(role, name, self.folder)
+        self.processes.append(process)
+        return process
+
+    async def start(self) -> StartTimes:
+        """Start all; returns when all balancers are ready.
+
+        Raises:
+            ExperimentError: A process has ended.
+            TimeoutError: Not all were ready in time.
+        """
+        plan = self.plan
+        upstreams = LoadHelper(await self.start_helper(HelperRole.LOAD, "upstreams"))
+        self.discovery = DiscoveryHelper(await self.start_helper(HelperRole.DISCOVERY, "discovery"))
+        known = self.folder / "known.json"
+        self.discovery_addresses = await self.discovery.start(plan, await upstreams.upstreams(), known)
+        writer = ConfigurationWriter(plan, self.folder, self.discovery_addresses, known.read_bytes())
+        deploy = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())
+        await self._build(deploy["build"])
+        async with asyncio.timeout(plan.patience):
+            real = await asyncio.gather(
+                *(self._start_real(number, deploy["run"], writer) for number in range(plan.real))
+            )
+            hollow = await asyncio.gather(
+                *(self._start_hollow(number, writer) for number in range(len(plan.hollow_shares)))
+            )
+        self.real = [started.process for started in real]
+        self.hollow = [started.helper for started in hollow]
+        return StartTimes(
+            [started.ready_s for started in real],
+            [ready_ns / NS_PER_S for started in hollow for ready_ns in started.ready_ns],
+        )
+
+    async def _build(self, command: str) -> None:
+        build = await ChildProcess.start("build", self.folder, "/bin/sh", "-c", command)
+        try:
+            if await build.process.wait():
+                raise build.ended_error()
+        finally:
+            await build.kill()
+
+    async def _start_real(self, number: int, run: str, writer: ConfigurationWriter) -> StartedReal:
+        """Start a real balancer as the platform does, and wait until it says that it is ready."""
+        async with self._start_slots:
+            address = self.listen_addresses[number]
+            configuration = writer.configuration(number)
+            path = writer.write(f"real{number}", number, format_address(address))
+            begun = time.monotonic()
+            process = await ChildProcess.start(
+                f"real{number}",
+                self.folder,
+                "/bin/sh",
+                "-c",
+                run,
+                RELAY_NAME=configuration["name"],
+                RELAY_LISTEN=format_address(address),
+                RELAY_DISCOVERY=configuration["discovery"],
+                RELAY_CONFIG=str(path),
+            )
+            self.processes.append(process)
+            while not await is_ready(address):
+                await asyncio.sleep(READY_POLL_S)
+            path.unlink()
+            return StartedReal(process, time.monotonic() - begun)
+
+    async def _start_hollow(self, number: int, writer: ConfigurationWriter) -> StartedHollow:
+        """Start one process of hollow balancers: each of so many is in it."""
+        async with self._start_slots:
+            plan = self.plan
+            helper = HollowHelper(await self.start_helper(HelperRole.HOLLOW, f"hollow{number}"))
+            first = plan.real + number
+            numbers = range(first, plan.balancers, plan.hollow_processes)
+            path = writer.write(f"hollow{number}", first, "127.0.0.1:0")
+            await helper.start(path, [])
+            helper.empty_bytes = psutil.Process(helper.process.pid).memory_info().rss
+            ready_ns = await helper.start(path, [writer.hollow_balancer(each) for each in numbers])
+            path.unlink()
+            return StartedHollow(helper, ready_ns)
+
+    async def watch(self) -> None:
+        """Watch the processes until one has ended or they need too much memory.
+
+        Raises:
+            ExperimentError: Always; says which.
+        """
+        while True:
+            used = resident_bytes(self.processes)
+            limit = memory_limit()
+            if used > limit:
+                raise ExperimentError(
+                    f"{used // BYTES_PER_MB} MB of memory used, but at most {limit // BYTES_PER_MB} MB may be"
+                )
+            await asyncio.sleep(WATCH_INTERVAL_S)
+
+    async def kill(self) -> None:
+        """End all processes."""
+        await asyncio.gather(*(process.kill() for process in self.processes))
+
+
+@dataclass(frozen=True)
+class StartedReal:
+    """A real balancer, and the seconds until it was ready."""
+
+    process: ChildProcess
+    ready_s: float
+
+
+@dataclass(frozen=True)
+class StartedHollow:
+    """A process of hollow balancers, and the nanoseconds that each of them took."""
+
+    helper: HollowHelper
+    ready_ns: list[int]
+
+
+def resident_bytes(processes: Sequence[ChildProcess]) -> int:
+    """The memory of these processes together.
+
+    Raises:
+        ExperimentError: One of them has ended.
+    """
+    used = 0
+    for process in processes:
+        try:
+            used += psutil.Process(process.pid).memory_info().rss
+        except psutil.NoSuchProcess as error:
+            raise process.ended_error() from error
+        if process.process.returncode is not None:
+            raise process.ended_error()
+    return used
--- /dev/null
+++ b/scale_test/discovery_process.py
@@ -0,0 +1,57 @@
+"""The child process of the fake discovery: carries out the experiment's commands."""
+
+from __future__ import annotations
+
+import asyncio
+import random
+from pathlib import Path
+
+from scale_test.child_process import commands_of, serve
+from scale_test.fake_discovery import FakeDiscovery
+from scale_test.plan import Plan
+from scale_test.records import CallerTraffic, DiscoveryReport
+from scale_test.registry import Registry
+from scale_test.scenarios import SCENARIOS
+
+
+class DiscoveryCommands:
+    """The commands; `start` comes first."""
+
+    discovery: FakeDiscovery
+    plan: Plan
+
+    async def start(self, plan: dict[str, object], dials: list[str], known: str) -> object:
+        """Listen; returns an address for each balancer, and writes the list for the configurations."""
+        self.plan = Plan(**plan)  # type: ignore[arg-type]
+        registry = Registry(self.plan, dials)
+        Path(known).write_bytes(registry.full_list() if self.plan.known else b"null")
+        self.discovery = FakeDiscovery(registry, self.plan.balancers)
+        return await self.discovery.start()
+
+    async def run_scenario(self) -> object:
+        """Play the plan's scenario to its end."""
+        await SCENARIOS[self.plan.scenario](self.discovery, self.plan, random.Random(self.plan.seed))
+        return True
+
+    async def wait_settled(self, timeout_s: float) -> object:
+        """Wait until all balancers have the newest version."""
+        return await self.discovery.wait_settled(timeout_s)
+
+    async def send_full_list(self, number: int, timeout_s: float) -> object:
+        """Send one balancer a full list."""
+        return await self.discovery.send_full_list(number, timeout_s)
+
+    async def traffic(self) -> object:
+        """The traffic of each balancer so far."""
+        return [
+            CallerTraffic(caller.calls, caller.received, caller.sent) for caller in self.discovery.callers
+        ]
+
+    async def report(self) -> object:
+        """What discovery has seen so far."""
+        discovery = self.discovery
+        return DiscoveryReport(discovery.callers, discovery.registry.versions, discovery.outages)
+
+
+if __name__ == "__main__":
+    asyncio.run(serve(commands_of(DiscoveryCommands())))
--- /dev/null
+++ b/scale_test/experiment.py
@@ -0,0 +1,134 @@
+"""One experiment: starts the processes, takes them through the phases, gathers the figures, ends all."""
+
+from __future__ import annotations
+
+import asyncio
+import itertools
+import tempfile
+from dataclasses import dataclass
+from pathlib import Path
+
+from scale_test.child_process import HelperRole
+from scale_test.cluster import Cluster
+from scale_test.errors import ExperimentError
+from scale_test.helpers import LoadHelper
+from scale_test.measurements import Measurements
+from scale_test.plan import Plan
+from scale_test.records import BalancerReport
+from scale_test.report import Phase, Row
+
+WARM_UP_S = 1.0  # of traffic before it counts
+FULL_LIST_PAUSE_S, ROWS_A_SECOND = 1.0, 80_000  # after a full list has been read, until it is in force
+NOTIFIED_WITHIN_S = 8.0  # what discovery has to tell counts as told after 6 s at the latest
+FULL_LIST_TIMEOUT_S = 30.0  # until the call that follows a full list
+
+
+@dataclass(frozen=True)
+class ExperimentResult:
+    """The rows of the report, and notes to them."""
+
+    rows: list[Row]
+    notes: list[str]
+
+
+class Experiment:
+    """The phases of an experiment on a cluster."""
+
+    def __init__(self, plan: Plan, folder: Path) -> None:
+        self._plan = plan
+        self._cluster = Cluster(plan, folder)
+        self._measurements = Measurements(self._cluster)
+
+    async def run(self) -> ExperimentResult:
+        """Run it, and end it early where something goes wrong; no process is left.
+
+        Raises:
+            ExperimentError: It could not go on.
+        """
+        watching = asyncio.create_task(self._cluster.watch())
+        running = asyncio.create_task(self._run_phases())
+        try:
+            done, _ = await asyncio.wait({watching, running}, return_when=asyncio.FIRST_COMPLETED)
+            for task in done:
+                task.result()
+        except TimeoutError as error:
+            raise ExperimentError(f"not all balancers were ready within {self._plan.patience:g} s") from error
+        finally:
+            watching.cancel()
+            running.cancel()
+            await asyncio.gather(watching, running, return_exceptions=True)
+            await self._cluster.kill()
+        rows = [row for row in self._measurements.rows if row.count]
+        return ExperimentResult(rows, self._measurements.notes)
+
+    async def _run_phases(self) -> None:
+        plan, measurements = self._plan, self._measurements
+        measurements.add_start_times(await self._cluster.start())
+        discovery = self._cluster.discovery
+        if not await discovery.wait_settled(plan.patience):
+            raise ExperimentError(f"not all balancers have called discovery within {plan.patience:g} s")
+        clients = await self._start_clients()
+        async with measurements.phase(Phase.QUIET):
+            await asyncio.sleep(plan.quiet)
+        async with measurements.phase(Phase.SCENARIO):
+            await discovery.run_scenario()
+        settled = await discovery.wait_settled(min(plan.patience, max(plan.duration, NOTIFIED_WITHIN_S)))
+        if not settled:
+            measurements.notes.append("some balancers had not the newest list when the run ended")
+        await self._send_full_lists()
+        measurements.add_memory()
+        await self._gather_reports(clients)
+
+    async def _start_clients(self) -> LoadHelper | None:
+        """Start the clients of the loaded balancer, if there is one."""
+        plan = self._plan
+        if not plan.loaded:
+            return None
+        clients = LoadHelper(await self._cluster.start_helper(HelperRole.LOAD, "clients"))
+        await clients.clients(self._cluster.listen_addresses[0], plan.requests, plan.seed)
+        await asyncio.sleep(min(WARM_UP_S, plan.quiet))
+        return clients
+
+    async def _send_full_lists(self) -> None:
+        """Send full lists to the loaded balancer and to a hollow one.
+
+        A hollow one tells when a list is in force: a real one's next call follows its reading alone.
+        """
+        plan = self._plan
+        numbers = list(range(plan.loaded))
+        if plan.loaded and plan.hollow:
+            numbers.append(plan.real)
+        timeout_s = min(plan.patience, FULL_LIST_TIMEOUT_S)
+        pause_s = min(FULL_LIST_PAUSE_S + plan.upstreams / ROWS_A_SECOND, plan.quiet)
+        for _, number in itertools.product(range(plan.wholes), numbers):
+            if not await self._cluster.discovery.send_full_list(number, timeout_s):
+                self._measurements.notes.append(f"balancer {number} could not be told a whole list")
+                break
+            await asyncio.sleep(pause_s)
+
+    async def _gather_reports(self, clients: LoadHelper | None) -> None:
+        """Ask the helpers for what they have seen, and add its figures."""
+        measurements = self._measurements
+        discovery = await self._cluster.discovery.report()
+        hollow = await self._hollow_reports()
+        measurements.add_list_figures(discovery, hollow)
+        if clients is not None:
+            delays = measurements.full_list_delays(discovery, hollow)
+            tail_ns = max((delay.after_next_call_ns for delay in delays), default=0)
+            measurements.add_request_figures(await clients.report(), discovery, tail_ns)
+
+    async def _hollow_reports(self) -> list[BalancerReport]:
+        """The hollow balancers' reports, by their numbers: they are dealt to their processes in turn."""
+        reports = [await helper.report() for helper in self._cluster.hollow]
+        dealt = itertools.chain.from_iterable(itertools.zip_longest(*reports))
+        return [report for report in dealt if report is not None]
+
+
+async def run_experiment(plan: Plan) -> ExperimentResult:
+    """Run an experiment in a temporary folder.
+
+    Raises:
+        ExperimentError: It could not go on.
+    """
+    with tempfile.TemporaryDirectory(prefix="scale-") as folder:
+        return await Experiment(plan, Path(folder)).run()
--- /dev/null
+++ b/scale_test/helpers.py
@@ -0,0 +1,79 @@
+"""The helpers' commands, with their results as records."""
+
+from __future__ import annotations
+
+from collections.abc import Sequence
+from dataclasses import asdict
+from pathlib import Path
+
+from scale_test.balancer_config import Address, Json
+from scale_test.child_process import ChildProcess
+from scale_test.plan import Plan
+from scale_test.records import BalancerReport, CallerTraffic, DiscoveryReport, RequestSample
+
+
+class DiscoveryHelper:
+    """The process of the fake discovery."""
+
+    def __init__(self, process: ChildProcess) -> None:
+        self.process = process
+
+    async def start(self, plan: Plan, dials: Sequence[str], known: Path) -> list[Address]:
+        """Let it listen; returns an address for each balancer, and writes the list to a file."""
+        addresses = await self.process.call("start", plan=asdict(plan), dials=dials, known=str(known))
+        return [(host, port) for host, port in addresses]
+
+    async def run_scenario(self) -> None:
+        """Play the plan's scenario to its end."""
+        await self.process.call("run_scenario")
+
+    async def wait_settled(self, timeout_s: float) -> bool:
+        """Wait until all balancers have called with the newest version; False on a timeout."""
+        return bool(await self.process.call("wait_settled", timeout_s=timeout_s))
+
+    async def send_full_list(self, number: int, timeout_s: float) -> bool:
+        """Send a full list to a balancer; returns whether its next call has come in time."""
+        return bool(await self.process.call("send_full_list", number=number, timeout_s=timeout_s))
+
+    async def traffic(self) -> list[CallerTraffic]:
+        """The traffic of each balancer so far."""
+        return [CallerTraffic(**caller) for caller in await self.process.call("traffic")]
+
+    async def report(self) -> DiscoveryReport:
+        """What it has seen so far."""
+        return DiscoveryReport.from_json(await self.process.call("report"))
+
+
+class LoadHelper:
+    """A process of the load generator."""
+
+    def __init__(self, process: ChildProcess) -> None:
+        self.process = process
+
+    async def upstreams(self) -> list[str]:
+        """Let it listen as the upstreams; returns their addresses."""
+        return [str(dial) for dial in await self.process.call("upstreams")]
+
+    async def clients(self, address: Address, rate: float, seed: int) -> None:
+        """Let it send so many requests a second from now on."""
+        await self.process.call("clients", address=address, rate=rate, seed=seed)
+
+    async def report(self) -> list[RequestSample]:
+        """The requests that have ended."""
+        return [RequestSample(**sample) for sample in await self.process.call("report")]
+
+
+class HollowHelper:
+    """A process of hollow balancers."""
+
+    def __init__(self, process: ChildProcess) -> None:
+        self.process = process
+        self.empty_bytes = 0  # resident, before it held a balancer
+
+    async def start(self, config: Path, balancers: Sequence[Json]) -> list[int]:
+        """Start balancers, one after the other; returns the nanoseconds that each took."""
+        return [int(ns) for ns in await self.process.call("start", config=str(config), nodes=balancers)]
+
+    async def report(self) -> list[BalancerReport]:
+        """End the balancers; returns what each saw."""
+        return [BalancerReport.from_json(balancer) for balancer in await self.process.call("report")]
--- a/scale_test/hollow.py
+++ b/scale_test/hollow.py
@@ -1,4 +1,4 @@
-"""Hollow balancers: the real node, list client and module, with no clients, many in one process."""
+"""Hollow balancers: the real proxy, discovery client and policy, with no clients, many in one process."""
 
 from __future__ import annotations
 
@@ -15,34 +15,35 @@
 from loadbalancer.proxy.discovery_client import WatchResult
 from loadbalancer.proxy.endpoint_list import EndpointList
 from loadbalancer.proxy.proxy import Proxy
-from scale_test.child_process import serve
-from scale_test.report import NEVER_NS
+from scale_test.child_process import commands_of, serve
+from scale_test.records import NEVER_NS, AnswerInForce, BalancerReport, PolicyChange
 
 
-class Watched:
-    """The module, and how long it takes over changes."""
+class TimedPolicy:
+    """A policy, and how long it takes over changes of the list."""
 
-    def __init__(self, module: Balancer) -> None:
-        self._module = module
-        self.changes: list[tuple[int, int, int]] = []  # begun, done; how many rows
+    def __init__(self, policy: Balancer) -> None:
+        self._policy = policy
+        self.changes: list[PolicyChange] = []
 
     def handle(self, now: int, events: Iterable[Event]) -> list[Action]:
+        """Let the policy handle the events, and record those that change the list."""
         events = list(events)
-        begun = time.monotonic_ns()
-        actions = self._module.handle(now, events)
-        done = time.monotonic_ns()
+        begun_ns = time.monotonic_ns()
+        actions = self._policy.handle(now, events)
+        done_ns = time.monotonic_ns()
         for event in events:
             if isinstance(event, EndpointUpdate) and event.kind is EndpointUpdateKind.DELTA:
-                self.changes.append((begun, done, len(list(event.endpoints))))
+                self.changes.append(PolicyChange(begun_ns, done_ns, len(list(event.endpoints))))
         return actions
 
 
-class WatchedNode(Proxy):
-    """The node, and when which answer of discovery was in force, to the last row."""
+class HollowProxy(Proxy):
+    """A proxy that records when which answer of discovery was in force, to its last row."""
 
-    def __init__(self, config: Configuration, module: Watched) -> None:
-        super().__init__(config, module)
-        self.changes = module.changes
+    def __init__(self, config: Configuration, policy: TimedPolicy) -> None:
+        super().__init__(config, policy)
+        self.changes = policy.changes
         self.in_force: list[tuple[int, int]] = []  # version, done; in the order in which they came
         self._waits: set[asyncio.Task[None]] = set()
 
@@ -63,41 +64,49 @@
         self.in_force[at] = (self.in_force[at][0], time.monotonic_ns())
 
 
-class Commands:
+class HollowCommands:
+    """The commands: `start`, as often as needed, and then `report`."""
+
     def __init__(self) -> None:
-        self.nodes: list[WatchedNode] = []
+        self._proxies: list[HollowProxy] = []
 
     async def start(self, config: str, nodes: list[dict[str, Any]]) -> object:
-        """Start them one after the other; gives the time that each took, from its configuration on."""
-        took = []
-        for told in nodes:
-            begun = time.monotonic_ns()
-            base = read_config(config)  # read anew each time: a real balancer shares no text with another
-            settings = replace(base.settings, proxy_index=told["me"], zone=told["zone"])
-            module = Watched(Balancer(settings, told["seed"], time.monotonic_ns()))
-            node = WatchedNode(
-                replace(
-                    base,
-                    name=told["name"],
-                    discovery=tuple(told["discovery"]),
-                    seed=told["seed"],
-                    settings=settings,
-                ),
-                module,
-            )
-            await node.start()
-            took.append(time.monotonic_ns() - begun)
-            self.nodes.append(node)
+        """Start balancers one after the other; returns each one's ns, from its configuration on."""
+        started_ns = []
+        for node in nodes:
+            begun_ns = time.monotonic_ns()
+            proxy = hollow_proxy(config, node)
+            await proxy.start()
+            started_ns.append(time.monotonic_ns() - begun_ns)
+            self._proxies.append(proxy)
             await asyncio.sleep(0)
-        return took
+        return started_ns
 
     async def report(self) -> object:
-        for node in self.nodes:
-            node.close()
-        return [{"changes": n.changes, "in_force": n.in_force} for n in self.nodes]
+        """End the balancers; returns what each has seen."""
+        for proxy in self._proxies:
+            proxy.close()
+        return [
+            BalancerReport(proxy.changes, [AnswerInForce(*answer) for answer in proxy.in_force])
+            for proxy in self._proxies
+        ]
+
+
+def hollow_proxy(config: str, node: dict[str, Any]) -> HollowProxy:
+    """A balancer of the configuration that all share, with what is its own."""
+    base = read_config(config)  # read anew each time: a real balancer shares no text with another
+    settings = replace(base.settings, proxy_index=node["me"], zone=node["zone"])
+    policy = TimedPolicy(Balancer(settings, node["seed"], time.monotonic_ns()))
+    own = replace(
+        base,
+        name=node["name"],
+        discovery=tuple(node["discovery"]),
+        seed=node["seed"],
+        settings=settings,
+    )
+    return HollowProxy(own, policy)
 
 
 if __name__ == "__main__":
     logging.basicConfig(level=logging.WARNING)
-    commands = Commands()
-    asyncio.run(serve({"start": commands.start, "report": commands.report}))
+    asyncio.run(serve(commands_of(HollowCommands())))
--- /dev/null
+++ b/scale_test/load_generator.py
@@ -0,0 +1,139 @@
+"""The child process that generates load: run once as the upstreams, and once as the clients of a balancer."""
+
+from __future__ import annotations
+
+import asyncio
+import itertools
+import random
+import time
+from collections.abc import Coroutine
+from dataclasses import dataclass
+from typing import Any
+
+from scale_test.child_process import commands_of, serve
+from scale_test.records import RequestSample
+
+LISTENERS = 8  # all upstreams of the list lead to one of them
+SERVICE_S = 0.004  # an upstream's time for a request
+DEADLINE_MS = 2000
+END_OF_HEAD = b"\r\n\r\n"
+
+
+@dataclass(frozen=True)
+class Connection:
+    """A client's connection to the balancer."""
+
+    reader: asyncio.StreamReader
+    writer: asyncio.StreamWriter
+
+
+@dataclass(frozen=True)
+class Response:
+    """A response, its head in small letters."""
+
+    head: bytes
+    body: bytes
+
+    @property
+    def is_ok(self) -> bool:
+        """Whether the request was served."""
+        return self.head.startswith(b"http/1.1 200")
+
+    @property
+    def upstream_ns(self) -> int:
+        """The time that the request was at its upstream."""
+        received, answered = self.body.split()
+        return int(answered) - int(received)
+
+
+async def serve_upstream(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    """Answer as an upstream: the body says when the request was received and when it was answered."""
+    try:
+        while True:
+            await reader.readuntil(END_OF_HEAD)
+            received_ns = time.monotonic_ns()
+            await asyncio.sleep(SERVICE_S)
+            body = b"%d %d" % (received_ns, time.monotonic_ns())
+            writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%b" % (len(body), body))
+    except (OSError, asyncio.IncompleteReadError):
+        writer.close()
+
+
+class LoadCommands:
+    """The commands: `upstreams`, or `clients` and then `report`."""
+
+    def __init__(self) -> None:
+        self._servers: list[asyncio.Server] = []
+        self._samples: list[RequestSample] = []
+        self._idle: list[Connection] = []
+        self._tasks: set[asyncio.Task[None]] = set()
+
+    async def upstreams(self) -> object:
+        """Listen; returns the addresses as discovery tells them."""
+        for number in range(LISTENERS):
+            self._servers.append(await asyncio.start_server(serve_upstream, f"127.9.0.{number + 1}", 0))
+        return ["{}:{}".format(*server.sockets[0].getsockname()[:2]) for server in self._servers]
+
+    async def clients(self, address: tuple[str, int], rate: float, seed: int) -> object:
+        """Send so many requests a second from now on, at random times, whatever becomes of them."""
+        self._create_task(self._send_all(address, rate, random.Random(seed)))
+        return True
+
+    async def report(self) -> object:
+        """The requests that have ended."""
+        return self._samples
+
+    def _create_task(self, work: Coroutine[Any, Any, None]) -> None:
+        task = asyncio.create_task(work)
+        self._tasks.add(task)
+        task.add_done_callback(self._tasks.discard)
+
+    async def _send_all(self, address: tuple[str, int], rate: float, rng: random.Random) -> None:
+        due_s = time.monotonic()
+        for number in itertools.count():
+            due_s += rng.expovariate(rate)
+            await asyncio.sleep(max(0.0, due_s - time.monotonic()))
+            self._create_task(self._sample(address, number))
+
+    async def _sample(self, address: tuple[str, int], number: int) -> None:
+        request = (
+            b"GET /reading HTTP/1.1\r\nHost: scale\r\nReq-Id: %016x\r\nReq-Owner: ash\r\n"
+            b"Req-Deadline-Ms: %d\r\n\r\n" % (number, DEADLINE_MS)
+        )
+        sent_ns = time.monotonic_ns()
+        added_ns = None
+        try:
+            async with asyncio.timeout(2 * DEADLINE_MS / 1000):
+                response = await self._send(address, request)
+            if response.is_ok:
+                added_ns = time.monotonic_ns() - sent_ns - response.upstream_ns
+        except (OSError, TimeoutError, asyncio.IncompleteReadError):
+            pass  # it has not been served
+        self._samples.append(RequestSample(sent_ns, time.monotonic_ns(), added_ns))
+
+    async def _send(self, address: tuple[str, int], request: bytes) -> Response:
+        """Send a request, and once more where the balancer closed the connection as it was sent."""
+        try:
+            connection = self._idle.pop() if self._idle else await self._connect(address)
+            return await self._exchange(connection, request)
+        except (ConnectionError, asyncio.IncompleteReadError):
+            return await self._exchange(await self._connect(address), request)
+
+    @staticmethod
+    async def _connect(address: tuple[str, int]) -> Connection:
+        return Connection(*await asyncio.open_connection(*address))
+
+    async def _exchange(self, connection: Connection, request: bytes) -> Response:
+        connection.writer.write(request)
+        head = (await connection.reader.readuntil(END_OF_HEAD)).lower()
+        size = int(head.split(b"content-length:")[1].split(b"\r\n")[0])
+        body = await connection.reader.readexactly(size)
+        if b"connection: close" in head:
+            connection.writer.close()
+        else:
+            self._idle.append(connection)
+        return Response(head, body)
+
+
+if __name__ == "__main__":
+    asyncio.run(serve(commands_of(LoadCommands())))
--- a/scale_test/plan.py
+++ b/scale_test/plan.py
@@ -1,34 +1,53 @@
-"""The sizes of a run, and which of them are refused."""
+"""The sizes of an experiment, and which of them are refused."""
 
 from __future__ import annotations
 
 import math
+from collections.abc import Iterator
 from dataclasses import dataclass
+from enum import StrEnum
 
 import psutil
 
-MB = 1_000_000
-DAY_S = 86_400
-PARTS = 3  # discovery, upstreams, clients
+from scale_test.errors import PlanError
+
+BYTES_PER_MB = 1_000_000
+SECONDS_PER_DAY = 86_400
+HELPERS = 3  # discovery, upstreams, clients
 MAX_PROCESSES = 200
 MAX_ZONES = 40
-MEMORY_PART = 0.5  # of the machine's, at most
+ZONES_PER_REGION = 10
+MEMORY_FRACTION = 0.5  # of the machine's, at most
 PROCESS_MB = 40  # a Python process with nothing to hold
-ROW_BYTES = 700  # of one row in the stand-in: its text, in its place and in a whole list that goes out
-COURSES = ("day", "zone", "back")
-# What changes on an ordinary day where there are so many upstreams.
-TARGET, CONFIGURED, RESTARTED, FAILED = 160_000, 84_000, 59_000, 300
-# List changes of each: a restart is a drain and a return, a failure is a loss and a return.
-CHANGES = {"configured": 1, "restarted": 2, "failed": 2}
+ROW_BYTES = 700  # of one row in the fake discovery: its text, in its place and in a full list that goes out
+
+# What changes on an ordinary day where there are TARGET_UPSTREAMS.
+TARGET_UPSTREAMS, CONFIGURED, RESTARTED, FAILED = 160_000, 84_000, 59_000, 300
+
+
+class Scenario(StrEnum):
+    """What happens to the endpoint list; the values are those of the option `--course`."""
+
+    CHURN = "day"
+    ZONE_OUTAGE = "zone"
+    DISCOVERY_OUTAGE = "back"
+
+
+class ChangeKind(StrEnum):
+    """What may change about an upstream on an ordinary day."""
+
+    CONFIGURED = "configured"
+    RESTARTED = "restarted"
+    FAILED = "failed"
 
 
-class PlanError(Exception):
-    """The run can't be done, or can't go on; one line says why."""
+# A restart is a drain and a return, a failure is a loss and a return.
+LIST_CHANGES = {ChangeKind.CONFIGURED: 1, ChangeKind.RESTARTED: 2, ChangeKind.FAILED: 2}
 
 
 @dataclass(frozen=True)
 class Plan:
-    """The arguments of a run."""
+    """The arguments of an experiment, named as the command line's options."""
 
     upstreams: int = 1000
     real: int = 2
@@ -42,7 +61,7 @@
     configured: int = CONFIGURED
     restarted: int = RESTARTED
     failed: int = FAILED
-    course: str = "day"
+    course: str = Scenario.CHURN.value
     wholes: int = 5
     mode: str = "ask"
     requests: float = 136.0
@@ -51,75 +70,98 @@
     patience: float = 120.0
     seed: int = 1
 
+    @property
+    def scenario(self) -> Scenario:
+        """What happens to the endpoint list."""
+        return Scenario(self.course)
+
     @property
     def balancers(self) -> int:
+        """All balancers, real and hollow."""
         return self.real + self.hollow
 
     @property
-    def replicas_told(self) -> int:
+    def replica_count(self) -> int:
+        """How many balancers each is told that there are."""
         return self.replicas or self.balancers
 
     @property
     def processes(self) -> int:
-        return 1 + PARTS + self.real + self.hollow_processes
+        """All processes, this one included."""
+        return 1 + HELPERS + self.real + self.hollow_processes
 
     @property
     def memory(self) -> int:
-        """About what it will take; what it takes is looked at all the time."""
-        return self.processes * PROCESS_MB * MB + self.upstreams * (ROW_BYTES + self.balancers * self.held)
+        """About how many bytes it will take; what it takes is watched all the time."""
+        held_bytes = self.upstreams * (ROW_BYTES + self.balancers * self.held)
+        return self.processes * PROCESS_MB * BYTES_PER_MB + held_bytes
 
     @property
-    def mix(self) -> dict[str, int]:
-        return {"configured": self.configured, "restarted": self.restarted, "failed": self.failed}
+    def mix(self) -> dict[ChangeKind, int]:
+        """Changes a day of each kind, at the target's number of upstreams."""
+        return {
+            ChangeKind.CONFIGURED: self.configured,
+            ChangeKind.RESTARTED: self.restarted,
+            ChangeKind.FAILED: self.failed,
+        }
 
     @property
     def changes_a_second(self) -> float:
-        day = sum(CHANGES[kind] * count for kind, count in self.mix.items())
-        return self.changes or day / DAY_S * self.upstreams / TARGET
+        """List changes a second."""
+        changes_a_day = sum(LIST_CHANGES[kind] * count for kind, count in self.mix.items())
+        return self.changes or changes_a_day / SECONDS_PER_DAY * self.upstreams / TARGET_UPSTREAMS
+
+    @property
+    def hollow_shares(self) -> list[int]:
+        """How many hollow balancers each of their processes holds."""
+        if not self.hollow:
+            return []
+        return [
+            len(range(number, self.hollow, self.hollow_processes)) for number in range(self.hollow_processes)
+        ]
+
+    @property
+    def loaded(self) -> int:
+        """How many real balancers have clients: the first, if there are requests to send."""
+        return 1 if self.requests > 0 and self.real > 0 else 0
 
     def zone_of(self, upstream: int) -> int:
+        """The number of the zone that an upstream is in."""
         return upstream * self.zones // self.upstreams
 
     def check(self) -> None:
-        """Say what is wrong with it."""
+        """Refuse a plan that can't be carried out.
+
+        Raises:
+            PlanError: Says the first thing that is wrong with it.
+        """
+        for problem in self._problems():
+            raise PlanError(problem)
+
+    def _problems(self) -> Iterator[str]:
+        if self.balancers < 1:
+            yield "at least one balancer is needed"
+        if self.hollow > 0 and not 0 < self.hollow_processes <= self.hollow:
+            yield f"--hollow-processes has to be between 1 and --hollow ({self.hollow})"
+        if 0 < self.replicas < self.balancers:
+            yield f"--replicas {self.replicas} is less than the {self.balancers} balancers that run"
+        if self.zones > self.upstreams:
+            yield f"--zones {self.zones} is more than --upstreams {self.upstreams}"
+        if not any(self.mix.values()):
+            yield "nothing changes: --configured, --restarted and --failed are all 0"
+        if self.processes > MAX_PROCESSES:
+            yield f"{self.processes} processes, but at most {MAX_PROCESSES} may run"
         limit = memory_limit()
-        memory_mb = math.ceil(self.memory / MB)
-        too_many_hollow_processes = self.hollow > 0 and not 0 < self.hollow_processes <= self.hollow
-        wrong = [
-            (self.balancers < 1, "at least one balancer is needed"),
-            (
-                too_many_hollow_processes,
-                f"--hollow-processes has to be between 1 and --hollow ({self.hollow})",
-            ),
-            (
-                0 < self.replicas < self.balancers,
-                f"--replicas {self.replicas} is less than the {self.balancers} balancers that run",
-            ),
-            (
-                self.zones > self.upstreams,
-                f"--zones {self.zones} is more than --upstreams {self.upstreams}",
-            ),
-            (
-                not any(self.mix.values()),
-                "nothing changes: --configured, --restarted and --failed are all 0",
-            ),
-            (
-                self.processes > MAX_PROCESSES,
-                f"{self.processes} processes, but at most {MAX_PROCESSES} may run",
-            ),
-            (
-                self.memory > limit,
-                f"about {memory_mb} MB of memory, but at most {limit // MB} MB may be used",
-            ),
-        ]
-        for is_wrong, what in wrong:
-            if is_wrong:
-                raise PlanError(what)
+        if self.memory > limit:
+            memory_mb = math.ceil(self.memory / BYTES_PER_MB)
+            yield f"about {memory_mb} MB of memory, but at most {limit // BYTES_PER_MB} MB may be used"
 
 
 def memory_limit() -> int:
-    return int(psutil.virtual_memory().total * MEMORY_PART)
+    """How many bytes an experiment may use."""
+    return int(psutil.virtual_memory().total * MEMORY_FRACTION)
 
 
 def zone_name(number: int) -> str:
-    return f"r{number // 10}-z{number % 10}"
+    """The name of a zone, as its region and its number there."""
+    return f"r{number // ZONES_PER_REGION}-z{number % ZONES_PER_REGION}"
--- a/scale_test/registry.py
+++ b/scale_test/registry.py
@@ -1,77 +1,100 @@
-"""The list of upstreams as discovery keeps it: rows ready to be sent, and a log of changes."""
+"""The endpoint list as discovery keeps it: rows ready to be sent, and a log of changes."""
 
 from __future__ import annotations
 
 import time
 from collections.abc import Iterable, Sequence
+from enum import StrEnum
 
 from scale_test.plan import Plan, zone_name
+from scale_test.records import ListVersion
 
-MARK = 1e-6  # a changed row's share is 1 and so much for each version: it tells when that row has come
+# A changed row's share is 1 and so much for each version: it tells when that row has come.
+VERSION_MARK = 1e-6
+UPSTREAMS_PER_BLOCK = 100
 
 
-def mark(share: float) -> int:
+class Health(StrEnum):
+    """An upstream's health, as the list has it."""
+
+    UP = "up"
+    DRAINING = "draining"
+    REMOVED = "removed"
+
+
+def version_of_share(share: float) -> int:
     """The version in which a row with this share was changed last; 0: never."""
-    return round((share - 1) / MARK)
+    return round((share - 1) / VERSION_MARK)
 
 
 class Registry:
-    """Rows by number. A removed one stays known, and is in no whole list."""
+    """Rows by number. A removed one stays known, and is in no full list."""
 
     def __init__(self, plan: Plan, dials: Sequence[str]) -> None:
-        self._plan, self._dials = plan, dials
-        self.version = self.first = 1  # the log reaches back to `first`
-        self.made: list[tuple[int, int, int]] = []  # version, time, how many rows
-        self._log: list[list[int]] = []
-        self.health = ["up"] * plan.upstreams
+        self._plan = plan
+        self._dials = dials
+        self.version = 1
+        self.first_version = 1  # the log reaches back to it
+        self.versions: list[ListVersion] = []
+        self.health = [Health.UP] * plan.upstreams
+        self._log: list[list[int]] = []  # rows changed, by version
         self._born_ms = [0] * plan.upstreams
-        self._rows = [self._encode(i, 0) for i in range(plan.upstreams)]
-        self._whole = b""
+        self._rows = [self._encode(number, 0) for number in range(plan.upstreams)]
+        self._full_list = b""
         self._deltas: dict[int, bytes] = {}
 
-    def _encode(self, i: int, version: int) -> bytes:
-        share = f"{1 + version * MARK:.6f}" if version else "1.0"
+    def _encode(self, number: int, version: int) -> bytes:
+        share = f"{1 + version * VERSION_MARK:.6f}" if version else "1.0"
+        zone = zone_name(self._plan.zone_of(number))
         return (
-            f'{{"host":"s-{i:08x}","dial":"{self._dials[i % len(self._dials)]}",'
-            f'"site":"{zone_name(self._plan.zone_of(i))}","class":"m2","block":{i // 100},'
-            f'"health":"{self.health[i]}","share":{share},"born_ms":{self._born_ms[i]}}}'
+            f'{{"host":"s-{number:08x}","dial":"{self._dials[number % len(self._dials)]}",'
+            f'"site":"{zone}","class":"m2","block":{number // UPSTREAMS_PER_BLOCK},'
+            f'"health":"{self.health[number]}","share":{share},"born_ms":{self._born_ms[number]}}}'
         ).encode()
 
-    def change(self, rows: Iterable[int], health: str = "", born: bool = False) -> None:
-        """One version in which these rows changed: their health, their start, or only their share."""
+    def change(self, rows: Iterable[int], health: Health | None = None, restarted: bool = False) -> None:
+        """Make one version in which these rows changed: their health, their start, or only their share."""
         rows = list(rows)
         self.version += 1
-        for i in rows:
-            self.health[i] = health or self.health[i]
-            if born:
-                self._born_ms[i] = time.time_ns() // 1_000_000
-            self._rows[i] = self._encode(i, self.version)
+        for number in rows:
+            if health is not None:
+                self.health[number] = health
+            if restarted:
+                self._born_ms[number] = time.time_ns() // 1_000_000
+            self._rows[number] = self._encode(number, self.version)
         self._log.append(rows)
-        self.made.append((self.version, time.monotonic_ns(), len(rows)))
-        self._whole = b""
+        self.versions.append(ListVersion(self.version, time.monotonic_ns(), len(rows)))
+        self._full_list = b""
         self._deltas.clear()
 
-    def forget(self) -> None:
-        """Lose the log: who asks for what is newer than an older version gets the whole list."""
-        self.first = self.version
+    def forget_changes(self) -> None:
+        """Lose the log: who asks for what is newer than an older version gets the full list."""
+        self.first_version = self.version
         self._log.clear()
         self._deltas.clear()
 
-    def whole(self) -> bytes:
-        """The whole list; it is put together once for a version."""
-        if not self._whole:
-            rows = b",".join(
-                row for row, health in zip(self._rows, self.health, strict=True) if health != "removed"
+    def knows_changes_after(self, version: int) -> bool:
+        """Whether the log tells what changed after a version."""
+        return self.first_version <= version <= self.version
+
+    def full_list(self) -> bytes:
+        """The full list; it is put together once for a version."""
+        if not self._full_list:
+            listed = (
+                row
+                for row, health in zip(self._rows, self.health, strict=True)
+                if health is not Health.REMOVED
             )
-            self._whole = b'{"seq":%d,"whole":true,"hosts":[%b]}' % (self.version, rows)
-        return self._whole
-
-    def since(self, after: int | None) -> bytes:
-        """The changes after a version, or the whole list where they aren't known."""
-        if after is None or not self.first <= after <= self.version:
-            return self.whole()
-        if after not in self._deltas:
-            changed = dict.fromkeys(i for rows in self._log[after - self.first :] for i in rows)
-            rows = b",".join(self._rows[i] for i in changed)
-            self._deltas[after] = b'{"seq":%d,"whole":false,"hosts":[%b]}' % (self.version, rows)
-        return self._deltas[after]
+            self._full_list = b'{"seq":%d,"whole":true,"hosts":[%b]}' % (self.version, b",".join(listed))
+        return self._full_list
+
+    def changes_after(self, version: int | None) -> bytes:
+        """The changes after a version, or the full list where they aren't known."""
+        if version is None or not self.knows_changes_after(version):
+            return self.full_list()
+        if version not in self._deltas:
+            logged = self._log[version - self.first_version :]
+            changed = dict.fromkeys(number for rows in logged for number in rows)
+            rows = b",".join(self._rows[number] for number in changed)
+            self._deltas[version] = b'{"seq":%d,"whole":false,"hosts":[%b]}' % (self.version, rows)
+        return self._deltas[version]
--- /dev/null
+++ b/scale_test/scenarios.py
@@ -0,0 +1,107 @@
+"""What happens to the endpoint list: a day's churn, an outage of a zone, an outage of discovery."""
+
+from __future__ import annotations
+
+import asyncio
+import heapq
+import random
+import time
+from collections.abc import Callable, Coroutine
+from dataclasses import dataclass
+from typing import Any
+
+from scale_test.fake_discovery import FakeDiscovery
+from scale_test.plan import LIST_CHANGES, ChangeKind, Plan, Scenario
+from scale_test.registry import Health
+
+RETURN_S = 4.0  # a restarted or failed upstream is back after this, or a fifth of the experiment
+ZONE_STEPS, ZONE_STEP_S = 10, 0.1  # a zone's upstreams change in so many steps
+NEW_CHANGE = -1
+
+ScenarioFunction = Callable[[FakeDiscovery, Plan, random.Random], Coroutine[Any, Any, None]]
+
+HEALTH_AFTER = {
+    ChangeKind.CONFIGURED: None,
+    ChangeKind.RESTARTED: Health.DRAINING,
+    ChangeKind.FAILED: Health.REMOVED,
+}
+
+
+@dataclass(frozen=True, order=True)
+class ScheduledChange:
+    """When a new change happens, or the upstream of a row returns."""
+
+    at_s: float
+    returning_row: int = NEW_CHANGE
+
+
+@dataclass(frozen=True)
+class ZonePhase:
+    """What becomes of all upstreams of a zone, from a fraction of the experiment on."""
+
+    fraction: float
+    health: Health
+
+
+ZONE_PHASES = (ZonePhase(0.1, Health.DRAINING), ZonePhase(0.3, Health.REMOVED), ZonePhase(0.5, Health.UP))
+
+
+async def churn(
+    discovery: FakeDiscovery, plan: Plan, rng: random.Random, spared: frozenset[int] = frozenset()
+) -> None:
+    """Change configurations, restart upstreams and let them fail, at random; rows may be spared."""
+    start = now = time.monotonic()
+    end = start + plan.duration
+    away_s = min(RETURN_S, plan.duration / 5)
+    kinds, weights = list(plan.mix), list(plan.mix.values())
+    list_changes = sum(LIST_CHANGES[kind] * weight for kind, weight in plan.mix.items())
+    rate = plan.changes_a_second * sum(weights) / list_changes
+    schedule = [ScheduledChange(start + rng.expovariate(rate))]
+    while schedule[0].at_s < end:
+        due = heapq.heappop(schedule)
+        await asyncio.sleep(max(0.0, due.at_s - now))
+        now = time.monotonic()
+        if due.returning_row != NEW_CHANGE:
+            discovery.change([due.returning_row], Health.UP, restarted=True)
+            continue
+        heapq.heappush(schedule, ScheduledChange(due.at_s + rng.expovariate(rate)))
+        row, kind = rng.randrange(plan.upstreams), rng.choices(kinds, weights)[0]
+        if discovery.registry.health[row] is not Health.UP or row in spared:
+            continue  # it is away already
+        discovery.change([row], HEALTH_AFTER[kind])
+        if kind is not ChangeKind.CONFIGURED:
+            heapq.heappush(schedule, ScheduledChange(due.at_s + away_s, row))
+    await asyncio.sleep(max(0.0, end - now))
+
+
+async def zone_outage(discovery: FakeDiscovery, plan: Plan, rng: random.Random) -> None:
+    """Beside the day's churn: one zone drains, vanishes and comes back cold."""
+    lost = rng.randrange(plan.zones)
+    rows = [row for row in range(plan.upstreams) if plan.zone_of(row) == lost]
+    churning = asyncio.create_task(churn(discovery, plan, rng, frozenset(rows)))
+    start = time.monotonic()
+    for phase in ZONE_PHASES:
+        await asyncio.sleep(start + phase.fraction * plan.duration - time.monotonic())
+        for step in range(ZONE_STEPS):
+            changed = rows[step::ZONE_STEPS]
+            if changed:
+                discovery.change(changed, phase.health, restarted=phase.health is Health.UP)
+                await asyncio.sleep(min(ZONE_STEP_S, plan.duration / 100))
+    await churning
+
+
+async def discovery_outage(discovery: FakeDiscovery, plan: Plan, rng: random.Random) -> None:
+    """Beside the day's churn: discovery is down for three tenths of the time; then all get full lists."""
+    churning = asyncio.create_task(churn(discovery, plan, rng))
+    await asyncio.sleep(0.2 * plan.duration)
+    discovery.begin_outage()
+    await asyncio.sleep(0.3 * plan.duration)
+    discovery.end_outage()
+    await churning
+
+
+SCENARIOS: dict[Scenario, ScenarioFunction] = {
+    Scenario.CHURN: churn,
+    Scenario.ZONE_OUTAGE: zone_outage,
+    Scenario.DISCOVERY_OUTAGE: discovery_outage,
+}
--- /dev/null
+++ b/tests/scale_test/test_analysis.py
@@ -0,0 +1,56 @@
+"""From reports to times: when changes and full lists were in force."""
+
+from __future__ import annotations
+
+from scale_test import analysis
+from scale_test.analysis import NS_PER_MS, FullListDelay, Window
+from scale_test.records import (
+    NEVER_NS,
+    AnswerInForce,
+    BalancerReport,
+    CallerRecord,
+    FullListAnswer,
+    ListVersion,
+    RequestSample,
+)
+from scale_test.report import WeightedValue
+
+
+def ms(value: int) -> int:
+    return value * NS_PER_MS
+
+
+# A long answer is put in force in slices; a later, shorter one may be in force before its end.
+ANSWERS = ((3, ms(50)), (5, ms(90)), (6, ms(60)), (9, NEVER_NS), (9, ms(99)))
+BALANCER = BalancerReport([], [AnswerInForce(*answer) for answer in ANSWERS])
+FULL_LISTS = [
+    *(FullListAnswer(ms(20), version, ms(70), True) for version in (5, 6, 8)),
+    FullListAnswer(ms(20), 3),
+]
+
+
+def test_a_change_is_in_force_with_the_end_of_the_first_answer_that_tells_it() -> None:
+    versions = [ListVersion(version, ms(10), version) for version in (2, 4, 5, 6, 8, 10)]
+    delays = analysis.delays_by_policy(versions, BALANCER)
+    assert delays == [WeightedValue(*delay) for delay in ((40, 2), (80, 4), (80, 5), (50, 6))]
+
+
+def test_a_full_list_is_in_force_some_time_after_the_next_call() -> None:
+    delays = analysis.full_list_delays(CallerRecord(full_lists=FULL_LISTS), BALANCER)
+    assert delays == [FullListDelay(ms(70), ms(20)), FullListDelay(ms(40), 0)]
+
+
+def test_requests_count_for_a_full_list_until_some_time_after_it_is_in_force() -> None:
+    answers = [FULL_LISTS[0], FULL_LISTS[3]]
+    assert analysis.full_list_windows(answers, ms(20)) == [Window(ms(20), ms(340))]
+
+
+def test_requests_that_were_open_in_a_window_are_counted_as_served_or_not() -> None:
+    samples = [
+        RequestSample(ms(5), ms(10), ms(1)),  # it ended as the window began
+        RequestSample(ms(5), ms(11), ms(2)),
+        RequestSample(ms(12), ms(30), None),
+        RequestSample(ms(20), ms(30), ms(3)),  # it was sent as the window ended
+    ]
+    times = analysis.added_times(samples, [Window(ms(10), ms(20))])
+    assert times == analysis.AddedTimes([2.0], 1)
