--- a/scale_test/records.py
+++ b/scale_test/records.py
@@ -11,7 +11,7 @@
 NEVER_NS = 2**62  # of an answer that was not in force when the experiment ended
 
 
-@dataclass(frozen=True)
+@dataclass(frozen=True, slots=True)
 class VersionSeen:
     """A balancer showed that it had a version, by asking for what is newer."""
 
@@ -19,7 +19,7 @@
     version: int
 
 
-@dataclass
+@dataclass(slots=True)
 class FullListAnswer:
     """A full list that was sent to a balancer, and the balancer's next call."""
 
@@ -29,7 +29,7 @@
     accepted: bool = False  # whether the next call named this version, or a newer one
 
 
-@dataclass
+@dataclass(slots=True)
 class CallerRecord:
     """What one balancer has asked of discovery and got."""
 
@@ -53,7 +53,7 @@
         )
 
 
-@dataclass(frozen=True)
+@dataclass(frozen=True, slots=True)
 class CallerTraffic:
     """Calls of one balancer to discovery so far, and their bytes."""
 
@@ -62,7 +62,7 @@
     sent: int
 
 
-@dataclass(frozen=True)
+@dataclass(frozen=True, slots=True)
 class ListVersion:
     """A version of the list: when it was made, and how many rows changed in it."""
 
@@ -71,7 +71,7 @@
     rows: int
 
 
-@dataclass(frozen=True)
+@dataclass(frozen=True, slots=True)
 class Outage:
     """A time in which discovery was down."""
 
@@ -79,7 +79,7 @@
     ended_ns: int
 
 
-@dataclass(frozen=True)
+@dataclass(frozen=True, slots=True)
 class DiscoveryReport:
     """What discovery saw: its callers by the balancers' numbers, the list's versions, its outages."""
 
@@ -97,7 +97,7 @@
         )
 
 
-@dataclass(frozen=True)
+@dataclass(frozen=True, slots=True)
 class PolicyChange:
     """A change of the list that a policy took in."""
 
@@ -106,7 +106,7 @@
     rows: int
 
 
-@dataclass(frozen=True)
+@dataclass(frozen=True, slots=True)
 class AnswerInForce:
     """An answer of discovery, and when its last row was in force; NEVER_NS where it was not."""
 
@@ -114,7 +114,7 @@
     at_ns: int
 
 
-@dataclass(frozen=True)
+@dataclass(frozen=True, slots=True)
 class BalancerReport:
     """What a hollow balancer saw of the list; answers are in the order in which they came."""
 
@@ -130,7 +130,7 @@
         )
 
 
-@dataclass(frozen=True)
+@dataclass(frozen=True, slots=True)
 class RequestSample:
     """A client's request, and the time that the balancer added to the upstream's; None: not served."""
 
