--- a/loadbalancer/settings.py
+++ b/loadbalancer/settings.py
@@ -1,7 +1,13 @@
 """Typed settings of the decisions, and reading them from JSON.
 
-The JSON object is the same on the simulator's wire and in a real balancer's configuration file. All times
-are whole nanoseconds on the caller's clock.
+The JSON object is the same on the simulator's wire and in a proxy's configuration file. All times and
+durations are whole nanoseconds (`_ns`). A field that the object leaves out has the default given here.
+
+Some settings are carried because the wire has them, and no decision reads them: of the limits `gossip`,
+`max_streams_per_connection`, `cpu_us_per_s` and `cpu_us_per_request`; of the rules `drain_notice_ns`,
+`overload_window_ns` and `answer_grace_ns`; of the prices all but `cross_zone`, `health_check` and
+`connection`; of a request class `priority_weight` and `latency_objective_stretch`; `Tenant.quota_per_s`,
+`over_quota_weight` and `client_retries_marked`.
 """
 
 from __future__ import annotations
@@ -13,116 +19,140 @@
 
 
 class Idempotency(Enum):
-    """What repeating a request of a class may do."""
+    """Whether a request of a class may be sent again."""
 
-    IDEMPOTENT = "idempotent"  # may be repeated and refused freely
-    IDEMPOTENCY_KEY = "idempotency_key"  # carries a key: one group of upstreams drops its repeats for a while
+    IDEMPOTENT = "idempotent"  # may run any number of times
+    IDEMPOTENCY_KEY = "idempotency_key"  # carries a key, by which one group of endpoints drops repeats
     NON_IDEMPOTENT = "non_idempotent"  # must never run twice
 
 
 class DeduplicationScope(Enum):
-    """Which upstreams drop the repeats of a keyed request."""
+    """Which endpoints know that a request with an idempotency key has run, and drop its repeats."""
 
-    ALL = "all"
-    ZONE = "zone"
-    CELL = "cell"
+    ALL = "all"  # every endpoint
+    ZONE = "zone"  # those in the zone of the first
+    CELL = "cell"  # those in the cell of the first
 
 
 class WeightSource(Enum):
-    """What the weight of a list entry says."""
+    """What an endpoint's weight in the list is made of."""
 
     NONE = "none"  # always 1
     NOMINAL = "nominal"  # its registered size
-    ROUGH = "rough"  # its size, about
-    LIVE = "live"  # its size over 1 + the requests it held a core a while ago
+    ROUGH = "rough"  # about its size
+    LIVE = "live"  # its size / (1 + the requests in flight there a core, a while ago)
 
 
 @dataclass(frozen=True, slots=True)
 class RequestClass:
+    """What the requests of one class have in common."""
+
     name: str
+    # Repeats.
     idempotency: Idempotency = Idempotency.IDEMPOTENT
-    deduplication_scope: DeduplicationScope = DeduplicationScope.ALL
-    deduplication_window_ns: int = (
-        0  # keyed: how long repeats are dropped, from the first send that may have run
-    )
-    latency_objective_ns: int = 1_000_000_000  # an answer within this earns the full worth
-    priority_weight: float = 1.0
-    late_weight_factor: float = 0.0  # share of the worth for an answer after the aim
-    stream: bool = False
-    latency_objective_stretch: float = 0.0  # the aim grows by this multiple of the request's own work
-    client_timeout_ns: int = 0  # the client's whole wait over all its tries; 0: not told
-    allowed_zones: frozenset[str] | None = None  # placement: the sole zones it may be sent to; None: any
-    allowed_machine_types: frozenset[str] | None = None  # and the sole kinds of machine
+    deduplication_scope: DeduplicationScope = DeduplicationScope.ALL  # with an idempotency key
+    deduplication_window_ns: int = 0  # for which repeats are dropped, from the first send that may have run
+    # What an answer is worth.
+    latency_objective_ns: int = 1_000_000_000  # an answer within this has the full weight
+    priority_weight: float = 1.0  # of an answer in time
+    late_weight_factor: float = 0.0  # part of the weight that an answer after the objective has
+    stream: bool = False  # answers are streamed; `ResponseStarted` tells that one has begun
+    latency_objective_stretch: float = 0.0  # the objective grows by this multiple of the request's own work
+    client_timeout_ns: int = 0  # the client's wait over all its attempts; 0: not known
+    # Placement: the only endpoints that may be used; None: any.
+    allowed_zones: frozenset[str] | None = None
+    allowed_machine_types: frozenset[str] | None = None
 
 
 @dataclass(frozen=True, slots=True)
 class Tenant:
+    """A group of clients with a quota of its own."""
+
     name: str
-    quota_share: float = 1.0
-    quota_per_s: float = 0.0  # over all proxies; 0: not told
+    quota_share: float = 1.0  # its fraction of the service
+    quota_per_s: float = 0.0  # requests a second, over all proxies, within that share; 0: not known
 
 
 @dataclass(frozen=True, slots=True)
 class Limits:
-    max_attempts: int = 1
-    hedging: bool = False
-    cancellation: bool = False
-    health_checks: bool = False
-    gossip: bool = False
-    retry_after: bool = False
-    max_retry_after_ns: int = 1_000_000_000
+    """What a proxy may do."""
+
+    # Features.
+    max_attempts: int = 1  # of one request, hedged ones included
+    hedging: bool = False  # two attempts of a request may be out at the same time
+    cancellation: bool = False  # attempts may be cancelled
+    health_checks: bool = False  # may be sent
+    gossip: bool = False  # messages to other proxies may be sent
+    retry_after: bool = False  # rejections may tell clients how long to wait
+    max_retry_after_ns: int = 1_000_000_000  # longest wait that a client follows
+    # Connections to endpoints.
     connect_timeout_ns: int = 250_000_000
-    connection_idle_timeout_ns: int = 0  # idle connections are closed after this; 0: not told
+    connection_idle_timeout_ns: int = 0  # idle connections are closed after this; 0: not given
     max_streams_per_connection: int = 1  # attempts that one connection carries at once
-    max_pending_requests: int = 0  # requests a proxy may hold open; 0: not told
-    cpu_us_per_s: int = 0  # CPU a proxy may use; 0: no limit told
-    cpu_us_per_request: float = 0.0
+    # Resources of the proxy.
+    max_pending_requests: int = 0  # requests that may be open at once; 0: no limit given
+    cpu_us_per_s: int = 0  # processor time, in microseconds a second; 0: no limit given
+    cpu_us_per_request: float = 0.0  # that a request and its attempts take, in microseconds; 0: no such limit
 
 
 @dataclass(frozen=True, slots=True)
 class Rules:
-    drain_notice_ns: int = 1_000_000_000  # sends to a draining upstream must end within this
-    poll_interval_ns: int = 10_000_000_000  # without news for this long, a proxy counts as told
-    slow_start_initial_capacity: float = 0.3  # a started upstream begins at this share of its capacity
-    slow_start_ns: int = 0  # and is warm after this
-    overload_factor: float = 3.0  # sent more than this many times what it can do
-    overload_window_ns: int = 2_000_000_000  # for this long, it falls over
-    rejected_may_have_run: bool = False  # turned away as full is no proof that it never ran
+    """How endpoints, discovery and clients behave."""
+
+    # Discovery.
+    drain_notice_ns: int = 1_000_000_000  # within which sends to a draining or removed endpoint must end
+    poll_interval_ns: int = 10_000_000_000  # a proxy that has not asked for this long counts as notified
+    # Slow start: a started endpoint warms up; how its capacity grows meanwhile isn't known.
+    slow_start_initial_capacity: float = 0.3  # least part of the full capacity at the start
+    slow_start_ns: int = 0  # longest time until the full capacity; 0: there is no slow start
+    # Overload: one that warms up fails for good if it is sent too much for too long.
+    overload_factor: float = 3.0  # more than this many times its current capacity
+    overload_window_ns: int = 2_000_000_000  # for this long
+    # Answers.
+    rejected_may_have_run: bool = False  # an endpoint's rejection is no proof that the request never ran
     answer_grace_ns: int = 0  # a final answer this long after the deadline still counts
 
 
 @dataclass(frozen=True, slots=True)
 class Prices:
-    cross_zone: float = 0.0
-    waste: float = 0.0
-    health_check: float = 0.0
-    gossip: float = 0.0
-    connection: float = 0.0
-    handshake: float = 0.0
-    late_failure: float = 0.0
-    endpoint_list: float = 0.0
+    """Points taken off the operators' rating of a site, each times the rate given here."""
+
+    cross_zone: float = 0.0  # attempts at endpoints in other zones, per first attempt
+    waste: float = 0.0  # endpoints' work that served no answer, as a fraction of the work offered
+    health_check: float = 0.0  # health checks, per first attempt
+    gossip: float = 0.0  # bytes delivered to other proxies / 256, per first attempt
+    connection: float = 0.0  # mean number of open connections an endpoint / 100
+    handshake: float = 0.0  # new connections, per first attempt
+    late_failure: float = 0.0  # weight of requests that were not served, and ended after their objective
+    endpoint_list: float = 0.0  # entries sent by discovery / 100, per first attempt
 
 
 @dataclass(frozen=True, slots=True)
 class Settings:
-    proxy_index: int = 0
+    """All settings of the decisions of one proxy."""
+
+    # This proxy among the others.
+    proxy_index: int = 0  # from 0 to below proxy_count
     proxy_count: int = 1
-    zone: str = ""
-    zones: Sequence[str] = ()
-    discovery_pushes: bool = True  # list changes come by themselves
-    request_classes: Mapping[str, RequestClass] = field(default_factory=dict)
-    tenants: Mapping[str, Tenant] = field(default_factory=dict)
+    zone: str = ""  # of this proxy
+    zones: Sequence[str] = ()  # all
+    # Traffic.
+    request_classes: Mapping[str, RequestClass] = field(default_factory=dict)  # by name
+    tenants: Mapping[str, Tenant] = field(default_factory=dict)  # by name
+    over_quota_weight: float = 1.0  # factor on the weight of requests beyond their tenant's quota
+    client_retries_marked: bool = False  # clients mark their retries
+    # What the proxy may do, what it must expect, and what that costs.
     limits: Limits = field(default_factory=Limits)
     rules: Rules = field(default_factory=Rules)
     prices: Prices = field(default_factory=Prices)
-    load_report_columns: Sequence[str] = ()  # what load reports hold
-    load_reports_in_responses: bool = False
+    # What is known of endpoints.
+    discovery_pushes: bool = True  # updates of the list come by themselves; else a proxy has to ask
+    load_report_columns: Sequence[str] = ()  # names of the figures in a load report
+    load_reports_in_responses: bool = False  # else in the answers to health checks alone
     weight_source: WeightSource = WeightSource.NONE
-    over_quota_weight: float = 1.0  # worth of traffic beyond a tenant's share
-    client_retries_marked: bool = False  # clients flag their retries
 
 
-Json = dict[str, Any]
+Json = dict[str, Any]  # a JSON object as the parser gives it
 IDEMPOTENCY_BY_NAME = {
     "read_like": Idempotency.IDEMPOTENT,
     "idempotency_key": Idempotency.IDEMPOTENCY_KEY,
@@ -183,13 +213,13 @@
 }
 
 
-def _pick(known: Json, names: Mapping[str, str]) -> Json:
-    """The known settings among those sent, under the names of their fields; the rest keep their defaults."""
-    return {field_name: known[name] for name, field_name in names.items() if known.get(name) is not None}
+def _present_fields(raw: Json, names: Mapping[str, str]) -> Json:
+    """Return the values of an object that are present and known, under the names of their fields."""
+    return {field_name: raw[name] for name, field_name in names.items() if raw.get(name) is not None}
 
 
 def _read_request_class(row: Json) -> RequestClass:
-    fields = _pick(row, REQUEST_CLASS_FIELDS)
+    fields = _present_fields(row, REQUEST_CLASS_FIELDS)
     for name, field_name in PLACEMENT_FIELDS.items():
         if row.get(name) is not None:
             fields[field_name] = frozenset(row[name])
@@ -202,14 +232,14 @@
 
 
 def _read_tenant(row: Json) -> Tenant:
-    return Tenant(row["name"], **_pick(row, TENANT_FIELDS))
+    return Tenant(row["name"], **_present_fields(row, TENANT_FIELDS))
 
 
 def read_settings(raw: Json) -> Settings:
-    """Read the settings object of the wire (WIRE, Settings).
+    """Read the settings object of the wire (WIRE, Settings); unknown keys are ignored.
 
-    Times are in nanoseconds; unknown keys are ignored. KeyError, TypeError, ValueError or AttributeError is
-    raised where the object cannot be used.
+    Raises:
+        KeyError, TypeError, ValueError, AttributeError: the object can't be used.
     """
     load_report = raw.get("load_report") or {}
     clients = raw.get("clients") or {}
@@ -220,13 +250,13 @@
         discovery_pushes=raw.get("registry_mode", "push") == "push",
         request_classes={row["name"]: _read_request_class(row) for row in raw.get("profiles") or ()},
         tenants={row["name"]: _read_tenant(row) for row in raw.get("realms") or ()},
-        limits=Limits(**_pick(raw.get("limits") or {}, LIMIT_FIELDS)),
-        rules=Rules(**_pick(raw.get("rules") or {}, RULE_FIELDS)),
-        prices=Prices(**_pick(raw.get("prices") or {}, PRICE_FIELDS)),
+        limits=Limits(**_present_fields(raw.get("limits") or {}, LIMIT_FIELDS)),
+        rules=Rules(**_present_fields(raw.get("rules") or {}, RULE_FIELDS)),
+        prices=Prices(**_present_fields(raw.get("prices") or {}, PRICE_FIELDS)),
         load_report_columns=tuple(load_report.get("columns") or ()),
         load_reports_in_responses=load_report.get("how") == "answers",
         zones=tuple(raw.get("zones") or ()),
         weight_source=WeightSource(raw.get("weight_source") or "none"),
         client_retries_marked=bool(clients.get("marks_retry")),
-        **_pick(raw, {"over_share_worth": "over_quota_weight"}),
+        **_present_fields(raw, {"over_share_worth": "over_quota_weight"}),
     )
--- a/loadbalancer/state/__init__.py
+++ b/loadbalancer/state/__init__.py
@@ -0,0 +1,1 @@
+"""State that the decisions keep: it stores and decides nothing."""
--- a/tests/package/__init__.py
+++ b/tests/package/__init__.py
@@ -0,0 +1,1 @@
+"""Tests of the package's layout and limits."""
--- a/tests/process/test_process.py
+++ b/tests/process/test_process.py
@@ -149,7 +149,7 @@
     # Guards against clients that wait out the stop of a process which has overspent its share by starting.
     async def test() -> None:
         upstream = await FakeUpstream(answers(200)).start()
-        async with program(tmp_path, upstream.port, cores=0.001) as (process, port):
+        async with program(tmp_path, upstream.port, cores=0.001) as (_, port):
             while (got := await ask(port, READY)).status != 200:
                 assert got.status == 503
                 assert (await ask(port, request())).status == 200  # it serves all the same
