--- a/tests/policy/test_subsetting.py
+++ b/tests/policy/test_subsetting.py
@@ -1,4 +1,4 @@
-"""The table of upstreams and the subsets: the same function of the list however it came, even, and steady."""
+"""The endpoint table and the subsets: the same however the list came about, even, and stable."""
 
 from __future__ import annotations
 
@@ -25,26 +25,26 @@
 from tests.support.policy_harness import MS, SECOND, START, PolicyHarness, arrival, settings
 
 ZONES = [f"z{i}" for i in range(8)]
-ZONE = RequestClass(
+ZONE_CLASS = RequestClass(
     "zone",
     Idempotency.IDEMPOTENCY_KEY,
     DeduplicationScope.ZONE,
     deduplication_window_ns=400 * MS,
     latency_objective_ns=300 * MS,
 )
-CELL = RequestClass(
+CELL_CLASS = RequestClass(
     "cell",
     Idempotency.IDEMPOTENCY_KEY,
     DeduplicationScope.CELL,
     deduplication_window_ns=400 * MS,
     latency_objective_ns=300 * MS,
 )
-READ = RequestClass("read", latency_objective_ns=300 * MS)
-FOUND = (frozenset({"z1", "z2"}), frozenset({"large"}))  # a placement
+READ_CLASS = RequestClass("read", latency_objective_ns=300 * MS)
+NARROW_PLACEMENT = (frozenset({"z1", "z2"}), frozenset({"large"}))
 
 
-def fleet(count: int, seed: int = 1) -> list[Endpoint]:
-    """Upstreams of random ids over eight zones, a hundred to a cell."""
+def endpoints_in_all_zones(count: int, seed: int = 1) -> list[Endpoint]:
+    """Return ready endpoints with random ids, spread over eight zones, a hundred to a cell."""
     rng = random.Random(seed)
     return [
         Endpoint(
@@ -60,51 +60,51 @@
     ]
 
 
-def site(proxies: int, zonal: bool = False, me: int = 0, **more: object) -> Settings:
-    prices = Prices(connection=0.03, cross_zone=0.02) if zonal else Prices()
+def proxy_settings(proxies: int, zone_aware: bool = False, index: int = 0, **more: object) -> Settings:
+    prices = Prices(connection=0.03, cross_zone=0.02) if zone_aware else Prices()
     return settings(
-        proxy_index=me,
+        proxy_index=index,
         proxy_count=proxies,
-        zone=ZONES[me % 8],
+        zone=ZONES[index % 8],
         zones=ZONES,
         prices=prices,
-        request_classes={c.name: c for c in (READ, ZONE, CELL)},
+        request_classes={c.name: c for c in (READ_CLASS, ZONE_CLASS, CELL_CLASS)},
         **more,
     )
 
 
-def table(config: Settings, upstreams: Iterable[Endpoint]) -> EndpointTable:
-    made = EndpointTable(config)
-    made.add_placement(Placement(None, None))
-    made.add_placement(Placement(*FOUND))
-    for upstream in upstreams:
-        made.upsert(upstream)
-    made.apply_changes()
-    return made
+def table_of(config: Settings, endpoints: Iterable[Endpoint]) -> EndpointTable:
+    table = EndpointTable(config)
+    table.add_placement(Placement(None, None))
+    table.add_placement(Placement(*NARROW_PLACEMENT))
+    for endpoint in endpoints:
+        table.upsert(endpoint)
+    table.apply_changes()
+    return table
 
 
-def shown(made: EndpointTable) -> object:
-    """All that a table holds, and the subset that it gives."""
+def contents(table: EndpointTable) -> object:
+    """Return all that a table holds, and the subsets that it gives."""
     return (
-        made.attributes,
+        table.attributes,
         [
             (list(p.ring), {z: list(ring) for z, ring in p.by_zone.items() if ring}, dict(p.by_cell))
-            for p in made.placements
+            for p in table.placements
         ],
-        [choose_subset(made, p) for p in made.placements],
+        [choose_subset(table, p) for p in table.placements],
     )
 
 
-def subsets(made: EndpointTable, proxies: int, zonal: bool) -> list[set[int]]:
-    """The subset of each of so many proxies before the same list."""
-    found = []
-    for me in range(proxies):
-        made.settings = site(proxies, zonal, me)
-        found.append(set(choose_subset(made, made.placements[0]).assigned))
-    return found
+def subsets_of_all(table: EndpointTable, proxies: int, zone_aware: bool) -> list[set[int]]:
+    """Return the subset of each of so many proxies, as ring keys, given the same list."""
+    subsets = []
+    for index in range(proxies):
+        table.settings = proxy_settings(proxies, zone_aware, index)
+        subsets.append(set(choose_subset(table, table.placements[0]).assigned))
+    return subsets
 
 
-ENTRIES = st.builds(
+LIST_ENTRIES = st.builds(
     Endpoint,
     st.integers(0, 60).map(lambda i: mix64(i, 9)),
     st.sampled_from(
@@ -124,90 +124,90 @@
 
 
 @hyp(max_examples=150, deadline=None, derandomize=True)
-@given(st.lists(st.tuples(st.booleans(), st.lists(ENTRIES, max_size=40)), max_size=8), st.booleans())
-def test_the_table_is_what_the_last_word_on_each_upstream_makes_it(
-    updates: list[tuple[bool, list[Endpoint]]], zonal: bool
+@given(st.lists(st.tuples(st.booleans(), st.lists(LIST_ENTRIES, max_size=40)), max_size=8), st.booleans())
+def test_the_table_depends_on_the_last_entry_of_each_endpoint_alone(
+    updates: list[tuple[bool, list[Endpoint]]], zone_aware: bool
 ) -> None:
-    # Guards against a table that depends on how it came about: lists, changes, drains, returns, doubles.
-    config = replace(site(40, zonal), zones=ZONES[:3])
+    # Guards against a table that depends on its history: full lists, changes, drains, returns, doubles.
+    config = replace(proxy_settings(40, zone_aware), zones=ZONES[:3])
     balancer, last = Balancer(config, 1, START), dict[int, Endpoint]()
-    for whole, entries in updates:
-        kind = EndpointUpdateKind.FULL if whole else EndpointUpdateKind.DELTA
+    for full, entries in updates:
+        kind = EndpointUpdateKind.FULL if full else EndpointUpdateKind.DELTA
         balancer.handle(START, [EndpointUpdate(kind, entries)])
-        last = ({} if whole else last) | {e.id: e for e in entries}
-    made, known = (
-        balancer.fleet.table,
-        [e for e in last.values() if e.status is not EndpointStatus.REMOVED],
-    )
-    nothing = Balancer(config, 2, START)
-    nothing.handle(START, [EndpointUpdate(EndpointUpdateKind.FULL, sorted(known, reverse=True))])
-    assert shown(made) == shown(nothing.fleet.table)
-    orders = [
-        [[s.id for s in pool.endpoints] for pool in b.fleet.pools.values()] for b in (balancer, nothing)
-    ]
+        last = ({} if full else last) | {e.id: e for e in entries}
+    known = [e for e in last.values() if e.status is not EndpointStatus.REMOVED]
+    fresh = Balancer(config, 2, START)
+    fresh.handle(START, [EndpointUpdate(EndpointUpdateKind.FULL, sorted(known, reverse=True))])
+    assert contents(balancer.fleet.table) == contents(fresh.fleet.table)
+    orders = [[[s.id for s in pool.endpoints] for pool in b.fleet.pools.values()] for b in (balancer, fresh)]
     assert orders[0] == orders[1]
     assert set(orders[0][0]) == {e.id for e in known if e.status is EndpointStatus.READY}
     assert all(s.endpoint == last[i] for i, s in balancer.fleet.endpoints.items())
 
 
 @pytest.mark.parametrize("number", [0, 1, 2**32 - 1, 2**64 - 1, 0x123456789ABCDEF])
-def test_a_key_tells_its_upstream(number: int) -> None:
+def test_unmix64_is_the_inverse_of_mix64(number: int) -> None:
     assert unmix64(mix64(number, 0)) == number
 
 
 @pytest.mark.parametrize(
-    ("proxies", "zonal"), [(1650, False), (1650, True), (MANY_PROXIES, False), (MANY_PROXIES, True)]
+    ("proxies", "zone_aware"), [(1650, False), (1650, True), (MANY_PROXIES, False), (MANY_PROXIES, True)]
 )
-def test_subsets_of_many_proxies_are_even_and_leave_no_upstream_out(proxies: int, zonal: bool) -> None:
-    found = subsets(table(site(proxies, zonal), fleet(30_000)), proxies, zonal)
-    assert min(map(len, found)) >= WIDE_SUBSET
-    assert max(map(len, found)) <= min(map(len, found)) + 1
-    shares = Counter(key for subset in found for key in subset)
+def test_subsets_of_many_proxies_are_even_and_leave_no_endpoint_out(proxies: int, zone_aware: bool) -> None:
+    subsets = subsets_of_all(
+        table_of(proxy_settings(proxies, zone_aware), endpoints_in_all_zones(30_000)), proxies, zone_aware
+    )
+    assert min(map(len, subsets)) >= WIDE_SUBSET
+    assert max(map(len, subsets)) <= min(map(len, subsets)) + 1
+    shares = Counter(key for subset in subsets for key in subset)
     mean = sum(shares.values()) / 30_000
     assert len(shares) == 30_000
     assert max(shares.values()) <= mean + 3
 
 
-@pytest.mark.parametrize("zonal", [False, True])
-def test_one_upstream_or_one_proxy_more_or_less_moves_little(zonal: bool) -> None:
-    proxies, upstreams = 1650, fleet(30_000)
-    made = table(site(proxies, zonal), upstreams)
-    before = subsets(made, proxies, zonal)
+@pytest.mark.parametrize("zone_aware", [False, True])
+def test_one_endpoint_or_one_proxy_more_or_less_moves_few_members(zone_aware: bool) -> None:
+    proxies, endpoints = 1650, endpoints_in_all_zones(30_000)
+    table = table_of(proxy_settings(proxies, zone_aware), endpoints)
+    before = subsets_of_all(table, proxies, zone_aware)
     members = sum(map(len, before))
-    made.remove(upstreams[77].id)
-    made.apply_changes()
-    moved = [len(a - b) for a, b in zip(before, subsets(made, proxies, zonal), strict=True)]
+    table.remove(endpoints[77].id)
+    table.apply_changes()
+    moved = [len(a - b) for a, b in zip(before, subsets_of_all(table, proxies, zone_aware), strict=True)]
     assert max(moved) <= 1
     assert sum(moved) <= 0.002 * members
-    made.upsert(upstreams[77])
-    made.apply_changes()
-    assert subsets(made, proxies, zonal) == before
+    table.upsert(endpoints[77])
+    table.apply_changes()
+    assert subsets_of_all(table, proxies, zone_aware) == before
     assert (
-        sum(len(a - b) for a, b in zip(before, subsets(made, proxies + 1, zonal)[:proxies], strict=True))
+        sum(
+            len(a - b)
+            for a, b in zip(before, subsets_of_all(table, proxies + 1, zone_aware)[:proxies], strict=True)
+        )
         <= 0.002 * members
     )
 
 
-def test_a_list_that_grows_moves_no_great_part_at_once_where_the_segments_double() -> None:
+def test_a_growing_list_moves_few_members_at_once_where_segments_double() -> None:
     # Guards against every proxy going over to more and shorter segments at the same length of the list.
-    upstreams, proxies = fleet(4300), 1030
-    made = table(site(proxies), upstreams[:3900])
-    before, worst = subsets(made, proxies, False), 0
+    endpoints, proxies = endpoints_in_all_zones(4300), 1030
+    table = table_of(proxy_settings(proxies), endpoints[:3900])
+    before, worst = subsets_of_all(table, proxies, False), 0
     for first in range(3900, 4300, 40):
-        for upstream in upstreams[first : first + 40]:
-            made.upsert(upstream)
-        made.apply_changes()
-        now = subsets(made, proxies, False)
+        for endpoint in endpoints[first : first + 40]:
+            table.upsert(endpoint)
+        table.apply_changes()
+        now = subsets_of_all(table, proxies, False)
         worst, before = max(worst, sum(len(a - b) for a, b in zip(before, now, strict=True))), now
-    assert worst < 0.5 * sum(map(len, before))  # forty changes at once; one in forty of that each
+    assert worst < 0.5 * sum(map(len, before))  # forty changes at once
 
 
-def touched(monkeypatch: pytest.MonkeyPatch, count: int) -> tuple[Counter[str], Balancer]:
-    """What 40 changes of one upstream each, and a look each, do at a fleet of that size."""
-    upstreams, now = fleet(count), START
-    balancer = Balancer(site(8800, me=5), 1, now)
-    balancer.handle(now, [EndpointUpdate(EndpointUpdateKind.FULL, upstreams)])
-    done: Counter[str] = Counter()
+def cost_of_updates(monkeypatch: pytest.MonkeyPatch, count: int) -> tuple[Counter[str], Balancer]:
+    """Count the hashes and ring keys that 40 updates of one endpoint each take in a list of that length."""
+    endpoints, now = endpoints_in_all_zones(count), START
+    balancer = Balancer(proxy_settings(8800, index=5), 1, now)
+    balancer.handle(now, [EndpointUpdate(EndpointUpdateKind.FULL, endpoints)])
+    counts: Counter[str] = Counter()
     modules = (hash_ring, endpoint_table, subsetting)
     names = ("mix64", "unmix64", "ring_slice")
     real = {name: getattr(hash_ring, name) for name in names}
@@ -215,7 +215,7 @@
     def counted(name: str) -> object:
         def call(*args: object) -> object:
             given = real[name](*args)
-            done[name] += len(given) if isinstance(given, list) else 1
+            counts[name] += len(given) if isinstance(given, list) else 1
             return given
 
         return call
@@ -225,108 +225,109 @@
             monkeypatch.setattr(module, name, counted(name))
     rng = random.Random(4)
     for _ in range(20):
-        upstream = rng.choice(upstreams)
+        endpoint = rng.choice(endpoints)
         for state in (EndpointStatus.DRAINING, EndpointStatus.READY):
             now += SECOND
             balancer.handle(
-                now, [EndpointUpdate(EndpointUpdateKind.DELTA, [upstream._replace(status=state)])]
+                now, [EndpointUpdate(EndpointUpdateKind.DELTA, [endpoint._replace(status=state)])]
             )
-            done["known in full"] = max(done["known in full"], len(balancer.fleet.endpoints))
+            counts["known in full"] = max(counts["known in full"], len(balancer.fleet.endpoints))
     monkeypatch.undo()
-    return done, balancer
+    return counts, balancer
 
 
-def test_a_change_and_a_look_cost_the_same_before_a_thousand_and_thirty_thousand(
+def test_an_update_costs_the_same_at_a_thousand_and_at_thirty_thousand_endpoints(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    small, _ = touched(monkeypatch, 1000)
-    large, balancer = touched(monkeypatch, 30_000)
+    small, _ = cost_of_updates(monkeypatch, 1000)
+    large, balancer = cost_of_updates(monkeypatch, 30_000)
     assert large["mix64"] <= 1.2 * small["mix64"]
     assert large["mix64"] <= 40 * 8
     assert large["ring_slice"] <= 40 * 3 * (WIDE_SUBSET + RESERVE_SIZE)
     assert large["known in full"] <= WIDE_SUBSET + RESERVE_SIZE + 1
     assert len(balancer.fleet.table.attributes) == 30_000
-    # Upstreams that are alike share one row: what each costs beside it is its place in tables and rings.
-    assert len({id(profile) for profile in balancer.fleet.table.attributes.values()}) < 1000
+    # Endpoints with equal attributes share one object.
+    assert len({id(attributes) for attributes in balancer.fleet.table.attributes.values()}) < 1000
 
 
-def test_a_second_whole_list_that_says_the_same_makes_nothing_anew(monkeypatch: pytest.MonkeyPatch) -> None:
-    upstreams = fleet(5000)
-    balancer = Balancer(site(8800), 1, START)
-    balancer.handle(START, [EndpointUpdate(EndpointUpdateKind.FULL, upstreams)])
-    rows, servers = dict(balancer.fleet.table.attributes), dict(balancer.fleet.endpoints)
-    # It would be called for any change of a ring.
+def test_an_equal_full_list_rebuilds_nothing(monkeypatch: pytest.MonkeyPatch) -> None:
+    endpoints = endpoints_in_all_zones(5000)
+    balancer = Balancer(proxy_settings(8800), 1, START)
+    balancer.handle(START, [EndpointUpdate(EndpointUpdateKind.FULL, endpoints)])
+    attributes, states = dict(balancer.fleet.table.attributes), dict(balancer.fleet.endpoints)
+    # The hash would be called for any change of a ring.
     monkeypatch.setattr(endpoint_table, "mix64", None)
     monkeypatch.setattr(hash_ring, "mix64", None)
-    balancer.handle(START + SECOND, [EndpointUpdate(EndpointUpdateKind.FULL, list(reversed(upstreams)))])
-    assert all(balancer.fleet.table.attributes[i] is row for i, row in rows.items())
-    assert balancer.fleet.endpoints == servers
+    balancer.handle(START + SECOND, [EndpointUpdate(EndpointUpdateKind.FULL, list(reversed(endpoints)))])
+    assert all(balancer.fleet.table.attributes[i] is known for i, known in attributes.items())
+    assert balancer.fleet.endpoints == states
 
 
-def ready_left(subset: Subset, gone: set[int]) -> tuple[int, int]:
+def remaining(subset: Subset, gone: set[int]) -> tuple[int, int]:
+    """Return how many endpoints are left of a subset, without and with its reserve."""
     return (
         len([k for k in subset.assigned if unmix64(k) not in gone]),
         len([k for k in subset if unmix64(k) not in gone]),
     )
 
 
-@pytest.mark.parametrize("zonal", [False, True])
-def test_a_rack_or_a_zone_that_goes_leaves_enough_in_subset_and_reserve(zonal: bool) -> None:
-    upstreams = fleet(30_000)
-    made = table(site(1650, zonal), upstreams)
-    rack = {u.id for u in upstreams if (u.zone, u.cell) == ("z0", 3)}
-    zone = {u.id for u in upstreams if u.zone == "z0"}
-    assert len(rack) == 100
+@pytest.mark.parametrize("zone_aware", [False, True])
+def test_the_loss_of_a_cell_or_a_zone_leaves_enough_in_subset_and_reserve(zone_aware: bool) -> None:
+    endpoints = endpoints_in_all_zones(30_000)
+    table = table_of(proxy_settings(1650, zone_aware), endpoints)
+    cell = {u.id for u in endpoints if (u.zone, u.cell) == ("z0", 3)}
+    zone = {u.id for u in endpoints if u.zone == "z0"}
+    assert len(cell) == 100
     assert len(zone) == 3750
-    for me in range(0, 1650, 8):  # those of the zone
-        made.settings = site(1650, zonal, me)
-        subset = choose_subset(made, made.placements[0])
-        own, known = ready_left(subset, rack)
+    for index in range(0, 1650, 8):  # the proxies of zone z0
+        table.settings = proxy_settings(1650, zone_aware, index)
+        subset = choose_subset(table, table.placements[0])
+        own, known = remaining(subset, cell)
         assert own >= 0.8 * len(subset.assigned)
         assert known >= 0.9 * (WIDE_SUBSET + RESERVE_SIZE) * 0.8
-        if zonal:  # it keeps to its zone while there is one, and knows others beside it
-            assert {made.endpoint(unmix64(k)).zone for k in subset.assigned} == {"z0"}
-            assert ready_left(subset, zone)[1] >= RESERVE_SIZE // 4
+        if zone_aware:  # it stays in its zone while there is one, and knows endpoints of others
+            assert {table.endpoint(unmix64(k)).zone for k in subset.assigned} == {"z0"}
+            assert remaining(subset, zone)[1] >= RESERVE_SIZE // 4
         else:
-            assert ready_left(subset, zone)[0] >= 0.6 * len(subset.assigned)
+            assert remaining(subset, zone)[0] >= 0.6 * len(subset.assigned)
     for number in zone:
-        made.remove(number)
-    made.apply_changes()
-    assert len(choose_subset(made, made.placements[0]).assigned) >= WIDE_SUBSET  # in other zones now
+        table.remove(number)
+    table.apply_changes()
+    assert len(choose_subset(table, table.placements[0]).assigned) >= WIDE_SUBSET  # in other zones now
 
 
-@pytest.mark.parametrize("cls", [ZONE, CELL])
-def test_a_keyed_retry_finds_its_group_in_a_large_fleet(cls: RequestClass) -> None:
-    # Guards against a retry that finds no upstream of its cell, of a hundred, among the few in use.
-    desk = PolicyHarness(site(8800, me=3), servers=0)
-    desk.give(EndpointUpdate(EndpointUpdateKind.CACHED, fleet(30_000)))
-    again = 0
+@pytest.mark.parametrize("request_class", [ZONE_CLASS, CELL_CLASS])
+def test_a_retry_with_an_idempotency_key_finds_its_group_in_a_long_list(request_class: RequestClass) -> None:
+    # Guards against a retry that finds none of the hundred endpoints of its cell among the few in use.
+    harness = PolicyHarness(proxy_settings(8800, index=3), servers=0)
+    harness.give(EndpointUpdate(EndpointUpdateKind.CACHED, endpoints_in_all_zones(30_000)))
+    retried = 0
     for i in range(60):
-        desk.give(arrival(i, desk.now, cls))
-        desk.now += 5 * MS
-        desk.finish(f"r{i}", AttemptResult.RESET)  # the checker proves that a further send keeps to the group
-        again += len(desk.sends[f"r{i}"]) > 1
-        desk.now += 5 * MS
-        if f"r{i}" not in desk.answer:
-            desk.finish(f"r{i}")
-    assert again >= 55
-    assert len(desk.balancer.fleet.endpoints) <= WIDE_SUBSET + RESERVE_SIZE + 5 * SCAN
-    desk.advance(SECOND)
-    desk.give()
-    assert len(desk.balancer.fleet.endpoints) <= WIDE_SUBSET + RESERVE_SIZE
-
-
-def test_an_upstream_that_left_the_subset_is_not_sent_to_by_one_who_asked_it() -> None:
-    # Guards against a request that asked it for its load, and an old entry that no drain reaches any more.
-    desk = PolicyHarness(site(8800, me=3), servers=0)
-    desk.give(EndpointUpdate(EndpointUpdateKind.CACHED, fleet(2000)))
-    fleet_of = desk.balancer.fleet
-    asked = fleet_of.default_pool.endpoints[0]
-    others = [u for u in fleet(2000, seed=9) if u.id != asked.id]
-    desk.give(EndpointUpdate(EndpointUpdateKind.FULL, [*others, asked.endpoint._replace(zone="z7")]))
-    if asked.id not in fleet_of.used_ids:
-        assert not fleet_of.is_available(asked, desk.now)
-        assert asked.id not in fleet_of.endpoints
-    desk.give(EndpointUpdate(EndpointUpdateKind.FULL, others))
-    assert not fleet_of.is_available(asked, desk.now)
-    assert asked.id not in fleet_of.endpoints
+        harness.give(arrival(i, harness.now, request_class))
+        harness.now += 5 * MS
+        harness.finish(f"r{i}", AttemptResult.RESET)  # the harness checks that a retry stays in the group
+        retried += len(harness.sends[f"r{i}"]) > 1
+        harness.now += 5 * MS
+        if f"r{i}" not in harness.answer:
+            harness.finish(f"r{i}")
+    assert retried >= 55
+    assert len(harness.balancer.fleet.endpoints) <= WIDE_SUBSET + RESERVE_SIZE + 5 * SCAN
+    harness.advance(SECOND)
+    harness.give()
+    assert len(harness.balancer.fleet.endpoints) <= WIDE_SUBSET + RESERVE_SIZE
+
+
+def test_an_endpoint_that_left_the_subset_gets_no_request_that_checked_its_load() -> None:
+    # Guards against a request that has checked its load, and an old entry that no update reaches any more.
+    harness = PolicyHarness(proxy_settings(8800, index=3), servers=0)
+    harness.give(EndpointUpdate(EndpointUpdateKind.CACHED, endpoints_in_all_zones(2000)))
+    fleet = harness.balancer.fleet
+    checked = fleet.default_pool.endpoints[0]
+    others = [u for u in endpoints_in_all_zones(2000, seed=9) if u.id != checked.id]
+    harness.give(EndpointUpdate(EndpointUpdateKind.FULL, [*others, checked.endpoint._replace(zone="z7")]))
+    if checked.id not in fleet.used_ids:
+        assert not fleet.is_available(checked, harness.now)
+        assert checked.id not in fleet.endpoints
+    harness.give(EndpointUpdate(EndpointUpdateKind.FULL, others))
+    assert not fleet.is_available(checked, harness.now)
+    assert checked.id not in fleet.endpoints
