--- /dev/null
+++ b/tests/process/test_configuration_reload.py
@@ -0,0 +1,94 @@
+"""Which changes of a configuration a reload takes up, and which it reports as needing a restart."""
+
+from __future__ import annotations
+
+import asyncio
+import json
+import logging
+from dataclasses import replace
+from pathlib import Path
+from typing import cast
+
+import pytest
+
+from loadbalancer.configuration import Configuration, read_configuration
+from loadbalancer.configuration_reload import changes_that_need_a_restart, reload_configuration
+from loadbalancer.proxy.addresses import Address
+from loadbalancer.proxy.proxy import Proxy
+from loadbalancer.settings import Settings
+
+CONFIGURATION = Configuration("n0", ("127.0.0.1", 80), ("127.0.0.1", 1), 1, 1024, Settings())
+OTHER_ADDRESS: Address = ("127.0.0.2", 2)
+
+
+class MovedProxy:
+    """Stands in for a proxy, and records where discovery was moved to."""
+
+    def __init__(self) -> None:
+        self.moves: list[Address] = []
+
+    def move_discovery(self, address: Address) -> None:
+        self.moves.append(address)
+
+
+def reload(path: Path, current: Configuration) -> list[Address]:
+    proxy = MovedProxy()
+    asyncio.run(reload_configuration(str(path), current, cast(Proxy, proxy)))
+    return proxy.moves
+
+
+def written(folder: Path, **changes: object) -> Path:
+    path = folder / "config.json"
+    raw = {"name": "n0", "listen": "127.0.0.1:80", "discovery": "127.0.0.1:1", "seed": "1", "settings": {}}
+    path.write_text(json.dumps(raw | changes))
+    return path
+
+
+@pytest.mark.parametrize(
+    ("changed", "names"),
+    [
+        (CONFIGURATION, []),
+        (replace(CONFIGURATION, discovery=OTHER_ADDRESS, seed=2), []),
+        (replace(CONFIGURATION, name="n1"), ["name"]),
+        (replace(CONFIGURATION, listen=OTHER_ADDRESS), ["listen"]),
+        (replace(CONFIGURATION, max_sockets=2048), ["sockets"]),
+        (replace(CONFIGURATION, cpu_cores=0.5), ["cores"]),
+        (replace(CONFIGURATION, memory_bytes=1), ["memory_bytes"]),
+        (replace(CONFIGURATION, settings=Settings(proxy_count=2)), ["settings"]),
+        (replace(CONFIGURATION, gossip_listen=OTHER_ADDRESS), ["peer_listen"]),
+        (replace(CONFIGURATION, gossip_peers=[OTHER_ADDRESS]), ["peers"]),
+        (replace(CONFIGURATION, gossip_broadcast=OTHER_ADDRESS), ["peers_all"]),
+        (replace(CONFIGURATION, name="n1", cpu_cores=0.5), ["name", "cores"]),
+    ],
+)
+def test_changes_that_need_a_restart(changed: Configuration, names: list[str]) -> None:
+    assert changes_that_need_a_restart(CONFIGURATION, changed) == names
+
+
+def test_a_reload_moves_discovery_and_names_what_needs_a_restart(
+    tmp_path: Path, caplog: pytest.LogCaptureFixture
+) -> None:
+    current = read_configuration(str(written(tmp_path)))
+    path = written(tmp_path, discovery="127.0.0.2:2", limits={"sockets": 2048})
+    with caplog.at_level(logging.INFO):
+        moves = reload(path, current)
+    assert moves == [OTHER_ADDRESS]
+    assert [record.getMessage() for record in caplog.records] == [
+        "n0: reload: discovery at 127.0.0.2:2",
+        "n0: reload: another sockets needs a restart",
+    ]
+
+
+def test_a_reload_of_a_bad_file_changes_nothing(tmp_path: Path, caplog: pytest.LogCaptureFixture) -> None:
+    path = written(tmp_path, discovery="nowhere")
+    moves = reload(path, CONFIGURATION)
+    assert moves == []
+    assert [record.getMessage() for record in caplog.records] == [
+        f"n0: reload: {path}: no address: 'nowhere'; the old configuration stays"
+    ]
+
+
+def test_a_reload_ignores_the_endpoint_list_of_the_file(tmp_path: Path) -> None:
+    # Guards against a list from the file, old by now, that undoes what discovery said since.
+    path = written(tmp_path, discovery="127.0.0.2:2", known={"seq": "no number"})
+    assert reload(path, CONFIGURATION) == [OTHER_ADDRESS]
