--- /dev/null
+++ b/tests/package/test_package_layout.py
@@ -0,0 +1,26 @@
+"""The files that pyproject.toml and the deploy file name are all there, and none is left out."""
+
+from __future__ import annotations
+
+import tomllib
+from pathlib import Path
+
+ROOT = Path(__file__).parent.parent.parent
+DEPLOY = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())
+PYPROJECT = tomllib.loads((ROOT / "pyproject.toml").read_text())
+
+
+def test_the_distribution_has_all_packages() -> None:
+    packages = {
+        ".".join(path.parent.relative_to(ROOT).parts) for path in ROOT.glob("loadbalancer/**/__init__.py")
+    }
+    assert set(PYPROJECT["tool"]["setuptools"]["packages"]) == packages
+
+
+def test_the_deploy_file_names_every_policy_file() -> None:
+    files = {str(path.relative_to(ROOT)) for path in ROOT.glob("loadbalancer/policy/**/*.py")}
+    assert set(DEPLOY["policy"]) == files - {"loadbalancer/policy/__init__.py"}
+
+
+def test_the_deploy_file_names_files_that_are_there() -> None:
+    assert [name for name in DEPLOY["policy"] + DEPLOY["node"] if not (ROOT / name).exists()] == []
--- a/tests/package/test_policy_limits.py
+++ b/tests/package/test_policy_limits.py
@@ -1,4 +1,4 @@
-"""The limits the users set for the module's text."""
+"""Limits that the operators set for the text of the policy, and the example of the README."""
 
 from __future__ import annotations
 
@@ -8,22 +8,22 @@
 from pathlib import Path
 
 ROOT = Path(__file__).parent.parent.parent
-POLICY = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())["policy"]
-TEXTS = {name: (ROOT / name).read_text().splitlines() for name in POLICY}
-LINES = [line for text in TEXTS.values() for line in text]
+POLICY_FILES = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())["policy"]
+LINES_BY_FILE = {name: (ROOT / name).read_text().splitlines() for name in POLICY_FILES}
+LINES = [line for text in LINES_BY_FILE.values() for line in text]
 
 
-def test_length() -> None:
+def test_the_policy_has_at_most_1200_lines_that_are_not_blank() -> None:
     assert sum(bool(line.strip()) for line in LINES) <= 1200
     assert max(map(len, LINES)) <= 110
 
 
-def test_names_its_interface_at_the_top() -> None:
-    assert "loadbalancer/policy/balancer.py" in POLICY
-    assert all("loadbalancer/messages.py" in " ".join(text[:3]) for text in TEXTS.values())
+def test_each_policy_file_names_its_interface_in_the_first_lines() -> None:
+    assert "loadbalancer/policy/balancer.py" in POLICY_FILES
+    assert all("loadbalancer/messages.py" in " ".join(text[:3]) for text in LINES_BY_FILE.values())
 
 
-def test_reads_no_clock_and_no_unseeded_chance() -> None:
+def test_the_policy_reads_no_clock_and_draws_from_seeded_generators_only() -> None:
     text = "\n".join(LINES)
     assert "import time" not in text
     assert "from time" not in text
@@ -34,7 +34,7 @@
     ]
 
 
-def test_readme_example_runs() -> None:
+def test_the_readme_example_runs() -> None:
     text = (ROOT / "README.md").read_text()
     code = text.split("```python\n")[1].split("```")[0]
     done = subprocess.run([sys.executable, "-c", code], cwd=ROOT, capture_output=True, text=True, check=False)
@@ -42,12 +42,12 @@
     assert done.stdout.startswith("send r1 to upstream ")
 
 
-def test_no_name_of_the_old_package_is_left() -> None:
-    old_names = ("cress" + "plank", "lane" + "mux")
+def test_no_former_package_name_is_left() -> None:
+    former_names = ("cress" + "plank", "lane" + "mux")
     files = [
         *ROOT.glob("loadbalancer/**/*.py"),
         *ROOT.glob("deploy/*"),
         ROOT / "pyproject.toml",
         ROOT / "README.md",
     ]
-    assert not [f for f in files if f.is_file() and any(name in f.read_text() for name in old_names)]
+    assert not [f for f in files if f.is_file() and any(name in f.read_text() for name in former_names)]
