--- a/tests/process/test_process.py
+++ b/tests/process/test_process.py
@@ -1,4 +1,4 @@
-"""The program as the deploy file starts it: configuration, SIGTERM, few descriptors."""
+"""The proxy as a process of its own: configuration, signals, start-up, few file descriptors."""
 
 from __future__ import annotations
 
@@ -34,14 +34,14 @@
     written,
 )
 
-READY = b"GET /health/ready HTTP/1.1\r\n\r\n"
+READINESS_CHECK = b"GET /health/ready HTTP/1.1\r\n\r\n"
 SETTINGS = {
     "profiles": [{"name": "read", "repeat": "read_like", "aim_ns": 3_000_000_000}],
     "limits": {"send_cap": 2, "retry_after": True},
 }
 
 
-def config(*upstreams: int, **changes: object) -> dict[str, object]:
+def configuration(*upstreams: int, **changes: object) -> dict[str, object]:
     return {
         "name": "n0",
         "listen": f"{HOST}:0",
@@ -55,7 +55,7 @@
 
 
 @asynccontextmanager
-async def program(
+async def running_proxy(
     folder: Path,
     *upstreams: int,
     descriptors: int = 1024,
@@ -64,12 +64,15 @@
     mode: str = "push",
     **limits: float,
 ) -> AsyncIterator[tuple[Process, int]]:
-    """A real process; its configuration is written for it, unless there is one."""
+    """Start a proxy as a process; give it and its port once it is ready.
+
+    Its configuration is written to `folder`, unless `path` names one.
+    """
     if path is None:
         path = folder / "config.json"
         path.write_text(
             json.dumps(
-                config(
+                configuration(
                     *upstreams,
                     discovery=f"{HOST}:{discovery}",
                     settings={**SETTINGS, "registry_mode": mode},
@@ -78,7 +81,7 @@
             )
         )
 
-    def limit() -> None:
+    def limit_descriptors() -> None:
         resource.setrlimit(resource.RLIMIT_NOFILE, (descriptors, descriptors))
 
     process = await asyncio.create_subprocess_exec(
@@ -87,7 +90,7 @@
         "loadbalancer",
         stderr=PIPE,
         env={**os.environ, "RELAY_CONFIG": str(path)},
-        preexec_fn=limit,
+        preexec_fn=limit_descriptors,
     )
     assert process.stderr is not None
     try:
@@ -102,15 +105,27 @@
         await process.communicate()
 
 
-async def ask(port: int, data: bytes) -> ReceivedRequest:
+def run_to_end(environment: dict[str, str]) -> subprocess.CompletedProcess[str]:
+    return subprocess.run(
+        [sys.executable, "-m", "loadbalancer"],
+        capture_output=True,
+        text=True,
+        check=False,
+        timeout=60,
+        env=environment,
+    )
+
+
+async def exchange(port: int, data: bytes) -> ReceivedRequest:
+    """Send a request on a connection of its own, and return the response."""
     reader, writer = await asyncio.open_connection(HOST, port)
     writer.write(data)
-    got = await asyncio.wait_for(read(reader), PATIENCE_S)
+    response = await asyncio.wait_for(read(reader), PATIENCE_S)
     writer.close()
-    return got
+    return response
 
 
-def test_sigterm_answers_what_was_taken_and_what_still_comes(tmp_path: Path) -> None:
+def test_sigterm_answers_open_requests_and_those_that_still_arrive(tmp_path: Path) -> None:
     async def test() -> None:
         release = asyncio.Event()
 
@@ -120,17 +135,17 @@
             writer.write(written(200, b"done"))
 
         upstream, second = await FakeUpstream(answer).start(), await FakeUpstream(answer).start()
-        async with program(tmp_path, upstream.port, second.port) as (process, port):
-            assert (await ask(port, READY)).status == 200
+        async with running_proxy(tmp_path, upstream.port, second.port) as (process, port):
+            assert (await exchange(port, READINESS_CHECK)).status == 200
             idle_reader, idle_writer = await asyncio.open_connection(HOST, port)
-            idle_writer.write(READY)
+            idle_writer.write(READINESS_CHECK)
             assert (await read(idle_reader)).status == 200
-            slow = asyncio.create_task(ask(port, request("/read/slow", deadline_ms=3000)))
+            slow = asyncio.create_task(exchange(port, request("/read/slow", deadline_ms=3000)))
             await until(lambda: upstream.got or second.got)
             process.send_signal(signal.SIGTERM)
-            while (await ask(port, READY)).status != 503:  # the signal may take a moment
+            while (await exchange(port, READINESS_CHECK)).status != 503:  # the signal may take a moment
                 pass
-            late = await ask(port, request("/read/late"))
+            late = await exchange(port, request("/read/late"))
             assert (late.status, late.headers["connection"]) == (200, "close")
             assert await asyncio.wait_for(idle_reader.read(), PATIENCE_S) == b""
             assert not slow.done()
@@ -145,14 +160,14 @@
     run(test())
 
 
-def test_ready_is_told_when_the_start_is_paid_for(tmp_path: Path) -> None:
-    # Guards against clients that wait out the stop of a process which has overspent its share by starting.
+def test_the_proxy_is_ready_once_the_processor_time_of_its_start_is_paid_for(tmp_path: Path) -> None:
+    # Guards against clients that wait while the system stops a process that overspent its share at the start.
     async def test() -> None:
         upstream = await FakeUpstream(answers(200)).start()
-        async with program(tmp_path, upstream.port, cores=0.001) as (_, port):
-            while (got := await ask(port, READY)).status != 200:
+        async with running_proxy(tmp_path, upstream.port, cores=0.001) as (_, port):
+            while (got := await exchange(port, READINESS_CHECK)).status != 200:
                 assert got.status == 503
-                assert (await ask(port, request())).status == 200  # it serves all the same
+                assert (await exchange(port, request())).status == 200  # it serves meanwhile
         upstream.stop()
 
     run(test())
@@ -162,12 +177,14 @@
     ("cores", "spent_s", "debt_s"),
     [(0.0, 0.1, 0.0), (0.5, 0.1, 0.2 + THROTTLING_DELAY_S), (0.01, 0.1, MAX_CPU_DEBT_S)],
 )
-def test_the_wait_pays_for_the_start(cores: float, spent_s: float, debt_s: float) -> None:
+def test_the_cpu_debt_is_the_time_until_the_start_is_paid_for(
+    cores: float, spent_s: float, debt_s: float
+) -> None:
     assert cpu_debt_s(cores, spent_s) == pytest.approx(debt_s)
 
 
-def test_a_start_with_a_long_list_becomes_ready_and_serves(tmp_path: Path) -> None:
-    # Counts, and times nothing: each request reaches the only one of 30,001 upstreams that is up.
+def test_a_proxy_with_a_long_known_list_becomes_ready_and_serves(tmp_path: Path) -> None:
+    # Nothing is timed: each request must reach the only one of 30,001 endpoints that is up.
     async def test() -> None:
         upstream = await FakeUpstream(answers(200)).start()
         rows = known(*[1] * 30_000, upstream.port)
@@ -175,10 +192,10 @@
         for row in rows["hosts"][:-1]:
             row["health"] = "draining"
         path = tmp_path / "long.json"
-        path.write_text(json.dumps(config(known=rows)))
-        async with program(tmp_path, path=path) as (process, port):
-            assert (await ask(port, READY)).status == 200
-            assert [(await ask(port, request())).status for _ in range(3)] == [200] * 3
+        path.write_text(json.dumps(configuration(known=rows)))
+        async with running_proxy(tmp_path, path=path) as (process, port):
+            assert (await exchange(port, READINESS_CHECK)).status == 200
+            assert [(await exchange(port, request())).status for _ in range(3)] == [200] * 3
             assert len(upstream.got) == 3
             assert process.returncode is None
         upstream.stop()
@@ -186,15 +203,15 @@
     run(test())
 
 
-def test_sighup_moves_discovery_and_survives_a_bad_file(tmp_path: Path) -> None:
+def test_sighup_moves_discovery_and_a_bad_file_changes_nothing(tmp_path: Path) -> None:
     async def test() -> None:
-        registries = [FakeDiscovery(), FakeDiscovery()]
-        for registry in registries:
-            await registry.upstream.start()
+        discoveries = [FakeDiscovery(), FakeDiscovery()]
+        for discovery in discoveries:
+            await discovery.upstream.start()
         upstream = await FakeUpstream(answers(200)).start()
         path = tmp_path / "config.json"
-        async with program(tmp_path, upstream.port) as (process, port):
-            for text in ("{", "[" * 100_000, json.dumps(config(listen=3))):
+        async with running_proxy(tmp_path, upstream.port) as (process, port):
+            for text in ("{", "[" * 100_000, json.dumps(configuration(listen=3))):
                 path.write_text(text)
                 process.send_signal(signal.SIGHUP)
                 line = b""
@@ -202,29 +219,29 @@
                     assert process.stderr is not None
                     line = await asyncio.wait_for(process.stderr.readline(), PATIENCE_S)
                     assert line, "it ended"
-            assert (await ask(port, request())).status == 200
-            for registry in registries:
-                path.write_text(json.dumps(config(discovery=f"{HOST}:{registry.upstream.port}")))
+            assert (await exchange(port, request())).status == 200
+            for discovery in discoveries:
+                path.write_text(json.dumps(configuration(discovery=f"{HOST}:{discovery.upstream.port}")))
                 process.send_signal(signal.SIGHUP)
-                await until(lambda r=registry: len(r.calls) >= 2)  # type: ignore[misc]
+                await until(lambda r=discovery: len(r.calls) >= 2)  # type: ignore[misc]
             process.send_signal(signal.SIGTERM)
-            process.send_signal(signal.SIGHUP)  # also while it drains
+            process.send_signal(signal.SIGHUP)  # also during the shutdown
             assert await asyncio.wait_for(process.wait(), PATIENCE_S) == 0
-        for server in (upstream, *(r.upstream for r in registries)):
+        for server in (upstream, *(r.upstream for r in discoveries)):
             server.stop()
 
     run(test())
 
 
-def test_too_few_descriptors_are_survived(tmp_path: Path) -> None:
+def test_the_proxy_serves_after_it_ran_out_of_descriptors(tmp_path: Path) -> None:
     async def test() -> None:
         upstream = await FakeUpstream(answers(200)).start()
-        async with program(tmp_path, upstream.port, descriptors=24) as (process, port):
+        async with running_proxy(tmp_path, upstream.port, descriptors=24) as (process, port):
             idle = [await asyncio.open_connection(HOST, port) for _ in range(40)]
-            assert (await ask(port, READY)).status == 200
+            assert (await exchange(port, READINESS_CHECK)).status == 200
             for _, writer in idle:
                 writer.close()
-            answered = [(await ask(port, request())).status for _ in range(3)]
+            answered = [(await exchange(port, request())).status for _ in range(3)]
             assert answered == [200] * 3
             assert process.returncode is None
         upstream.stop()
@@ -233,89 +250,75 @@
 
 
 @pytest.mark.parametrize("mode", ["ask", "push"])
-def test_idle_clients_in_all_descriptors_do_not_keep_the_list_away(mode: str, tmp_path: Path) -> None:
-    # Discovery breaks each call while clients that say nothing hold all places and upstreams all of theirs.
+def test_idle_clients_in_all_descriptors_do_not_stop_discovery(mode: str, tmp_path: Path) -> None:
+    # Discovery breaks two calls while idle clients and connections to endpoints take all descriptors.
     async def test() -> None:
-        registry, fails = FakeDiscovery(), iter(range(2))
-        heard: Answer = registry.upstream.answer
+        discovery, fails = FakeDiscovery(), iter(range(2))
+        heard: Answer = discovery.upstream.answer
         upstreams = [await FakeUpstream(answers(200)).start() for _ in range(16)]
 
         async def answer(got: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
             if next(fails, None) is not None:
-                registry.calls.append((0.0, got.first))
+                discovery.calls.append((0.0, got.first))
                 await breaks(got, writer)
             else:
-                if "s0" not in registry.rows:
-                    registry.change("s0", dial=f"{HOST}:{upstreams[0].port}", health="draining")
+                if "s0" not in discovery.rows:
+                    discovery.change("s0", dial=f"{HOST}:{upstreams[0].port}", health="draining")
                 await heard(got, writer)
 
-        registry.upstream.answer = answer
-        await registry.upstream.start()
-        async with program(
+        discovery.upstream.answer = answer
+        await discovery.upstream.start()
+        async with running_proxy(
             tmp_path,
             *(u.port for u in upstreams),
             descriptors=256,
             mode=mode,
-            discovery=registry.upstream.port,
+            discovery=discovery.upstream.port,
             sockets=256,
         ) as (process, port):
             idle = [await asyncio.open_connection(HOST, port) for _ in range(300)]
             answered = set()
-            while len(registry.calls) < 4:  # two fail, one tells, the watch goes on
-                got = await asyncio.gather(*(ask(port, request()) for _ in range(40)))
+            while len(discovery.calls) < 4:  # two fail, one brings a change, the watch goes on
+                got = await asyncio.gather(*(exchange(port, request()) for _ in range(40)))
                 answered |= {g.status for g in got}
                 idle += [await asyncio.open_connection(HOST, port) for _ in range(10)]
             before = len(upstreams[0].got)
-            answered |= {(await ask(port, request())).status for _ in range(40)}
+            answered |= {(await exchange(port, request())).status for _ in range(40)}
             assert len(upstreams[0].got) == before
             assert answered == {200}
             assert process.returncode is None
             for _, writer in idle:
                 writer.close()
-        for server in (*upstreams, registry.upstream):
+        for server in (*upstreams, discovery.upstream):
             server.stop()
 
     run(test())
 
 
 @pytest.mark.parametrize(
-    ("text", "says"),
+    ("text", "message"),
     [
         (None, "No such file"),
         ("{", "premature EOF"),
         ("[]", ""),
         ("{}", "'name' is missing"),
-        (json.dumps(config(1, listen="nowhere")), "no address"),
-        (json.dumps(config(1, settings=3)), ""),
-        (json.dumps(config(1, known={"hosts": 3})), "known"),
+        (json.dumps(configuration(1, listen="nowhere")), "no address"),
+        (json.dumps(configuration(1, settings=3)), ""),
+        (json.dumps(configuration(1, known={"hosts": 3})), "known"),
     ],
 )
-def test_a_bad_configuration_is_one_plain_line(tmp_path: Path, text: str | None, says: str) -> None:
+def test_a_bad_configuration_is_reported_in_one_line(tmp_path: Path, text: str | None, message: str) -> None:
     path = tmp_path / "config.json"
     if text is not None:
         path.write_text(text)
-    done = subprocess.run(
-        [sys.executable, "-m", "loadbalancer"],
-        capture_output=True,
-        text=True,
-        check=False,
-        timeout=60,
-        env={**os.environ, "RELAY_CONFIG": str(path)},
-    )
+    done = run_to_end({**os.environ, "RELAY_CONFIG": str(path)})
     assert done.returncode == 2
-    assert says in done.stderr
+    assert message in done.stderr
     assert done.stderr.count("\n") == 1
 
 
-def test_no_configuration_is_told() -> None:
+def test_a_missing_configuration_variable_is_reported() -> None:
     env = {k: v for k, v in os.environ.items() if k != "RELAY_CONFIG"}
-    done = subprocess.run(
-        [sys.executable, "-m", "loadbalancer"],
-        capture_output=True,
-        text=True,
-        check=False,
-        timeout=60,
-        env=env,
-    )
+    done = run_to_end(env)
     assert done.returncode == 2
     assert done.stderr == "loadbalancer: RELAY_CONFIG is not set\n"
--- a/tests/simulator/test_simulator_adapter.py
+++ b/tests/simulator/test_simulator_adapter.py
@@ -1,4 +1,4 @@
-"""The adapter as a real subprocess: round trip, bad input, the same actions whatever the hash seed."""
+"""The simulator's adapter as a process: requests, malformed input, independence of the hash seed."""
 
 from __future__ import annotations
 
@@ -8,15 +8,13 @@
 import sys
 import tomllib
 from pathlib import Path
-from typing import Any
 
 import pytest
 
 from loadbalancer.messages import Endpoint
-from loadbalancer.settings import DeduplicationScope, WeightSource, read_settings
+from loadbalancer.settings import DeduplicationScope, Json, WeightSource, read_settings
 from loadbalancer.simulator_wire import read_endpoint
 
-Json = dict[str, Any]
 SETTINGS: Json = {
     "me": 0,
     "replicas_of_me": 2,
@@ -34,7 +32,7 @@
 ]
 
 
-def run(lines: list[str], hash_seed: str = "0") -> subprocess.CompletedProcess[str]:
+def run_adapter(lines: list[str], hash_seed: str = "0") -> subprocess.CompletedProcess[str]:
     return subprocess.run(
         [sys.executable, "-m", "loadbalancer.simulator_adapter"],
         input="".join(f"{x}\n" for x in lines),
@@ -50,7 +48,7 @@
     return json.dumps({"sim_time_ns": now, "round": number, "happened": list(happened)})
 
 
-def start(balancer: int = 0) -> list[Json]:
+def started_balancer(balancer: int = 0) -> list[Json]:
     return [
         {"t": "new_instance", "balancer": balancer, "seed": 5, "settings": SETTINGS},
         {"t": "directory", "buffer": 0, "rows_in": ROWS},
@@ -58,7 +56,7 @@
     ]
 
 
-def submit(ticket: str, now: int, balancer: int = 0) -> Json:
+def request_arrived(ticket: str, now: int, balancer: int = 0) -> Json:
     return {
         "t": "submit",
         "balancer": balancer,
@@ -69,19 +67,21 @@
     }
 
 
-def day() -> list[str]:
-    lines = [batch(1, 10**9), batch(2, 2 * 10**9, *start(0), *start(1))]
+def simulated_day() -> list[str]:
+    lines = [batch(1, 10**9), batch(2, 2 * 10**9, *started_balancer(0), *started_balancer(1))]
     for i in range(40):
         now = 2 * 10**9 + i * 10**7
-        lines.append(batch(3 + i, now, *(submit(f"t{i}-{j}-{b}", now, b) for j in range(3) for b in (0, 1))))
+        lines.append(
+            batch(3 + i, now, *(request_arrived(f"t{i}-{j}-{b}", now, b) for j in range(3) for b in (0, 1)))
+        )
     return lines
 
 
-def test_round_trip() -> None:
+def test_a_request_is_forwarded_and_its_result_taken() -> None:
     now = 2 * 10**9
-    done = run(
+    done = run_adapter(
         [
-            batch(1, now, *start(), submit("t1", now)),
+            batch(1, now, *started_balancer(), request_arrived("t1", now)),
             batch(
                 2,
                 now + 10**7,
@@ -109,15 +109,15 @@
     assert second["round"] == 2
 
 
-def test_same_actions_whatever_the_hash_seed() -> None:
-    assert run(day(), "1").stdout == run(day(), "2").stdout != ""
+def test_replies_do_not_depend_on_the_hash_seed() -> None:
+    assert run_adapter(simulated_day(), "1").stdout == run_adapter(simulated_day(), "2").stdout != ""
 
 
-def test_power_off_forgets_the_balancer() -> None:
+def test_power_off_removes_the_balancer() -> None:
     now = 2 * 10**9
-    done = run(
+    done = run_adapter(
         [
-            batch(1, now, *start(), submit("t1", now)),
+            batch(1, now, *started_balancer(), request_arrived("t1", now)),
             batch(2, now + 1, {"t": "power_off", "balancer": 0}),
             batch(3, now + 2, {"t": "timer", "balancer": 0, "name": "1"}),
         ]
@@ -127,7 +127,7 @@
 
 
 @pytest.mark.parametrize(
-    ("line", "says"),
+    ("line", "message"),
     [
         ("{", "not JSON"),
         ("[]", "must be an object"),
@@ -136,23 +136,36 @@
         ('{"sim_time_ns":1,"round":1}', "happened"),
         (batch(1, 1, {"t": "strange", "balancer": 0}), "not started"),
         (batch(1, 1, {"balancer": 0}), "KeyError"),
-        (batch(1, 1, *start(), {"t": "strange", "balancer": 0}), "unknown event 'strange'"),
-        (batch(1, 1, *start(), {"t": "submit", "balancer": 0, "ticket": "t1"}), "KeyError 'kind'"),
-        (batch(1, 1, *start(), {**submit("t1", 1), "deadline_ns": "soon"}), "deadline_ns is no whole number"),
-        (batch(1, 1, *start(), {**submit("t1", 1), "ticket": 7}), "ticket is no text"),
+        (batch(1, 1, *started_balancer(), {"t": "strange", "balancer": 0}), "unknown event 'strange'"),
+        (batch(1, 1, *started_balancer(), {"t": "submit", "balancer": 0, "ticket": "t1"}), "KeyError 'kind'"),
         (
-            batch(1, 1, *start(), {"t": "membership", "balancer": 0, "form": 1, "stamp": 2, "buffer": 9}),
+            batch(1, 1, *started_balancer(), {**request_arrived("t1", 1), "deadline_ns": "soon"}),
+            "deadline_ns is no whole number",
+        ),
+        (batch(1, 1, *started_balancer(), {**request_arrived("t1", 1), "ticket": 7}), "ticket is no text"),
+        (
+            batch(
+                1,
+                1,
+                *started_balancer(),
+                {"t": "membership", "balancer": 0, "form": 1, "stamp": 2, "buffer": 9},
+            ),
             "KeyError 9",
         ),
         (
-            batch(1, 1, *start(), {"t": "membership", "balancer": 0, "form": 7, "stamp": 2, "buffer": 0}),
+            batch(
+                1,
+                1,
+                *started_balancer(),
+                {"t": "membership", "balancer": 0, "form": 7, "stamp": 2, "buffer": 0},
+            ),
             "KeyError 7",
         ),
         (
             batch(
                 1,
                 1,
-                *start(),
+                *started_balancer(),
                 {
                     "t": "probe_result",
                     "balancer": 0,
@@ -165,15 +178,15 @@
         ),
     ],
 )
-def test_malformed_input_stops_with_a_plain_message(line: str, says: str) -> None:
-    done = run([line])
+def test_malformed_input_ends_the_adapter_with_a_message(line: str, message: str) -> None:
+    done = run_adapter([line])
     assert done.returncode == 2
-    assert says in done.stderr
+    assert message in done.stderr
     assert "Traceback" not in done.stderr
 
 
-def test_an_exception_in_the_module_is_a_fault() -> None:
-    done = run(
+def test_an_exception_in_the_decisions_is_reported_as_a_fault() -> None:
+    done = run_adapter(
         [
             batch(
                 1,
@@ -194,7 +207,7 @@
     assert "TypeError" in fault["message"]
 
 
-def test_every_setting_that_a_decision_can_use_is_carried() -> None:
+def test_every_setting_that_a_decision_can_use_is_read() -> None:
     raw = {
         **SETTINGS,
         "zones": ["north", "south"],
@@ -252,7 +265,7 @@
     assert read_endpoint(row) == Endpoint(5, cell=2, weight=0.25, started_ns=3, machine_type="big")
 
 
-def test_starts_as_the_deploy_file_says() -> None:
+def test_the_adapter_builds_and_starts_as_the_deploy_file_says() -> None:
     root = Path(__file__).parent.parent.parent
     deploy = tomllib.loads((root / "deploy" / "balancer.toml").read_text())
     subprocess.run(["/bin/sh", "-c", deploy["build"]], cwd=root, check=True, timeout=600)
@@ -260,7 +273,7 @@
     done = subprocess.run(
         ["/bin/sh", "-c", deploy["sim"]],
         cwd=root,
-        input="".join(f"{x}\n" for x in day()),
+        input="".join(f"{x}\n" for x in simulated_day()),
         capture_output=True,
         text=True,
         timeout=60,
@@ -270,4 +283,4 @@
     assert done.returncode == 0
     assert [r["round"] for r in replies] == list(range(1, 43))
     assert any(c["t"] == "submit_to" for r in replies for c in r["cmds"])
-    assert done.stdout == run(day()).stdout
+    assert done.stdout == run_adapter(simulated_day()).stdout
