--- a/loadbalancer/policy/balancer.py
+++ b/loadbalancer/policy/balancer.py
@@ -286,7 +286,7 @@
             self._reject(request)
 
     def _reject_for_capacity(self, request: Request) -> None:
-        """messages.Reject a request for which no endpoint has capacity in time."""
+        """Reject a request for which no endpoint has capacity in time."""
         if not request.delayed_by_throttle:
             self.rate_controller.expired_in_queue += 1
         self._reject(request)
--- /dev/null
+++ b/tests/policy/test_attempt_results.py
@@ -0,0 +1,100 @@
+"""What attempts that end, late, twice or at the wrong endpoint, do to the state and the rate."""
+
+from __future__ import annotations
+
+import random
+from collections import Counter
+
+from loadbalancer.messages import AttemptResult, EndpointUpdate, EndpointUpdateKind
+from loadbalancer.policy.rate_control import RateController
+from loadbalancer.policy.throttle import Throttle
+from loadbalancer.settings import Limits
+from tests.support.policy_harness import MS, SECOND, PolicyHarness, arrival, settings, upstreams
+
+
+def test_resets_do_not_cut_the_rate() -> None:
+    harness = PolicyHarness(servers=4)
+    for i in range(40):
+        harness.give(arrival(i, harness.now))
+        harness.finish(f"r{i}", AttemptResult.RESET)
+        harness.finish(f"r{i}")
+    # The first reset of all counts as the endpoint's own fault.
+    assert sum(harness.balancer.rate_controller.failures.values()) <= 1
+
+
+def test_late_and_unknown_results_are_ignored() -> None:
+    harness = PolicyHarness()
+    harness.give(arrival(1, harness.now))
+    late = harness.result("r1", 0, AttemptResult.OK)
+    harness.give(late)
+    harness.balancer.handle(
+        harness.now, [late, late._replace(request_id="unknown"), late._replace(endpoint_id=99)]
+    )
+
+
+def test_overload_of_a_small_subset_lowers_the_rate() -> None:
+    # Incident i430663: of a subset of four, three and more could fail all day and the rate never fell.
+    throttle = Throttle(1.0, random.Random(1), 0)
+    for failing, falls in ((2, False), (4, True)):
+        rate = RateController([throttle], 0)
+        rate.successes, rate.failures = 4, Counter(dict.fromkeys(range(failing), 6))
+        rate.adjust(SECOND, 4)
+        assert (rate.rate < 100) is falls
+
+
+def test_mistakes_of_the_caller_are_not_counted() -> None:
+    # An attempt never made, one at another endpoint, an endpoint never listed, an id that is open already.
+    harness = PolicyHarness(servers=2)
+    harness.give(arrival(1, harness.now))
+    sent = harness.sends["r1"][0][0].id
+    balancer, good = harness.balancer, harness.result("r1", 0, AttemptResult.OK)
+    balancer.handle(
+        harness.now,
+        [
+            good._replace(attempt=3),
+            good._replace(attempt=-1),
+            good._replace(endpoint_id=99),
+            good._replace(endpoint_id=3 - sent),
+            arrival(1, harness.now),
+        ],
+    )
+    assert balancer.fleet.endpoints[sent].in_flight == 1
+    assert len(balancer.requests) == 1
+    harness.give(good)
+    assert balancer.fleet.endpoints[sent].in_flight == 0
+    assert not balancer.requests
+
+
+def harness_with_an_overdue_attempt(later_ones_answered: bool) -> PolicyHarness:
+    """Return a harness whose only endpoint takes two at once and never sends the first answer."""
+    harness = PolicyHarness(settings(limits=Limits(cancellation=True)), servers=1)
+    harness.balancer.concurrency_limit.limit = 2
+    harness.give(arrival("lost", harness.now, wait_ns=SECOND))
+    for i in range(20):
+        if later_ones_answered:
+            harness.give(arrival(i, harness.now))
+            harness.advance(5 * MS)
+            for request in {r for r, _ in harness.out()} - {"rlost"}:
+                harness.finish(request)
+        harness.advance(10 * MS)
+    assert ("rlost", 0) in harness.out()
+    return harness
+
+
+def test_lost_answer_does_not_count_as_in_flight() -> None:
+    # Guards against silent attempts of a bad network filling the places at sound endpoints (event8052).
+    for lost, sent in ((True, 2), (False, 0)):  # one that answers nobody stands still: left alone
+        harness = harness_with_an_overdue_attempt(lost)
+        harness.give(arrival("a", harness.now), arrival("b", harness.now))
+        harness.advance(1 * MS)
+        assert len({"ra", "rb"} & set(harness.sends)) == sent
+
+
+def test_removed_endpoint_is_kept_until_its_overdue_attempt_ends() -> None:
+    harness = harness_with_an_overdue_attempt(True)
+    harness.give(EndpointUpdate(EndpointUpdateKind.FULL, upstreams(2, first=2)))
+    harness.finish("rlost", AttemptResult.CONNECT_FAILED)
+    assert harness.answer["rlost"] == "refused"
+    assert set(harness.balancer.fleet.endpoints) == {1, 2, 3}
+    harness.give(EndpointUpdate(EndpointUpdateKind.FULL, upstreams(1, first=2)))
+    assert set(harness.balancer.fleet.endpoints) == {2}
--- /dev/null
+++ b/tests/policy/test_discovery_retry.py
@@ -0,0 +1,49 @@
+"""When discovery is polled again."""
+
+from __future__ import annotations
+
+from loadbalancer.messages import EndpointUpdate, EndpointUpdateKind, SetTimer, WatchEndpoints
+from loadbalancer.policy.balancer import Balancer
+from tests.support.policy_harness import MS, SECOND, START, PolicyHarness, of, settings
+
+
+def test_failed_calls_back_off() -> None:
+    harness = PolicyHarness(settings(discovery_pushes=False))
+    assert not of(WatchEndpoints, harness.log)
+    harness.advance(5 * SECOND)
+    assert len(of(WatchEndpoints, harness.log)) == 1
+    gaps, last = [], harness.now
+    for _ in range(4):
+        harness.give(EndpointUpdate(EndpointUpdateKind.FAILED))
+        before = len(of(WatchEndpoints, harness.log))
+        while len(of(WatchEndpoints, harness.log)) == before:
+            harness.advance(50 * MS)
+            assert harness.now - last < 20 * SECOND
+        gaps.append(harness.now - last)
+        last = harness.now
+    assert gaps[0] < gaps[2]
+    assert max(gaps) <= harness.config.rules.poll_interval_ns
+
+
+def test_watch_that_timed_out_is_renewed_at_once() -> None:
+    harness = PolicyHarness(settings(discovery_pushes=False))
+    harness.advance(5 * SECOND)
+    for _ in range(3):
+        assert WatchEndpoints(True) in harness.give(EndpointUpdate(EndpointUpdateKind.WATCH_TIMED_OUT))
+    # Silence is no failure: the pause after one is as short as ever.
+    assert WatchEndpoints(True) not in harness.give(EndpointUpdate(EndpointUpdateKind.FAILED))
+    assert WatchEndpoints(True) in harness.advance(1500 * MS)
+
+
+def test_first_calls_are_spread() -> None:
+    delays = set()
+    for seed in range(10):
+        balancer = Balancer(settings(discovery_pushes=False), seed, START)
+        delays |= {a.delay_ns // (50 * MS) for a in balancer.handle(START, []) if isinstance(a, SetTimer)}
+    assert len(delays) > 5
+
+
+def test_discovery_is_not_called_where_it_pushes() -> None:
+    harness = PolicyHarness()
+    harness.advance(5 * SECOND)
+    assert not of(WatchEndpoints, harness.log)
--- /dev/null
+++ b/tests/policy/test_endpoint_updates.py
@@ -0,0 +1,42 @@
+"""What endpoint lists and their updates change for this proxy."""
+
+from __future__ import annotations
+
+from loadbalancer.messages import EndpointStatus, EndpointUpdate, EndpointUpdateKind
+from tests.support.policy_harness import MS, SECOND, PolicyHarness, arrival, upstreams
+
+
+def test_draining_endpoint_gets_no_new_request() -> None:
+    harness = PolicyHarness()
+    harness.give(
+        EndpointUpdate(
+            EndpointUpdateKind.DELTA,
+            [u._replace(status=EndpointStatus.DRAINING) for u in upstreams(5)],
+        )
+    )
+    for i in range(20):
+        harness.give(arrival(i, harness.now))
+        harness.advance(20 * MS)
+        for request, number in harness.out():
+            harness.finish(request, number=number)
+    assert {u.id for sent in harness.sends.values() for u, _ in sent} == {6}
+
+
+def test_endpoint_missing_from_a_full_list_is_removed() -> None:
+    harness = PolicyHarness()
+    harness.give(EndpointUpdate(EndpointUpdateKind.FULL, upstreams(1)))
+    for i in range(5):
+        harness.give(arrival(i, harness.now))
+        harness.finish(f"r{i}")
+    assert {u.id for sent in harness.sends.values() for u, _ in sent} == {1}
+
+
+def test_states_of_removed_endpoints_are_dropped() -> None:
+    harness = PolicyHarness(servers=0)
+    for i in range(50):
+        harness.give(EndpointUpdate(EndpointUpdateKind.FULL, upstreams(3, first=1 + 3 * i)))
+        harness.give(arrival(i, harness.now))
+        harness.finish(f"r{i}")
+        harness.advance(SECOND)
+    assert len(harness.balancer.fleet.endpoints) <= 6
+    assert len(harness.balancer.timers) < 20
--- /dev/null
+++ b/tests/policy/test_load_probing.py
@@ -0,0 +1,69 @@
+"""Load probing before a send."""
+
+from __future__ import annotations
+
+from loadbalancer.messages import AttemptResult, CheckHealth, HealthCheckEnded
+from loadbalancer.settings import Limits, Prices
+from tests.support.policy_harness import MS, PolicyHarness, arrival, of, settings
+
+
+def probing_harness(servers: int = 6) -> PolicyHarness:
+    limits = Limits(max_attempts=3, health_checks=True, cancellation=True)
+    return PolicyHarness(settings(limits=limits, load_report_columns=("inflight", "queue")), servers=servers)
+
+
+def test_drawn_endpoints_are_probed_and_the_least_loaded_is_chosen() -> None:
+    # With many proxies own counts say little: their reports decide.
+    harness = probing_harness()
+    probed = [a.endpoint_id for a in harness.give(arrival(1, harness.now)) if isinstance(a, CheckHealth)]
+    assert probed
+    assert "r1" not in harness.sends
+    harness.now += MS
+    harness.give(
+        *(HealthCheckEnded(u, AttemptResult.OK, MS, {"inflight": float(i)}) for i, u in enumerate(probed))
+    )
+    assert harness.sends["r1"][0][0].id == probed[0]
+
+
+def test_lost_probe_is_not_waited_for() -> None:
+    harness = probing_harness()
+    harness.give(arrival(1, harness.now))
+    harness.advance(20 * MS)
+    assert len(harness.sends["r1"]) == 1
+
+
+def test_fresh_probe_is_not_repeated() -> None:
+    # A busy proxy would spend itself on probes that tell it nothing new.
+    harness = probing_harness(servers=1)
+    counts = []
+    for number in range(4):
+        counts.append(sum(isinstance(a, CheckHealth) for a in harness.give(arrival(number, harness.now))))
+        harness.now += 2 * MS
+    assert counts == [1, 0, 0, 1]
+
+
+def test_request_is_rejected_when_all_probed_endpoints_would_answer_late() -> None:
+    harness = probing_harness()
+    probed = [a.endpoint_id for a in harness.give(arrival(1, harness.now)) if isinstance(a, CheckHealth)]
+    harness.now += MS
+    harness.give(*(HealthCheckEnded(u, AttemptResult.OK, MS, {"inflight": 500.0}) for u in probed))
+    assert harness.answer["r1"] == "refused"
+
+
+def test_idle_endpoint_is_never_too_slow_to_try() -> None:
+    # Guards against rejecting on a quiet day because one heavy request made an endpoint look slow.
+    harness = probing_harness(servers=1)
+    harness.balancer.fleet.endpoints[1].relative_latency = 9.0
+    harness.give(arrival(1, harness.now, wait_ns=100 * MS))
+    harness.give(HealthCheckEnded(1, AttemptResult.OK, MS, {"inflight": 0.0}))
+    assert len(harness.sends["r1"]) == 1
+
+
+def test_costly_or_useless_probes_are_not_sent() -> None:
+    limits = Limits(max_attempts=3, health_checks=True)
+    dear = settings(limits=limits, load_report_columns=("inflight",), prices=Prices(health_check=0.05))
+    for config in (dear, settings(limits=limits, load_report_columns=("util",))):
+        harness = PolicyHarness(config)
+        harness.give(arrival(1, harness.now))
+        assert "r1" in harness.sends
+        assert not of(CheckHealth, harness.log)
--- /dev/null
+++ b/tests/policy/test_load_reports.py
@@ -0,0 +1,46 @@
+"""Loads that endpoints report, or that their live weights imply."""
+
+from __future__ import annotations
+
+import pytest
+
+from loadbalancer.messages import AttemptEnded, AttemptResult, EndpointUpdate, EndpointUpdateKind
+from loadbalancer.settings import WeightSource
+from tests.support.policy_harness import MS, SECOND, PolicyHarness, arrival, settings, upstreams
+
+
+def live_weights_update(weights: list[float]) -> EndpointUpdate:
+    pairs = zip(upstreams(len(weights)), weights, strict=True)
+    return EndpointUpdate(EndpointUpdateKind.DELTA, [u._replace(weight=w) for u, w in pairs])
+
+
+def test_live_weights_show_the_less_loaded_endpoint() -> None:
+    # With one request in flight at most, own counts say nothing: the list's figure decides.
+    harness = PolicyHarness(settings(weight_source=WeightSource.LIVE), servers=2)
+    harness.give(live_weights_update([1.0, 1.0]), live_weights_update([0.1, 0.5]))
+    for i in range(12):
+        harness.give(arrival(i, harness.now))
+        harness.now += MS
+        harness.finish(f"r{i}")
+    assert {u.id for sent in harness.sends.values() for u, _ in sent} == {2}
+
+
+def test_old_load_report_is_ignored() -> None:
+    harness = PolicyHarness(settings(weight_source=WeightSource.LIVE), servers=1)
+    harness.give(live_weights_update([1.0]), live_weights_update([0.001]))
+    harness.give(arrival(1, harness.now))
+    assert harness.answer["r1"] == "refused"
+    harness.advance(4 * SECOND)
+    harness.give(arrival(2, harness.now))
+    assert len(harness.sends["r2"]) == 1
+
+
+@pytest.mark.parametrize("load", [-5.0, 1e300, float("nan"), float("inf")])
+def test_impossible_load_report_is_ignored(load: float) -> None:
+    harness = PolicyHarness(servers=2)
+    for i in range(6):
+        harness.give(arrival(i, harness.now))
+        harness.now += 20 * MS
+        endpoint = harness.sends[f"r{i}"][0][0].id
+        harness.give(AttemptEnded(f"r{i}", 0, endpoint, AttemptResult.OK, 20 * MS, True, {"inflight": load}))
+    assert [harness.answer[f"r{i}"] for i in range(6)] == ["served"] * 6
--- /dev/null
+++ b/tests/policy/test_random_days.py
@@ -0,0 +1,88 @@
+"""Random legal days, each action checked by the harness."""
+
+from __future__ import annotations
+
+import random
+
+from hypothesis import given
+from hypothesis import settings as hyp
+from hypothesis import strategies as st
+
+from loadbalancer.messages import (
+    AttemptResult,
+    ClientDisconnected,
+    EndpointStatus,
+    EndpointUpdate,
+    EndpointUpdateKind,
+)
+from loadbalancer.settings import Limits, Rules
+from tests.support.policy_harness import (
+    ANY,
+    BIG,
+    CELL,
+    MS,
+    NEAR,
+    PAY,
+    READ,
+    SECOND,
+    PolicyHarness,
+    arrival,
+    mixed_fleet,
+    settings,
+)
+
+RESULTS = [AttemptResult.OK] * 6 + [r for r in AttemptResult if r is not AttemptResult.TIMEOUT]
+
+
+@hyp(derandomize=True, deadline=None, max_examples=120)
+@given(st.integers(0, 10**6), st.booleans(), st.booleans(), st.integers(1, 9))
+def test_random_days_keep_the_rules(seed: int, hedging: bool, push: bool, servers: int) -> None:
+    rng = random.Random(seed)
+    limits = Limits(
+        max_attempts=rng.choice([1, 2, 3, 5]),
+        hedging=hedging,
+        cancellation=rng.random() < 0.7,
+        retry_after=True,
+        health_checks=True,
+        gossip=True,
+    )
+    rules = Rules(slow_start_ns=4 * SECOND, rejected_may_have_run=rng.random() < 0.5)
+    harness = PolicyHarness(
+        settings(limits=limits, discovery_pushes=push, proxy_count=rng.choice([1, 3, 40]), rules=rules),
+        seed,
+        0,
+    )
+    pool = mixed_fleet(servers)
+    harness.give(EndpointUpdate(EndpointUpdateKind.CACHED, pool))
+    for number in range(rng.randint(5, 120)):
+        for _ in range(rng.choice([0, 1, 1, 2, 12])):
+            request_class = rng.choice([READ, PAY, CELL, ANY, NEAR, BIG])
+            ident = f"{number}-{rng.random()}"
+            harness.give(
+                arrival(
+                    ident,
+                    harness.now,
+                    request_class,
+                    rng.choice(["ash", "birch"]),
+                    rng.choice([2, 40, 300, 900]) * MS,
+                    rng.random() < 0.2,
+                )
+            )
+        for request, attempt in harness.out():
+            if rng.random() < 0.4:
+                harness.give(harness.result(request, attempt, rng.choice(RESULTS)))
+        if rng.random() < 0.1:
+            open_ones = [r for r in harness.cls if r not in harness.answer]
+            if open_ones:
+                harness.give(ClientDisconnected(rng.choice(open_ones)))
+        if rng.random() < 0.1:
+            i = rng.randrange(len(pool))
+            started = harness.now if rng.random() < 0.5 else pool[i].started_ns
+            pool[i] = pool[i]._replace(status=rng.choice(list(EndpointStatus)), started_ns=started)
+            kind = rng.choice([EndpointUpdateKind.DELTA, EndpointUpdateKind.FULL, EndpointUpdateKind.CACHED])
+            harness.give(EndpointUpdate(kind, [pool[i]] if kind is EndpointUpdateKind.DELTA else pool))
+        if not push and rng.random() < 0.05:
+            harness.give(EndpointUpdate(EndpointUpdateKind.FAILED))
+        harness.advance(rng.choice([0, 1, 10, 50]) * MS)
+    harness.advance(2 * SECOND)
+    assert set(harness.answer) == set(harness.cls)
--- /dev/null
+++ b/tests/policy/test_request.py
@@ -0,0 +1,212 @@
+"""Which attempts and final answers of a request are legal (rules 1 to 3, placement)."""
+
+from __future__ import annotations
+
+import pytest
+
+from loadbalancer.messages import (
+    AttemptResult,
+    ClientDisconnected,
+    EndpointStatus,
+    EndpointUpdate,
+    EndpointUpdateKind,
+    Fail,
+    Forward,
+    Reject,
+    RequestArrived,
+)
+from loadbalancer.policy.balancer import Balancer
+from loadbalancer.settings import Limits, RequestClass, Rules, Settings
+from tests.support.policy_harness import (
+    ANY,
+    BIG,
+    CELL,
+    MS,
+    NEAR,
+    PAY,
+    READ,
+    SECOND,
+    START,
+    PolicyHarness,
+    arrival,
+    mixed_fleet,
+    of,
+    settings,
+    upstreams,
+)
+
+
+def test_served_request_needs_no_other_attempt() -> None:
+    harness = PolicyHarness()
+    assert len(of(Forward, harness.give(arrival(1, harness.now)))) == 1
+    assert not of(Fail, harness.finish("r1"))
+    assert harness.answer["r1"] == "served"
+
+
+@pytest.mark.parametrize("request_class", [READ, PAY, CELL, ANY])
+def test_request_is_rejected_in_time_when_no_endpoint_is_known(request_class: RequestClass) -> None:
+    harness = PolicyHarness(servers=0)
+    harness.give(EndpointUpdate(EndpointUpdateKind.CACHED), arrival(1, harness.now, request_class))
+    harness.advance(600 * MS)
+    assert harness.answer["r1"] == "refused"
+
+
+def test_request_is_rejected_in_time_when_all_endpoints_drain() -> None:
+    harness = PolicyHarness()
+    harness.give(
+        EndpointUpdate(
+            EndpointUpdateKind.DELTA,
+            [u._replace(status=EndpointStatus.DRAINING) for u in upstreams(6)],
+        )
+    )
+    harness.give(arrival(1, harness.now, PAY))
+    harness.advance(600 * MS)
+    assert harness.answer["r1"] == "refused"
+    assert "r1" not in harness.sends
+
+
+def test_non_idempotent_request_that_times_out_is_failed() -> None:
+    harness = PolicyHarness()
+    harness.give(arrival(1, harness.now, PAY))
+    harness.advance(600 * MS)
+    assert harness.answer["r1"] == "failed"
+    assert len(harness.sends["r1"]) == 1
+
+
+@pytest.mark.parametrize("result", [AttemptResult.REJECTED, AttemptResult.CONNECT_FAILED])
+def test_non_idempotent_request_that_never_ran_is_retried(result: AttemptResult) -> None:
+    harness = PolicyHarness()
+    harness.give(arrival(1, harness.now, PAY))
+    harness.now += MS
+    harness.finish("r1", result)
+    assert len(harness.sends["r1"]) == 2
+
+
+@pytest.mark.parametrize("result", [AttemptResult.ERROR, AttemptResult.RESET, AttemptResult.CANCELLED])
+def test_non_idempotent_request_that_may_have_run_is_failed(result: AttemptResult) -> None:
+    harness = PolicyHarness()
+    harness.give(arrival(1, harness.now, PAY))
+    harness.now += MS
+    harness.finish("r1", result)
+    assert harness.answer["r1"] == "failed"
+
+
+@pytest.mark.parametrize("request_class", [NEAR, BIG])
+def test_placement_binds_every_attempt(request_class: RequestClass) -> None:
+    # Guards against a class going where it may not, on retries too: the checker asserts it for each send.
+    harness = PolicyHarness(servers=0)
+    harness.give(EndpointUpdate(EndpointUpdateKind.CACHED, mixed_fleet(12)))
+    for i in range(60):
+        harness.give(arrival(i, harness.now, request_class))
+        harness.now += 5 * MS
+        for request, number in harness.out():
+            if request not in harness.answer:
+                harness.give(
+                    harness.result(request, number, (AttemptResult.REJECTED, AttemptResult.OK)[i % 2])
+                )
+    assert len(harness.sends) > 20
+
+
+def test_placement_holds_without_endpoints_and_does_not_stop_others() -> None:
+    harness = PolicyHarness(servers=0)
+    west = [u for u in mixed_fleet(12) if u.zone == "west"]
+    harness.give(EndpointUpdate(EndpointUpdateKind.CACHED, west))
+    harness.give(arrival("near", harness.now, NEAR), arrival("read", harness.now, READ))
+    assert "rread" in harness.sends
+    assert "rnear" not in harness.sends
+    harness.advance(600 * MS)
+    assert harness.answer["rnear"] == "refused"
+
+
+@pytest.mark.parametrize(
+    ("request_class", "rejected_may_have_run", "answer"),
+    [(PAY, True, "failed"), (CELL, True, None), (PAY, False, None), (READ, True, None)],
+)
+def test_rejection_proves_that_nothing_ran_only_where_the_rules_say_so(
+    request_class: RequestClass, rejected_may_have_run: bool, answer: str | None
+) -> None:
+    # Guards against a second effect where endpoints also drop what they had begun.
+    harness = PolicyHarness(
+        settings(rules=Rules(slow_start_ns=4 * SECOND, rejected_may_have_run=rejected_may_have_run))
+    )
+    harness.give(arrival(1, harness.now, request_class))
+    harness.now += MS
+    harness.finish("r1", AttemptResult.REJECTED)
+    assert harness.answer.get("r1") == answer
+    assert len(harness.sends["r1"]) == (1 if answer else 2)
+
+
+def test_attempts_are_capped() -> None:
+    harness = PolicyHarness()
+    harness.give(arrival(1, harness.now, READ))
+    for _ in range(3):
+        harness.now += MS
+        if "r1" not in harness.answer:
+            harness.finish("r1", AttemptResult.REJECTED)
+    harness.advance(600 * MS)
+    assert harness.answer["r1"] == "refused"
+    assert len(harness.sends["r1"]) <= 3
+
+
+def test_attempt_times_out_at_the_objective_where_late_is_worth_nothing() -> None:
+    harness = PolicyHarness()
+    sends = [a for a in harness.give(arrival(1, harness.now, READ)) if isinstance(a, Forward)]
+    assert sends[0].timeout_ns == READ.latency_objective_ns
+
+
+def test_client_disconnect_ends_the_request() -> None:
+    harness = PolicyHarness()
+    harness.give(
+        arrival(1, harness.now),
+        ClientDisconnected("r1"),
+        ClientDisconnected("r1"),
+        ClientDisconnected("unknown"),
+    )
+    harness.advance(600 * MS)
+    assert harness.answer["r1"] == "gone"
+
+
+@pytest.mark.parametrize(("gone_ms", "again"), [(140, True), (160, False)])
+def test_retry_with_a_key_leaves_time_to_connect_inside_the_deduplication_window(
+    gone_ms: int, again: bool
+) -> None:
+    limits = Limits(max_attempts=3, connect_timeout_ns=250 * MS)  # of the window's 400 ms
+    harness = PolicyHarness(settings(limits=limits))
+    harness.give(arrival(1, harness.now, ANY, wait_ns=2 * SECOND))
+    harness.now += gone_ms * MS
+    assert bool(of(Forward, harness.finish("r1", AttemptResult.RESET))) is again
+
+
+def test_no_tenants_and_unknown_class_work() -> None:
+    harness = PolicyHarness(settings(tenants={}))
+    harness.give(arrival(1, harness.now, tenant=""))
+    harness.finish("r1")
+    balancer = Balancer(Settings(), 1, START)
+    balancer.handle(
+        START,
+        [
+            EndpointUpdate(EndpointUpdateKind.FULL, upstreams(2)),
+            RequestArrived("x", "never-named", "nobody", START + SECOND),
+        ],
+    )
+
+
+def test_retry_after_is_jittered() -> None:
+    harness = PolicyHarness(servers=0)
+    harness.give(*(arrival(i, harness.now) for i in range(30)))
+    harness.advance(600 * MS)
+    delays = {a.retry_after_ns for a in harness.log if isinstance(a, Reject)}
+    assert len(delays) > 20
+
+
+@pytest.mark.parametrize("may_cancel", [True, False])
+def test_request_is_hedged_only_where_attempts_can_be_cancelled(may_cancel: bool) -> None:
+    limits = Limits(max_attempts=3, hedging=True, cancellation=may_cancel)
+    harness = PolicyHarness(settings(limits=limits))
+    for i in range(20):
+        harness.give(arrival(i, harness.now))
+        harness.now += 10 * MS
+        harness.finish(f"r{i}")
+    harness.give(arrival("slow", harness.now))
+    harness.advance(150 * MS)
+    assert len(harness.sends["rslow"]) == (2 if may_cancel else 1)
--- a/tests/policy/test_slow_start.py
+++ b/tests/policy/test_slow_start.py
@@ -1,6 +1,7 @@
-"""Rule 4 over a whole fleet: what all processes together send to a cold upstream stays inside its budget.
+"""Slow start (rule 4): what all proxies together send to an endpoint that warms up stays inside its budget.
 
-`sweep` plays more seeds than the tests: python -m tests.test_cold 10"""
+`sweep` plays more seeds than the tests: python -m tests.policy.test_slow_start 10
+"""
 
 from __future__ import annotations
 
@@ -11,7 +12,7 @@
 
 import pytest
 
-from loadbalancer.messages import Endpoint, EndpointStatus, EndpointUpdateKind
+from loadbalancer.messages import Endpoint, EndpointStatus, EndpointUpdate, EndpointUpdateKind
 from loadbalancer.settings import (
     DeduplicationScope,
     Idempotency,
@@ -22,7 +23,7 @@
     Settings,
 )
 from tests.support.fleet_model import FleetModel, Machine, Traffic
-from tests.support.policy_harness import MS, SECOND
+from tests.support.policy_harness import MS, SECOND, START, PolicyHarness, arrival, settings, upstreams
 
 RULES = Rules(
     slow_start_initial_capacity=0.3, slow_start_ns=8800 * MS, overload_factor=2.5, overload_window_ns=SECOND
@@ -56,65 +57,69 @@
 
 @dataclass(frozen=True)
 class Case:
-    """A part of the fleet crashes and returns cold; all processes learn of it in one moment."""
+    """Some endpoints crash and start again; all proxies learn of it in one moment."""
 
     upstreams: int = 12
-    rate: float = 50.0  # requests of mean work a second that one upstream can serve
+    endpoint_rate: float = 50.0  # requests of mean work a second that one endpoint can serve
     load: float = 0.7  # offered, as part of what all can serve
     traffic: Sequence[Traffic] = (Traffic(READ, 0.4), Traffic(PAY, 0.3), Traffic(SWITCH, 0.3, 2.0))
-    cold: float = 0.3  # part of the upstreams; 0: one
-    uneven: bool = False  # some processes see many times the traffic of others
-    began: bool = False  # the processes have just started too, and have no measure of their own
-    room: int = 40
-    spoils: float = 0.0  # share of requests that the cold ones answer at once with an error
+    crashed_part: float = 0.3  # part of the endpoints; 0: one
+    uneven_traffic: bool = False  # some proxies see many times the traffic of others
+    proxies_restart: bool = False  # the proxies have just started too, and have no measure of their own
+    capacity: int = 40
+    error_share: float = 0.0  # share of requests that the started ones answer at once with an error
     limits: Limits = LIMITS
     prices: Prices = Prices()
     zones: Sequence[str] = ("east",)
-    reports: bool = False
+    load_reports: bool = False
     cores: int = 2
-    kinds: Sequence[str] = ("",)
-    differ: float = 0.0  # each process lacks this part of the upstreams, another one each
-    after_each_other: bool = False  # they start one by one, so that the list changes all the time
-    before: float = 1.5  # seconds
-    after: float = 1.25
+    machine_types: Sequence[str] = ("",)
+    missing_part: float = 0.0  # each proxy lacks this part of the endpoints, another one each
+    one_by_one: bool = False  # they start one by one, so that the list changes all the time
+    seconds_before: float = 1.5
+    seconds_after: float = 1.25
 
     def play(self, count: int, seed: int) -> tuple[float, FleetModel]:
-        """The worst pressure on a cold upstream, and the fleet after it."""
-        chance = random.Random(seed)
-        shares = [0.05 + chance.expovariate(1) ** 2 if self.uneven else 1.0 for _ in range(count)]
+        """Return the worst pressure on an endpoint that warmed up, and the fleet after it."""
+        rng = random.Random(seed)
+        shares = [0.05 + rng.expovariate(1) ** 2 if self.uneven_traffic else 1.0 for _ in range(count)]
         fleet = FleetModel(
             count,
             self.machines(),
             self.config(count),
             self.traffic,
-            self.load * self.upstreams * self.rate,
+            self.load * self.upstreams * self.endpoint_rate,
             seed,
             shares,
         )
         machines = list(fleet.machines.values())
-        cold = [m for m in machines if (m.entry.zone, m.entry.machine_type) == (self.zones[0], self.kinds[0])]
-        cold = cold[: max(1, int(len(machines) * self.cold))]
-        starting = set(cold)
-        for node in range(count):
+        crashed = [
+            m
+            for m in machines
+            if (m.entry.zone, m.entry.machine_type) == (self.zones[0], self.machine_types[0])
+        ]
+        crashed = crashed[: max(1, int(len(machines) * self.crashed_part))]
+        starting = set(crashed)
+        for proxy in range(count):
             fleet.tell(
-                node,
+                proxy,
                 EndpointUpdateKind.CACHED,
-                [m.entry for m in machines if m not in starting and chance.random() >= self.differ],
+                [m.entry for m in machines if m not in starting and rng.random() >= self.missing_part],
             )
-        fleet.stop(cold)
-        fleet.run(self.before)
-        for m in cold:
-            m.spoils = self.spoils
-        for some in [[m] for m in cold] if self.after_each_other else [cold]:
+        fleet.stop(crashed)
+        fleet.run(self.seconds_before)
+        for machine in crashed:
+            machine.spoils = self.error_share
+        for some in [[m] for m in crashed] if self.one_by_one else [crashed]:
             entries = fleet.start(some)
-            if self.began:
-                for node in range(count):
-                    fleet.restart(node, [m.entry for m in machines])
+            if self.proxies_restart:
+                for proxy in range(count):
+                    fleet.restart(proxy, [m.entry for m in machines])
             else:
                 fleet.tell_all(EndpointUpdateKind.DELTA, entries)
-            fleet.run(self.after / len(cold) if self.after_each_other else 0)
-        fleet.run(self.after)
-        return max(m.pressure(RULES) for m in cold), fleet
+            fleet.run(self.seconds_after / len(crashed) if self.one_by_one else 0)
+        fleet.run(self.seconds_after)
+        return max(m.pressure(RULES) for m in crashed), fleet
 
     def machines(self) -> list[Machine]:
         return [
@@ -124,11 +129,11 @@
                     EndpointStatus.READY,
                     self.zones[i % len(self.zones)],
                     i // 6,
-                    machine_type=self.kinds[i % len(self.kinds)],
+                    machine_type=self.machine_types[i % len(self.machine_types)],
                 ),
-                self.rate,
+                self.endpoint_rate,
                 self.cores,
-                self.room,
+                self.capacity,
             )
             for i in range(self.upstreams)
         ]
@@ -142,46 +147,50 @@
             prices=self.prices,
             request_classes={t.cls.name: t.cls for t in self.traffic},
             client_retries_marked=True,
-            load_reports_in_responses=self.reports,
-            load_report_columns=("inflight",) if self.reports else (),
+            load_reports_in_responses=self.load_reports,
+            load_report_columns=("inflight",) if self.load_reports else (),
         )
         return [replace(one, proxy_index=i, zone=self.zones[i % len(self.zones)]) for i in range(count)]
 
 
 PRICES = Prices(connection=0.03, cross_zone=0.025, handshake=0.03)
-COPIES = replace(LIMITS, hedging=True)
-LOOKS = replace(COPIES, health_checks=True)
-DEAR = (Traffic(READ, 0.85), Traffic(LARGE, 0.15, 6.0))
-DEAR_TOO = (Traffic(READ, 0.8), Traffic(LARGE, 0.2, 4.0))
-KINDS = ("large", "small")
+HEDGING = replace(LIMITS, hedging=True)
+PROBING = replace(HEDGING, health_checks=True)
+COSTLY = (Traffic(READ, 0.85), Traffic(LARGE, 0.15, 6.0))
+COSTLY_MIX = (Traffic(READ, 0.8), Traffic(LARGE, 0.2, 4.0))
+MACHINE_TYPES = ("large", "small")
 KEYED = (Traffic(CELL, 0.5), Traffic(SWITCH, 0.5))
 
 CASES = {
-    "one start": Case(cold=0.0),
+    "one start": Case(crashed_part=0.0),
     "a zone": Case(),
     "a zone, overloaded": Case(load=1.3),
-    "turned away": Case(load=1.2, room=1),
-    "errors": Case(spoils=1.0),
-    "errors, reports": Case(spoils=1.0, reports=True, upstreams=30),
-    "began": Case(began=True),
-    "began, errors": Case(began=True, spoils=1.0),
-    "began, slow": Case(upstreams=30, rate=8.0, load=1.3, traffic=(Traffic(SLOW),), began=True),
-    "uneven": Case(uneven=True, load=1.0),
-    "copies": Case(limits=COPIES, load=1.1),
-    "looks": Case(limits=LOOKS, reports=True),
-    "dear": Case(traffic=DEAR, kinds=KINDS, spoils=1.0, after=1.5),
-    "dear, served": Case(traffic=DEAR, kinds=KINDS, load=0.9),
-    "dear, began": Case(traffic=DEAR_TOO, kinds=KINDS, spoils=1.0, began=True),
-    "lists differ": Case(upstreams=24, differ=0.3, load=0.5, spoils=1.0),
-    "one by one": Case(upstreams=24, cold=0.6, after_each_other=True, load=0.4, spoils=1.0),
-    "keyed": Case(traffic=KEYED, load=1.0),
-    "zones and prices": Case(prices=PRICES, zones=ZONES, upstreams=24, reports=True),
+    "rejected": Case(load=1.2, capacity=1),
+    "errors": Case(error_share=1.0),
+    "errors, reports": Case(error_share=1.0, load_reports=True, upstreams=30),
+    "restart": Case(proxies_restart=True),
+    "restart, errors": Case(proxies_restart=True, error_share=1.0),
+    "restart, slow": Case(
+        upstreams=30, endpoint_rate=8.0, load=1.3, traffic=(Traffic(SLOW),), proxies_restart=True
+    ),
+    "uneven": Case(uneven_traffic=True, load=1.0),
+    "hedging": Case(limits=HEDGING, load=1.1),
+    "load probing": Case(limits=PROBING, load_reports=True),
+    "costly": Case(traffic=COSTLY, machine_types=MACHINE_TYPES, error_share=1.0, seconds_after=1.5),
+    "costly, served": Case(traffic=COSTLY, machine_types=MACHINE_TYPES, load=0.9),
+    "costly, restart": Case(
+        traffic=COSTLY_MIX, machine_types=MACHINE_TYPES, error_share=1.0, proxies_restart=True
+    ),
+    "lists differ": Case(upstreams=24, missing_part=0.3, load=0.5, error_share=1.0),
+    "one by one": Case(upstreams=24, crashed_part=0.6, one_by_one=True, load=0.4, error_share=1.0),
+    "idempotency key": Case(traffic=KEYED, load=1.0),
+    "zones and prices": Case(prices=PRICES, zones=ZONES, upstreams=24, load_reports=True),
 }
 
 
 @pytest.mark.parametrize("count", COUNTS)
 @pytest.mark.parametrize("name", CASES)
-def test_a_cold_upstream_gets_no_more_than_its_budget(name: str, count: int) -> None:
+def test_endpoint_that_warms_up_gets_no_more_than_its_budget(name: str, count: int) -> None:
     # Guards against shares that are each small and together push it over, whatever brings them about.
     worst, fleet = CASES[name].play(count, seed=2)
     assert worst <= 1
@@ -189,19 +198,50 @@
     assert fleet.served > 0
 
 
-LONG = Case(upstreams=3000, load=0.05, rate=20.0, before=0.2, after=0.5, spoils=1.0)
+LONG = Case(
+    upstreams=3000, load=0.05, endpoint_rate=20.0, seconds_before=0.2, seconds_after=0.5, error_share=1.0
+)
 
 
 @pytest.mark.parametrize(
-    "count, case", [(4, LONG), (30, LONG), (200, replace(LONG, upstreams=1000, load=0.1, cold=0.1))]
+    ("count", "case"),
+    [(4, LONG), (30, LONG), (200, replace(LONG, upstreams=1000, load=0.1, crashed_part=0.1))],
 )
-def test_a_cold_upstream_of_a_long_list_gets_no_more_than_its_budget(count: int, case: Case) -> None:
+def test_endpoint_of_a_long_list_gets_no_more_than_its_budget(count: int, case: Case) -> None:
     worst, fleet = case.play(count, seed=2)
     assert worst <= 1
     assert worst > 0
     assert fleet.served > 0
 
 
+def test_endpoints_that_warm_up_get_one_request_at_a_time() -> None:
+    harness = PolicyHarness(servers=0)
+    harness.give(EndpointUpdate(EndpointUpdateKind.CACHED, upstreams(4, started_ns=START - MS)))
+    for i in range(40):
+        harness.give(arrival(i, harness.now))
+        harness.advance(5 * MS)
+        held: dict[int, int] = {}
+        for request, number in harness.out():
+            endpoint = harness.sends[request][number][0].id
+            held[endpoint] = held.get(endpoint, 0) + 1
+        assert max(held.values(), default=0) <= 1
+
+
+def test_proxies_share_the_budget_of_endpoints_that_warm_up() -> None:
+    # Guards against forty proxies that each send a warming-up endpoint a little, and together push it over.
+    sent = []
+    for proxies in (1, 40):
+        harness = PolicyHarness(settings(proxy_count=proxies), servers=0)
+        harness.give(EndpointUpdate(EndpointUpdateKind.CACHED, upstreams(6, started_ns=START - MS)))
+        for i in range(100):
+            harness.give(arrival(i, harness.now))
+            harness.advance(5 * MS)
+            for request, number in harness.out():
+                harness.finish(request, number=number)
+        sent.append(sum(map(len, harness.sends.values())))
+    assert sent[1] < sent[0] / 2
+
+
 def sweep(seeds: int) -> None:
     for name, case in CASES.items():
         worst = {c: max(case.play(c, seed)[0] for seed in range(1, 1 + seeds)) for c in COUNTS}
