--- a/loadbalancer/state/endpoint_updates.py
+++ b/loadbalancer/state/endpoint_updates.py
@@ -11,11 +11,11 @@
 from loadbalancer.state.endpoint_state import EndpointState
 from loadbalancer.state.endpoint_table import EndpointTable, Placement
 from loadbalancer.state.fleet import Fleet
-from loadbalancer.state.hash_ring import Key, unmixed
+from loadbalancer.state.hash_ring import RingKey, unmix64
 from loadbalancer.state.live_weights import LiveWeights
 
 if TYPE_CHECKING:
-    from loadbalancer.policy.subsetting import Subset
+    from loadbalancer.state.subset import Subset
 
 ChooseSubset = Callable[[EndpointTable, Placement], "Subset"]
 
@@ -67,8 +67,8 @@
             self.live_weights.record(state, now)
         return state
 
-    def _states(self, keys: Iterable[Key], now: int) -> list[EndpointState]:
-        return [self._state(unmixed(key), now) for key in keys]
+    def _states(self, keys: Iterable[RingKey], now: int) -> list[EndpointState]:
+        return [self._state(unmix64(key), now) for key in keys]
 
     def _rebuild_pools(self, now: int) -> None:
         """Take up each pool's subset; what it is made of is the same whatever came before."""
@@ -111,5 +111,5 @@
             return []
         if len(fleet.endpoints) > len(fleet.used_ids) + 4 * count:
             fleet.forget_unused()
-        numbers = fleet.table.group(pool.placement, like, scope, chance(), count)
+        numbers = fleet.table.ready_in_group(pool.placement, like, scope, chance(), count)
         return [self._state(number, now) for number in numbers if number not in fleet.used_ids]
--- a/tests/policy/test_attempt_results.py
+++ b/tests/policy/test_attempt_results.py
@@ -9,11 +9,12 @@
 from loadbalancer.policy.rate_control import RateController
 from loadbalancer.policy.throttle import Throttle
 from loadbalancer.settings import Limits
-from tests.support.policy_harness import MS, SECOND, PolicyHarness, arrival, settings, upstreams
+from tests.support.policy_harness import MS, SECOND, PolicyHarness, arrival, make_endpoints, settings
+from tests.support.rule_checker import FinalAnswer
 
 
 def test_resets_do_not_cut_the_rate() -> None:
-    harness = PolicyHarness(servers=4)
+    harness = PolicyHarness(endpoint_count=4)
     for i in range(40):
         harness.give(arrival(i, harness.now))
         harness.finish(f"r{i}", AttemptResult.RESET)
@@ -25,7 +26,7 @@
 def test_late_and_unknown_results_are_ignored() -> None:
     harness = PolicyHarness()
     harness.give(arrival(1, harness.now))
-    late = harness.result("r1", 0, AttemptResult.OK)
+    late = harness.attempt_ended("r1", 0, AttemptResult.OK)
     harness.give(late)
     harness.balancer.handle(
         harness.now, [late, late._replace(request_id="unknown"), late._replace(endpoint_id=99)]
@@ -44,10 +45,10 @@
 
 def test_mistakes_of_the_caller_are_not_counted() -> None:
     # An attempt never made, one at another endpoint, an endpoint never listed, an id that is open already.
-    harness = PolicyHarness(servers=2)
+    harness = PolicyHarness(endpoint_count=2)
     harness.give(arrival(1, harness.now))
-    sent = harness.sends["r1"][0][0].id
-    balancer, good = harness.balancer, harness.result("r1", 0, AttemptResult.OK)
+    sent = harness.attempts["r1"][0][0].id
+    balancer, good = harness.balancer, harness.attempt_ended("r1", 0, AttemptResult.OK)
     balancer.handle(
         harness.now,
         [
@@ -67,17 +68,17 @@
 
 def harness_with_an_overdue_attempt(later_ones_answered: bool) -> PolicyHarness:
     """Return a harness whose only endpoint takes two at once and never sends the first answer."""
-    harness = PolicyHarness(settings(limits=Limits(cancellation=True)), servers=1)
+    harness = PolicyHarness(settings(limits=Limits(cancellation=True)), endpoint_count=1)
     harness.balancer.concurrency_limit.limit = 2
     harness.give(arrival("lost", harness.now, wait_ns=SECOND))
     for i in range(20):
         if later_ones_answered:
             harness.give(arrival(i, harness.now))
             harness.advance(5 * MS)
-            for request in {r for r, _ in harness.out()} - {"rlost"}:
+            for request in {r for r, _ in harness.attempts_in_flight()} - {"rlost"}:
                 harness.finish(request)
         harness.advance(10 * MS)
-    assert ("rlost", 0) in harness.out()
+    assert ("rlost", 0) in harness.attempts_in_flight()
     return harness
 
 
@@ -87,14 +88,14 @@
         harness = harness_with_an_overdue_attempt(lost)
         harness.give(arrival("a", harness.now), arrival("b", harness.now))
         harness.advance(1 * MS)
-        assert len({"ra", "rb"} & set(harness.sends)) == sent
+        assert len({"ra", "rb"} & set(harness.attempts)) == sent
 
 
 def test_removed_endpoint_is_kept_until_its_overdue_attempt_ends() -> None:
     harness = harness_with_an_overdue_attempt(True)
-    harness.give(EndpointUpdate(EndpointUpdateKind.FULL, upstreams(2, first=2)))
+    harness.give(EndpointUpdate(EndpointUpdateKind.FULL, make_endpoints(2, first=2)))
     harness.finish("rlost", AttemptResult.CONNECT_FAILED)
-    assert harness.answer["rlost"] == "refused"
+    assert harness.answers["rlost"] is FinalAnswer.REJECTED
     assert set(harness.balancer.fleet.endpoints) == {1, 2, 3}
-    harness.give(EndpointUpdate(EndpointUpdateKind.FULL, upstreams(1, first=2)))
+    harness.give(EndpointUpdate(EndpointUpdateKind.FULL, make_endpoints(1, first=2)))
     assert set(harness.balancer.fleet.endpoints) == {2}
--- a/tests/policy/test_discovery_retry.py
+++ b/tests/policy/test_discovery_retry.py
@@ -4,19 +4,19 @@
 
 from loadbalancer.messages import EndpointUpdate, EndpointUpdateKind, SetTimer, WatchEndpoints
 from loadbalancer.policy.balancer import Balancer
-from tests.support.policy_harness import MS, SECOND, START, PolicyHarness, of, settings
+from tests.support.policy_harness import MS, SECOND, START, PolicyHarness, actions_of_type, settings
 
 
 def test_failed_calls_back_off() -> None:
     harness = PolicyHarness(settings(discovery_pushes=False))
-    assert not of(WatchEndpoints, harness.log)
+    assert not actions_of_type(WatchEndpoints, harness.actions)
     harness.advance(5 * SECOND)
-    assert len(of(WatchEndpoints, harness.log)) == 1
+    assert len(actions_of_type(WatchEndpoints, harness.actions)) == 1
     gaps, last = [], harness.now
     for _ in range(4):
         harness.give(EndpointUpdate(EndpointUpdateKind.FAILED))
-        before = len(of(WatchEndpoints, harness.log))
-        while len(of(WatchEndpoints, harness.log)) == before:
+        before = len(actions_of_type(WatchEndpoints, harness.actions))
+        while len(actions_of_type(WatchEndpoints, harness.actions)) == before:
             harness.advance(50 * MS)
             assert harness.now - last < 20 * SECOND
         gaps.append(harness.now - last)
@@ -46,4 +46,4 @@
 def test_discovery_is_not_called_where_it_pushes() -> None:
     harness = PolicyHarness()
     harness.advance(5 * SECOND)
-    assert not of(WatchEndpoints, harness.log)
+    assert not actions_of_type(WatchEndpoints, harness.actions)
--- a/tests/policy/test_outlier_detection.py
+++ b/tests/policy/test_outlier_detection.py
@@ -7,7 +7,7 @@
 
 def test_attempts_that_time_out_together_count_as_one_failure() -> None:
     # Guards against a pause of one endpoint, seen by all its requests, barring it for seconds.
-    harness = PolicyHarness(servers=1)
+    harness = PolicyHarness(endpoint_count=1)
     for i in range(6):
         harness.give(arrival(i, harness.now, wait_ns=100 * MS))
     harness.advance(150 * MS)
@@ -17,7 +17,7 @@
 
 def outliers_after_resets(resets: dict[int, int]) -> set[int]:
     """Return the endpoints that are outliers after 20 good answers each and so many resets in a row."""
-    harness = PolicyHarness(servers=4)
+    harness = PolicyHarness(endpoint_count=4)
     endpoints = harness.balancer.fleet.endpoints
     outlier_detection = harness.balancer.outlier_detection
     for state in endpoints.values():
--- a/tests/policy/test_random_days.py
+++ b/tests/policy/test_random_days.py
@@ -27,7 +27,7 @@
     SECOND,
     PolicyHarness,
     arrival,
-    mixed_fleet,
+    make_mixed_endpoints,
     settings,
 )
 
@@ -36,7 +36,7 @@
 
 @hyp(derandomize=True, deadline=None, max_examples=120)
 @given(st.integers(0, 10**6), st.booleans(), st.booleans(), st.integers(1, 9))
-def test_random_days_keep_the_rules(seed: int, hedging: bool, push: bool, servers: int) -> None:
+def test_random_days_keep_the_rules(seed: int, hedging: bool, push: bool, endpoint_count: int) -> None:
     rng = random.Random(seed)
     limits = Limits(
         max_attempts=rng.choice([1, 2, 3, 5]),
@@ -52,7 +52,7 @@
         seed,
         0,
     )
-    pool = mixed_fleet(servers)
+    pool = make_mixed_endpoints(endpoint_count)
     harness.give(EndpointUpdate(EndpointUpdateKind.CACHED, pool))
     for number in range(rng.randint(5, 120)):
         for _ in range(rng.choice([0, 1, 1, 2, 12])):
@@ -68,11 +68,11 @@
                     rng.random() < 0.2,
                 )
             )
-        for request, attempt in harness.out():
+        for request, attempt in harness.attempts_in_flight():
             if rng.random() < 0.4:
-                harness.give(harness.result(request, attempt, rng.choice(RESULTS)))
+                harness.give(harness.attempt_ended(request, attempt, rng.choice(RESULTS)))
         if rng.random() < 0.1:
-            open_ones = [r for r in harness.cls if r not in harness.answer]
+            open_ones = [r for r in harness.request_classes if r not in harness.answers]
             if open_ones:
                 harness.give(ClientDisconnected(rng.choice(open_ones)))
         if rng.random() < 0.1:
@@ -85,4 +85,4 @@
             harness.give(EndpointUpdate(EndpointUpdateKind.FAILED))
         harness.advance(rng.choice([0, 1, 10, 50]) * MS)
     harness.advance(2 * SECOND)
-    assert set(harness.answer) == set(harness.cls)
+    assert set(harness.answers) == set(harness.request_classes)
--- a/tests/policy/test_request.py
+++ b/tests/policy/test_request.py
@@ -28,27 +28,28 @@
     SECOND,
     START,
     PolicyHarness,
+    actions_of_type,
     arrival,
-    mixed_fleet,
-    of,
+    make_endpoints,
+    make_mixed_endpoints,
     settings,
-    upstreams,
 )
+from tests.support.rule_checker import FinalAnswer
 
 
 def test_served_request_needs_no_other_attempt() -> None:
     harness = PolicyHarness()
-    assert len(of(Forward, harness.give(arrival(1, harness.now)))) == 1
-    assert not of(Fail, harness.finish("r1"))
-    assert harness.answer["r1"] == "served"
+    assert len(actions_of_type(Forward, harness.give(arrival(1, harness.now)))) == 1
+    assert not actions_of_type(Fail, harness.finish("r1"))
+    assert harness.answers["r1"] is FinalAnswer.SERVED
 
 
 @pytest.mark.parametrize("request_class", [READ, PAY, CELL, ANY])
 def test_request_is_rejected_in_time_when_no_endpoint_is_known(request_class: RequestClass) -> None:
-    harness = PolicyHarness(servers=0)
+    harness = PolicyHarness(endpoint_count=0)
     harness.give(EndpointUpdate(EndpointUpdateKind.CACHED), arrival(1, harness.now, request_class))
     harness.advance(600 * MS)
-    assert harness.answer["r1"] == "refused"
+    assert harness.answers["r1"] is FinalAnswer.REJECTED
 
 
 def test_request_is_rejected_in_time_when_all_endpoints_drain() -> None:
@@ -56,21 +57,21 @@
     harness.give(
         EndpointUpdate(
             EndpointUpdateKind.DELTA,
-            [u._replace(status=EndpointStatus.DRAINING) for u in upstreams(6)],
+            [u._replace(status=EndpointStatus.DRAINING) for u in make_endpoints(6)],
         )
     )
     harness.give(arrival(1, harness.now, PAY))
     harness.advance(600 * MS)
-    assert harness.answer["r1"] == "refused"
-    assert "r1" not in harness.sends
+    assert harness.answers["r1"] is FinalAnswer.REJECTED
+    assert "r1" not in harness.attempts
 
 
 def test_non_idempotent_request_that_times_out_is_failed() -> None:
     harness = PolicyHarness()
     harness.give(arrival(1, harness.now, PAY))
     harness.advance(600 * MS)
-    assert harness.answer["r1"] == "failed"
-    assert len(harness.sends["r1"]) == 1
+    assert harness.answers["r1"] is FinalAnswer.FAILED
+    assert len(harness.attempts["r1"]) == 1
 
 
 @pytest.mark.parametrize("result", [AttemptResult.REJECTED, AttemptResult.CONNECT_FAILED])
@@ -79,7 +80,7 @@
     harness.give(arrival(1, harness.now, PAY))
     harness.now += MS
     harness.finish("r1", result)
-    assert len(harness.sends["r1"]) == 2
+    assert len(harness.attempts["r1"]) == 2
 
 
 @pytest.mark.parametrize("result", [AttemptResult.ERROR, AttemptResult.RESET, AttemptResult.CANCELLED])
@@ -88,52 +89,51 @@
     harness.give(arrival(1, harness.now, PAY))
     harness.now += MS
     harness.finish("r1", result)
-    assert harness.answer["r1"] == "failed"
+    assert harness.answers["r1"] is FinalAnswer.FAILED
 
 
 @pytest.mark.parametrize("request_class", [NEAR, BIG])
 def test_placement_binds_every_attempt(request_class: RequestClass) -> None:
     # Guards against a class going where it may not, on retries too: the checker asserts it for each send.
-    harness = PolicyHarness(servers=0)
-    harness.give(EndpointUpdate(EndpointUpdateKind.CACHED, mixed_fleet(12)))
+    harness = PolicyHarness(endpoint_count=0)
+    harness.give(EndpointUpdate(EndpointUpdateKind.CACHED, make_mixed_endpoints(12)))
     for i in range(60):
         harness.give(arrival(i, harness.now, request_class))
         harness.now += 5 * MS
-        for request, number in harness.out():
-            if request not in harness.answer:
+        for request, number in harness.attempts_in_flight():
+            if request not in harness.answers:
                 harness.give(
-                    harness.result(request, number, (AttemptResult.REJECTED, AttemptResult.OK)[i % 2])
+                    harness.attempt_ended(request, number, (AttemptResult.REJECTED, AttemptResult.OK)[i % 2])
                 )
-    assert len(harness.sends) > 20
+    assert len(harness.attempts) > 20
 
 
 def test_placement_holds_without_endpoints_and_does_not_stop_others() -> None:
-    harness = PolicyHarness(servers=0)
-    west = [u for u in mixed_fleet(12) if u.zone == "west"]
+    harness = PolicyHarness(endpoint_count=0)
+    west = [u for u in make_mixed_endpoints(12) if u.zone == "west"]
     harness.give(EndpointUpdate(EndpointUpdateKind.CACHED, west))
     harness.give(arrival("near", harness.now, NEAR), arrival("read", harness.now, READ))
-    assert "rread" in harness.sends
-    assert "rnear" not in harness.sends
+    assert "rread" in harness.attempts
+    assert "rnear" not in harness.attempts
     harness.advance(600 * MS)
-    assert harness.answer["rnear"] == "refused"
+    assert harness.answers["rnear"] is FinalAnswer.REJECTED
 
 
 @pytest.mark.parametrize(
     ("request_class", "rejected_may_have_run", "answer"),
-    [(PAY, True, "failed"), (CELL, True, None), (PAY, False, None), (READ, True, None)],
+    [(PAY, True, FinalAnswer.FAILED), (CELL, True, None), (PAY, False, None), (READ, True, None)],
 )
 def test_rejection_proves_that_nothing_ran_only_where_the_rules_say_so(
-    request_class: RequestClass, rejected_may_have_run: bool, answer: str | None
+    request_class: RequestClass, rejected_may_have_run: bool, answer: FinalAnswer | None
 ) -> None:
     # Guards against a second effect where endpoints also drop what they had begun.
-    harness = PolicyHarness(
-        settings(rules=Rules(slow_start_ns=4 * SECOND, rejected_may_have_run=rejected_may_have_run))
-    )
+    rules = Rules(slow_start_ns=4 * SECOND, rejected_may_have_run=rejected_may_have_run)
+    harness = PolicyHarness(settings(rules=rules))
     harness.give(arrival(1, harness.now, request_class))
     harness.now += MS
     harness.finish("r1", AttemptResult.REJECTED)
-    assert harness.answer.get("r1") == answer
-    assert len(harness.sends["r1"]) == (1 if answer else 2)
+    assert harness.answers.get("r1") == answer
+    assert len(harness.attempts["r1"]) == (1 if answer else 2)
 
 
 def test_attempts_are_capped() -> None:
@@ -141,11 +141,11 @@
     harness.give(arrival(1, harness.now, READ))
     for _ in range(3):
         harness.now += MS
-        if "r1" not in harness.answer:
+        if "r1" not in harness.answers:
             harness.finish("r1", AttemptResult.REJECTED)
     harness.advance(600 * MS)
-    assert harness.answer["r1"] == "refused"
-    assert len(harness.sends["r1"]) <= 3
+    assert harness.answers["r1"] is FinalAnswer.REJECTED
+    assert len(harness.attempts["r1"]) <= 3
 
 
 def test_attempt_times_out_at_the_objective_where_late_is_worth_nothing() -> None:
@@ -163,7 +163,7 @@
         ClientDisconnected("unknown"),
     )
     harness.advance(600 * MS)
-    assert harness.answer["r1"] == "gone"
+    assert harness.answers["r1"] is FinalAnswer.DISCONNECTED
 
 
 @pytest.mark.parametrize(("gone_ms", "again"), [(140, True), (160, False)])
@@ -174,7 +174,7 @@
     harness = PolicyHarness(settings(limits=limits))
     harness.give(arrival(1, harness.now, ANY, wait_ns=2 * SECOND))
     harness.now += gone_ms * MS
-    assert bool(of(Forward, harness.finish("r1", AttemptResult.RESET))) is again
+    assert bool(actions_of_type(Forward, harness.finish("r1", AttemptResult.RESET))) is again
 
 
 def test_no_tenants_and_unknown_class_work() -> None:
@@ -185,17 +185,17 @@
     balancer.handle(
         START,
         [
-            EndpointUpdate(EndpointUpdateKind.FULL, upstreams(2)),
+            EndpointUpdate(EndpointUpdateKind.FULL, make_endpoints(2)),
             RequestArrived("x", "never-named", "nobody", START + SECOND),
         ],
     )
 
 
 def test_retry_after_is_jittered() -> None:
-    harness = PolicyHarness(servers=0)
+    harness = PolicyHarness(endpoint_count=0)
     harness.give(*(arrival(i, harness.now) for i in range(30)))
     harness.advance(600 * MS)
-    delays = {a.retry_after_ns for a in harness.log if isinstance(a, Reject)}
+    delays = {a.retry_after_ns for a in harness.actions if isinstance(a, Reject)}
     assert len(delays) > 20
 
 
@@ -209,4 +209,4 @@
         harness.finish(f"r{i}")
     harness.give(arrival("slow", harness.now))
     harness.advance(150 * MS)
-    assert len(harness.sends["rslow"]) == (2 if may_cancel else 1)
+    assert len(harness.attempts["rslow"]) == (2 if may_cancel else 1)
--- a/tests/policy/test_selection.py
+++ b/tests/policy/test_selection.py
@@ -13,7 +13,7 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     # Guards against work on each send that grows with the subset: processor time ran out (event8052).
-    harness = PolicyHarness(servers=10)
+    harness = PolicyHarness(endpoint_count=10)
     harness.give(arrival("warm", harness.now))
     harness.balancer.concurrency_limit.limit = 5  # all are fit
     selection, pool, looked = harness.balancer.selection, harness.balancer.fleet.default_pool, 0
--- a/tests/policy/test_slow_start.py
+++ b/tests/policy/test_slow_start.py
@@ -22,8 +22,9 @@
     Rules,
     Settings,
 )
-from tests.support.fleet_model import FleetModel, Machine, Traffic
-from tests.support.policy_harness import MS, SECOND, START, PolicyHarness, arrival, settings, upstreams
+from tests.support.fleet_model import FleetModel, Traffic
+from tests.support.policy_harness import MS, SECOND, START, PolicyHarness, arrival, make_endpoints, settings
+from tests.support.simulated_endpoint import SimulatedEndpoint
 
 RULES = Rules(
     slow_start_initial_capacity=0.3, slow_start_ns=8800 * MS, overload_factor=2.5, overload_window_ns=SECOND
@@ -92,38 +93,38 @@
             seed,
             shares,
         )
-        machines = list(fleet.machines.values())
+        machines = list(fleet.endpoints.values())
         crashed = [
             m
             for m in machines
-            if (m.entry.zone, m.entry.machine_type) == (self.zones[0], self.machine_types[0])
+            if (m.endpoint.zone, m.endpoint.machine_type) == (self.zones[0], self.machine_types[0])
         ]
         crashed = crashed[: max(1, int(len(machines) * self.crashed_part))]
         starting = set(crashed)
         for proxy in range(count):
-            fleet.tell(
+            fleet.update_endpoints(
                 proxy,
                 EndpointUpdateKind.CACHED,
-                [m.entry for m in machines if m not in starting and rng.random() >= self.missing_part],
+                [m.endpoint for m in machines if m not in starting and rng.random() >= self.missing_part],
             )
         fleet.stop(crashed)
         fleet.run(self.seconds_before)
         for machine in crashed:
-            machine.spoils = self.error_share
+            machine.error_share = self.error_share
         for some in [[m] for m in crashed] if self.one_by_one else [crashed]:
             entries = fleet.start(some)
             if self.proxies_restart:
                 for proxy in range(count):
-                    fleet.restart(proxy, [m.entry for m in machines])
+                    fleet.restart(proxy, [m.endpoint for m in machines])
             else:
-                fleet.tell_all(EndpointUpdateKind.DELTA, entries)
+                fleet.update_all(EndpointUpdateKind.DELTA, entries)
             fleet.run(self.seconds_after / len(crashed) if self.one_by_one else 0)
         fleet.run(self.seconds_after)
-        return max(m.pressure(RULES) for m in crashed), fleet
+        return max(m.overload(RULES) for m in crashed), fleet
 
-    def machines(self) -> list[Machine]:
+    def machines(self) -> list[SimulatedEndpoint]:
         return [
-            Machine(
+            SimulatedEndpoint(
                 Endpoint(
                     1 + i,
                     EndpointStatus.READY,
@@ -145,7 +146,7 @@
             rules=RULES,
             limits=self.limits,
             prices=self.prices,
-            request_classes={t.cls.name: t.cls for t in self.traffic},
+            request_classes={t.request_class.name: t.request_class for t in self.traffic},
             client_retries_marked=True,
             load_reports_in_responses=self.load_reports,
             load_report_columns=("inflight",) if self.load_reports else (),
@@ -215,14 +216,14 @@
 
 
 def test_endpoints_that_warm_up_get_one_request_at_a_time() -> None:
-    harness = PolicyHarness(servers=0)
-    harness.give(EndpointUpdate(EndpointUpdateKind.CACHED, upstreams(4, started_ns=START - MS)))
+    harness = PolicyHarness(endpoint_count=0)
+    harness.give(EndpointUpdate(EndpointUpdateKind.CACHED, make_endpoints(4, started_ns=START - MS)))
     for i in range(40):
         harness.give(arrival(i, harness.now))
         harness.advance(5 * MS)
         held: dict[int, int] = {}
-        for request, number in harness.out():
-            endpoint = harness.sends[request][number][0].id
+        for request, number in harness.attempts_in_flight():
+            endpoint = harness.attempts[request][number][0].id
             held[endpoint] = held.get(endpoint, 0) + 1
         assert max(held.values(), default=0) <= 1
 
@@ -231,14 +232,14 @@
     # Guards against forty proxies that each send a warming-up endpoint a little, and together push it over.
     sent = []
     for proxies in (1, 40):
-        harness = PolicyHarness(settings(proxy_count=proxies), servers=0)
-        harness.give(EndpointUpdate(EndpointUpdateKind.CACHED, upstreams(6, started_ns=START - MS)))
+        harness = PolicyHarness(settings(proxy_count=proxies), endpoint_count=0)
+        harness.give(EndpointUpdate(EndpointUpdateKind.CACHED, make_endpoints(6, started_ns=START - MS)))
         for i in range(100):
             harness.give(arrival(i, harness.now))
             harness.advance(5 * MS)
-            for request, number in harness.out():
+            for request, number in harness.attempts_in_flight():
                 harness.finish(request, number=number)
-        sent.append(sum(map(len, harness.sends.values())))
+        sent.append(sum(map(len, harness.attempts.values())))
     assert sent[1] < sent[0] / 2
 
 
--- a/tests/policy/test_subset_size.py
+++ b/tests/policy/test_subset_size.py
@@ -5,7 +5,7 @@
 from loadbalancer.messages import Endpoint, EndpointUpdate, EndpointUpdateKind
 from loadbalancer.policy.balancer import Balancer
 from loadbalancer.settings import Prices
-from tests.support.policy_harness import START, mixed_fleet, settings, upstreams
+from tests.support.policy_harness import START, make_endpoints, make_mixed_endpoints, settings
 
 
 def test_every_endpoint_is_in_some_subset() -> None:
@@ -13,7 +13,7 @@
     subsets: list[int] = []
     for proxy_index in range(10):
         balancer = Balancer(settings(proxy_index=proxy_index, proxy_count=10), 1, START)
-        balancer.handle(START, [EndpointUpdate(EndpointUpdateKind.FULL, upstreams(100))])
+        balancer.handle(START, [EndpointUpdate(EndpointUpdateKind.FULL, make_endpoints(100))])
         subsets += [
             s.id for s in balancer.fleet.default_pool.endpoints[: balancer.fleet.default_pool.subset_size]
         ]
@@ -25,12 +25,14 @@
     sizes = {}
     for proxies in (3, 20, 400):
         balancer = Balancer(settings(proxy_index=1, proxy_count=proxies), 1, START)
-        balancer.handle(START, [EndpointUpdate(EndpointUpdateKind.FULL, upstreams(30))])
+        balancer.handle(START, [EndpointUpdate(EndpointUpdateKind.FULL, make_endpoints(30))])
         sizes[proxies] = balancer.fleet.default_pool.subset_size
     assert sizes == {3: 10, 20: 9, 400: 4}
 
 
-def subset_of(zone: str, proxy_index: int, proxies: int, prices: Prices, servers: int = 24) -> list[Endpoint]:
+def subset_of(
+    zone: str, proxy_index: int, proxies: int, prices: Prices, endpoint_count: int = 24
+) -> list[Endpoint]:
     balancer = Balancer(
         settings(
             proxy_index=proxy_index, proxy_count=proxies, zone=zone, zones=("east", "west"), prices=prices
@@ -38,7 +40,7 @@
         1,
         START,
     )
-    balancer.handle(START, [EndpointUpdate(EndpointUpdateKind.FULL, mixed_fleet(servers))])
+    balancer.handle(START, [EndpointUpdate(EndpointUpdateKind.FULL, make_mixed_endpoints(endpoint_count))])
     return [
         s.endpoint for s in balancer.fleet.default_pool.endpoints[: balancer.fleet.default_pool.subset_size]
     ]
@@ -61,7 +63,7 @@
     dear = Prices(connection=0.03, cross_zone=0.025)
     for proxies in (2, 4):
         subsets = [
-            subset_of("east", proxy_index, proxies, dear, servers=12) for proxy_index in range(proxies)
+            subset_of("east", proxy_index, proxies, dear, endpoint_count=12) for proxy_index in range(proxies)
         ]
         assert [len(subset) for subset in subsets] == [10] * proxies
         assert all({u.zone for u in subset} == {"east", "west"} for subset in subsets)
@@ -76,5 +78,5 @@
 def test_a_single_proxy_uses_all_zones() -> None:
     # Small twins of hobart's full-size days scored 0: one proxy, five zones, and all but its own stood idle.
     dear = Prices(connection=0.03, cross_zone=0.01)
-    assert {u.zone for u in subset_of("east", 0, 1, dear, servers=12)} == {"east", "west"}
-    assert len(subset_of("east", 0, 1, dear, servers=12)) == 12
+    assert {u.zone for u in subset_of("east", 0, 1, dear, endpoint_count=12)} == {"east", "west"}
+    assert len(subset_of("east", 0, 1, dear, endpoint_count=12)) == 12
--- a/tests/proxy/test_endpoint_list.py
+++ b/tests/proxy/test_endpoint_list.py
@@ -15,17 +15,18 @@
 from hypothesis import settings as hyp
 from hypothesis import strategies as st
 
-from loadbalancer.__main__ import keep_for_good
-from loadbalancer.configuration import Configuration, ConfigurationError, read_config
+from loadbalancer.configuration import Configuration, ConfigurationError, read_configuration
 from loadbalancer.messages import AttemptResult, EndpointStatus, EndpointUpdate, EndpointUpdateKind
-from loadbalancer.policy import subsetting
 from loadbalancer.policy.balancer import Balancer
 from loadbalancer.proxy import addresses, endpoint_list
 from loadbalancer.proxy.connection_pool import ConnectionLimits, ConnectionPool
-from loadbalancer.proxy.endpoint_list import STRIDE, EndpointList, EndpointListReader, number_of, run_through
+from loadbalancer.proxy.endpoint_list import STRIDE, EndpointList, EndpointListReader, number_of
+from loadbalancer.proxy.endpoint_updates import SLICE_ENTRIES
 from loadbalancer.proxy.errors import EndpointListError
-from loadbalancer.proxy.proxy import SLICE, Proxy
-from loadbalancer.state import endpoint_table
+from loadbalancer.proxy.proxy import Proxy
+from loadbalancer.proxy.steps import run_through
+from loadbalancer.startup import freeze_heap
+from loadbalancer.state import endpoint_table, hash_ring
 from tests.support.sockets import (
     HOST,
     PATIENCE_S,
@@ -148,15 +149,15 @@
         script, turns = ScriptedPolicy(), 0
         async with node(script, known_list=whole(3)) as client:
             client.node._on_watch_result(listing(whole(1000, 2, first=2)))
-            while client.node._update_task is not None:
+            while client.node._endpoint_updater.task is not None:
                 await asyncio.sleep(0)
                 turns += 1
-            assert turns >= 1000 // SLICE  # so many turns of the loop were others' too
-            assert max(len(list(update.endpoints)) for update in told(script)) <= SLICE
+            assert turns >= 1000 // SLICE_ENTRIES  # so many turns of the loop were others' too
+            assert max(len(list(update.endpoints)) for update in told(script)) <= SLICE_ENTRIES
             assert {update.kind for update in told(script)} == {EndpointUpdateKind.DELTA}
             gone = {number for number, state in states(script).items() if state is EndpointStatus.REMOVED}
             assert gone == {number_of("s0"), number_of("s1")}  # s2 is in both
-            assert set(client.node._addresses) == {number_of(f"s{i}") for i in range(2, 1002)}
+            assert set(client.node._addresses.by_id) == {number_of(f"s{i}") for i in range(2, 1002)}
             assert (
                 not client.node._connection_limits.pools
             )  # no connections, nor a place for any, where nothing is sent
@@ -177,17 +178,17 @@
                 "hosts": [entry("s499", health="draining"), entry("s498", health="removed"), entry("new", 7)],
             }
             balancer._on_watch_result(listing(last))  # in force at once
-            assert balancer._update_task is not None
+            assert balancer._endpoint_updater.task is not None
             names = ("s499", "s498", "new")
             assert [u.id for u in told(script)[-1].endpoints] == [number_of(name) for name in names]
-            await until(lambda: balancer._update_task is None)
+            await until(lambda: balancer._endpoint_updater.task is None)
             assert states(script)[number_of("s499")] is EndpointStatus.DRAINING
             assert states(script)[number_of("s498")] is EndpointStatus.REMOVED
             assert states(script)[number_of("new")] is EndpointStatus.READY
-            assert len(balancer._addresses) == 500
+            assert len(balancer._addresses.by_id) == 500
             assert not {number_of("s499"), number_of("s498")} & set(balancer.endpoint_addresses())
             balancer._on_watch_result(listing(whole(300, 5)))  # a newer whole list counts again
-            await until(lambda: balancer._update_task is None)
+            await until(lambda: balancer._endpoint_updater.task is None)
             assert len(balancer.endpoint_addresses()) == 300
 
     run(test())
@@ -199,9 +200,9 @@
         async with node(script, known_list=whole(3)) as client:
             for version, count in ((2, 700), (3, 2)):
                 client.node._on_watch_result(listing(whole(count, version)))
-                await until(lambda: client.node._update_task is None)
-            assert max(len(list(update.endpoints)) for update in told(script)) <= SLICE
-            assert len(client.node._addresses) == 2
+                await until(lambda: client.node._endpoint_updater.task is None)
+            assert max(len(list(update.endpoints)) for update in told(script)) <= SLICE_ENTRIES
+            assert len(client.node._addresses.by_id) == 2
 
     run(test())
 
@@ -231,7 +232,7 @@
         try:
             await until(lambda: caplog.records)
             assert [r.getMessage() for r in caplog.records] == [
-                f"discovery: a list of over {len(long) - 1} bytes is turned down; the old list stays"
+                f"discovery: a list of over {len(long) - 1} bytes is rejected; the old list stays"
             ]
             assert len(balancer.endpoint_addresses()) == 3
             assert len(script.of(EndpointUpdate)) == 1
@@ -259,7 +260,9 @@
         try:
             for rate, put_off in ((1000.0, 3.0), (0.0, 0.0)):
                 ended: list[AttemptResult] = []
-                pool = ConnectionPool(ConnectionLimits(2, 2.0, 0.0, least_rate=rate), (HOST, upstream.port))
+                pool = ConnectionPool(
+                    ConnectionLimits(2, 2.0, 0.0, min_response_rate=rate), (HOST, upstream.port)
+                )
                 exchange = pool.start_exchange(
                     b"GET / HTTP/1.1\r\n\r\n",
                     PATIENCE_S,
@@ -298,10 +301,10 @@
 ) -> None:
     path, known = tmp_path / "config.json", {"known": whole(3000, 5)}
     path.write_text(json.dumps(known | CONFIG if first else CONFIG | known, indent=indent))
-    config = read_config(str(path))
-    assert config.known is not None
-    assert (len(config.known), config.known.version) == (3000, 5)
-    assert (config.name, config.memory_bytes, config.cores) == ("n", 128 * 2**20, 0.5)
+    config = read_configuration(str(path))
+    assert config.known_endpoints is not None
+    assert (len(config.known_endpoints), config.known_endpoints.version) == (3000, 5)
+    assert (config.name, config.memory_bytes, config.cpu_cores) == ("n", 128 * 2**20, 0.5)
     assert config.settings.prices.connection == 0.03
 
 
@@ -324,11 +327,11 @@
         (endpoint_list, "number_of"),
         (endpoint_list, "pack_address"),
         (addresses, "pack_address"),
-        (endpoint_table, "mixed"),
-        (subsetting, "mixed"),
+        (endpoint_table, "mix64"),
+        (hash_ring, "mix64"),
     ):
         counted(module, name)
-    config = read_config(str(path))
+    config = read_configuration(str(path))
     balancer = Balancer(config.settings, 1, 1)
 
     async def test() -> None:
@@ -341,17 +344,17 @@
     run(test())
     assert done["number_of"] == count
     assert done["pack_address"] <= count + 2
-    assert done["mixed"] <= count + 10
+    assert done["mix64"] <= count + 10
     assert len(balancer.fleet.endpoints) == len(balancer.fleet.used_ids)
-    assert config.known is not None
-    assert not len(config.known)
+    assert config.known_endpoints is not None
+    assert not len(config.known_endpoints)
 
 
 def test_what_a_start_made_is_not_gone_through_by_the_collector_again() -> None:
     # Guards against a pause of all requests by ten milliseconds and more, each time that a long list is read.
     kept = [[number] for number in range(5000)]
     try:
-        keep_for_good()
+        freeze_heap()
         assert gc.get_freeze_count() >= len(kept)
     finally:
         gc.unfreeze()
@@ -361,11 +364,11 @@
     path = tmp_path / "config.json"
     for known in ({}, {"known": None}):
         path.write_text(json.dumps(CONFIG | known))
-        assert read_config(str(path)).known is None
+        assert read_configuration(str(path)).known_endpoints is None
     for bad in ({"seq": 1}, {"seq": 1, "whole": True, "hosts": {}}):
         path.write_text(json.dumps(CONFIG | {"known": bad}))
         with pytest.raises(ConfigurationError, match="known: no "):
-            read_config(str(path))
+            read_configuration(str(path))
 
 
 def test_connections_are_kept_only_for_upstreams_in_use() -> None:
