--- a/loadbalancer/policy/concurrency_limit.py
+++ b/loadbalancer/policy/concurrency_limit.py
@@ -2,9 +2,9 @@
 
 from __future__ import annotations
 
-from loadbalancer.policy.endpoint_state import EndpointState
 from loadbalancer.policy.latency_model import LatencyModel
 from loadbalancer.policy.rate_control import MIN_OUTCOMES
+from loadbalancer.state.endpoint_state import EndpointState
 from loadbalancer.state.throughput_samples import ThroughputSamples
 from loadbalancer.units import SECOND
 
--- a/loadbalancer/policy/latency_model.py
+++ b/loadbalancer/policy/latency_model.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from loadbalancer.policy.request import Attempt, Request
+from loadbalancer.state.request import Attempt, Request
 from loadbalancer.state.running_regression import RunningRegression
 from loadbalancer.units import SECOND
 
--- a/loadbalancer/policy/throttle.py
+++ b/loadbalancer/policy/throttle.py
@@ -7,7 +7,7 @@
 from collections.abc import Iterable
 from enum import Enum, auto
 
-from loadbalancer.policy.request import Request
+from loadbalancer.state.request import Request
 from loadbalancer.units import SECOND
 
 BANK_S = 0.5  # C_T, in seconds of tokens
--- a/tests/policy/test_throttle.py
+++ b/tests/policy/test_throttle.py
@@ -9,11 +9,11 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from loadbalancer.policy.request import Request
 from loadbalancer.policy.throttle import Admission, Throttle
 from loadbalancer.settings import RequestClass, Tenant
 from loadbalancer.state.endpoint_pool import EndpointPool
 from loadbalancer.state.endpoint_table import Placement
+from loadbalancer.state.request import Request
 from tests.support.policy_harness import MS, READ, SECOND, PolicyHarness
 from tests.support.policy_harness import settings as policy_settings
 
