--- a/loadbalancer/policy/latency_model.py
+++ b/loadbalancer/policy/latency_model.py
@@ -50,8 +50,10 @@
     def _record_class(self, request: Request, latency_ns: int) -> None:
         name = "" if request.cost_hint_ns else request.request_class.name
         latency = latency_ns / (request.cost_hint_ns or 1)
-        mean = self.mean_by_class.get(name, latency)
-        self.mean_by_class[name] = mean + SMOOTHING * (min(latency, OUTLIER_FACTOR * mean) - mean)
+        mean = self.mean_by_class.get(name)
+        if mean is not None:
+            latency = mean + SMOOTHING * (min(latency, OUTLIER_FACTOR * mean) - mean)
+        self.mean_by_class[name] = latency
 
     def record_latency(self, load: float, latency_ns: float) -> None:
         """Fit the line anew; with little variance in the load, all is laid on what each request adds."""
--- a/loadbalancer/policy/rate_control.py
+++ b/loadbalancer/policy/rate_control.py
@@ -4,6 +4,7 @@
 
 from collections import Counter
 from collections.abc import Collection
+from typing import NamedTuple
 
 from loadbalancer.policy.throttle import INITIAL_RATE, Throttle
 from loadbalancer.units import SECOND
@@ -13,6 +14,9 @@
 MIN_OUTCOMES = 8  # before a figure is believed
 TOLERATED_FAILURES = 0.1  # share of the outcomes that says nothing
 DECREASE_MAX = 0.3  # of the rate, in one interval
+HEADROOM = 1.2  # of the attempt rate: a decrease begins no higher above it
+SUCCESS_FLOOR = 0.9  # of the success rate: a decrease goes no lower
+FAILED_RATE_DECAY = 0.9  # of the rate that failed last, with each decrease
 INCREASE_FACTOR = 1.1  # of the rate, in one interval
 RECOVERY_FACTOR = 1.5  # the same while the rate is well below the one that failed last
 RECOVERY_BELOW = 0.8  # of the rate that failed last
@@ -22,6 +26,13 @@
 TENANT_RATE_MIN = 0.05  # requests a second
 
 
+class Allocation(NamedTuple):
+    """A rate as it is divided among the tenants."""
+
+    rates: list[float]  # one for each tenant, with the spare rate on top
+    spare: float  # what the demand of all leaves
+
+
 class RateController:
     """The proxy's rate R, learned from how attempts end, and its division among the tenants.
 
@@ -83,10 +94,10 @@
 
     def _decrease(self, failed_share: float) -> None:
         # After the fleet shrank the rate is far above what is served: it comes down to that first.
-        rate = min(self.rate, 1.2 * self.attempt_rate + 1)
-        self.failed_rate = max(0.9 * self.failed_rate, rate)
+        rate = min(self.rate, HEADROOM * self.attempt_rate + 1)
+        self.failed_rate = max(FAILED_RATE_DECAY * self.failed_rate, rate)
         decrease = min(DECREASE_MAX, failed_share - TOLERATED_FAILURES)
-        self.rate = max(1.0, 0.9 * self.success_rate, rate * (1 - decrease))
+        self.rate = max(1.0, SUCCESS_FLOOR * self.success_rate, rate * (1 - decrease))
 
     def _increase(self) -> None:
         # A short fault cuts the rate several times: what it served before must not take ten seconds to reach.
@@ -101,9 +112,9 @@
     def _share_rate(self, now: int) -> None:
         """Set the tenants' rates: fair shares by weight, and what others leave lent on top."""
         self.weight = self.weight or sum(t.weight for t in self.throttles)
-        rates, self.borrowed_rate = self._water_fill(self.rate)
-        served, _ = self._water_fill(self.success_rate)
-        for throttle, rate, fair_share in zip(self.throttles, rates, served, strict=True):
+        offered, served = self._water_fill(self.rate), self._water_fill(self.success_rate)
+        self.borrowed_rate = offered.spare
+        for throttle, rate, fair_share in zip(self.throttles, offered.rates, served.rates, strict=True):
             throttle.set_rate(max(self.rate_of_idle_tenant(throttle.weight), rate), now)
             throttle.over_share = throttle.demand > OVER_SHARE_FACTOR * fair_share
 
@@ -111,12 +122,12 @@
         """Return the rate of a tenant of this weight that asks for nothing."""
         return max(TENANT_RATE_MIN, self.rate * weight / self.weight, self.borrowed_rate)
 
-    def _water_fill(self, rate: float) -> tuple[list[float], float]:
-        """Return each tenant's max-min fair share with all that is left, and what is left, of a rate."""
+    def _water_fill(self, spare: float) -> Allocation:
+        """Divide a rate max-min fairly by demand and weight, those with the least need first."""
         shares, weights = [0.0] * len(self.throttles), sum(t.weight for t in self.throttles)
         by_need = sorted(enumerate(self.throttles), key=lambda item: item[1].demand / item[1].weight)
         for i, throttle in by_need:
-            shares[i] = min(throttle.demand, rate * throttle.weight / weights)
-            rate = max(0.0, rate - shares[i])
+            shares[i] = min(throttle.demand, spare * throttle.weight / weights)
+            spare = max(0.0, spare - shares[i])
             weights = max(1e-9, weights - throttle.weight)
-        return [share + rate for share in shares], rate
+        return Allocation([share + spare for share in shares], spare)
