--- a/loadbalancer/policy/__init__.py
+++ b/loadbalancer/policy/__init__.py
@@ -0,0 +1,1 @@
+"""The decisions of one proxy (interface types: loadbalancer/messages.py)."""
--- a/loadbalancer/policy/balancer.py
+++ b/loadbalancer/policy/balancer.py
@@ -26,18 +26,11 @@
 from loadbalancer.state.fleet import Fleet
 from loadbalancer.state.request import Attempt, QueuePlace, Request, RequestTable
 from loadbalancer.state.tenant_throttles import TenantThrottles
-from loadbalancer.state.timer_queue import (
-    AttemptOverdue,
-    GiveUp,
-    PollDiscovery,
-    ServeQueue,
-    Timer,
-    TimerQueue,
-    TokenDue,
-)
+from loadbalancer.state.timer_queue import AttemptOverdue, GiveUp, PollDiscovery, Timer, TimerQueue, TokenDue
 from loadbalancer.units import SECOND
 
 STALL_NS = SECOND // 50  # a timer so late: the proxy itself stood still meanwhile
+OVERDUE_FACTOR, OVERDUE_DEVIATIONS = 1.3, 3  # an attempt is overdue after its expected time, times these
 QUEUE_PART = 0.5  # of a request's time to spare may go by in the queue
 OVER_SHARE_QUEUE_PART = 0.1  # the same for a tenant over its share
 
@@ -60,13 +53,12 @@
         self.fleet = Fleet(settings)
         probes_load = probing_is_cheap(settings)
         self.endpoint_updates = EndpointUpdates(settings, self.fleet, choose_subset, probes_load)
-        self.outlier_detection = OutlierDetection(self.fleet, self.timers, self.rng)
+        outliers = OutlierDetection(self.fleet, self.timers, self.rng, self.shortest_objective_ns)
+        self.outlier_detection = outliers
         self.slow_start = SlowStart(settings, self.fleet, self.timers, self.latency_model)
         self.selection = Selection(self.endpoint_updates, self.slow_start, limit, self.rng)
         self.load_probing = LoadProbing(probes_load, self.selection, self.timers)
-        self.attempt_results = AttemptResults(
-            self.outlier_detection, limit, self.rate_controller, self.shortest_objective_ns
-        )
+        self.attempt_results = AttemptResults(outliers, limit, self.rate_controller)
         self.requests = RequestTable()
         self.actions: list[messages.Action] = []
         self.feedback_ns = now
@@ -94,7 +86,7 @@
         return self.actions
 
     def _on_event(self, event: messages.Event, now: int) -> None:
-        match event:  # the most frequent first
+        match event:  # the most frequent first; no decision depends on gossip
             case messages.RequestArrived():
                 self._on_request(event, now)
             case messages.AttemptEnded():
@@ -113,16 +105,14 @@
                 self.requests[event.request_id].streaming = True
 
     def _on_timer(self, timer: Timer, now: int) -> None:
-        match timer:
+        match timer:  # nothing for ServeQueue: the queues are served after each batch
             case GiveUp():
-                self._on_give_up(timer.request, now)
+                self._on_give_up(timer.request)
             case AttemptOverdue():
                 self._on_overdue(timer.request, timer.request.attempts[timer.attempt_number], now)
             case TokenDue():
                 timer.throttle.wake_scheduled = False
                 self._release_buffered(timer.throttle, now)
-            case ServeQueue():
-                pass  # the queues are served after each batch
             case PollDiscovery():
                 if self.discovery_retry.start_call(now):
                     self.actions.append(messages.WatchEndpoints(True))
@@ -230,7 +220,7 @@
             # A late answer is worth nothing: the attempt ends then, and leaves its place to another.
             timeout_ns = max(1, request.objective_ns - now)
         self.actions.append(messages.Forward(request.id, state.id, timeout_ns))
-        overdue_ns = now + int(expected_ns * (1.3 + 3 * latency.deviation))
+        overdue_ns = now + int(expected_ns * (OVERDUE_FACTOR + OVERDUE_DEVIATIONS * latency.deviation))
         self.timers.schedule(overdue_ns, AttemptOverdue(request, len(request.attempts) - 1))
 
     def _on_attempt_ended(self, event: messages.AttemptEnded, now: int) -> None:
@@ -279,7 +269,7 @@
         if request.throttle.take_retry_token(now):
             self._forward(request, other, now)
 
-    def _on_give_up(self, request: Request, now: int) -> None:
+    def _on_give_up(self, request: Request) -> None:
         if request.place is QueuePlace.POOL_QUEUE:
             self._reject_for_capacity(request)
         elif request.place is QueuePlace.THROTTLE_BUFFER:
--- a/tests/policy/test_slow_start.py
+++ b/tests/policy/test_slow_start.py
@@ -8,7 +8,7 @@
 import random
 import sys
 from collections.abc import Sequence
-from dataclasses import dataclass, replace
+from dataclasses import dataclass, field, replace
 
 import pytest
 
@@ -70,7 +70,7 @@
     capacity: int = 40
     error_share: float = 0.0  # share of requests that the started ones answer at once with an error
     limits: Limits = LIMITS
-    prices: Prices = Prices()
+    prices: Prices = field(default_factory=Prices)
     zones: Sequence[str] = ("east",)
     load_reports: bool = False
     cores: int = 2
