--- a/loadbalancer/policy/attempt_results.py
+++ b/loadbalancer/policy/attempt_results.py
@@ -18,17 +18,9 @@
 class AttemptResults:
     """Passes results on to what learns from them."""
 
-    def __init__(
-        self,
-        outliers: OutlierDetection,
-        limit: ConcurrencyLimit,
-        rate_controller: RateController,
-        shortest_objective_ns: int,
-    ) -> None:
-        self.outlier_detection, self.concurrency_limit = outliers, limit
+    def __init__(self, outliers: OutlierDetection, limit: ConcurrencyLimit, rate: RateController) -> None:
+        self.outlier_detection, self.concurrency_limit, self.rate_controller = outliers, limit, rate
         self.latency_model = limit.latency_model
-        self.rate_controller = rate_controller
-        self.shortest_objective_ns = shortest_objective_ns
 
     def record(self, request: Request, attempt: Attempt, event: AttemptEnded, now: int) -> None:
         """Learn from one attempt that has ended."""
@@ -46,7 +38,7 @@
                     self._record_timeout(request, attempt, event.elapsed_ns, now)
             case AttemptResult.REJECTED:
                 self.rate_controller.failures[state.id] += 1
-                self.outlier_detection.eject(state, now, self._ejection_base_ns(attempt))
+                self.outlier_detection.eject_slow(attempt, now)
             case AttemptResult.CONNECT_FAILED:
                 self.rate_controller.failures[state.id] += 1
                 self.outlier_detection.eject(state, now, EJECTION_NS)
@@ -75,7 +67,7 @@
         # It would have taken longer: what is cut off must not flatten the slope.
         expected_ns = self.latency_model.latency_at(attempt.load)
         self.latency_model.record_latency(attempt.load, max(CUT_OFF_FACTOR * elapsed_ns, expected_ns))
-        self.outlier_detection.eject(attempt.endpoint_state, now, self._ejection_base_ns(attempt))
+        self.outlier_detection.eject_slow(attempt, now)
 
     def _record_late(self, request: Request, endpoint_id: int) -> None:
         """Note a late end: the interval has begun, but the end counts only if its endpoint is to blame."""
@@ -85,7 +77,7 @@
     def record_overdue(self, attempt: Attempt, now: int) -> None:
         """Eject the endpoint of an attempt that is out longer than it should take."""
         state = attempt.endpoint_state
-        self.outlier_detection.eject(state, now, self._ejection_base_ns(attempt))
+        self.outlier_detection.eject_slow(attempt, now)
         if state.last_answered_ns > attempt.sent_ns:
             # It answers what came later: this answer is lost, and keeps no place until its client gives up.
             self.concurrency_limit.record_occupancy(state, now)
@@ -104,12 +96,3 @@
             request.stalled = request.delayed_by_throttle = True
         for state in states:
             state.in_flight_since_ns = now  # nor did endpoints hold them for so long without finishing
-
-    def _ejection_base_ns(self, attempt: Attempt) -> float:
-        """Return how long to leave an endpoint alone that did not finish an attempt in time.
-
-        Guards against one hopelessly heavy request taking its endpoint from all others for as long as it
-        would have run: it is cut off, and its client asks again, at the next endpoint and the next. Harm:
-        where it runs on all the same, the next one there finds out, and the ejection doubles.
-        """
-        return min(attempt.expected_ns, self.shortest_objective_ns)
--- a/loadbalancer/policy/outlier_detection.py
+++ b/loadbalancer/policy/outlier_detection.py
@@ -7,6 +7,7 @@
 from loadbalancer.state.endpoint_pool import EndpointPool
 from loadbalancer.state.endpoint_state import EndpointState
 from loadbalancer.state.fleet import Fleet
+from loadbalancer.state.request import Attempt
 from loadbalancer.state.timer_queue import ServeQueue, TimerQueue
 from loadbalancer.units import SECOND
 
@@ -22,10 +23,20 @@
 class OutlierDetection:
     """Ejects endpoints that fail, and tells resets of an endpoint from those of the network."""
 
-    def __init__(self, fleet: Fleet, timers: TimerQueue, rng: random.Random) -> None:
+    def __init__(self, fleet: Fleet, timers: TimerQueue, rng: random.Random, objective_ns: int) -> None:
         self.fleet, self.timers, self.rng = fleet, timers, rng
+        self.shortest_objective_ns = objective_ns
         self.recent_attempts = self.recent_resets = 0.0  # over the endpoints in use
 
+    def eject_slow(self, attempt: Attempt, now: int) -> None:
+        """Eject an endpoint that did not finish an attempt in time, or had no capacity for it.
+
+        Guards against one hopelessly heavy request taking its endpoint from all others for as long as it
+        would have run: it is cut off, and its client asks again, at the next endpoint and the next. Harm:
+        where it runs on all the same, the next one there finds out, and the ejection doubles.
+        """
+        self.eject(attempt.endpoint_state, now, min(attempt.expected_ns, self.shortest_objective_ns))
+
     def eject(self, state: EndpointState, now: int, base_ns: float) -> None:
         """Leave a failing endpoint alone, longer each time, unless that would leave hardly any.
 
--- a/loadbalancer/policy/request.py
+++ b/loadbalancer/policy/request.py
@@ -36,6 +36,11 @@
         return False
     if request.attempts_in_flight >= (2 if limits.hedging else 1):
         return False
+    return _may_repeat(request, endpoint, now, limits)
+
+
+def _may_repeat(request: Request, endpoint: Endpoint, now: int, limits: Limits) -> bool:
+    """Tell whether another attempt has no second effect, whatever came of the earlier ones."""
     request_class = request.request_class
     risky = [attempt for attempt in request.attempts if attempt.may_have_run]
     if not risky or request_class.idempotency is Idempotency.IDEMPOTENT:
--- a/loadbalancer/policy/selection.py
+++ b/loadbalancer/policy/selection.py
@@ -17,6 +17,7 @@
 from loadbalancer.state.request import Request
 
 DRAWS = 2  # random draws beside the last choice
+LOAD_MARGIN = 1.5  # requests that an endpoint may have got since its report, the new one included
 SCAN = 16  # most endpoints looked at for one send: work on a request must not grow with the fleet
 
 
@@ -83,7 +84,7 @@
         """Tell whether an endpoint that reports a load would answer too late; an idle one never does."""
         if state.reported_load < 1 or not has_fresh_load(state, now):
             return False
-        latency_ns = self.concurrency_limit.latency_model.latency_at(state.reported_load + 1.5)
+        latency_ns = self.concurrency_limit.latency_model.latency_at(state.reported_load + LOAD_MARGIN)
         return latency_ns * state.relative_latency > request.objective_ns - now
 
     def retry_candidates(self, request: Request, now: int) -> list[EndpointState] | None:
