--- a/loadbalancer/state/endpoint_pool.py
+++ b/loadbalancer/state/endpoint_pool.py
@@ -4,15 +4,12 @@
 
 from collections import deque
 from dataclasses import dataclass, field
-from typing import TYPE_CHECKING
 
 from loadbalancer.messages import Endpoint
 from loadbalancer.state.endpoint_state import EndpointState
 from loadbalancer.state.endpoint_table import Placement
 from loadbalancer.state.request import Request
-
-if TYPE_CHECKING:
-    from loadbalancer.policy.subsetting import Subset
+from loadbalancer.state.subset import Subset
 
 
 @dataclass(slots=True, eq=False)
--- a/loadbalancer/state/fleet.py
+++ b/loadbalancer/state/fleet.py
@@ -7,7 +7,7 @@
 from loadbalancer.state.endpoint_pool import EndpointPool
 from loadbalancer.state.endpoint_state import EndpointState
 from loadbalancer.state.endpoint_table import EndpointTable, Placement
-from loadbalancer.state.hash_ring import mixed
+from loadbalancer.state.hash_ring import mix64
 
 
 class Fleet:
@@ -29,13 +29,13 @@
         key = (request_class.allowed_zones, request_class.allowed_machine_types)
         if key not in self.pools:
             self.pools[key] = EndpointPool(Placement(*key))
-            self.table.placements.append(self.pools[key].placement)
+            self.table.add_placement(self.pools[key].placement)
         return self.pools[key]
 
     def add(self, number: int) -> EndpointState:
         """Keep the state of a listed endpoint from now on."""
-        state = EndpointState(number, self.table.entry(number))
-        state.reserve_rank = mixed(number, self.settings.proxy_index + 1)
+        state = EndpointState(number, self.table.endpoint(number))
+        state.reserve_rank = mix64(number, self.settings.proxy_index + 1)
         self.endpoints[number] = state
         return state
 
--- /dev/null
+++ b/scale_test/child_process.py
@@ -0,0 +1,123 @@
+"""The processes of an experiment: each leads a process group of its own, and none outlives the experiment.
+
+A helper is a child process that carries out commands: one JSON line each on its standard input, and one line
+each in return.
+"""
+
+from __future__ import annotations
+
+import asyncio
+import contextlib
+import inspect
+import os
+import signal
+import sys
+from asyncio.subprocess import DEVNULL, PIPE
+from collections.abc import Awaitable, Callable, Mapping
+from enum import StrEnum
+from pathlib import Path
+from typing import Any
+
+import orjson
+
+from scale_test.errors import ExperimentError
+
+ROOT = Path(__file__).parent.parent
+MAX_LINE_BYTES = 2**30
+
+Commands = Mapping[str, Callable[..., Awaitable[object]]]
+
+
+class HelperRole(StrEnum):
+    """What a helper does; the value is its module."""
+
+    DISCOVERY = "discovery_process"
+    HOLLOW = "hollow"
+    LOAD = "load_generator"
+
+
+class ChildProcess:
+    """A process that was started for the experiment, and its log."""
+
+    def __init__(self, name: str, process: asyncio.subprocess.Process, log: Path) -> None:
+        self.name = name
+        self.process = process
+        self.log = log
+
+    @property
+    def pid(self) -> int:
+        """The process's number."""
+        return self.process.pid
+
+    @classmethod
+    async def start(
+        cls, name: str, folder: Path, *command: str, piped: bool = False, **env: str
+    ) -> ChildProcess:
+        """Start it with a temporary folder of its own; `piped` connects its standard input and output."""
+        temporary = folder / f"{name}.tmp"
+        temporary.mkdir()
+        log = folder / f"{name}.log"
+        with log.open("wb") as out:
+            process = await asyncio.create_subprocess_exec(
+                *command,
+                cwd=ROOT,
+                stdin=PIPE if piped else DEVNULL,
+                stdout=PIPE if piped else out,
+                stderr=out,
+                env={**os.environ, "TMPDIR": str(temporary), **env},
+                limit=MAX_LINE_BYTES,
+                start_new_session=True,
+            )
+        return cls(name, process, log)
+
+    @classmethod
+    async def start_helper(cls, role: HelperRole, name: str, folder: Path) -> ChildProcess:
+        """Start a helper."""
+        return await cls.start(name, folder, sys.executable, "-m", f"scale_test.{role}", piped=True)
+
+    def ended_error(self) -> ExperimentError:
+        """The error that says that it has ended, with the last line of its log."""
+        lines = self.log.read_text(errors="replace").strip().splitlines()
+        return ExperimentError(f"{self.name} has ended: {lines[-1] if lines else 'it said nothing'}")
+
+    async def call(self, command: str, **arguments: object) -> Any:
+        """Give a helper one command, and wait for its result.
+
+        Raises:
+            ExperimentError: The helper has ended.
+        """
+        assert self.process.stdin is not None
+        assert self.process.stdout is not None
+        with contextlib.suppress(ConnectionError):
+            self.process.stdin.write(orjson.dumps({"command": command, "arguments": arguments}) + b"\n")
+            await self.process.stdin.drain()
+        line = await self.process.stdout.readline()
+        if not line:
+            await self.process.wait()
+            raise self.ended_error()
+        return orjson.loads(line)
+
+    async def kill(self) -> None:
+        """End it and its process group, and wait for its end."""
+        if self.process.returncode is None:
+            with contextlib.suppress(ProcessLookupError):
+                os.killpg(self.pid, signal.SIGKILL)
+            await self.process.wait()
+
+
+def commands_of(handler: object) -> Commands:
+    """The public coroutine methods of an object, by name."""
+    methods = inspect.getmembers(handler, inspect.iscoroutinefunction)
+    return {name: method for name, method in methods if not name.startswith("_")}
+
+
+async def serve(commands: Commands) -> None:
+    """Carry out commands, in a helper, until the experiment closes the pipe."""
+    loop = asyncio.get_running_loop()
+    reader = asyncio.StreamReader(limit=MAX_LINE_BYTES)
+    await loop.connect_read_pipe(lambda: asyncio.StreamReaderProtocol(reader), sys.stdin)
+    while line := await reader.readline():
+        request = orjson.loads(line)
+        result = await commands[request["command"]](**request["arguments"])
+        sys.stdout.buffer.write(orjson.dumps(result) + b"\n")
+        sys.stdout.flush()
--- a/tests/policy/test_load_probing.py
+++ b/tests/policy/test_load_probing.py
@@ -8,10 +8,10 @@
 from tests.support.rule_checker import FinalAnswer
 
 
-def probing_harness(servers: int = 6) -> PolicyHarness:
+def probing_harness(endpoint_count: int = 6) -> PolicyHarness:
     limits = Limits(max_attempts=3, health_checks=True, cancellation=True)
     return PolicyHarness(
-        settings(limits=limits, load_report_columns=("inflight", "queue")), endpoint_count=servers
+        settings(limits=limits, load_report_columns=("inflight", "queue")), endpoint_count=endpoint_count
     )
 
 
@@ -37,7 +37,7 @@
 
 def test_fresh_probe_is_not_repeated() -> None:
     # A busy proxy would spend itself on probes that tell it nothing new.
-    harness = probing_harness(servers=1)
+    harness = probing_harness(endpoint_count=1)
     counts = []
     for number in range(4):
         counts.append(sum(isinstance(a, CheckHealth) for a in harness.give(arrival(number, harness.now))))
@@ -55,7 +55,7 @@
 
 def test_idle_endpoint_is_never_too_slow_to_try() -> None:
     # Guards against rejecting on a quiet day because one heavy request made an endpoint look slow.
-    harness = probing_harness(servers=1)
+    harness = probing_harness(endpoint_count=1)
     harness.balancer.fleet.endpoints[1].relative_latency = 9.0
     harness.give(arrival(1, harness.now, wait_ns=100 * MS))
     harness.give(HealthCheckEnded(1, AttemptResult.OK, MS, {"inflight": 0.0}))
--- a/tests/policy/test_random_days.py
+++ b/tests/policy/test_random_days.py
@@ -36,7 +36,7 @@
 
 @hyp(derandomize=True, deadline=None, max_examples=120)
 @given(st.integers(0, 10**6), st.booleans(), st.booleans(), st.integers(1, 9))
-def test_random_days_keep_the_rules(seed: int, hedging: bool, push: bool, servers: int) -> None:
+def test_random_days_keep_the_rules(seed: int, hedging: bool, push: bool, endpoint_count: int) -> None:
     rng = random.Random(seed)
     limits = Limits(
         max_attempts=rng.choice([1, 2, 3, 5]),
@@ -52,7 +52,7 @@
         seed,
         0,
     )
-    pool = make_mixed_endpoints(servers)
+    pool = make_mixed_endpoints(endpoint_count)
     harness.give(EndpointUpdate(EndpointUpdateKind.CACHED, pool))
     for number in range(rng.randint(5, 120)):
         for _ in range(rng.choice([0, 1, 1, 2, 12])):
--- a/tests/policy/test_request.py
+++ b/tests/policy/test_request.py
@@ -127,9 +127,8 @@
     request_class: RequestClass, rejected_may_have_run: bool, answer: FinalAnswer | None
 ) -> None:
     # Guards against a second effect where endpoints also drop what they had begun.
-    harness = PolicyHarness(
-        settings(rules=Rules(slow_start_ns=4 * SECOND, rejected_may_have_run=rejected_may_have_run))
-    )
+    rules = Rules(slow_start_ns=4 * SECOND, rejected_may_have_run=rejected_may_have_run)
+    harness = PolicyHarness(settings(rules=rules))
     harness.give(arrival(1, harness.now, request_class))
     harness.now += MS
     harness.finish("r1", AttemptResult.REJECTED)
--- a/tests/proxy/test_discovery_client.py
+++ b/tests/proxy/test_discovery_client.py
@@ -120,7 +120,7 @@
             balancer._on_watch_result(
                 read(changed(2, entry("s1", 4), entry("s0", 3), whole=True), balancer._list_reader)
             )
-            await until(lambda: balancer._update_task is None)
+            await until(lambda: balancer._endpoint_updater.task is None)
             assert ports(balancer) == {3: SHARED, 4: SHARED + 1}
 
     run(test())
@@ -139,7 +139,7 @@
                 version = (balancer._list_reader._newest or 0) + 1
                 balancer._on_watch_result(read(changed(version, *hosts, whole=whole), balancer._list_reader))
                 if swept:
-                    balancer._sweep_host_numbers(SEGMENTS)
+                    balancer._endpoint_updater.sweep_host_numbers(SEGMENTS)
 
             if whole:
                 told(entry(f"s{stays}", stays + 1), whole=True)
@@ -161,13 +161,13 @@
             balancer, reader = client.node, client.node._list_reader
             many = [entry(f"s{i}", i + 1) for i in range(1, 100)]
             balancer._on_watch_result(read(changed(2, *many, whole=True), reader))  # put in force in slices
-            assert balancer._update_task is not None
-            balancer._sweep_host_numbers(SEGMENTS)
+            assert balancer._endpoint_updater.task is not None
+            balancer._endpoint_updater.sweep_host_numbers(SEGMENTS)
             assert len(reader.host_numbers) == 100
             assert list(read(changed(3, entry("new", 200)), reader).ids) == [SHARED + 100]  # none is free
-            await until(lambda: balancer._update_task is None)
-            balancer._sweep_host_numbers(SEGMENTS)
-            assert len(reader.host_numbers) == len(balancer._addresses) == 99
+            await until(lambda: balancer._endpoint_updater.task is None)
+            balancer._endpoint_updater.sweep_host_numbers(SEGMENTS)
+            assert len(reader.host_numbers) == len(balancer._addresses.by_id) == 99
             assert list(read(changed(4, entry("newer", 201)), reader).ids) == [SHARED]
 
     run(test())
@@ -184,14 +184,14 @@
             read(changed(1, entry("late")), reader)  # older than the last: not taken
             abandoned = reader.steps(bytearray(json.dumps(known(*range(1, 200))).encode()))
             next(abandoned)
-            balancer._sweep_host_numbers(SEGMENTS)
+            balancer._endpoint_updater.sweep_host_numbers(SEGMENTS)
             assert len(reader.host_numbers) > 50  # what is being read may name any
             abandoned.close()
             for _ in range(SEGMENTS):  # as once a second
                 assert balancer._sweep_timer is not None
                 balancer._sweep_timer.cancel()
                 balancer._sweep_once()
-            assert len(reader.host_numbers) == len(balancer._addresses) == 1
+            assert len(reader.host_numbers) == len(balancer._addresses.by_id) == 1
 
     run(test())
 
@@ -306,11 +306,11 @@
             balancer._on_watch_result(
                 read({"seq": 2, "whole": False, "hosts": [entry("s0", health="removed")]})
             )
-            assert set(balancer._addresses) == {number_of("s1")}
+            assert set(balancer._addresses.by_id) == {number_of("s1")}
             balancer._on_watch_result(read({"seq": 3, "whole": True, "hosts": []}))
-            assert not balancer._addresses
+            assert not balancer._addresses.by_id
             assert not balancer._connection_limits.pools
-            assert not balancer._pending_updates
+            assert not balancer._endpoint_updater._pending
 
     run(test())
 
@@ -338,10 +338,10 @@
             assert [u.zone for u in update.endpoints] == ["east"]
             assert asking == [True]
             assert registry.calls[1][1].startswith("/registry/instances?after=2&")
-            assert len(client.node._addresses) == 2 == len(client.node.endpoint_addresses())
+            assert len(client.node._addresses.by_id) == 2 == len(client.node.endpoint_addresses())
             registry.change("s9", health="removed")
             await until(lambda: len(script.of(EndpointUpdate)) == 3)
-            assert len(client.node._addresses) == 1 == len(client.node.endpoint_addresses())
+            assert len(client.node._addresses.by_id) == 1 == len(client.node.endpoint_addresses())
 
     run(test())
 
@@ -375,8 +375,8 @@
     # Guards against a drain told on such a watch being unknown still when it counts as told: a pause as
     # after a call that failed, of 0.5 to 1.5 s, is as long as all the time that is left then.
     async def test() -> None:
-        monkeypatch.setattr("loadbalancer.proxy.discovery_client.ASKED_WAIT_MS", 20)
-        monkeypatch.setattr("loadbalancer.proxy.discovery_client.OVERDUE_S", 0.02)
+        monkeypatch.setattr("loadbalancer.proxy.discovery_client.POLL_WAIT_MS", 20)
+        monkeypatch.setattr("loadbalancer.proxy.discovery_call.TIMEOUT_MARGIN_S", 0.02)
         registry = FakeDiscovery()
         heard: Answer = registry.upstream.answer
 
@@ -416,7 +416,7 @@
             await until(lambda: len(registry.calls) >= 3)
             assert registry.calls[2][0] - registry.calls[0][0] > 0.1  # it backs off
             assert len(script.of(EndpointUpdate)) == 1
-            assert len(client.node._addresses) == 1
+            assert len(client.node._addresses.by_id) == 1
             registry.broken = b""
             registry.change("s9", dial="127.0.0.1:9")
             await until(lambda: len(client.node.endpoint_addresses()) == 2)
@@ -452,7 +452,7 @@
             client.node.dispatch(TimerExpired("fetch"))
             await until(lambda: len(script.of(EndpointUpdate)) == 2)
             assert script.of(EndpointUpdate)[1].kind is EndpointUpdateKind.FULL
-            assert not client.node._addresses
+            assert not client.node._addresses.by_id
             assert not client.node._connection_limits.pools
             assert registry.calls[2][1] == "/registry/instances"
 
@@ -523,7 +523,7 @@
             old.broken = written(503)
             old.change("s1")  # the watch ends
             await until(lambda: client.node._discovery_client._watch_call is None)
-            assert client.node._discovery_client._retry is None
+            assert client.node._discovery_client._watch_timer is None
             new.broken = b""
             await until(lambda: len(new.calls) > 1 and "after=3" in new.calls[-1][1])
         new.upstream.stop()
@@ -546,7 +546,7 @@
                 client.node.move_discovery(address)
             await until(lambda: len(new[1].calls) == 2)
             assert not new[0].calls
-            assert client.node._discovery_client._successor is None
+            assert client.node._discovery_client._handover is None
             assert hosts(script) == [number_of("s8")]
         for registry in new:
             registry.upstream.stop()
@@ -577,12 +577,15 @@
             await until(lambda: old.calls)
             client.node.move_discovery((HOST, new.upstream.port))
             await until(lambda: new.upstream.got)
+            handover = client.node._discovery_client._handover
+            assert handover is not None
             client.node.move_discovery((HOST, new.upstream.port))
-            await until(lambda: client.node._discovery_client._successor is None)
+            assert client.node._discovery_client._handover is handover
+            await until(lambda: client.node._discovery_client._handover is None)
             assert hosts(script) == [number_of("s9")]
             await until(lambda: len(new.upstream.got) == 2)
             assert [("after=" in got.first) for got in new.upstream.got] == [False, True]
-            assert client.node._discovery_client._handover_failures == 0
+            assert handover.backoff.failures == 0
         new.upstream.stop()
 
     run(test())
@@ -659,7 +662,7 @@
             await is_told_once(2)
             await is_told_once(3)
             new.broken = b""
-            await until(lambda: discovery._successor is None)
+            await until(lambda: discovery._handover is None)
             assert hosts(script) == [number_of("s9")]
         new.upstream.stop()
 
@@ -675,7 +678,7 @@
         async with node(script, registry=old, known_list=known(5), asked=True) as client:
             await closes_in_handover(old, new, client, script)
             client.node.dispatch(TimerExpired(asked))
-            await until(lambda: client.node._discovery_client._target.refuses)
+            await until(lambda: client.node._discovery_client._target.refuses_connections)
             client.node.move_discovery((HOST, old.upstream.port))
             await until(lambda: failures(script) >= 2)  # it is still closed, and is asked
         new.upstream.stop()
@@ -724,7 +727,7 @@
             assert states(script) == [EndpointStatus.READY, EndpointStatus.DRAINING]
             assert not client.node.endpoint_addresses()
             new.rows["s0"]["health"], new.version = "draining", 2
-            await until(lambda: client.node._discovery_client._successor is None)
+            await until(lambda: client.node._discovery_client._handover is None)
             assert EndpointStatus.READY not in states(script)[1:]
         new.upstream.stop()
 
