--- a/loadbalancer/configuration.py
+++ b/loadbalancer/configuration.py
@@ -7,12 +7,9 @@
 from typing import Any
 
 from loadbalancer.proxy.addresses import Address, read_address
-from loadbalancer.proxy.endpoint_list import (
-    EndpointList,
-    EndpointListParser,
-    read_beside,
-    unix_offset_ns,
-)
+from loadbalancer.proxy.endpoint_list import EndpointList
+from loadbalancer.proxy.endpoint_list_parser import EndpointListParser, unix_offset_ns
+from loadbalancer.proxy.endpoint_list_reader import read_beside
 from loadbalancer.proxy.errors import EndpointListError
 from loadbalancer.proxy.steps import run_through
 from loadbalancer.settings import Settings, read_settings
@@ -36,7 +33,7 @@
     except EndpointListError as error:
         raise ConfigurationError(f"{path}: {error}") from None
     try:
-        known = rows.done() if rows.started and with_known else None
+        known = rows.finish() if rows.started and with_known else None
     except EndpointListError as error:
         raise ConfigurationError(f"{path}: known: {error}") from None
     try:
--- a/loadbalancer/proxy/discovery_call.py
+++ b/loadbalancer/proxy/discovery_call.py
@@ -10,7 +10,8 @@
 from loadbalancer.messages import AttemptResult
 from loadbalancer.proxy.addresses import Address
 from loadbalancer.proxy.connection_pool import ConnectionLimits, ConnectionPool
-from loadbalancer.proxy.endpoint_list import EndpointList, EndpointListReader
+from loadbalancer.proxy.endpoint_list import EndpointList
+from loadbalancer.proxy.endpoint_list_reader import EndpointListReader
 from loadbalancer.proxy.errors import EndpointListError
 from loadbalancer.proxy.http import Message, write_request
 from loadbalancer.proxy.steps import Steps, run_interleaved, run_through
--- a/loadbalancer/proxy/discovery_client.py
+++ b/loadbalancer/proxy/discovery_client.py
@@ -16,7 +16,8 @@
     WatchResult,
 )
 from loadbalancer.proxy.discovery_handover import DiscoveryHandover
-from loadbalancer.proxy.endpoint_list import EndpointList, EndpointListReader
+from loadbalancer.proxy.endpoint_list import EndpointList
+from loadbalancer.proxy.endpoint_list_reader import EndpointListReader
 
 # How long a watch call may wait at discovery. Silence for longer shows that the call is lost, on a connection
 # that has died unseen or at a discovery that is down. What a lost call would have brought counts as received
--- a/loadbalancer/proxy/endpoint_addresses.py
+++ b/loadbalancer/proxy/endpoint_addresses.py
@@ -4,7 +4,7 @@
 
 from collections.abc import Iterable
 
-from loadbalancer.proxy.addresses import Address, Packed, unpack_address
+from loadbalancer.proxy.addresses import Address, PackedAddress, unpack_address
 from loadbalancer.proxy.connection_pool import ConnectionLimits, ConnectionPool
 
 
@@ -16,12 +16,12 @@
 
     def __init__(self, limits: ConnectionLimits) -> None:
         self._limits = limits
-        self.by_id: dict[int, Packed | None] = {}
+        self.by_id: dict[int, PackedAddress | None] = {}
 
     def __len__(self) -> int:
         return len(self.by_id)
 
-    def set(self, endpoint_id: int, address: Packed | None) -> None:
+    def set(self, endpoint_id: int, address: PackedAddress | None) -> None:
         """Store an endpoint's address; None if it takes no new requests."""
         if self.by_id.get(endpoint_id, 0) == address:
             return
--- a/loadbalancer/proxy/endpoint_updates.py
+++ b/loadbalancer/proxy/endpoint_updates.py
@@ -14,11 +14,12 @@
 from loadbalancer.messages import Endpoint, EndpointStatus, EndpointUpdate, EndpointUpdateKind
 from loadbalancer.proxy.discovery_call import WatchFailure, WatchResult
 from loadbalancer.proxy.endpoint_addresses import EndpointAddresses
-from loadbalancer.proxy.endpoint_list import EndpointList, EndpointListReader
+from loadbalancer.proxy.endpoint_list import EndpointList
+from loadbalancer.proxy.endpoint_list_reader import EndpointListReader
 
 SLICE_ENTRIES = 64  # entries of a long list that are applied between two turns of the event loop
 SLICE_IDS = SLICE_ENTRIES * SLICE_ENTRIES  # the same for steps that only copy ids
-SWEEP_SEGMENTS = 1  # of the host numbers at each sweep: all segments take some four minutes
+SWEEP_SEGMENTS = 1  # of the id registry at each sweep: all segments take some four minutes
 FAILURE_KINDS = {
     WatchFailure.CALL_FAILED: EndpointUpdateKind.FAILED,
     WatchFailure.TIMED_OUT: EndpointUpdateKind.WATCH_TIMED_OUT,
@@ -143,7 +144,7 @@
                 self._addresses.set(endpoint_id, None)
             yield Endpoint(endpoint_id, *attributes)
 
-    def sweep_host_numbers(self, segments: int = SWEEP_SEGMENTS) -> None:
-        """Free the numbers of hosts that are gone, unless a list that is not applied yet may name them."""
-        if self._reader.reads == 0 and not self._pending:
-            self._reader.host_numbers.sweep(self._addresses.by_id, segments)
+    def sweep_ids(self, segments: int = SWEEP_SEGMENTS) -> None:
+        """Free the ids of endpoints that are gone, unless a list that is not applied yet may name them."""
+        if self._reader.reads_in_progress == 0 and not self._pending:
+            self._reader.id_registry.sweep(self._addresses.by_id, segments)
--- a/loadbalancer/proxy/errors.py
+++ b/loadbalancer/proxy/errors.py
@@ -1,7 +1,11 @@
-"""Errors of what discovery or the configuration says."""
+"""Errors in what discovery or the configuration says."""
 
 from __future__ import annotations
 
 
+class AddressError(ValueError):
+    """A text is not an IP address and a port."""
+
+
 class EndpointListError(ValueError):
-    """What discovery said can't be read."""
+    """An endpoint list can't be read."""
--- a/loadbalancer/proxy/proxy.py
+++ b/loadbalancer/proxy/proxy.py
@@ -41,7 +41,8 @@
 from loadbalancer.proxy.discovery_client import DiscoveryClient
 from loadbalancer.proxy.downstream import ClientConnection, DownstreamServer
 from loadbalancer.proxy.endpoint_addresses import EndpointAddresses
-from loadbalancer.proxy.endpoint_list import EndpointListReader, unix_offset_ns
+from loadbalancer.proxy.endpoint_list_parser import unix_offset_ns
+from loadbalancer.proxy.endpoint_list_reader import EndpointListReader
 from loadbalancer.proxy.endpoint_updates import EndpointUpdater
 from loadbalancer.proxy.gossip import Gossip
 from loadbalancer.proxy.http import Headers, Message, load_report, whole_number, write_request
@@ -128,7 +129,7 @@
         )
         self.downstream = DownstreamServer(self, room)
         self._list_reader = EndpointListReader(
-            unix_offset_ns(), None if config.known is None else config.known.host_numbers
+            unix_offset_ns(), None if config.known is None else config.known.id_registry
         )
         self._addresses = EndpointAddresses(self._connection_limits)
         self._endpoint_updater = EndpointUpdater(self._list_reader, self._addresses, self._on_endpoint_update)
@@ -166,7 +167,7 @@
     def _sweep_once(self) -> None:
         self._connection_limits.close_expired()
         self._connection_limits.forget_empty_pools()
-        self._endpoint_updater.sweep_host_numbers()
+        self._endpoint_updater.sweep_ids()
         self._sweep_timer = self._loop.call_later(SWEEP_S, self._sweep_once)
 
     @property
--- a/scale_test/evenness.py
+++ b/scale_test/evenness.py
@@ -8,8 +8,8 @@
 
 from loadbalancer.messages import Endpoint
 from loadbalancer.policy.subsetting import choose_subset
-from loadbalancer.proxy.endpoint_list import number_of
 from loadbalancer.settings import Prices, Settings
+from loadbalancer.state.endpoint_ids import preferred_id
 from loadbalancer.state.endpoint_table import EndpointTable, Placement
 from scale_test.plan import Plan, zone_name
 
@@ -43,7 +43,7 @@
     prices = Prices(connection=0.03, cross_zone=0.02) if zoned else Prices()
     table = EndpointTable(Settings(proxy_count=balancers, zones=zones, prices=prices))
     table.placements.append(Placement(None, None))
-    ids = [number_of(f"s-{i:08x}") for i in range(upstreams)]
+    ids = [preferred_id(f"s-{i:08x}") for i in range(upstreams)]
     for i, number in enumerate(ids):
         table.upsert(Endpoint(number, zone=zone_name(plan.zone_of(i)), cell=i // 100))
     table.apply_changes()
--- a/scale_test/slopes.py
+++ b/scale_test/slopes.py
@@ -41,7 +41,7 @@
     RequestArrived,
 )
 from loadbalancer.policy.balancer import Balancer
-from loadbalancer.proxy.endpoint_list import EndpointListReader
+from loadbalancer.proxy.endpoint_list_reader import EndpointListReader
 from loadbalancer.settings import read_settings
 
 S, HOST, SERVICE = 10**9, "127.0.0.1", 23  # ns a second; loopback; upstreams a service: 160,000 in 7,000
@@ -99,7 +99,7 @@
 def read_list(text: bytes, reader: Any = None) -> tuple[Any, list[Endpoint]]:
     """All that is used of the list reader: the reader (kept, as a balancer keeps it), and what it gave."""
     reader = reader or EndpointListReader(0)
-    return reader, [e.upstream for e in reader.read(text).entries]
+    return reader, [e.endpoint for e in reader.read(text).entries]
 
 
 def spent(do: Callable[[], T], times: int = 1) -> tuple[float, T]:
--- a/tests/proxy/test_discovery_client.py
+++ b/tests/proxy/test_discovery_client.py
@@ -20,10 +20,11 @@
     WatchEndpoints,
 )
 from loadbalancer.policy.balancer import Balancer
-from loadbalancer.proxy.endpoint_list import EndpointList, EndpointListReader, number_of
+from loadbalancer.proxy.endpoint_list import EndpointList
+from loadbalancer.proxy.endpoint_list_reader import EndpointListReader
 from loadbalancer.proxy.errors import EndpointListError
 from loadbalancer.proxy.proxy import Proxy
-from loadbalancer.state.host_numbers import SEGMENTS, HostNumbers
+from loadbalancer.state.endpoint_ids import SEGMENTS, EndpointIdRegistry, preferred_id
 from tests.support.sockets import (
     HOST,
     Answer,
@@ -57,11 +58,11 @@
         for offset, hosts in ((0, rows), (9, rows[::-1]))
     )
     assert list(one.ids) == list(other.ids)[::-1]  # whatever reads it, in whatever order
-    assert one.ids[0] == number_of("s-5be2a07c") == 9587356208999800076
+    assert one.ids[0] == preferred_id("s-5be2a07c") == 9587356208999800076
 
 
 def test_hosts_that_collide_get_different_numbers(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr("loadbalancer.proxy.endpoint_list.number_of", lambda host: 7)
+    monkeypatch.setattr("loadbalancer.proxy.endpoint_list_parser.preferred_id", lambda host: 7)
     listing = read({"seq": 1, "whole": True, "hosts": [entry("a", 80), entry("b", 81)]})
     assert len(set(listing.ids)) == 2
 
@@ -71,7 +72,7 @@
 
 @pytest.fixture
 def colliding(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr("loadbalancer.proxy.endpoint_list.number_of", lambda host: SHARED)
+    monkeypatch.setattr("loadbalancer.proxy.endpoint_list_parser.preferred_id", lambda host: SHARED)
 
 
 def changed(version: int, *hosts: object, whole: bool = False) -> Json:
@@ -136,10 +137,10 @@
             balancer, stays = client.node, 1 - left
 
             def told(*hosts: object, whole: bool = False) -> None:
-                version = (balancer._list_reader._newest or 0) + 1
+                version = (balancer._list_reader._newest_version or 0) + 1
                 balancer._on_watch_result(read(changed(version, *hosts, whole=whole), balancer._list_reader))
                 if swept:
-                    balancer._endpoint_updater.sweep_host_numbers(SEGMENTS)
+                    balancer._endpoint_updater.sweep_ids(SEGMENTS)
 
             if whole:
                 told(entry(f"s{stays}", stays + 1), whole=True)
@@ -162,12 +163,12 @@
             many = [entry(f"s{i}", i + 1) for i in range(1, 100)]
             balancer._on_watch_result(read(changed(2, *many, whole=True), reader))  # put in force in slices
             assert balancer._endpoint_updater.task is not None
-            balancer._endpoint_updater.sweep_host_numbers(SEGMENTS)
-            assert len(reader.host_numbers) == 100
+            balancer._endpoint_updater.sweep_ids(SEGMENTS)
+            assert len(reader.id_registry) == 100
             assert list(read(changed(3, entry("new", 200)), reader).ids) == [SHARED + 100]  # none is free
             await until(lambda: balancer._endpoint_updater.task is None)
-            balancer._endpoint_updater.sweep_host_numbers(SEGMENTS)
-            assert len(reader.host_numbers) == len(balancer._addresses.by_id) == 99
+            balancer._endpoint_updater.sweep_ids(SEGMENTS)
+            assert len(reader.id_registry) == len(balancer._addresses.by_id) == 99
             assert list(read(changed(4, entry("newer", 201)), reader).ids) == [SHARED]
 
     run(test())
@@ -184,20 +185,20 @@
             read(changed(1, entry("late")), reader)  # older than the last: not taken
             abandoned = reader.steps(bytearray(json.dumps(known(*range(1, 200))).encode()))
             next(abandoned)
-            balancer._endpoint_updater.sweep_host_numbers(SEGMENTS)
-            assert len(reader.host_numbers) > 50  # what is being read may name any
+            balancer._endpoint_updater.sweep_ids(SEGMENTS)
+            assert len(reader.id_registry) > 50  # what is being read may name any
             abandoned.close()
             for _ in range(SEGMENTS):  # as once a second
                 assert balancer._sweep_timer is not None
                 balancer._sweep_timer.cancel()
                 balancer._sweep_once()
-            assert len(reader.host_numbers) == len(balancer._addresses.by_id) == 1
+            assert len(reader.id_registry) == len(balancer._addresses.by_id) == 1
 
     run(test())
 
 
 def test_a_swept_host_is_forgotten_and_the_next_free_number_goes_round() -> None:
-    numbers, last = HostNumbers(), 2**64 - 1
+    numbers, last = EndpointIdRegistry(), 2**64 - 1
     assert [numbers.assign(last, fingerprint) for fingerprint in (1, 2, 3)] == [last, 0, 1]
     numbers.sweep({last, 1})
     assert [numbers.find(last, fingerprint) for fingerprint in (1, 2, 3)] == [last, None, 1]
@@ -210,9 +211,9 @@
 
 def test_hosts_whose_numbers_would_collide_in_32_bits_get_different_ones() -> None:
     # Half of 2^32 numbers are met twice among some 77,000 hosts; which came first must not matter anywhere.
-    assert number_of("s-0001320d") % 2**32 == number_of("s-0001e3f4") % 2**32
-    assert number_of("s-0001320d") != number_of("s-0001e3f4")
-    assert len({number_of(f"s-{i:08x}") for i in range(160_000)}) == 160_000
+    assert preferred_id("s-0001320d") % 2**32 == preferred_id("s-0001e3f4") % 2**32
+    assert preferred_id("s-0001320d") != preferred_id("s-0001e3f4")
+    assert len({preferred_id(f"s-{i:08x}") for i in range(160_000)}) == 160_000
 
 
 def test_entries_become_the_modules() -> None:
@@ -227,7 +228,7 @@
         },
         EndpointListReader(5),
     )
-    by_port = {e.address[1]: e.upstream for e in listing.entries}
+    by_port = {e.address[1]: e.endpoint for e in listing.entries}
     assert by_port[80]._replace(id=1) == Endpoint(1, EndpointStatus.DRAINING, "west", 3, 0.5, 1_999_995, "m")
     assert by_port[81].started_ns == 0
     assert (listing.version, listing.complete) == (7, True)
@@ -266,18 +267,18 @@
             await until(lambda: len(client.node.endpoint_addresses()) == 2)  # s2 is gone, s0 is still there
             assert {port for _, port in client.node.endpoint_addresses().values()} == {1, 2}
             told = [u for e in script.of(EndpointUpdate)[1:] for u in e.endpoints]
-            assert {u.id for u in told if u.status is EndpointStatus.REMOVED} == {number_of("s2")}
+            assert {u.id for u in told if u.status is EndpointStatus.REMOVED} == {preferred_id("s2")}
             # What is known of s0 stays to the letter: nothing else is told of it, and it is where it was.
-            assert number_of("s0") not in {u.id for u in told}
-            assert client.node.endpoint_addresses()[number_of("s0")] == (HOST, 1)
+            assert preferred_id("s0") not in {u.id for u in told}
+            assert client.node.endpoint_addresses()[preferred_id("s0")] == (HOST, 1)
             assert all(e.kind is EndpointUpdateKind.DELTA for e in script.of(EndpointUpdate)[1:])
 
     run(test())
     again = read({"seq": 2, "whole": True, "hosts": [entry("s0", health="odd"), entry("s1", 2)]})
-    assert again.unreadable == [number_of("s0")]
-    assert list(again.ids) == [number_of("s1")]
+    assert again.unreadable == [preferred_id("s0")]
+    assert list(again.ids) == [preferred_id("s1")]
     gone = read({"seq": 3, "whole": False, "hosts": [entry("s0", health="removed", dial="")]})
-    assert [e.upstream.status for e in gone.entries] == [EndpointStatus.REMOVED]
+    assert [e.endpoint.status for e in gone.entries] == [EndpointStatus.REMOVED]
     empty = read({"seq": 4, "whole": True, "hosts": []})
     assert not list(empty.entries)
     assert not empty.unreadable
@@ -306,7 +307,7 @@
             balancer._on_watch_result(
                 read({"seq": 2, "whole": False, "hosts": [entry("s0", health="removed")]})
             )
-            assert set(balancer._addresses.by_id) == {number_of("s1")}
+            assert set(balancer._addresses.by_id) == {preferred_id("s1")}
             balancer._on_watch_result(read({"seq": 3, "whole": True, "hosts": []}))
             assert not balancer._addresses.by_id
             assert not balancer._connection_limits.pools
@@ -547,7 +548,7 @@
             await until(lambda: len(new[1].calls) == 2)
             assert not new[0].calls
             assert client.node._discovery_client._handover is None
-            assert hosts(script) == [number_of("s8")]
+            assert hosts(script) == [preferred_id("s8")]
         for registry in new:
             registry.upstream.stop()
 
@@ -582,7 +583,7 @@
             client.node.move_discovery((HOST, new.upstream.port))
             assert client.node._discovery_client._handover is handover
             await until(lambda: client.node._discovery_client._handover is None)
-            assert hosts(script) == [number_of("s9")]
+            assert hosts(script) == [preferred_id("s9")]
             await until(lambda: len(new.upstream.got) == 2)
             assert [("after=" in got.first) for got in new.upstream.got] == [False, True]
             assert handover.backoff.failures == 0
@@ -634,7 +635,7 @@
             assert failures(script) == 1
             release.set()
             await until(lambda: len(new.calls) == 2)
-            assert hosts(script) == [number_of("s9")]
+            assert hosts(script) == [preferred_id("s9")]
             assert "after=3" in new.calls[1][1]
             assert failures(script) == 1
         new.upstream.stop()
@@ -663,7 +664,7 @@
             await is_told_once(3)
             new.broken = b""
             await until(lambda: discovery._handover is None)
-            assert hosts(script) == [number_of("s9")]
+            assert hosts(script) == [preferred_id("s9")]
         new.upstream.stop()
 
     run(test())
--- a/tests/proxy/test_endpoint_list.py
+++ b/tests/proxy/test_endpoint_list.py
@@ -20,14 +20,16 @@
 from loadbalancer.messages import AttemptResult, EndpointStatus, EndpointUpdate, EndpointUpdateKind
 from loadbalancer.policy import subsetting
 from loadbalancer.policy.balancer import Balancer
-from loadbalancer.proxy import addresses, endpoint_list
+from loadbalancer.proxy import addresses, endpoint_list_parser
 from loadbalancer.proxy.connection_pool import ConnectionLimits, ConnectionPool
-from loadbalancer.proxy.endpoint_list import STRIDE, EndpointList, EndpointListReader, number_of
+from loadbalancer.proxy.endpoint_list import EndpointList
+from loadbalancer.proxy.endpoint_list_reader import STEP_BYTES, EndpointListReader
 from loadbalancer.proxy.endpoint_updates import SLICE_ENTRIES
 from loadbalancer.proxy.errors import EndpointListError
 from loadbalancer.proxy.proxy import Proxy
 from loadbalancer.proxy.steps import run_through
 from loadbalancer.state import endpoint_table
+from loadbalancer.state.endpoint_ids import preferred_id
 from tests.support.sockets import (
     HOST,
     PATIENCE_S,
@@ -96,13 +98,13 @@
     body = json.dumps({key: text[key] for key in order}, indent=indent).encode()
     once = EndpointListReader(0).read(body)
     with pytest.MonkeyPatch.context() as patch:
-        patch.setattr("loadbalancer.proxy.endpoint_list.STRIDE", stride)
+        patch.setattr("loadbalancer.proxy.endpoint_list_reader.STEP_BYTES", stride)
         pieces = run_through(EndpointListReader(0).steps(bytearray(body)))
     assert shown(once) == shown(pieces)
     assert (once.version, once.complete) == (4, False)
     named = [row["host"] for row in rows if isinstance(row, dict) and isinstance(row.get("host"), str)]
     # Each row that names a host is read, or said to be unread: none hides another.
-    assert sorted([*once.ids, *once.unreadable]) == sorted(number_of(name) for name in named)
+    assert sorted([*once.ids, *once.unreadable]) == sorted(preferred_id(name) for name in named)
 
 
 @pytest.mark.parametrize(
@@ -133,8 +135,8 @@
     reading = EndpointListReader(0).steps(body)
     for _ in reading:
         steps += 1
-        assert len(body) == size - steps * STRIDE  # no more at a stretch; what is read is let go
-    assert steps == (size - 1) // STRIDE
+        assert len(body) == size - steps * STEP_BYTES  # no more at a stretch; what is read is let go
+    assert steps == (size - 1) // STEP_BYTES
 
 
 def told(script: ScriptedPolicy, first: int = 1) -> list[EndpointUpdate]:
@@ -157,8 +159,8 @@
             assert max(len(list(update.endpoints)) for update in told(script)) <= SLICE_ENTRIES
             assert {update.kind for update in told(script)} == {EndpointUpdateKind.DELTA}
             gone = {number for number, state in states(script).items() if state is EndpointStatus.REMOVED}
-            assert gone == {number_of("s0"), number_of("s1")}  # s2 is in both
-            assert set(client.node._addresses.by_id) == {number_of(f"s{i}") for i in range(2, 1002)}
+            assert gone == {preferred_id("s0"), preferred_id("s1")}  # s2 is in both
+            assert set(client.node._addresses.by_id) == {preferred_id(f"s{i}") for i in range(2, 1002)}
             assert (
                 not client.node._connection_limits.pools
             )  # no connections, nor a place for any, where nothing is sent
@@ -181,13 +183,13 @@
             balancer._on_watch_result(listing(last))  # in force at once
             assert balancer._endpoint_updater.task is not None
             names = ("s499", "s498", "new")
-            assert [u.id for u in told(script)[-1].endpoints] == [number_of(name) for name in names]
+            assert [u.id for u in told(script)[-1].endpoints] == [preferred_id(name) for name in names]
             await until(lambda: balancer._endpoint_updater.task is None)
-            assert states(script)[number_of("s499")] is EndpointStatus.DRAINING
-            assert states(script)[number_of("s498")] is EndpointStatus.REMOVED
-            assert states(script)[number_of("new")] is EndpointStatus.READY
+            assert states(script)[preferred_id("s499")] is EndpointStatus.DRAINING
+            assert states(script)[preferred_id("s498")] is EndpointStatus.REMOVED
+            assert states(script)[preferred_id("new")] is EndpointStatus.READY
             assert len(balancer._addresses.by_id) == 500
-            assert not {number_of("s499"), number_of("s498")} & set(balancer.endpoint_addresses())
+            assert not {preferred_id("s499"), preferred_id("s498")} & set(balancer.endpoint_addresses())
             balancer._on_watch_result(listing(whole(300, 5)))  # a newer whole list counts again
             await until(lambda: balancer._endpoint_updater.task is None)
             assert len(balancer.endpoint_addresses()) == 300
@@ -239,7 +241,7 @@
             assert len(script.of(EndpointUpdate)) == 1
             registry.broken = b""
             registry.change("s9", port=9)  # what is not too long is heard
-            await until(lambda: number_of("s9") in balancer.endpoint_addresses())
+            await until(lambda: preferred_id("s9") in balancer.endpoint_addresses())
         finally:
             balancer.close()
             registry.upstream.stop()
@@ -323,8 +325,8 @@
         monkeypatch.setattr(module, name, call)
 
     for module, name in (
-        (endpoint_list, "number_of"),
-        (endpoint_list, "pack_address"),
+        (endpoint_list_parser, "preferred_id"),
+        (endpoint_list_parser, "pack_address"),
         (addresses, "pack_address"),
         (endpoint_table, "mixed"),
         (subsetting, "mixed"),
@@ -341,7 +343,7 @@
         started.close()
 
     run(test())
-    assert done["number_of"] == count
+    assert done["preferred_id"] == count
     assert done["pack_address"] <= count + 2
     assert done["mixed"] <= count + 10
     assert len(balancer.fleet.endpoints) == len(balancer.fleet.used_ids)
--- a/tests/support/sockets.py
+++ b/tests/support/sockets.py
@@ -13,7 +13,9 @@
 
 from loadbalancer.configuration import Configuration
 from loadbalancer.messages import Action, EndpointUpdate, EndpointUpdateKind, Event
-from loadbalancer.proxy.endpoint_list import EndpointList, EndpointListReader, unix_offset_ns
+from loadbalancer.proxy.endpoint_list import EndpointList
+from loadbalancer.proxy.endpoint_list_parser import unix_offset_ns
+from loadbalancer.proxy.endpoint_list_reader import EndpointListReader
 from loadbalancer.proxy.proxy import Policy, Proxy
 from loadbalancer.settings import Idempotency, Limits, RequestClass, Rules, Settings
 
