--- a/loadbalancer/proxy/discovery_call.py
+++ b/loadbalancer/proxy/discovery_call.py
@@ -6,6 +6,7 @@
 import logging
 from collections.abc import Callable
 from enum import Enum
+from http import HTTPStatus
 
 from loadbalancer.messages import AttemptResult
 from loadbalancer.proxy.addresses import Address
@@ -85,7 +86,7 @@
 
     def _on_exchange_ended(self, result: AttemptResult, response: Message | None) -> None:
         self._target.refuses_connections = result is AttemptResult.CONNECT_FAILED
-        if result is not AttemptResult.OK or response is None or response.status != 200:
+        if result is not AttemptResult.OK or response is None or response.status != HTTPStatus.OK:
             self._log_failure(result, response)
             timed_out = result is AttemptResult.TIMEOUT
             self._on_result(WatchFailure.TIMED_OUT if timed_out else WatchFailure.CALL_FAILED)
--- a/tests/proxy/test_discovery_outage.py
+++ b/tests/proxy/test_discovery_outage.py
@@ -44,7 +44,7 @@
 )
 from tests.support.sockets import settings as node_settings
 
-TOLD_S = 6.0  # a change counts as told so long after discovery had it and could be reached
+CHANGE_DUE_S = 6.0  # a change counts as told so long after discovery had it and could be reached
 ANSWER_S = 1.0  # of that, for the call that brings it, and as a margin
 REFUSED_S, DECLINED_S, UNANSWERED_S = 0.0, 2.0, 3.0  # how long a call takes to fail, at most
 
@@ -87,7 +87,7 @@
         times = calls(seed, itertools.chain([(9.0, FAILED)], itertools.cycle(fails)), 120)[1:]
         gaps = [b - a for a, b in itertools.pairwise(times)]
         assert len(gaps) > 20
-        assert max(gaps) <= TOLD_S - ANSWER_S
+        assert max(gaps) <= CHANGE_DUE_S - ANSWER_S
 
 
 def test_a_call_that_fails_behind_a_silent_watch_is_made_again_at_once_and_once() -> None:
@@ -102,7 +102,7 @@
 
 def test_discovery_is_asked_still_after_hours_of_failure() -> None:
     times = calls(1, itertools.repeat((REFUSED_S, FAILED)), 4 * 3600)
-    assert times[-1] > 4 * 3600 - TOLD_S
+    assert times[-1] > 4 * 3600 - CHANGE_DUE_S
 
 
 def test_the_calls_of_a_fleet_stay_spread_while_discovery_is_away() -> None:
@@ -120,7 +120,7 @@
     assert sum(late) / len(late) < 0.3 * fleet
 
 
-async def declined(got: ReceivedRequest, writer: Writer) -> None:
+async def declined(_got: ReceivedRequest, writer: Writer) -> None:
     writer.write(written(503))
 
 
@@ -296,7 +296,7 @@
                 pool = client.node._connection_pool(number)
                 assert pool is not None
                 for _ in range(KEPT_IDLE):
-                    pool.start_exchange(b"GET /read HTTP/1.1\r\n\r\n", None, lambda result, response: None)
+                    pool.start_exchange(b"GET /read HTTP/1.1\r\n\r\n", None, lambda _result, _response: None)
             await until(lambda: len(hub.idle_connections) == PLACES)
             idle = [asyncio.create_task(says_nothing(client.port)) for _ in range(PLACES + 30)]
             served, most = [], 0
--- /dev/null
+++ b/tests/proxy/test_endpoint_ids.py
@@ -0,0 +1,182 @@
+"""Ids of endpoints: the same in every process, and unique where hashes collide."""
+
+from __future__ import annotations
+
+import json
+
+import pytest
+
+from loadbalancer.proxy.endpoint_list import EndpointList
+from loadbalancer.proxy.endpoint_list_reader import EndpointListReader
+from loadbalancer.proxy.errors import EndpointListError
+from loadbalancer.proxy.proxy import Proxy
+from loadbalancer.state.endpoint_ids import SEGMENTS, EndpointIdRegistry, preferred_id
+from tests.support.discovery import list_json, read_list
+from tests.support.sockets import HOST, FakeDiscovery, ScriptedPolicy, entry, known, node, run, until
+
+SHARED_ID = 7  # the id that all hosts prefer where they collide
+
+
+def test_a_host_has_the_same_id_in_every_process() -> None:
+    rows = [entry("s-5be2a07c"), entry("s-0001320d"), entry("s-0001e3f4")]
+    one, other = (
+        read_list({"seq": 1, "whole": True, "hosts": hosts}, EndpointListReader(offset))
+        for offset, hosts in ((0, rows), (9, rows[::-1]))
+    )
+    assert list(one.ids) == list(other.ids)[::-1]  # whatever reads it, in whatever order
+    assert one.ids[0] == preferred_id("s-5be2a07c") == 9587356208999800076
+
+
+def test_hosts_that_collide_get_different_ids(monkeypatch: pytest.MonkeyPatch) -> None:
+    monkeypatch.setattr("loadbalancer.proxy.endpoint_list_parser.preferred_id", lambda _host: 7)
+    listing = read_list({"seq": 1, "whole": True, "hosts": [entry("a", 80), entry("b", 81)]})
+    assert len(set(listing.ids)) == 2
+
+
+def read_hosts(reader: EndpointListReader, version: int, *hosts: object, whole: bool = False) -> EndpointList:
+    return read_list(list_json(version, *hosts, whole=whole), reader)
+
+
+@pytest.fixture
+def colliding(monkeypatch: pytest.MonkeyPatch) -> None:
+    monkeypatch.setattr("loadbalancer.proxy.endpoint_list_parser.preferred_id", lambda _host: SHARED_ID)
+
+
+def ports(proxy: Proxy) -> dict[int, int]:
+    """The id of each ready endpoint, by its port."""
+    return {port: endpoint_id for endpoint_id, (_, port) in proxy.endpoint_addresses().items()}
+
+
+@pytest.mark.usefixtures("colliding")
+def test_a_colliding_host_keeps_its_id_in_every_list() -> None:
+    reader = EndpointListReader(0)
+    assert list(read_hosts(reader, 1, entry("a"), entry("b"), entry("a"), whole=True).ids) == [7, 8, 7]
+    assert list(read_hosts(reader, 2, entry("c"), entry("b", health="draining")).ids) == [9, 8]
+    assert list(read_hosts(reader, 3, entry("c"), entry("b"), entry("a"), whole=True).ids) == [9, 8, 7]
+    assert list(read_hosts(reader, 4, entry("b", health="removed", dial="")).ids) == [8]
+    assert read_hosts(reader, 5, entry("c", health="odd"), entry("a", dial="h")).unreadable == [
+        9,
+        7,
+    ]
+    unknown = read_hosts(reader, 6, entry("x", health="removed", dial=""), entry("y", health="odd"))
+    assert not list(unknown.ids)
+    assert not unknown.unreadable
+
+
+@pytest.mark.usefixtures("colliding")
+def test_a_delta_that_adds_a_colliding_host_leaves_its_partner() -> None:
+    async def test() -> None:
+        registry, script = FakeDiscovery(), ScriptedPolicy()
+        registry.rows = {"s0": entry("s0", 1)}
+        async with node(script, registry=registry, known_list=known(1)) as client:
+            await until(lambda: registry.calls)
+            registry.change("s1", dial=f"{HOST}:2")
+            await until(lambda: len(client.node.endpoint_addresses()) == 2)
+            assert ports(client.node) == {1: SHARED_ID, 2: SHARED_ID + 1}
+
+    run(test())
+
+
+@pytest.mark.usefixtures("colliding")
+def test_colliding_hosts_of_the_cached_list_keep_their_ids_when_discovery_lists_them() -> None:
+    async def test() -> None:
+        script = ScriptedPolicy()
+        async with node(script, known_list=known(1, 2)) as client:
+            assert script.ids() == [SHARED_ID, SHARED_ID + 1]
+            proxy = client.node
+            proxy._on_watch_result(
+                read_hosts(proxy._list_reader, 2, entry("s1", 4), entry("s0", 3), whole=True)
+            )
+            await until(lambda: proxy._endpoint_updater.task is None)
+            assert ports(proxy) == {3: SHARED_ID, 4: SHARED_ID + 1}
+
+    run(test())
+
+
+@pytest.mark.usefixtures("colliding")
+@pytest.mark.parametrize("swept", [False, True])
+@pytest.mark.parametrize("whole", [False, True])
+@pytest.mark.parametrize("left", [0, 1])
+def test_a_removed_host_whose_colliding_partner_stays_returns(left: int, whole: bool, swept: bool) -> None:
+    async def test() -> None:
+        async with node(ScriptedPolicy(), known_list=known(1, 2)) as client:
+            proxy, stays = client.node, 1 - left
+
+            def apply(*hosts: object, whole: bool = False) -> None:
+                version = (proxy._list_reader._newest_version or 0) + 1
+                proxy._on_watch_result(read_hosts(proxy._list_reader, version, *hosts, whole=whole))
+                if swept:
+                    proxy._endpoint_updater.sweep_ids(SEGMENTS)
+
+            if whole:
+                apply(entry(f"s{stays}", stays + 1), whole=True)
+            else:
+                apply(entry(f"s{left}", health="removed", dial=""))
+            assert ports(proxy) == {stays + 1: SHARED_ID + stays}
+            apply(entry(f"s{stays}", stays + 1))
+            assert ports(proxy) == {stays + 1: SHARED_ID + stays}  # it keeps its id
+            apply(entry(f"s{left}", left + 1))
+            assert ports(proxy) == {1: SHARED_ID, 2: SHARED_ID + 1}
+
+    run(test())
+
+
+@pytest.mark.usefixtures("colliding")
+def test_an_id_is_freed_when_the_list_that_removes_its_host_is_applied_and_no_sooner() -> None:
+    async def test() -> None:
+        async with node(ScriptedPolicy(), known_list=known(1, 2)) as client:
+            proxy, reader = client.node, client.node._list_reader
+            many = [entry(f"s{i}", i + 1) for i in range(1, 100)]
+            proxy._on_watch_result(read_hosts(reader, 2, *many, whole=True))  # applied in slices
+            assert proxy._endpoint_updater.task is not None
+            proxy._endpoint_updater.sweep_ids(SEGMENTS)
+            assert len(reader.id_registry) == 100
+            assert list(read_hosts(reader, 3, entry("new", 200)).ids) == [SHARED_ID + 100]  # none is free
+            await until(lambda: proxy._endpoint_updater.task is None)
+            proxy._endpoint_updater.sweep_ids(SEGMENTS)
+            assert len(reader.id_registry) == len(proxy._addresses.by_id) == 99
+            assert list(read_hosts(reader, 4, entry("newer", 201)).ids) == [SHARED_ID]
+
+    run(test())
+
+
+def test_hosts_that_come_and_go_leave_nothing_behind() -> None:
+    async def test() -> None:
+        async with node(ScriptedPolicy(), known_list=known(1)) as client:
+            proxy, reader = client.node, client.node._list_reader
+            for version in range(2, 50):
+                proxy._on_watch_result(read_hosts(reader, version, entry(f"x{version}"), whole=True))
+            with pytest.raises(EndpointListError):
+                read_list({"hosts": [entry("bad")]}, reader)
+            read_hosts(reader, 1, entry("late"))  # older than the last: not taken
+            abandoned = reader.steps(bytearray(json.dumps(known(*range(1, 200))).encode()))
+            next(abandoned)
+            proxy._endpoint_updater.sweep_ids(SEGMENTS)
+            assert len(reader.id_registry) > 50  # what is being read may name any
+            abandoned.close()
+            for _ in range(SEGMENTS):  # as once a second
+                assert proxy._sweep_timer is not None
+                proxy._sweep_timer.cancel()
+                proxy._sweep_once()
+            assert len(reader.id_registry) == len(proxy._addresses.by_id) == 1
+
+    run(test())
+
+
+def test_a_swept_host_is_forgotten_and_the_next_free_id_wraps_around() -> None:
+    numbers, last = EndpointIdRegistry(), 2**64 - 1
+    assert [numbers.assign(last, fingerprint) for fingerprint in (1, 2, 3)] == [last, 0, 1]
+    numbers.sweep({last, 1})
+    assert [numbers.find(last, fingerprint) for fingerprint in (1, 2, 3)] == [last, None, 1]
+    assert numbers.assign(last, 4) == 0
+    assert numbers.find(last, 4) == 0
+    numbers.sweep({0})
+    assert numbers.assign(last, 3) == last
+    assert len(numbers) == 2
+
+
+def test_hosts_whose_ids_would_collide_in_32_bits_get_different_ones() -> None:
+    # Half of 2^32 numbers are met twice among some 77,000 hosts; which came first must not matter anywhere.
+    assert preferred_id("s-0001320d") % 2**32 == preferred_id("s-0001e3f4") % 2**32
+    assert preferred_id("s-0001320d") != preferred_id("s-0001e3f4")
+    assert len({preferred_id(f"s-{i:08x}") for i in range(160_000)}) == 160_000
--- /dev/null
+++ b/tests/proxy/test_endpoint_list_parser.py
@@ -0,0 +1,99 @@
+"""Entries of an endpoint list, good and bad ones."""
+
+from __future__ import annotations
+
+import json
+import time
+
+import pytest
+
+from loadbalancer.messages import Endpoint, EndpointStatus, EndpointUpdate, EndpointUpdateKind
+from loadbalancer.proxy.endpoint_list_reader import EndpointListReader
+from loadbalancer.proxy.errors import EndpointListError
+from loadbalancer.state.endpoint_ids import preferred_id
+from tests.support.discovery import read_list
+from tests.support.sockets import HOST, FakeDiscovery, ScriptedPolicy, entry, known, node, run, until, written
+
+
+def test_entries_are_converted_to_endpoints() -> None:
+    listing = read_list(
+        {
+            "seq": 7,
+            "whole": True,
+            "hosts": [
+                entry("a", 80, site="west", block=3, health="draining", share=0.5, born_ms=2),
+                entry("b", 81),
+            ],
+        },
+        EndpointListReader(5),
+    )
+    by_port = {e.address[1]: e.endpoint for e in listing.entries}
+    assert by_port[80]._replace(id=1) == Endpoint(1, EndpointStatus.DRAINING, "west", 3, 0.5, 1_999_995, "m")
+    assert by_port[81].started_ns == 0
+    assert (listing.version, listing.complete) == (7, True)
+
+
+@pytest.mark.parametrize(
+    "row",
+    [
+        entry("a", health="odd"),
+        entry("a", dial="nowhere"),
+        entry("a", dial="h:80"),
+        entry("a", dial="127.0.0.1:99999"),
+        entry("a", dial="x" * 300 + ":80"),
+        entry("a", dial="a\0b:80"),
+        entry("a", born_ms="x"),
+        entry("a", share=10**400),
+        {"host": 3},
+        7,
+    ],
+)
+def test_a_bad_entry_does_not_hide_the_others(row: object) -> None:
+    listing = read_list({"seq": 1, "whole": False, "hosts": [row, entry("b", 81)]})
+    assert [e.address[1] for e in listing.entries] == [81]
+
+
+def test_an_unreadable_entry_does_not_remove_a_known_endpoint() -> None:
+    async def test() -> None:
+        registry, script = FakeDiscovery(), ScriptedPolicy()
+        registry.broken = written(
+            200,
+            json.dumps(
+                {"seq": 2, "whole": True, "hosts": [entry("s0", health="odd"), entry("s1", 2)]}
+            ).encode(),
+        )
+        async with node(script, registry=registry, known_list=known(1, 2, 3)) as client:
+            await until(lambda: len(client.node.endpoint_addresses()) == 2)  # s2 is gone, s0 is still there
+            assert {port for _, port in client.node.endpoint_addresses().values()} == {1, 2}
+            told = [u for e in script.of(EndpointUpdate)[1:] for u in e.endpoints]
+            assert {u.id for u in told if u.status is EndpointStatus.REMOVED} == {preferred_id("s2")}
+            # What is known of s0 stays to the letter: nothing else is told of it, and it is where it was.
+            assert preferred_id("s0") not in {u.id for u in told}
+            assert client.node.endpoint_addresses()[preferred_id("s0")] == (HOST, 1)
+            assert all(e.kind is EndpointUpdateKind.DELTA for e in script.of(EndpointUpdate)[1:])
+
+    run(test())
+    again = read_list({"seq": 2, "whole": True, "hosts": [entry("s0", health="odd"), entry("s1", 2)]})
+    assert again.unreadable == [preferred_id("s0")]
+    assert list(again.ids) == [preferred_id("s1")]
+    gone = read_list({"seq": 3, "whole": False, "hosts": [entry("s0", health="removed", dial="")]})
+    assert [e.endpoint.status for e in gone.entries] == [EndpointStatus.REMOVED]
+    empty = read_list({"seq": 4, "whole": True, "hosts": []})
+    assert not list(empty.entries)
+    assert not empty.unreadable
+    assert empty.complete
+
+
+def test_no_endpoint_starts_in_the_future() -> None:
+    row = entry("a", 80, born_ms=4 * 10**12)
+    started = read_list({"seq": 1, "whole": True, "hosts": [row]}).attributes[0][4]
+    assert started <= time.monotonic_ns()
+
+
+@pytest.mark.parametrize(
+    "raw",
+    [3, {}, {"hosts": []}, {"hosts": [], "seq": "1", "whole": True}, {"hosts": {}, "seq": 1, "whole": True}],
+)
+def test_what_is_not_a_list_raises_an_error(raw: object) -> None:
+    with pytest.raises(EndpointListError):
+        read_list(raw)
--- a/tests/proxy/test_endpoint_list.py
+++ b/tests/proxy/test_endpoint_list_reader.py
@@ -1,4 +1,4 @@
-"""Reading lists: in steps, bounded, and put in force in slices that undo nothing."""
+"""Endpoint lists are read in steps and bounded, from discovery and from the configuration."""
 
 from __future__ import annotations
 
@@ -17,19 +17,19 @@
 
 from loadbalancer.__main__ import keep_for_good
 from loadbalancer.configuration import Configuration, ConfigurationError, read_config
-from loadbalancer.messages import AttemptResult, EndpointStatus, EndpointUpdate, EndpointUpdateKind
+from loadbalancer.messages import AttemptResult, EndpointUpdate
 from loadbalancer.policy import subsetting
 from loadbalancer.policy.balancer import Balancer
 from loadbalancer.proxy import addresses, endpoint_list_parser
 from loadbalancer.proxy.connection_pool import ConnectionLimits, ConnectionPool
 from loadbalancer.proxy.endpoint_list import EndpointList
 from loadbalancer.proxy.endpoint_list_reader import STEP_BYTES, EndpointListReader
-from loadbalancer.proxy.endpoint_updates import SLICE_ENTRIES
 from loadbalancer.proxy.errors import EndpointListError
 from loadbalancer.proxy.proxy import Proxy
 from loadbalancer.proxy.steps import run_through
 from loadbalancer.state import endpoint_table
 from loadbalancer.state.endpoint_ids import preferred_id
+from tests.support.discovery import complete_list
 from tests.support.sockets import (
     HOST,
     PATIENCE_S,
@@ -41,7 +41,6 @@
     Writer,
     entry,
     listing,
-    node,
     run,
     settings,
     until,
@@ -49,12 +48,7 @@
 )
 
 
-def whole(count: int, version: int = 1, first: int = 0, **more: object) -> Json:
-    hosts = [entry(f"s{first + i}", 1 + (first + i) % 60_000, **more) for i in range(count)]
-    return {"seq": version, "whole": True, "hosts": hosts}
-
-
-def shown(read: EndpointList) -> object:
+def contents(read: EndpointList) -> object:
     return read.version, read.complete, list(read.entries), read.unreadable
 
 
@@ -100,7 +94,7 @@
     with pytest.MonkeyPatch.context() as patch:
         patch.setattr("loadbalancer.proxy.endpoint_list_reader.STEP_BYTES", stride)
         pieces = run_through(EndpointListReader(0).steps(bytearray(body)))
-    assert shown(once) == shown(pieces)
+    assert contents(once) == contents(pieces)
     assert (once.version, once.complete) == (4, False)
     named = [row["host"] for row in rows if isinstance(row, dict) and isinstance(row.get("host"), str)]
     # Each row that names a host is read, or said to be unread: none hides another.
@@ -122,15 +116,15 @@
         b"[" * 100_000,
     ],
 )
-def test_what_is_cut_or_no_list_is_told_and_changes_nothing(text: bytes) -> None:
+def test_a_truncated_or_invalid_list_raises_an_error_and_changes_nothing(text: bytes) -> None:
     reader = EndpointListReader(0)
     with pytest.raises(EndpointListError):
         reader.read(text)
-    assert len(reader.read(json.dumps(whole(2)).encode())) == 2
+    assert len(reader.read(json.dumps(complete_list(2)).encode())) == 2
 
 
 def test_a_long_list_is_read_in_steps() -> None:
-    body = bytearray(json.dumps(whole(2000)).encode())
+    body = bytearray(json.dumps(complete_list(2000)).encode())
     size, steps = len(body), 0
     reading = EndpointListReader(0).steps(body)
     for _ in reading:
@@ -139,78 +133,7 @@
     assert steps == (size - 1) // STEP_BYTES
 
 
-def told(script: ScriptedPolicy, first: int = 1) -> list[EndpointUpdate]:
-    return script.of(EndpointUpdate)[first:]
-
-
-def states(script: ScriptedPolicy) -> dict[int, EndpointStatus]:
-    return {u.id: u.status for update in script.of(EndpointUpdate) for u in update.endpoints}
-
-
-def test_a_long_list_is_put_in_force_in_slices_and_requests_go_on() -> None:
-    async def test() -> None:
-        script, turns = ScriptedPolicy(), 0
-        async with node(script, known_list=whole(3)) as client:
-            client.node._on_watch_result(listing(whole(1000, 2, first=2)))
-            while client.node._endpoint_updater.task is not None:
-                await asyncio.sleep(0)
-                turns += 1
-            assert turns >= 1000 // SLICE_ENTRIES  # so many turns of the loop were others' too
-            assert max(len(list(update.endpoints)) for update in told(script)) <= SLICE_ENTRIES
-            assert {update.kind for update in told(script)} == {EndpointUpdateKind.DELTA}
-            gone = {number for number, state in states(script).items() if state is EndpointStatus.REMOVED}
-            assert gone == {preferred_id("s0"), preferred_id("s1")}  # s2 is in both
-            assert set(client.node._addresses.by_id) == {preferred_id(f"s{i}") for i in range(2, 1002)}
-            assert (
-                not client.node._connection_limits.pools
-            )  # no connections, nor a place for any, where nothing is sent
-
-    run(test())
-
-
-def test_what_comes_while_a_long_list_is_put_in_force_is_not_undone() -> None:
-    async def test() -> None:
-        script = ScriptedPolicy()
-        async with node(script, known_list=whole(3)) as client:
-            balancer = client.node
-            balancer._on_watch_result(listing(whole(500, 2)))
-            balancer._on_watch_result(listing(whole(500, 3)))  # waits behind the first
-            last = {
-                "seq": 4,
-                "whole": False,
-                "hosts": [entry("s499", health="draining"), entry("s498", health="removed"), entry("new", 7)],
-            }
-            balancer._on_watch_result(listing(last))  # in force at once
-            assert balancer._endpoint_updater.task is not None
-            names = ("s499", "s498", "new")
-            assert [u.id for u in told(script)[-1].endpoints] == [preferred_id(name) for name in names]
-            await until(lambda: balancer._endpoint_updater.task is None)
-            assert states(script)[preferred_id("s499")] is EndpointStatus.DRAINING
-            assert states(script)[preferred_id("s498")] is EndpointStatus.REMOVED
-            assert states(script)[preferred_id("new")] is EndpointStatus.READY
-            assert len(balancer._addresses.by_id) == 500
-            assert not {preferred_id("s499"), preferred_id("s498")} & set(balancer.endpoint_addresses())
-            balancer._on_watch_result(listing(whole(300, 5)))  # a newer whole list counts again
-            await until(lambda: balancer._endpoint_updater.task is None)
-            assert len(balancer.endpoint_addresses()) == 300
-
-    run(test())
-
-
-def test_a_short_whole_list_after_a_long_one_is_put_in_force_in_slices_too() -> None:
-    async def test() -> None:
-        script = ScriptedPolicy()
-        async with node(script, known_list=whole(3)) as client:
-            for version, count in ((2, 700), (3, 2)):
-                client.node._on_watch_result(listing(whole(count, version)))
-                await until(lambda: client.node._endpoint_updater.task is None)
-            assert max(len(list(update.endpoints)) for update in told(script)) <= SLICE_ENTRIES
-            assert len(client.node._addresses.by_id) == 2
-
-    run(test())
-
-
-def test_a_list_over_the_bound_is_turned_down_with_one_line_and_the_old_one_stays(
+def test_a_list_over_the_size_limit_is_rejected_with_one_log_line_and_the_old_one_stays(
     caplog: pytest.LogCaptureFixture,
 ) -> None:
     caplog.set_level(logging.WARNING)
@@ -218,7 +141,7 @@
     async def test() -> None:
         registry, script = FakeDiscovery(), ScriptedPolicy()
         await registry.upstream.start()
-        long = json.dumps(whole(200, 2)).encode()
+        long = json.dumps(complete_list(200, 2)).encode()
         registry.broken = written(200, long)
         config = Configuration(
             "n",
@@ -227,34 +150,34 @@
             1,
             1024,
             settings(),
-            listing(whole(3)),
+            listing(complete_list(3)),
             memory_bytes=4 * (len(long) - 1),
         )
-        balancer = Proxy(config, script)
-        await balancer.start()
+        proxy = Proxy(config, script)
+        await proxy.start()
         try:
             await until(lambda: caplog.records)
             assert [r.getMessage() for r in caplog.records] == [
                 f"discovery: a list of over {len(long) - 1} bytes is rejected; the old list stays"
             ]
-            assert len(balancer.endpoint_addresses()) == 3
+            assert len(proxy.endpoint_addresses()) == 3
             assert len(script.of(EndpointUpdate)) == 1
             registry.broken = b""
             registry.change("s9", port=9)  # what is not too long is heard
-            await until(lambda: preferred_id("s9") in balancer.endpoint_addresses())
+            await until(lambda: preferred_id("s9") in proxy.endpoint_addresses())
         finally:
-            balancer.close()
+            proxy.close()
             registry.upstream.stop()
 
     run(test())
 
 
-def test_a_long_answer_puts_off_its_time_out_by_what_has_come() -> None:
+def test_a_long_response_extends_its_timeout_by_what_has_come() -> None:
     # Guards against a long list that never comes whole, and against an answer that drips for ever.
     async def test() -> None:
         go = asyncio.Event()
 
-        async def part(got: ReceivedRequest, writer: Writer) -> None:
+        async def part(_got: ReceivedRequest, writer: Writer) -> None:
             writer.write(written(200, b"x" * 6000)[:3000])
             await go.wait()
             writer.write(written(200, b"x" * 6000)[3000:])
@@ -267,7 +190,7 @@
                 exchange = pool.start_exchange(
                     b"GET / HTTP/1.1\r\n\r\n",
                     PATIENCE_S,
-                    lambda result, response, ended=ended: ended.append(result),  # type: ignore[misc]
+                    lambda result, _response, ended=ended: ended.append(result),  # type: ignore[misc]
                 )
                 before = exchange._timeout_timer.when()  # type: ignore[union-attr]
                 seen = len(upstream.got)
@@ -300,7 +223,7 @@
 def test_a_configuration_with_a_long_list_is_read_beside_it(
     tmp_path: Path, indent: int | None, first: bool
 ) -> None:
-    path, known = tmp_path / "config.json", {"known": whole(3000, 5)}
+    path, known = tmp_path / "config.json", {"known": complete_list(3000, 5)}
     path.write_text(json.dumps(known | CONFIG if first else CONFIG | known, indent=indent))
     config = read_config(str(path))
     assert config.known is not None
@@ -312,7 +235,7 @@
 def test_a_start_does_its_work_once_for_each_row(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     # A restarted process has to be ready in 10 s at a small share of a core: what it does a row is counted.
     path, count = tmp_path / "config.json", 5000
-    path.write_text(json.dumps(CONFIG | {"known": whole(count)}))
+    path.write_text(json.dumps(CONFIG | {"known": complete_list(count)}))
     done: Counter[str] = Counter()
 
     def counted(module: object, name: str) -> None:
@@ -370,16 +293,3 @@
         path.write_text(json.dumps(CONFIG | {"known": bad}))
         with pytest.raises(ConfigurationError, match="known: no "):
             read_config(str(path))
-
-
-def test_connections_are_kept_only_for_upstreams_in_use() -> None:
-    async def test() -> None:
-        async with node(ScriptedPolicy(), known_list=whole(200)) as client:
-            numbers = list(client.node.endpoint_addresses())
-            assert client.node._connection_pool(numbers[3]) is client.node._connection_pool(numbers[3])
-            assert list(client.node._connection_limits.pools) == [numbers[3]]
-            assert client.node._connection_pool(1) is None
-            client.node._connection_limits.forget_empty_pools()
-            assert not client.node._connection_limits.pools
-
-    run(test())
