--- a/loadbalancer/configuration.py
+++ b/loadbalancer/configuration.py
@@ -10,12 +10,9 @@
 from dataclasses import dataclass, field
 
 from loadbalancer.proxy.addresses import Address, read_address
-from loadbalancer.proxy.endpoint_list import (
-    EndpointList,
-    EndpointListParser,
-    read_beside,
-    unix_offset_ns,
-)
+from loadbalancer.proxy.endpoint_list import EndpointList
+from loadbalancer.proxy.endpoint_list_parser import EndpointListParser, unix_offset_ns
+from loadbalancer.proxy.endpoint_list_reader import read_beside
 from loadbalancer.proxy.errors import EndpointListError
 from loadbalancer.proxy.steps import run_through
 from loadbalancer.settings import Json, Settings, read_settings
@@ -85,7 +82,7 @@
 
 def _known_endpoints(path: str, endpoints: EndpointListParser) -> EndpointList:
     try:
-        return endpoints.done()
+        return endpoints.finish()
     except EndpointListError as error:
         raise ConfigurationError(f"{path}: known: {error}") from error
 
--- a/scale_test/slopes/policy_subjects.py
+++ b/scale_test/slopes/policy_subjects.py
@@ -11,7 +11,7 @@
 
 from loadbalancer.messages import Endpoint, EndpointUpdate, EndpointUpdateKind, Forward
 from loadbalancer.policy.balancer import Balancer
-from loadbalancer.proxy.endpoint_list import EndpointListReader
+from loadbalancer.proxy.endpoint_list_reader import EndpointListReader
 from loadbalancer.settings import Settings, read_settings
 from scale_test.slopes.inputs import NS_PER_S, ZONES, Json, endpoint_list, endpoint_row, raw_settings
 from scale_test.slopes.measuring import Figures, build_cost, timed
@@ -31,7 +31,7 @@
 
 def read_endpoints(text: bytes, reader: EndpointListReader) -> list[Endpoint]:
     """Read an answer of discovery, with the reader that read those before it."""
-    return [entry.upstream for entry in reader.read(text).entries]
+    return [entry.endpoint for entry in reader.read(text).entries]
 
 
 @dataclass(frozen=True)
