--- a/loadbalancer/proxy/proxy.py
+++ b/loadbalancer/proxy/proxy.py
@@ -53,7 +53,7 @@
 log = logging.getLogger(__name__)
 RESERVED_DESCRIPTORS = 32  # for the event loop, listening, discovery, peers, logs, and sockets being closed
 MIN_CONNECTIONS = 8  # on either side, however few descriptors there are
-SWEEP_S = 1.0
+SWEEP_INTERVAL_S = 1.0  # of idle connections, empty pools and the ids of hosts that are gone
 
 
 class Policy(Protocol):
@@ -142,7 +142,7 @@
         self._connection_limits.close_expired()
         self._connection_limits.forget_empty_pools()
         self._endpoint_updater.sweep_host_numbers()
-        self._sweep_timer = self._loop.call_later(SWEEP_S, self._sweep_once)
+        self._sweep_timer = self._loop.call_later(SWEEP_INTERVAL_S, self._sweep_once)
 
     @property
     def ready(self) -> bool:
