--- a/tests/proxy/test_client_connection.py
+++ b/tests/proxy/test_client_connection.py
@@ -9,7 +9,8 @@
 import pytest
 
 from loadbalancer.messages import ClientDisconnected, Fail, RequestArrived, TimerExpired
-from tests.support.clients import READY_REQUEST, fail_all, first_connection, transport_of
+from tests.support.clients import first_connection, transport_of
+from tests.support.scripted import READY_REQUEST, fail_all
 from tests.support.sockets import ScriptedPolicy, node, request, until
 
 CHUNKED = "Transfer-Encoding: chunked"
--- a/tests/proxy/test_client_disconnect.py
+++ b/tests/proxy/test_client_disconnect.py
@@ -35,11 +35,11 @@
     client_with_unread_response,
     each_disconnect,
     first_connection,
-    forwarding_policy,
     plain_socket,
     targets,
     transport_of,
 )
+from tests.support.scripted import forwarding_policy
 from tests.support.sockets import (
     HOST,
     MS,
--- a/tests/proxy/test_downstream.py
+++ b/tests/proxy/test_downstream.py
@@ -13,7 +13,8 @@
 from loadbalancer.proxy.client_connection import ClientConnection
 from loadbalancer.proxy.connection_table import ConnectionTable
 from loadbalancer.proxy.downstream import DownstreamServer
-from tests.support.clients import READY_REQUEST, fail_all, plain_socket
+from tests.support.clients import plain_socket
+from tests.support.scripted import READY_REQUEST, fail_all
 from tests.support.sockets import HOST, PATIENCE_S, Client, ScriptedPolicy, node, request, until
 
 SOCKETS_FOR_EIGHT_CLIENTS = 32 + 16
--- a/tests/proxy/test_shutdown.py
+++ b/tests/proxy/test_shutdown.py
@@ -19,7 +19,7 @@
 )
 from loadbalancer.proxy.shutdown import shutdown_timeout_s
 from loadbalancer.settings import RequestClass
-from tests.support.scripted import connect, forwarding_policy
+from tests.support.scripted import connect, fail_all, forwarding_policy
 from tests.support.sockets import (
     MS,
     FakeUpstream,
@@ -34,11 +34,11 @@
 )
 
 
-def fail_all(event: Event) -> Iterable[Action]:
+def fail_all_also_earlier_ones(event: Event) -> Iterable[Action]:
     """Fail each request that arrives, and all earlier ones when a timer expires."""
     if isinstance(event, TimerExpired):
         return [Fail(str(number)) for number in range(1, 9)]
-    return [Fail(event.request_id)] if isinstance(event, RequestArrived) else ()
+    return fail_all(event)
 
 
 @pytest.fixture
@@ -87,7 +87,7 @@
         draining = asyncio.create_task(client.node.drain())
         await paused.wait()  # the shutdown has come to the backlog
         monkeypatch.undo()
-        policy.react = fail_all
+        policy.react = fail_all_also_earlier_ones
         client.node.dispatch(TimerExpired("now"))
         for other in (*busy, *late):
             got = await other.read()
--- a/tests/proxy/test_unread_disconnect.py
+++ b/tests/proxy/test_unread_disconnect.py
@@ -29,13 +29,12 @@
     client_with_unread_response,
     each_disconnect,
     first_connection,
-    forward_to_first,
-    forwarding_policy,
     half_close,
     plain_socket,
     targets,
     transport_of,
 )
+from tests.support.scripted import forward_to_first, forwarding_policy
 from tests.support.sockets import (
     Answer,
     FakeUpstream,
--- a/tests/support/clients.py
+++ b/tests/support/clients.py
@@ -5,17 +5,15 @@
 import asyncio
 import socket
 import struct
-from collections.abc import AsyncIterator, Callable, Iterable
+from collections.abc import AsyncIterator, Callable
 from contextlib import asynccontextmanager
 
 import pytest
 
-from loadbalancer.messages import Action, Event, Fail, Forward, RequestArrived
 from loadbalancer.proxy.client_connection import ClientConnection
+from tests.support.scripted import forward_requests
 from tests.support.sockets import HOST, Client, FakeUpstream, ScriptedPolicy, answers, request, until
 
-READY_REQUEST = b"GET /health/ready HTTP/1.1\r\n\r\n"
-
 Disconnect = Callable[[socket.socket], None]
 
 
@@ -77,28 +75,11 @@
         yield sock
 
 
-def fail_all(event: Event) -> Iterable[Action]:
-    """Fail each request that arrives."""
-    return [Fail(event.request_id)] if isinstance(event, RequestArrived) else ()
-
-
-def forward_to_first(policy: ScriptedPolicy, event: Event) -> Iterable[Action]:
-    """Forward each request that arrives to the first endpoint."""
-    return [Forward(event.request_id, policy.ids()[0])] if isinstance(event, RequestArrived) else ()
-
-
-def forwarding_policy() -> ScriptedPolicy:
-    """A policy that forwards each request that arrives to the first endpoint."""
-    policy = ScriptedPolicy()
-    policy.react = lambda event: forward_to_first(policy, event)
-    return policy
-
-
 async def assert_only_later_request_is_forwarded(
     upstream: FakeUpstream, client: Client, policy: ScriptedPolicy, received_before: int = 0
 ) -> None:
     """Assert that a later request of another client is served, and that it alone has come to the upstream."""
-    policy.react = lambda event: forward_to_first(policy, event)
+    forward_requests(policy)
     assert (await client.another().ask(request("/read/later"))).status == 200
     assert targets(upstream)[received_before:] == ["/read/later"]
     assert not client.node._pending_requests
--- a/tests/support/scripted.py
+++ b/tests/support/scripted.py
@@ -30,6 +30,11 @@
     return ()
 
 
+def fail_all(event: Event) -> Iterable[Action]:
+    """Fail each request that arrives."""
+    return [Fail(event.request_id)] if isinstance(event, RequestArrived) else ()
+
+
 def fail_unless_complete(event: Event) -> Iterable[Action]:
     """Fail a request whose attempt ended without a final answer."""
     if isinstance(event, AttemptEnded) and not event.request_complete:
@@ -49,6 +54,11 @@
     return lambda event: actions() if isinstance(event, TimerExpired) else ()
 
 
+def forward_to_first(policy: ScriptedPolicy, event: Event) -> Iterable[Action]:
+    """Forward each request that arrives to the first endpoint."""
+    return [Forward(event.request_id, policy.ids()[0])] if isinstance(event, RequestArrived) else ()
+
+
 def forward_requests(
     policy: ScriptedPolicy, then: Reaction = do_nothing, timeout_ns: int = 0, index: int = 0
 ) -> None:
