--- a/loadbalancer/proxy/endpoint_updates.py
+++ b/loadbalancer/proxy/endpoint_updates.py
@@ -135,7 +135,7 @@
             if endpoint_id in endpoint_list.superseded:
                 continue
             attributes = endpoint_list.attributes[index]
-            status = attributes[0]
+            status = attributes.status
             if status is EndpointStatus.REMOVED:
                 self._addresses.remove([endpoint_id])
             elif status is EndpointStatus.READY:
