--- a/scale_test/__main__.py
+++ b/scale_test/__main__.py
@@ -16,7 +16,7 @@
 import psutil
 
 from scale_test import report
-from scale_test.child_process import ROOT
+from scale_test.deployment import ROOT
 from scale_test.errors import PlanError, ScaleTestError
 from scale_test.experiment import ExperimentResult, run_experiment
 from scale_test.plan import MAX_ZONES, Plan, Scenario
@@ -29,9 +29,9 @@
 'in force, by next call': until the balancer asks for what is newer than the change. It sends that call when
 it has read the answer, and that may be shortly before the module takes it in: see 'by module' for that.
 What changed while discovery was down counts from its return."""
-Positive = click.IntRange(min=1)
-Count = click.IntRange(min=0)
-Seconds = click.FloatRange(min=0.0, max=86_400.0, min_open=True)
+POSITIVE = click.IntRange(min=1)
+COUNT = click.IntRange(min=0)
+SECONDS = click.FloatRange(min=0.0, max=86_400.0, min_open=True)
 
 
 @dataclass(frozen=True)
@@ -44,19 +44,19 @@
 
 OPTIONS = {
     "upstreams": Option(click.IntRange(1, 1_000_000), "Upstreams in the list."),
-    "real": Option(Count, "Balancers run as the deploy file says; the first gets clients."),
-    "hollow": Option(Count, "Balancers with no clients, many in a process."),
-    "hollow_processes": Option(Positive, "Processes for the hollow ones."),
-    "replicas": Option(Count, "replicas_of_me told to all; 0: as many as run."),
+    "real": Option(COUNT, "Balancers run as the deploy file says; the first gets clients."),
+    "hollow": Option(COUNT, "Balancers with no clients, many in a process."),
+    "hollow_processes": Option(POSITIVE, "Processes for the hollow ones."),
+    "replicas": Option(COUNT, "replicas_of_me told to all; 0: as many as run."),
     "zones": Option(click.IntRange(1, MAX_ZONES), "Zones that the upstreams are in."),
-    "duration": Option(Seconds, "Seconds that the course takes."),
-    "quiet": Option(Seconds, "Seconds without changes, before the course."),
+    "duration": Option(SECONDS, "Seconds that the course takes."),
+    "quiet": Option(SECONDS, "Seconds without changes, before the course."),
     "changes": Option(
         click.FloatRange(min=0.0, max=10_000.0), "List changes a second; 0: as on an ordinary day."
     ),
-    "configured": Option(Count, "Changes of configuration a day, at 160,000 upstreams."),
-    "restarted": Option(Count, "Restarted or replaced upstreams a day, at 160,000."),
-    "failed": Option(Count, "Failed upstreams a day, at 160,000."),
+    "configured": Option(COUNT, "Changes of configuration a day, at 160,000 upstreams."),
+    "restarted": Option(COUNT, "Restarted or replaced upstreams a day, at 160,000."),
+    "failed": Option(COUNT, "Failed upstreams a day, at 160,000."),
     "course": Option(
         click.Choice([scenario.value for scenario in Scenario]),
         "day: churn; zone: and an outage of a zone, which comes back cold; "
@@ -69,8 +69,8 @@
     "mode": Option(click.Choice(["ask", "push"]), "How the settings say that lists come."),
     "requests": Option(click.FloatRange(min=0.0, max=5000.0), "Requests a second to that balancer."),
     "known": Option(bool, "Whether the configuration holds the list."),
-    "held": Option(Count, "Bytes that a balancer holds for an upstream: for the estimate of memory."),
-    "patience": Option(Seconds, "Seconds until all have to be ready."),
+    "held": Option(COUNT, "Bytes that a balancer holds for an upstream: for the estimate of memory."),
+    "patience": Option(SECONDS, "Seconds until all have to be ready."),
     "seed": Option(int, "Seed of the course, of the clients and of the balancers."),
 }
 
--- a/scale_test/analysis.py
+++ b/scale_test/analysis.py
@@ -17,8 +17,8 @@
     RequestSample,
 )
 from scale_test.report import WeightedValue
+from scale_test.units import NS_PER_MS
 
-NS_PER_MS = 1_000_000
 FULL_LIST_TAIL_NS = 250 * NS_PER_MS  # a full list may weigh on requests for so long after it is in force
 
 
--- a/scale_test/balancer_config.py
+++ b/scale_test/balancer_config.py
@@ -9,8 +9,8 @@
 import orjson
 
 from scale_test.plan import Plan, zone_name
+from scale_test.units import NS_PER_MS
 
-NS_PER_MS = 1_000_000
 REQUEST_CLASS, TENANT = "reading", "ash"
 
 Json = dict[str, Any]
--- a/scale_test/child_process.py
+++ b/scale_test/child_process.py
@@ -20,9 +20,9 @@
 
 import orjson
 
+from scale_test.deployment import ROOT
 from scale_test.errors import ExperimentError
 
-ROOT = Path(__file__).parent.parent
 MAX_LINE_BYTES = 2**30
 
 Commands = Mapping[str, Callable[..., Awaitable[object]]]
--- a/scale_test/cluster.py
+++ b/scale_test/cluster.py
@@ -5,7 +5,6 @@
 import asyncio
 import socket
 import time
-import tomllib
 from collections.abc import Sequence
 from dataclasses import dataclass
 from pathlib import Path
@@ -13,16 +12,17 @@
 import psutil
 
 from scale_test.balancer_config import Address, ConfigurationWriter, format_address
-from scale_test.child_process import ROOT, ChildProcess, HelperRole
+from scale_test.child_process import ChildProcess, HelperRole
+from scale_test.deployment import read_deployment
 from scale_test.errors import ExperimentError
 from scale_test.helpers import DiscoveryHelper, HollowHelper, LoadHelper
-from scale_test.plan import BYTES_PER_MB, Plan, memory_limit
+from scale_test.plan import Plan, memory_limit
+from scale_test.units import BYTES_PER_MB, NS_PER_S
 
 STARTS_AT_ONCE = 4  # balancers that start side by side: they share the machine
 WATCH_INTERVAL_S = 0.25  # how often memory is looked at
 READY_POLL_S = 0.02
 HOSTS_PER_SUBNET = 250
-NS_PER_S = 1_000_000_000
 
 
 @dataclass(frozen=True)
@@ -90,11 +90,11 @@
         known = self.folder / "known.json"
         self.discovery_addresses = await self.discovery.start(plan, await upstreams.upstreams(), known)
         writer = ConfigurationWriter(plan, self.folder, self.discovery_addresses, known.read_bytes())
-        deploy = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())
-        await self._build(deploy["build"])
+        deployment = read_deployment()
+        await self._build(deployment.build)
         async with asyncio.timeout(plan.patience):
             real = await asyncio.gather(
-                *(self._start_real(number, deploy["run"], writer) for number in range(plan.real))
+                *(self._start_real(number, deployment.run, writer) for number in range(plan.real))
             )
             hollow = await asyncio.gather(
                 *(self._start_hollow(number, writer) for number in range(len(plan.hollow_shares)))
@@ -159,7 +159,7 @@
             ExperimentError: Always; says which.
         """
         while True:
-            used = resident_bytes(self.processes)
+            used = memory_used_by(self.processes)
             limit = memory_limit()
             if used > limit:
                 raise ExperimentError(
@@ -188,7 +188,7 @@
     ready_ns: list[int]
 
 
-def resident_bytes(processes: Sequence[ChildProcess]) -> int:
+def memory_used_by(processes: Sequence[ChildProcess]) -> int:
     """The memory of these processes together.
 
     Raises:
--- a/scale_test/fake_discovery.py
+++ b/scale_test/fake_discovery.py
@@ -13,6 +13,7 @@
 from dataclasses import dataclass, field
 from urllib.parse import parse_qs, urlsplit
 
+from scale_test.http_messages import END_OF_HEAD, ok_head
 from scale_test.records import CallerRecord, FullListAnswer, Outage, VersionSeen
 from scale_test.registry import Health, Registry
 
@@ -76,7 +77,7 @@
         self._connections.add(writer)
         try:
             while True:
-                head = await reader.readuntil(b"\r\n\r\n")
+                head = await reader.readuntil(END_OF_HEAD)
                 await self._handle_call(caller, head, writer)
                 if self.down:
                     break
@@ -130,7 +131,7 @@
         while True:
             call = await self._queue.get()
             body = self._answer_to(call)
-            head = b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(body)
+            head = ok_head(len(body))
             call.caller.sent += len(head) + len(body)
             if len(body) <= CHUNK_BYTES:
                 call.writer.write(head + body)
--- a/scale_test/load_generator.py
+++ b/scale_test/load_generator.py
@@ -11,12 +11,12 @@
 from typing import Any
 
 from scale_test.child_process import commands_of, serve
+from scale_test.http_messages import END_OF_HEAD, content_length, is_ok, ok_response
 from scale_test.records import RequestSample
 
 LISTENERS = 8  # all upstreams of the list lead to one of them
 SERVICE_S = 0.004  # an upstream's time for a request
 DEADLINE_MS = 2000
-END_OF_HEAD = b"\r\n\r\n"
 
 
 @dataclass(frozen=True)
@@ -29,7 +29,7 @@
 
 @dataclass(frozen=True)
 class Response:
-    """A response, its head in small letters."""
+    """A response of the balancer."""
 
     head: bytes
     body: bytes
@@ -37,7 +37,7 @@
     @property
     def is_ok(self) -> bool:
         """Whether the request was served."""
-        return self.head.startswith(b"http/1.1 200")
+        return is_ok(self.head)
 
     @property
     def upstream_ns(self) -> int:
@@ -54,7 +54,7 @@
             received_ns = time.monotonic_ns()
             await asyncio.sleep(SERVICE_S)
             body = b"%d %d" % (received_ns, time.monotonic_ns())
-            writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%b" % (len(body), body))
+            writer.write(ok_response(body))
     except (OSError, asyncio.IncompleteReadError):
         writer.close()
 
@@ -125,10 +125,9 @@
 
     async def _exchange(self, connection: Connection, request: bytes) -> Response:
         connection.writer.write(request)
-        head = (await connection.reader.readuntil(END_OF_HEAD)).lower()
-        size = int(head.split(b"content-length:")[1].split(b"\r\n")[0])
-        body = await connection.reader.readexactly(size)
-        if b"connection: close" in head:
+        head = await connection.reader.readuntil(END_OF_HEAD)
+        body = await connection.reader.readexactly(content_length(head))
+        if b"connection: close" in head.lower():
             connection.writer.close()
         else:
             self._idle.append(connection)
--- a/scale_test/measurements.py
+++ b/scale_test/measurements.py
@@ -7,17 +7,17 @@
 import time
 from collections.abc import AsyncIterator, Callable, Iterable, Sequence
 from dataclasses import dataclass
-from pathlib import Path
 
 import psutil
 
 from scale_test import analysis
-from scale_test.analysis import NS_PER_MS, FullListDelay, Window
+from scale_test.analysis import FullListDelay, Window
 from scale_test.child_process import ChildProcess
-from scale_test.cluster import NS_PER_S, Cluster, StartTimes
-from scale_test.plan import BYTES_PER_MB
+from scale_test.cluster import Cluster, StartTimes
+from scale_test.process_memory import peak_resident_bytes
 from scale_test.records import BalancerReport, CallerTraffic, DiscoveryReport, RequestSample
 from scale_test.report import Group, Phase, Row, WeightedValue, summarize
+from scale_test.units import BYTES_PER_MB, NS_PER_MS, NS_PER_S
 
 TRAFFIC_FIGURES: dict[str, Callable[[CallerTraffic], int]] = {
     "calls to discovery a second": operator.attrgetter("calls"),
@@ -42,10 +42,8 @@
 
 def memory_of(process: ChildProcess) -> Memory:
     """Resident memory of a process now and at its peak."""
-    status = Path(f"/proc/{process.pid}/status").read_text().splitlines()
-    peak = next(line for line in status if line.startswith("VmHWM:"))
     now = psutil.Process(process.pid).memory_info().rss
-    return Memory(now / BYTES_PER_MB, int(peak.split()[1]) * 1024 / BYTES_PER_MB)
+    return Memory(now / BYTES_PER_MB, peak_resident_bytes(process.pid) / BYTES_PER_MB)
 
 
 class Measurements:
--- a/scale_test/plan.py
+++ b/scale_test/plan.py
@@ -10,8 +10,8 @@
 import psutil
 
 from scale_test.errors import PlanError
+from scale_test.units import BYTES_PER_MB
 
-BYTES_PER_MB = 1_000_000
 SECONDS_PER_DAY = 86_400
 HELPERS = 3  # discovery, upstreams, clients
 MAX_PROCESSES = 200
--- a/scale_test/slopes/__main__.py
+++ b/scale_test/slopes/__main__.py
@@ -16,7 +16,7 @@
 import click
 import orjson
 
-from scale_test.child_process import ROOT
+from scale_test.deployment import ROOT
 from scale_test.slopes.fit import format_table
 from scale_test.slopes.inputs import Json
 from scale_test.slopes.subjects import SUBJECTS, measure
--- a/scale_test/slopes/fakes.py
+++ b/scale_test/slopes/fakes.py
@@ -9,10 +9,10 @@
 
 import orjson
 
+from scale_test.http_messages import END_OF_HEAD, content_length, is_ok, ok_response
 from scale_test.slopes.inputs import Json, endpoint_list
 
 HOST = "127.0.0.1"
-END_OF_HEAD = b"\r\n\r\n"
 
 ConnectionHandler = Callable[[asyncio.StreamReader, asyncio.StreamWriter], Awaitable[None]]
 
@@ -58,7 +58,7 @@
                 if after >= self.version:
                     with suppress(TimeoutError):
                         await asyncio.wait_for(self._changed.wait(), int(parameters["wait_ms"]) / 1000)
-            data = http_response(orjson.dumps(self._list_after(after)))
+            data = ok_response(orjson.dumps(self._list_after(after)))
             self.discovery_bytes += len(head) + len(data)
             self.answers += 1
             writer.write(data)
@@ -74,7 +74,7 @@
         self.upstream_connections += 1
         async for _ in read_heads(reader):
             await asyncio.sleep(self.upstream_delay_s)
-            writer.write(http_response(b"served"))
+            writer.write(ok_response(b"served"))
         self.upstream_connections -= 1
 
 
@@ -96,11 +96,6 @@
     return handle_until_cancelled
 
 
-def http_response(body: bytes) -> bytes:
-    """A response with status 200."""
-    return b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(body) + body
-
-
 class Client:
     """One client's connection to the balancer."""
 
@@ -128,6 +123,5 @@
             b"Req-Deadline-Ms: 5000\r\n\r\n" % request_id
         )
         head = await self._reader.readuntil(END_OF_HEAD)
-        size = int(head.partition(b"Content-Length: ")[2].partition(b"\r\n")[0])
-        await self._reader.readexactly(size)
-        return head.startswith(b"HTTP/1.1 200")
+        await self._reader.readexactly(content_length(head))
+        return is_ok(head)
--- a/scale_test/slopes/inputs.py
+++ b/scale_test/slopes/inputs.py
@@ -5,8 +5,11 @@
 from collections.abc import Sequence
 from typing import Any
 
-NS_PER_S = 10**9
-ZONES = [f"r{region}-z{zone}" for region in range(4) for zone in range(10)]
+from scale_test.plan import MAX_ZONES, zone_name
+from scale_test.registry import UPSTREAMS_PER_BLOCK
+from scale_test.units import NS_PER_S
+
+ZONES = [zone_name(number) for number in range(MAX_ZONES)]
 
 Json = dict[str, Any]
 
@@ -18,7 +21,7 @@
         "dial": dial or f"10.{number >> 16 & 255}.{number >> 8 & 255}.{number & 255}:3000",
         "site": ZONES[number % len(ZONES)],
         "class": f"m{number % machine_classes}",
-        "block": number // 100,
+        "block": number // UPSTREAMS_PER_BLOCK,
         "health": "up",
         "share": 1.0,
         "born_ms": 0,
--- a/scale_test/slopes/policy_harness.py
+++ b/scale_test/slopes/policy_harness.py
@@ -17,8 +17,8 @@
     RequestArrived,
 )
 from loadbalancer.policy.balancer import Balancer
-from scale_test.slopes.inputs import NS_PER_S
 from scale_test.slopes.measuring import Figures, timed
+from scale_test.units import NS_PER_S
 
 LOAD_PROBING_NS = NS_PER_S // 2  # the policy probes loads once in this time
 TIMER_STEP_NS = NS_PER_S // 100
--- a/scale_test/slopes/policy_subjects.py
+++ b/scale_test/slopes/policy_subjects.py
@@ -13,9 +13,10 @@
 from loadbalancer.policy.balancer import Balancer
 from loadbalancer.proxy.endpoint_list import EndpointListReader
 from loadbalancer.settings import Settings, read_settings
-from scale_test.slopes.inputs import NS_PER_S, ZONES, Json, endpoint_list, endpoint_row, raw_settings
+from scale_test.slopes.inputs import ZONES, Json, endpoint_list, endpoint_row, raw_settings
 from scale_test.slopes.measuring import Figures, build_cost, timed
 from scale_test.slopes.policy_harness import PolicyHarness
+from scale_test.units import NS_PER_S
 
 UPSTREAMS_PER_SERVICE = 23  # 160,000 upstreams in 7,000 services
 UPSTREAMS_PER_REQUEST = 4
--- a/scale_test/slopes/process_subjects.py
+++ b/scale_test/slopes/process_subjects.py
@@ -6,9 +6,10 @@
 import time
 
 from scale_test.slopes.fakes import Client, FakeServices
-from scale_test.slopes.inputs import NS_PER_S, Json, endpoint_row, raw_settings
+from scale_test.slopes.inputs import Json, endpoint_row, raw_settings
 from scale_test.slopes.measuring import Figures
 from scale_test.slopes.real_balancer import RealBalancer, running_balancer
+from scale_test.units import NS_PER_S
 
 QUIET_S = 4.0  # for which a real balancer is watched with nothing to do
 LIST_POLL_S = 0.05
--- a/scale_test/slopes/real_balancer.py
+++ b/scale_test/slopes/real_balancer.py
@@ -6,17 +6,18 @@
 import os
 import subprocess
 import tempfile
-import tomllib
 from collections.abc import AsyncIterator
 from contextlib import asynccontextmanager
 from pathlib import Path
 
 import orjson
 
-from scale_test.child_process import ROOT
+from scale_test.deployment import ROOT, read_deployment
+from scale_test.process_memory import peak_resident_bytes, resident_bytes
 from scale_test.slopes.fakes import HOST, FakeServices, until_cancelled
-from scale_test.slopes.inputs import NS_PER_S, Json, endpoint_list
+from scale_test.slopes.inputs import Json, endpoint_list
 from scale_test.slopes.measuring import Figures
+from scale_test.units import NS_PER_S
 
 READY_LINE = "ready on port "
 READY_POLL_S = 0.05
@@ -41,13 +42,7 @@
 
     def memory(self) -> Figures:
         """Resident bytes now and at their peak."""
-        lines = Path(f"/proc/{self.pid}/status").read_text().splitlines()
-        status = dict(line.split(":", 1) for line in lines)
-
-        def in_bytes(key: str) -> int:
-            return 1024 * int(status[key].split()[0])
-
-        return {"rss_b": in_bytes("VmRSS"), "top_b": in_bytes("VmHWM")}
+        return {"rss_b": resident_bytes(self.pid), "top_b": peak_resident_bytes(self.pid)}
 
 
 def port_of(server: asyncio.Server) -> int:
@@ -98,12 +93,11 @@
 
 def start_process(folder: Path, log: Path, config: Json) -> subprocess.Popen[bytes]:
     """Start the balancer as the platform does."""
-    run = tomllib.loads((ROOT / "deploy/balancer.toml").read_text())["run"]
     path = folder / "config.json"
     path.write_bytes(orjson.dumps(config))
     with log.open("wb") as file:
         return subprocess.Popen(
-            ["/bin/sh", "-c", run],
+            ["/bin/sh", "-c", read_deployment().run],
             cwd=ROOT,
             stdout=file,
             stderr=file,
--- /dev/null
+++ b/scale_test/units.py
@@ -0,0 +1,7 @@
+"""Units of time and memory."""
+
+from __future__ import annotations
+
+NS_PER_S = 1_000_000_000
+NS_PER_MS = 1_000_000
+BYTES_PER_MB = 1_000_000
--- a/tests/scale_test/test_analysis.py
+++ b/tests/scale_test/test_analysis.py
@@ -3,17 +3,21 @@
 from __future__ import annotations
 
 from scale_test import analysis
-from scale_test.analysis import NS_PER_MS, FullListDelay, Window
+from scale_test.analysis import FullListDelay, Window
 from scale_test.records import (
     NEVER_NS,
     AnswerInForce,
     BalancerReport,
     CallerRecord,
+    DiscoveryReport,
     FullListAnswer,
     ListVersion,
+    Outage,
     RequestSample,
+    VersionSeen,
 )
 from scale_test.report import WeightedValue
+from scale_test.units import NS_PER_MS
 
 
 def ms(value: int) -> int:
@@ -54,3 +58,17 @@
     ]
     times = analysis.added_times(samples, [Window(ms(10), ms(20))])
     assert times == analysis.AddedTimes([2.0], 1)
+
+
+def test_what_changed_in_an_outage_counts_from_its_end() -> None:
+    versions = [ListVersion(version, ms(at), 1) for version, at in ((2, 9), (3, 10), (4, 19), (5, 20))]
+    report = DiscoveryReport([], versions, [Outage(ms(10), ms(20))])
+    effective = analysis.effective_versions(report)
+    assert [version.at_ns for version in effective] == [ms(9), ms(20), ms(20), ms(20)]
+
+
+def test_a_change_is_counted_until_the_next_call_that_names_it_or_a_newer_one() -> None:
+    caller = CallerRecord(versions_seen=[VersionSeen(ms(15), 2), VersionSeen(ms(30), 4)])
+    versions = [ListVersion(version, ms(10), version) for version in (2, 3, 5)]
+    delays = analysis.delays_by_calls(versions, caller)
+    assert delays == analysis.ChangeDelays([WeightedValue(5, 2), WeightedValue(20, 3)], 5)
--- a/tests/scale_test/test_command.py
+++ b/tests/scale_test/test_command.py
@@ -98,20 +98,22 @@
     assert figures["arguments"]["upstreams"] == 50
     assert figures["arguments"]["course"] == course
     rows = {(row["figure"], row["phase"], row["group"]): row for row in figures["rows"]}
-    expected = {("time to ready", "start", g) for g in ("real", "hollow")}
+    expected = {("time to ready", "start", group) for group in ("real", "hollow")}
     for phase in ("quiet", "course"):
-        expected |= {("processor time a second", phase, g) for g in ("loaded", "hollow", "discovery")}
+        expected |= {("processor time a second", phase, group) for group in ("loaded", "hollow", "discovery")}
         expected |= {
-            (f"{what} discovery a second", phase, g)
-            for g in ("loaded", "hollow")
+            (f"{what} discovery a second", phase, group)
+            for group in ("loaded", "hollow")
             for what in ("calls to", "bytes to", "bytes from")
         }
-    expected |= {(f"memory {when}", "end", g) for g in ("loaded", "hollow") for when in ("now", "peak")}
-    expected |= {("time added to a request", p, "loaded") for p in ("quiet", "course", "whole list")}
-    for g in ("loaded", "hollow"):
-        expected |= {("in force, by next call", "course", g), ("changes never in force", "course", g)}
-    expected |= {(f, "course", "hollow") for f in ("in force, by module", "module's part of that")}
-    expected |= {("whole list read", "all", g) for g in ("loaded", "hollow")}
+    expected |= {
+        (f"memory {when}", "end", group) for group in ("loaded", "hollow") for when in ("now", "peak")
+    }
+    expected |= {("time added to a request", phase, "loaded") for phase in ("quiet", "course", "whole list")}
+    for group in ("loaded", "hollow"):
+        expected |= {("in force, by next call", "course", group), ("changes never in force", "course", group)}
+    expected |= {(figure, "course", "hollow") for figure in ("in force, by module", "module's part of that")}
+    expected |= {("whole list read", "all", group) for group in ("loaded", "hollow")}
     expected |= {("whole list in force", "all", "hollow")}
     assert expected <= set(rows)
     assert rows["changes never in force", "course", "hollow"]["worst"] == 0
@@ -126,7 +128,7 @@
 def test_an_interrupt_leaves_no_process() -> None:
     process = start_command(*SMALL, "--duration", "60")
     seen: list[int] = []
-    while len(seen) < 6:  # the run, its four helpers and the real balancer
+    while len(seen) < 6:  # the command, its four helpers and the real balancer
         assert process.poll() is None
         seen = remaining_processes()
     process.send_signal(signal.SIGINT)
--- a/tests/scale_test/test_slopes.py
+++ b/tests/scale_test/test_slopes.py
@@ -3,14 +3,13 @@
 from __future__ import annotations
 
 import subprocess
-import tomllib
 from pathlib import Path
 
 import orjson
 import pytest
 from click.testing import CliRunner
 
-from scale_test.child_process import ROOT
+from scale_test.deployment import ROOT, read_deployment
 from scale_test.slopes import process_subjects
 from scale_test.slopes.__main__ import main
 from scale_test.slopes.fit import Point, Slope, fit
@@ -75,8 +74,7 @@
 
 @pytest.fixture(scope="module")
 def built() -> None:
-    build = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())["build"]
-    subprocess.run(["/bin/sh", "-c", build], cwd=ROOT, check=True, timeout=600)
+    subprocess.run(["/bin/sh", "-c", read_deployment().build], cwd=ROOT, check=True, timeout=600)
 
 
 @pytest.mark.usefixtures("built")
