--- a/scale_test/scenarios.py
+++ b/scale_test/scenarios.py
@@ -16,6 +16,7 @@
 
 RETURN_S = 4.0  # a restarted or failed upstream is back after this, or a fifth of the experiment
 ZONE_STEPS, ZONE_STEP_S = 10, 0.1  # a zone's upstreams change in so many steps
+OUTAGE_BEGINS, OUTAGE_LASTS = 0.2, 0.3  # of discovery, as fractions of the experiment
 NEW_CHANGE = -1
 
 ScenarioFunction = Callable[[FakeDiscovery, Plan, random.Random], Coroutine[Any, Any, None]]
@@ -93,9 +94,9 @@
 async def discovery_outage(discovery: FakeDiscovery, plan: Plan, rng: random.Random) -> None:
     """Beside the day's churn: discovery is down for three tenths of the time; then all get full lists."""
     churning = asyncio.create_task(churn(discovery, plan, rng))
-    await asyncio.sleep(0.2 * plan.duration)
+    await asyncio.sleep(OUTAGE_BEGINS * plan.duration)
     discovery.begin_outage()
-    await asyncio.sleep(0.3 * plan.duration)
+    await asyncio.sleep(OUTAGE_LASTS * plan.duration)
     discovery.end_outage()
     await churning
 
--- a/scale_test/slopes/process_subjects.py
+++ b/scale_test/slopes/process_subjects.py
@@ -12,11 +12,16 @@
 from scale_test.units import NS_PER_S
 
 QUIET_S = 4.0  # for which a real balancer is watched with nothing to do
+SETTLED_ROWS_A_SECOND = 20_000  # a start is over after half of QUIET_S and so much for each row
+CHANGED_ROWS_A_SECOND = 80_000  # a change is over after an eighth of QUIET_S and so much for each row
 LIST_POLL_S = 0.05
 LIST_ANSWERS = 3  # after so many answers without a watch, the balancer has turned the list down
 CHANGED_ENDPOINTS = 6
 ENDPOINTS_UNDER_LOAD = 64
+ENDPOINTS_OF_SETTINGS = 100  # before a process with many tenants or routes
+MIN_LOAD_S, MIN_LOAD_REQUESTS = 5.0, 100
 WARM_UP_REQUESTS = 30
+FIRST_REQUEST_ID = 100  # of those that count
 OPEN_FOR_S = 1.5
 SLOW_UPSTREAM_S = 2.0
 
@@ -53,7 +58,7 @@
 
 async def measure_quiet(services: FakeServices, balancer: RealBalancer, endpoints: int) -> Figures:
     """Measure the start, and a time in which nothing happens."""
-    settle_s = QUIET_S / 2 + endpoints / 20_000
+    settle_s = QUIET_S / 2 + endpoints / SETTLED_ROWS_A_SECOND
     await asyncio.sleep(settle_s)
     cpu_s, discovery_bytes = balancer.cpu_s(), services.discovery_bytes
     await asyncio.sleep(QUIET_S)
@@ -71,7 +76,7 @@
 ) -> Figures:
     """Measure changes of one endpoint each, less what a quiet time takes."""
     cpu_s, discovery_bytes = balancer.cpu_s(), services.discovery_bytes
-    gap_s = QUIET_S / 8 + endpoints / 80_000
+    gap_s = QUIET_S / 8 + endpoints / CHANGED_ROWS_A_SECOND
     for host in list(services.rows)[:CHANGED_ENDPOINTS]:
         services.change(host, health="draining")
         await asyncio.sleep(gap_s)
@@ -88,12 +93,12 @@
 
 def process_tenants(count: int) -> Figures:
     """A real process with so many tenants before 100 upstreams."""
-    return asyncio.run(measure_start(100, raw_settings(tenants=count)))
+    return asyncio.run(measure_start(ENDPOINTS_OF_SETTINGS, raw_settings(tenants=count)))
 
 
 def process_routes(count: int) -> Figures:
     """A real process with so many routes before 100 upstreams."""
-    return asyncio.run(measure_start(100, raw_settings(routes=count)))
+    return asyncio.run(measure_start(ENDPOINTS_OF_SETTINGS, raw_settings(routes=count)))
 
 
 class RequestLoad:
@@ -130,7 +135,7 @@
         async with asyncio.TaskGroup() as group:
             for number in range(requests):
                 await asyncio.sleep(begun + number / rate - time.monotonic())
-                group.create_task(self.request(100 + number))
+                group.create_task(self.request(FIRST_REQUEST_ID + number))
 
 
 async def measure_rate(rate: int, seconds: float) -> Figures:
@@ -157,7 +162,7 @@
 
 def rates(count: int) -> Figures:
     """Requests a second through a real process; their wall time, the fakes' part of it included."""
-    return asyncio.run(measure_rate(count, max(5.0, 100 / count)))
+    return asyncio.run(measure_rate(count, max(MIN_LOAD_S, MIN_LOAD_REQUESTS / count)))
 
 
 async def measure_connections(count: int, with_requests: bool) -> Figures:
