--- a/scale_test/analysis.py
+++ b/scale_test/analysis.py
@@ -87,7 +87,7 @@
 
 
 def delays_by_policy(versions: Sequence[ListVersion], balancer: BalancerReport) -> list[WeightedValue]:
-    """From each change until it was in force, in ms, where an answer told it.
+    """From each change until it was in force, in ms, where an answer held it.
 
     A long answer is put in force in slices, and only its end counts; a later and shorter one may be in force
     before that.
@@ -101,7 +101,7 @@
 
 
 def in_force_ns(balancer: BalancerReport, version: int) -> int | None:
-    """When the first answer that tells of this version was in force to its last row; None: never."""
+    """When the first answer that holds this version was in force to its last row; None: never."""
     for answer in balancer.in_force:
         if answer.version >= version:
             return answer.at_ns if answer.at_ns < NEVER_NS else None
--- a/scale_test/experiment.py
+++ b/scale_test/experiment.py
@@ -19,7 +19,7 @@
 
 WARM_UP_S = 1.0  # of traffic before it counts
 FULL_LIST_PAUSE_S, ROWS_A_SECOND = 1.0, 80_000  # after a full list has been read, until it is in force
-NOTIFIED_WITHIN_S = 8.0  # what discovery has to tell counts as told after 6 s at the latest
+NOTIFIED_WITHIN_S = 8.0  # a version that discovery has counts as notified after 6 s at the latest
 FULL_LIST_TIMEOUT_S = 30.0  # until the call that follows a full list
 
 
--- a/scale_test/fake_discovery.py
+++ b/scale_test/fake_discovery.py
@@ -1,6 +1,6 @@
 """A fake of discovery, as the protocol page has it: full lists, watches, changes; calls are answered in turn.
 
-Each balancer is told an address of its own, so that its calls and bytes can be counted.
+Each balancer has an address of its own to call, so that its calls and bytes can be counted.
 """
 
 from __future__ import annotations
--- a/scale_test/measurements.py
+++ b/scale_test/measurements.py
@@ -188,7 +188,7 @@
     def _add_policy_times(self, hollow: Sequence[BalancerReport]) -> None:
         """Add how long the policy took over changes.
 
-        A zone's rows or a full list come in one answer: what one row takes is told by single changes.
+        A zone's rows or a full list come in one answer: what one row takes is seen in single changes.
         """
         window = self._windows[Phase.SCENARIO]
         changes = [
--- a/scale_test/plan.py
+++ b/scale_test/plan.py
@@ -82,7 +82,7 @@
 
     @property
     def replica_count(self) -> int:
-        """How many balancers each is told that there are."""
+        """How many balancers there are by the settings of each."""
         return self.replicas or self.balancers
 
     @property
--- a/tests/scale_test/test_fake_discovery.py
+++ b/tests/scale_test/test_fake_discovery.py
@@ -45,8 +45,8 @@
     try:
         yield fake, watchers
     finally:
-        for w in watchers:
-            w.writer.close()
+        for watcher in watchers:
+            watcher.writer.close()
         fake.close()
 
 
@@ -57,12 +57,12 @@
             assert (await first.answer())["whole"]
             first.ask("?after=1&wait_ms=20")
             assert await first.answer() == {"seq": 1, "whole": False, "hosts": []}
-            for w in (first, second):
-                w.ask("?after=1&wait_ms=20000")
+            for watcher in (first, second):
+                watcher.ask("?after=1&wait_ms=20000")
             await until(lambda: [caller.calls for caller in discovery.callers] == [3, 1])
             discovery.change([2], Health.DRAINING)
-            for w in (first, second):
-                answer = await w.answer()
+            for watcher in (first, second):
+                answer = await watcher.answer()
                 assert (answer["seq"], answer["whole"], len(answer["hosts"])) == (2, False, 1)
             discovery.change([3])  # in between two calls of a watch
             first.ask("?after=2&wait_ms=20000")
@@ -81,12 +81,12 @@
         async with running_discovery() as (discovery, (first, second)):
             order: list[int] = []
 
-            async def ask(number: int, w: Watcher) -> None:
-                await w.answer()
+            async def ask(number: int, watcher: Watcher) -> None:
+                await watcher.answer()
                 order.append(number)
 
-            for number, w in ((1, second), (0, first)):
-                w.ask("?after=1&wait_ms=20000")
+            for number, watcher in ((1, second), (0, first)):
+                watcher.ask("?after=1&wait_ms=20000")
                 await until(lambda n=number: discovery.callers[n].calls == 1)  # type: ignore[misc]
             asked = [asyncio.create_task(ask(0, first)), asyncio.create_task(ask(1, second))]
             discovery.change([0])
@@ -100,13 +100,13 @@
 def test_a_balancer_is_sent_the_full_list_in_a_watch(after: int, accepted: bool) -> None:
     async def test() -> None:
         async with running_discovery() as (discovery, (first, second)):
-            for w in (first, second):
-                w.ask("?after=1&wait_ms=20000")
-            told = asyncio.create_task(discovery.send_full_list(0, PATIENCE_S))
+            for watcher in (first, second):
+                watcher.ask("?after=1&wait_ms=20000")
+            sending = asyncio.create_task(discovery.send_full_list(0, PATIENCE_S))
             assert (await first.answer())["whole"]
-            assert not told.done()
+            assert not sending.done()
             first.ask(f"?after={after}&wait_ms=20000")  # it names that version, or has turned it down
-            assert await told
+            assert await sending
             [full_list] = discovery.callers[0].full_lists
             assert full_list.next_call_ns is not None
             assert (full_list.version, full_list.accepted) == (2, accepted)
--- a/tests/scale_test/test_registry.py
+++ b/tests/scale_test/test_registry.py
@@ -14,7 +14,7 @@
     return [row["host"] for row in json.loads(text)["hosts"]]
 
 
-def test_the_list_is_told_whole_or_as_what_changed() -> None:
+def test_the_list_is_given_in_full_or_as_what_changed() -> None:
     registry = Registry(PLAN, ["127.0.0.1:1", "127.0.0.1:2"])
     assert json.loads(registry.full_list())["hosts"][3] == {
         "host": "s-00000003",
--- a/tests/scale_test/test_slopes.py
+++ b/tests/scale_test/test_slopes.py
@@ -17,7 +17,7 @@
 from scale_test.slopes.subjects import SUBJECTS, measure
 
 
-def test_a_line_is_fitted_and_its_power_told() -> None:
+def test_a_line_is_fitted_and_has_its_power() -> None:
     line = fit([Point(x, 3 + 2 * x) for x in (1, 10, 100, 1000)])
     assert line.base == pytest.approx(3)
     assert line.each == pytest.approx(2)
@@ -63,13 +63,13 @@
 def test_results_are_added_to_the_file(tmp_path: Path) -> None:
     file = tmp_path / "slopes.json"
     for name in ("tenants", "requests"):
-        told = CliRunner().invoke(main, [name, "--sizes", "2,4", "--json", str(file)])
-        assert told.exit_code == 0, told.output
-        assert told.output.split()[0] == name
-    held = orjson.loads(file.read_bytes())
-    assert set(held["subjects"]) == {"tenants", "requests"}
-    assert held["balancer"]
-    assert "tool" in held
+        result = CliRunner().invoke(main, [name, "--sizes", "2,4", "--json", str(file)])
+        assert result.exit_code == 0, result.output
+        assert result.output.split()[0] == name
+    content = orjson.loads(file.read_bytes())
+    assert set(content["subjects"]) == {"tenants", "requests"}
+    assert content["balancer"]
+    assert "tool" in content
 
 
 @pytest.fixture(scope="module")
