--- /dev/null
+++ b/tests/policy/test_timer_queue.py
@@ -0,0 +1,52 @@
+"""The order of timers, and the one wake-up that is set for them."""
+
+from __future__ import annotations
+
+from loadbalancer.messages import SetTimer
+from loadbalancer.state.timer_queue import PollDiscovery, ServeQueue, TimerQueue
+
+
+def test_timers_come_by_due_time_and_then_in_the_order_of_scheduling() -> None:
+    queue = TimerQueue()
+    later, first, second = ServeQueue(), ServeQueue(), PollDiscovery()
+    queue.schedule(20, later)
+    queue.schedule(10, first)
+    queue.schedule(10, second)
+    assert list(queue.pop_due(9)) == []
+    assert list(queue.pop_due(20)) == [first, second, later]
+    assert len(queue) == 0
+
+
+def test_a_timer_that_is_due_when_scheduled_comes_in_the_same_walk() -> None:
+    queue = TimerQueue()
+    first, second = ServeQueue(), ServeQueue()
+    queue.schedule(10, first)
+    popped = []
+    for timer in queue.pop_due(10):
+        popped.append(timer)
+        if timer is first:
+            queue.schedule(5, second)
+    assert popped == [first, second]
+
+
+def test_a_wake_up_is_set_anew_only_for_an_earlier_timer() -> None:
+    queue = TimerQueue()
+    assert queue.next_wake_up(0) is None
+    queue.schedule(20, ServeQueue())
+    assert queue.next_wake_up(0) == SetTimer(20, "1")
+    queue.schedule(30, ServeQueue())
+    assert queue.next_wake_up(0) is None
+    queue.schedule(10, ServeQueue())
+    assert queue.next_wake_up(0) == SetTimer(10, "2")
+
+
+def test_a_wake_up_that_was_replaced_is_ignored() -> None:
+    queue = TimerQueue()
+    queue.schedule(20, ServeQueue())
+    queue.next_wake_up(0)
+    queue.schedule(10, ServeQueue())
+    queue.next_wake_up(0)
+    queue.on_wake_up("1")
+    assert queue.next_wake_up(9) is None
+    queue.on_wake_up("2")  # a little early
+    assert queue.next_wake_up(9) == SetTimer(1, "3")
