--- a/loadbalancer/state/endpoint_updates.py
+++ b/loadbalancer/state/endpoint_updates.py
@@ -3,7 +3,6 @@
 from __future__ import annotations
 
 from collections.abc import Callable, Iterable
-from typing import TYPE_CHECKING
 
 from loadbalancer.messages import Endpoint, EndpointUpdate, EndpointUpdateKind
 from loadbalancer.settings import DeduplicationScope, Settings
@@ -13,11 +12,9 @@
 from loadbalancer.state.fleet import Fleet
 from loadbalancer.state.hash_ring import RingKey, unmix64
 from loadbalancer.state.live_weights import LiveWeights
+from loadbalancer.state.subset import Subset
 
-if TYPE_CHECKING:
-    from loadbalancer.state.subset import Subset
-
-ChooseSubset = Callable[[EndpointTable, Placement], "Subset"]
+ChooseSubset = Callable[[EndpointTable, Placement], Subset]
 
 
 class EndpointUpdates:
