--- a/tests/proxy/test_discovery_outage.py
+++ b/tests/proxy/test_discovery_outage.py
@@ -51,7 +51,7 @@
 FAILED, SILENT = EndpointUpdateKind.FAILED, EndpointUpdateKind.WATCH_TIMED_OUT
 
 
-def calls(seed: int, failing: Iterator[tuple[float, EndpointUpdateKind]], until_s: float) -> list[float]:
+def call_times(seed: int, failing: Iterator[tuple[float, EndpointUpdateKind]], until_s: float) -> list[float]:
     """When the module calls a discovery where each call fails so many seconds later."""
     balancer, now, times = Balancer(settings(discovery_pushes=False), seed, START), START, []
     due: list[tuple[int, Event]] = [(START, EndpointUpdate(EndpointUpdateKind.CACHED))]
@@ -84,7 +84,7 @@
     # At worst discovery is back just after a call went out, which fails all the same: the next one must
     # bring the news. The pause alone grew to 8 s.
     for seed in range(30):
-        times = calls(seed, itertools.chain([(9.0, FAILED)], itertools.cycle(fails)), 120)[1:]
+        times = call_times(seed, itertools.chain([(9.0, FAILED)], itertools.cycle(fails)), 120)[1:]
         gaps = [b - a for a, b in itertools.pairwise(times)]
         assert len(gaps) > 20
         assert max(gaps) <= CHANGE_DUE_S - ANSWER_S
@@ -94,14 +94,14 @@
     # A watch that may wait 10 s is found silent after 11, and what it missed counts as told after 12.
     for seed in range(30):
         failing = itertools.chain([(11.0, SILENT), (0.05, FAILED)], itertools.repeat((0.05, FAILED)))
-        first, again, soon, *later = calls(seed, failing, 40)
+        first, again, soon, *later = call_times(seed, failing, 40)
         assert again - first == pytest.approx(11.0, abs=0.01)
         assert soon - again <= 0.05 + 0.2 + 0.01
         assert later[0] - soon >= 1.0  # discovery is down, not the watch alone: no more haste
 
 
 def test_discovery_is_asked_still_after_hours_of_failure() -> None:
-    times = calls(1, itertools.repeat((REFUSED_S, FAILED)), 4 * 3600)
+    times = call_times(1, itertools.repeat((REFUSED_S, FAILED)), 4 * 3600)
     assert times[-1] > 4 * 3600 - CHANGE_DUE_S
 
 
@@ -112,8 +112,10 @@
     per_second: Counter[int] = Counter()
     for seed in range(fleet):
         ends = 10.0  # of all first calls, whenever each one went out
-        first = calls(seed, itertools.repeat((99.0, FAILED)), 5)[0]
-        times = calls(seed, itertools.chain([(ends - first, FAILED)], itertools.repeat((0.0, FAILED))), 60)
+        first = call_times(seed, itertools.repeat((99.0, FAILED)), 5)[0]
+        times = call_times(
+            seed, itertools.chain([(ends - first, FAILED)], itertools.repeat((0.0, FAILED))), 60
+        )
         per_second.update(int(t) for t in times)
     late = [per_second[s] for s in range(10, 59)]
     assert max(late) < 0.45 * fleet
@@ -124,7 +126,7 @@
     writer.write(written(503))
 
 
-def shorten(monkeypatch: pytest.MonkeyPatch) -> None:
+def shorten_waits(monkeypatch: pytest.MonkeyPatch) -> None:
     """All waits but the one of a watch where the list is asked for: what hides behind that is not seen."""
     for name, value in (
         ("discovery_client.AGENT_WAIT_MS", 40),
@@ -141,7 +143,7 @@
     order: list[Answer], asked: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     # A call fails, the next is never answered: what then changes must not wait for a watch of 10 s to end.
-    shorten(monkeypatch)
+    shorten_waits(monkeypatch)
 
     async def test() -> None:
         registry, bad = FakeDiscovery(), iter(order)
@@ -170,7 +172,7 @@
     run(test())
 
 
-class Machine(FakeUpstream):
+class UnreachableServer(FakeUpstream):
     """One that is not there yet: its port is held, connections to it are refused, or never come up."""
 
     def __init__(self, answer: Answer, refuses: bool) -> None:
@@ -190,7 +192,7 @@
                 self._filling[-1].connect_ex((HOST, self.port))
         return self
 
-    async def comes_back(self) -> None:
+    async def come_back(self) -> None:
         self._server = await asyncio.start_server(self._serve, sock=self._socket)
 
     def stop(self) -> None:
@@ -204,11 +206,11 @@
 def test_a_drain_is_in_force_when_a_machine_that_was_away_is_back(
     refuses: bool, asked: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    shorten(monkeypatch)
+    shorten_waits(monkeypatch)
 
     async def test() -> None:
         registry = FakeDiscovery()
-        registry.upstream = machine = Machine(registry.upstream.answer, refuses)
+        registry.upstream = server = UnreachableServer(registry.upstream.answer, refuses)
         module = Balancer(node_settings(asked=asked), 1, time.monotonic_ns())
         monkeypatch.setattr(
             "loadbalancer.proxy.discovery_client.POLL_WAIT_MS", 40
@@ -216,7 +218,7 @@
         async with node(module, registry=registry, known_list=known(5), asked=asked) as client:
             await until(lambda: client.node._discovery_client._watch_backoff.failures >= 3)
             registry.change("s0", health="draining")
-            await machine.comes_back()
+            await server.come_back()
             await until(lambda: not client.node.endpoint_addresses())
 
     run(test())
@@ -226,7 +228,7 @@
 def test_a_new_address_that_is_away_at_first_is_asked_until_it_answers(
     kind: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    shorten(monkeypatch)
+    shorten_waits(monkeypatch)
 
     async def test() -> None:
         old, new = FakeDiscovery(), FakeDiscovery()
@@ -235,7 +237,7 @@
         if kind == "silent":
             new.upstream.answer = silent
         else:
-            new.upstream = Machine(heard, kind == "refuses")
+            new.upstream = UnreachableServer(heard, kind == "refuses")
         await new.upstream.start()
         async with node(ScriptedPolicy(), registry=old, known_list=known(5)) as client:
             await until(lambda: old.calls)
@@ -244,8 +246,8 @@
             assert handover is not None
             await until(lambda: handover.backoff.failures >= 2)
             assert client.node.endpoint_addresses()
-            if isinstance(new.upstream, Machine):
-                await new.upstream.comes_back()
+            if isinstance(new.upstream, UnreachableServer):
+                await new.upstream.come_back()
             else:
                 new.upstream.answer = heard
             await until(lambda: not client.node.endpoint_addresses())
@@ -256,10 +258,10 @@
 
 
 DESCRIPTORS = 256
-PLACES = (DESCRIPTORS - 32) // 2  # for clients, and as many for connections to upstreams
+MAX_CONNECTIONS = (DESCRIPTORS - 32) // 2  # for clients, and as many for connections to upstreams
 
 
-async def says_nothing(port: int) -> None:
+async def keep_idle_connection(port: int) -> None:
     """A client that takes a place and, when it loses it, another one."""
     while True:
         reader, writer = await asyncio.open_connection(HOST, port)
@@ -273,20 +275,20 @@
 def test_idle_clients_in_all_places_keep_neither_the_list_away_nor_requests(
     kind: str, asked: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    shorten(monkeypatch)
+    shorten_waits(monkeypatch)
     monkeypatch.setattr("loadbalancer.proxy.discovery_client.POLL_WAIT_MS", 40)
 
     async def test() -> None:
-        upstreams = [await FakeUpstream(answers(200)).start() for _ in range(PLACES // KEPT_IDLE)]
+        upstreams = [await FakeUpstream(answers(200)).start() for _ in range(MAX_CONNECTIONS // KEPT_IDLE)]
         registry = FakeDiscovery()
         heard: Answer = registry.upstream.answer
         if kind == "refuses":
-            registry.upstream = Machine(heard, True)
+            registry.upstream = UnreachableServer(heard, True)
         else:
             registry.upstream.answer = {"breaks": breaks, "silent": silent}[kind]
         module = Balancer(node_settings(asked=asked), 1, time.monotonic_ns())
         async with node(module, *upstreams, registry=registry, sockets=DESCRIPTORS, asked=asked) as client:
-            hub, server, discovery = (
+            limits, server, discovery = (
                 client.node._connection_limits,
                 client.node.downstream,
                 client.node._discovery_client,
@@ -297,28 +299,30 @@
                 assert pool is not None
                 for _ in range(KEPT_IDLE):
                     pool.start_exchange(b"GET /read HTTP/1.1\r\n\r\n", None, lambda _result, _response: None)
-            await until(lambda: len(hub.idle_connections) == PLACES)
-            idle = [asyncio.create_task(says_nothing(client.port)) for _ in range(PLACES + 30)]
+            await until(lambda: len(limits.idle_connections) == MAX_CONNECTIONS)
+            idle = [
+                asyncio.create_task(keep_idle_connection(client.port)) for _ in range(MAX_CONNECTIONS + 30)
+            ]
             served, most = [], 0
 
             async def asks() -> None:
                 nonlocal most
-                await until(lambda: len(server._connections) == PLACES)
+                await until(lambda: len(server._connections) == MAX_CONNECTIONS)
                 another = client.another()
                 served.append((await another.ask(request())).status)
                 another.close()
                 most = max(
                     most,
                     len(server._connections)
-                    + hub.open_connections
+                    + limits.open_connections
                     + discovery._target.pool.limits.open_connections,
                 )
 
             while discovery._watch_backoff.failures < 4:
                 await asks()
             registry.change("s0", port=upstreams[0].port, health="draining")
-            if isinstance(registry.upstream, Machine):
-                await registry.upstream.comes_back()
+            if isinstance(registry.upstream, UnreachableServer):
+                await registry.upstream.come_back()
             else:
                 registry.upstream.answer = heard
             await until(lambda: numbers[upstreams[0].port] not in client.node.endpoint_addresses())
--- a/tests/proxy/test_endpoint_list_reader.py
+++ b/tests/proxy/test_endpoint_list_reader.py
@@ -284,7 +284,7 @@
         gc.unfreeze()
 
 
-def test_a_configuration_need_not_know_a_list_but_a_bad_one_is_told(tmp_path: Path) -> None:
+def test_a_configuration_need_not_hold_a_list_but_a_bad_one_raises_an_error(tmp_path: Path) -> None:
     path = tmp_path / "config.json"
     for known in ({}, {"known": None}):
         path.write_text(json.dumps(CONFIG | known))
