--- a/loadbalancer/messages.py
+++ b/loadbalancer/messages.py
@@ -84,7 +84,7 @@
     tenant: str  # empty: none
     deadline_ns: int  # time after which the answer is worth nothing
     cost_hint_ns: int = 0  # work that the client expects it to take; 0: no hint
-    idempotency_key: str = ""  # empty: none
+    affinity_key: str = ""  # empty: none
     is_retry: bool = False  # the client says that it has sent the same before
 
 
--- a/loadbalancer/proxy/pending_requests.py
+++ b/loadbalancer/proxy/pending_requests.py
@@ -171,7 +171,7 @@
         tenant=request.header(b"req-owner").decode("latin-1"),
         deadline_ns=deadline_ns,
         cost_hint_ns=cost_us * MICROSECOND_NS,
-        idempotency_key=_user_cookie(request),
+        affinity_key=_user_cookie(request),
         is_retry=request.header(b"req-retry") == b"1",
     )
 
--- a/tests/proxy/test_requests.py
+++ b/tests/proxy/test_requests.py
@@ -77,7 +77,7 @@
         assert 4000 < int(forwarded.headers["req-deadline-ms"]) <= 5000
         assert "x-hop" not in forwarded.headers
     arrival = policy.of(RequestArrived)[0]
-    assert (arrival.class_name, arrival.tenant, arrival.idempotency_key) == ("pay", "acme", "7f3a")
+    assert (arrival.class_name, arrival.tenant, arrival.affinity_key) == ("pay", "acme", "7f3a")
     assert arrival.cost_hint_ns == 1_200_000
     assert arrival.is_retry
     assert time.monotonic_ns() + 5000 * MS - arrival.deadline_ns > 0
