--- a/loadbalancer/policy/balancer.py
+++ b/loadbalancer/policy/balancer.py
@@ -3,7 +3,8 @@
 from __future__ import annotations
 
 import random
-from collections.abc import Iterable
+from collections.abc import Callable, Iterable
+from typing import Any
 
 from loadbalancer import messages
 from loadbalancer.policy.attempt_results import AttemptResults
@@ -60,6 +61,15 @@
         self.load_probing = LoadProbing(probes_load, self.selection, self.timers)
         self.attempt_results = AttemptResults(outliers, limit, self.rate_controller)
         self.requests = RequestTable()
+        self._handlers: dict[type[messages.Event], Callable[[Any, int], None]] = {
+            messages.RequestArrived: self._on_request,
+            messages.AttemptEnded: self._on_attempt_ended,
+            messages.TimerExpired: self._on_timer_expired,
+            messages.HealthCheckEnded: self._on_health_check_ended,
+            messages.ClientDisconnected: self._on_client_disconnected,
+            messages.EndpointUpdate: self._on_endpoint_update,
+            messages.ResponseStarted: self._on_response_started,
+        }
         self.actions: list[messages.Action] = []
         self.feedback_ns = now
         self.discovery_retry = DiscoveryRetry(settings, self.rng)
@@ -73,8 +83,10 @@
         if self.timers.lateness_ns(now) > STALL_NS:
             self.attempt_results.exclude_stalled(self.requests.values(), self.fleet.endpoints.values(), now)
         for event in events:
-            self._on_event(event, now)
-        for timer in self.timers.pop_due(now):
+            handler = self._handlers.get(type(event))
+            if handler is not None:  # no decision depends on gossip
+                handler(event, now)
+        while (timer := self.timers.pop_due(now)) is not None:
             self._on_timer(timer, now)
         for pool in self.fleet.pools.values():
             self._serve_queue(pool, now)
@@ -85,24 +97,21 @@
             self.actions.append(wake_up)
         return self.actions
 
-    def _on_event(self, event: messages.Event, now: int) -> None:
-        match event:  # the most frequent first; no decision depends on gossip
-            case messages.RequestArrived():
-                self._on_request(event, now)
-            case messages.AttemptEnded():
-                self._on_attempt_ended(event, now)
-            case messages.TimerExpired():
-                self.timers.on_wake_up(event.name)
-            case messages.HealthCheckEnded():
-                state = self.fleet.endpoints.get(event.endpoint_id)
-                if state is not None:
-                    self.actions += self.load_probing.record_result(state, event, now)
-            case messages.ClientDisconnected() if event.request_id in self.requests:
-                self._finish(self.requests[event.request_id])
-            case messages.EndpointUpdate():
-                self._on_endpoint_update(event, now)
-            case messages.ResponseStarted() if event.request_id in self.requests:
-                self.requests[event.request_id].streaming = True
+    def _on_timer_expired(self, event: messages.TimerExpired, now: int) -> None:
+        self.timers.on_wake_up(event.name)
+
+    def _on_health_check_ended(self, event: messages.HealthCheckEnded, now: int) -> None:
+        state = self.fleet.endpoints.get(event.endpoint_id)
+        if state is not None:
+            self.actions += self.load_probing.record_result(state, event, now)
+
+    def _on_client_disconnected(self, event: messages.ClientDisconnected, now: int) -> None:
+        if event.request_id in self.requests:
+            self._finish(self.requests[event.request_id])
+
+    def _on_response_started(self, event: messages.ResponseStarted, now: int) -> None:
+        if event.request_id in self.requests:
+            self.requests[event.request_id].streaming = True
 
     def _on_timer(self, timer: Timer, now: int) -> None:
         match timer:  # nothing for ServeQueue: the queues are served after each batch
@@ -178,7 +187,8 @@
 
     def _start_waiting(self, request: Request, now: int) -> None:
         request.place = QueuePlace.POOL_QUEUE
-        self.actions += self.load_probing.start(request, now)
+        if self.load_probing.enabled:
+            self.actions += self.load_probing.start(request, now)
 
     def _serve_queue(self, pool: EndpointPool, now: int) -> None:
         """Serve the queue in order while an endpoint has capacity."""
@@ -187,7 +197,7 @@
             if self.load_probing.is_waiting(request, now):
                 break
             candidates = self.selection.retry_candidates(request, now) if request.attempts else None
-            probed = self.load_probing.take_answered(request, now)
+            probed = self.load_probing.take_answered(request, now) if request.probed_endpoints else None
             state = self.selection.pick(pool, now, probed or candidates)
             if state is None and candidates is None:
                 pool.blocked_since_ns = pool.blocked_since_ns or now
--- a/loadbalancer/policy/load_probing.py
+++ b/loadbalancer/policy/load_probing.py
@@ -31,8 +31,6 @@
 
     def start(self, request: Request, now: int) -> list[CheckHealth]:
         """Draw endpoints for a request, and return the health checks that ask them for their load."""
-        if not self.enabled:
-            return []
         request.probed_endpoints = list(dict.fromkeys(self.selection.draw(request.pool, PROBES, now)))
         request.probed_ns = now
         checks = []
--- a/loadbalancer/state/timer_queue.py
+++ b/loadbalancer/state/timer_queue.py
@@ -57,6 +57,7 @@
         self._last_sequence_number = 0
         self._wake_up_ns = 0  # when the wake-up that counts is due; 0: none is set
         self._wake_up_number = 0
+        self.wake_up_name = "0"  # of the wake-up that counts; earlier ones are out of date
 
     def __len__(self) -> int:
         return len(self._heap)
@@ -74,15 +75,11 @@
         """Return for how long the first timer has been due; 0 or less: none is late."""
         return now - self._heap[0][0] if self._heap else 0
 
-    def pop_due(self, now: int) -> Iterator[Timer]:
-        """Remove and yield the timers that are due, those included that are scheduled meanwhile."""
-        while self._heap and self._heap[0][0] <= now:
-            yield heapq.heappop(self._heap)[2]
-
-    @property
-    def wake_up_name(self) -> str:
-        """The name of the wake-up that counts; earlier ones are out of date."""
-        return str(self._wake_up_number)
+    def pop_due(self, now: int) -> Timer | None:
+        """Remove and return the first timer if it is due, else return None."""
+        if self._heap and self._heap[0][0] <= now:
+            return heapq.heappop(self._heap)[2]
+        return None
 
     def on_wake_up(self, name: str) -> None:
         """Note that a wake-up has come: by its name, not the clock, for it may come a little early."""
@@ -98,4 +95,5 @@
             return None
         self._wake_up_ns = first_due_ns
         self._wake_up_number += 1
+        self.wake_up_name = str(self._wake_up_number)
         return SetTimer(max(1, first_due_ns - now), self.wake_up_name)
