--- a/loadbalancer/policy/balancer.py
+++ b/loadbalancer/policy/balancer.py
@@ -178,16 +178,17 @@
 
     def _start_waiting(self, request: Request, now: int) -> None:
         request.place = QueuePlace.POOL_QUEUE
-        self.actions += self.load_probing.start(request, now)
+        if self.load_probing.enabled:
+            self.actions += self.load_probing.start(request, now)
 
     def _serve_queue(self, pool: EndpointPool, now: int) -> None:
         """Serve the queue in order while an endpoint has capacity."""
         while pool.queue:
             request = pool.queue[0]
-            if self.load_probing.is_waiting(request, now):
+            if request.probed_endpoints and self.load_probing.is_waiting(request, now):
                 break
             candidates = self.selection.retry_candidates(request, now) if request.attempts else None
-            probed = self.load_probing.take_answered(request, now)
+            probed = self.load_probing.take_answered(request, now) if request.probed_endpoints else None
             state = self.selection.pick(pool, now, probed or candidates)
             if state is None and candidates is None:
                 pool.blocked_since_ns = pool.blocked_since_ns or now
--- a/loadbalancer/policy/load_probing.py
+++ b/loadbalancer/policy/load_probing.py
@@ -31,8 +31,6 @@
 
     def start(self, request: Request, now: int) -> list[CheckHealth]:
         """Draw endpoints for a request, and return the health checks that ask them for their load."""
-        if not self.enabled:
-            return []
         request.probed_endpoints = list(dict.fromkeys(self.selection.draw(request.pool, PROBES, now)))
         request.probed_ns = now
         checks = []
@@ -58,7 +56,7 @@
 
     def is_waiting(self, request: Request, now: int) -> bool:
         """Tell whether a request still waits for a load that was asked for on its behalf."""
-        if not request.probed_endpoints or now >= request.probed_ns + PROBE_TIMEOUT_NS:
+        if now >= request.probed_ns + PROBE_TIMEOUT_NS:
             return False
         oldest_ns = request.probed_ns - PROBE_FRESH_NS
         return any(state.reported_ns <= oldest_ns for state in request.probed_endpoints)
