--- a/loadbalancer/proxy/discovery_call.py
+++ b/loadbalancer/proxy/discovery_call.py
@@ -6,11 +6,13 @@
 import logging
 from collections.abc import Callable
 from enum import Enum
+from http import HTTPStatus
 
 from loadbalancer.messages import AttemptResult
 from loadbalancer.proxy.addresses import Address
 from loadbalancer.proxy.connection_pool import ConnectionLimits, ConnectionPool
-from loadbalancer.proxy.endpoint_list import EndpointList, EndpointListReader
+from loadbalancer.proxy.endpoint_list import EndpointList
+from loadbalancer.proxy.endpoint_list_reader import EndpointListReader
 from loadbalancer.proxy.errors import EndpointListError
 from loadbalancer.proxy.http import Message, write_request
 from loadbalancer.proxy.steps import Steps, run_interleaved, run_through
@@ -84,7 +86,7 @@
 
     def _on_exchange_ended(self, result: AttemptResult, response: Message | None) -> None:
         self._target.refuses_connections = result is AttemptResult.CONNECT_FAILED
-        if result is not AttemptResult.OK or response is None or response.status != 200:
+        if result is not AttemptResult.OK or response is None or response.status != HTTPStatus.OK:
             self._log_failure(result, response)
             timed_out = result is AttemptResult.TIMEOUT
             self._on_result(WatchFailure.TIMED_OUT if timed_out else WatchFailure.CALL_FAILED)
--- a/loadbalancer/proxy/proxy.py
+++ b/loadbalancer/proxy/proxy.py
@@ -41,7 +41,8 @@
 from loadbalancer.proxy.discovery_client import DiscoveryClient
 from loadbalancer.proxy.downstream import DownstreamServer
 from loadbalancer.proxy.endpoint_addresses import EndpointAddresses
-from loadbalancer.proxy.endpoint_list import EndpointListReader, unix_offset_ns
+from loadbalancer.proxy.endpoint_list_parser import unix_offset_ns
+from loadbalancer.proxy.endpoint_list_reader import EndpointListReader
 from loadbalancer.proxy.endpoint_updates import EndpointUpdater
 from loadbalancer.proxy.gossip import Gossip
 from loadbalancer.proxy.health_checks import HealthChecks
@@ -53,7 +54,7 @@
 log = logging.getLogger(__name__)
 RESERVED_DESCRIPTORS = 32  # for the event loop, listening, discovery, peers, logs, and sockets being closed
 MIN_CONNECTIONS = 8  # on either side, however few descriptors there are
-SWEEP_S = 1.0
+SWEEP_INTERVAL_S = 1.0  # of idle connections, empty pools and the ids of hosts that are gone
 
 
 class Policy(Protocol):
@@ -85,7 +86,7 @@
         )
         self.downstream = DownstreamServer(self, max_connections)
         self._list_reader = EndpointListReader(
-            unix_offset_ns(), None if config.known_endpoints is None else config.known_endpoints.host_numbers
+            unix_offset_ns(), None if config.known_endpoints is None else config.known_endpoints.id_registry
         )
         self._addresses = EndpointAddresses(self._connection_limits)
         self._endpoint_updater = EndpointUpdater(self._list_reader, self._addresses, self._on_endpoint_update)
@@ -141,8 +142,8 @@
     def _sweep_once(self) -> None:
         self._connection_limits.close_expired()
         self._connection_limits.forget_empty_pools()
-        self._endpoint_updater.sweep_host_numbers()
-        self._sweep_timer = self._loop.call_later(SWEEP_S, self._sweep_once)
+        self._endpoint_updater.sweep_ids()
+        self._sweep_timer = self._loop.call_later(SWEEP_INTERVAL_S, self._sweep_once)
 
     @property
     def ready(self) -> bool:
--- a/loadbalancer/state/endpoint_table.py
+++ b/loadbalancer/state/endpoint_table.py
@@ -158,7 +158,8 @@
     def _shared_attributes(self, fields: EndpointFields) -> EndpointAttributes:
         attributes = self._interned.get(fields)
         if attributes is None:
-            attributes = self._interned[fields] = EndpointAttributes(*fields)
+            attributes = EndpointAttributes._make(fields)
+            self._interned[attributes] = attributes  # its own key: a second tuple would cost as much again
         return attributes
 
     def _record_change(self, number: int, old: EndpointAttributes | None) -> None:
--- a/scale_test/plan.py
+++ b/scale_test/plan.py
@@ -10,8 +10,8 @@
 import psutil
 
 from scale_test.errors import PlanError
+from scale_test.units import BYTES_PER_MB
 
-BYTES_PER_MB = 1_000_000
 SECONDS_PER_DAY = 86_400
 HELPERS = 3  # discovery, upstreams, clients
 MAX_PROCESSES = 200
@@ -82,7 +82,7 @@
 
     @property
     def replica_count(self) -> int:
-        """How many balancers each is told that there are."""
+        """How many balancers there are by the settings of each."""
         return self.replicas or self.balancers
 
     @property
--- a/scale_test/subset_balance.py
+++ b/scale_test/subset_balance.py
@@ -8,8 +8,8 @@
 
 from loadbalancer.messages import Endpoint
 from loadbalancer.policy.subsetting import choose_subset
-from loadbalancer.proxy.endpoint_list import number_of
 from loadbalancer.settings import Prices, Settings
+from loadbalancer.state.endpoint_ids import preferred_id
 from loadbalancer.state.endpoint_table import EndpointTable, Placement
 from scale_test.plan import Plan, zone_name
 from scale_test.registry import UPSTREAMS_PER_BLOCK
@@ -43,7 +43,7 @@
     """Count memberships over all balancers, and those moved by one balancer more or one upstream gone."""
     plan = Plan(upstreams=upstreams)
     zones = [zone_name(number) for number in range(plan.zones)] if zoned else []
-    ids = [number_of(f"s-{number:08x}") for number in range(upstreams)]
+    ids = [preferred_id(f"s-{number:08x}") for number in range(upstreams)]
     table = endpoint_table(plan, ids, balancers, zones)
     before = choose_subsets(table, balancers, zones)
     memberships = Counter(endpoint for subset in before for endpoint in subset)
