--- a/loadbalancer/policy/balancer.py
+++ b/loadbalancer/policy/balancer.py
@@ -80,24 +80,25 @@
         """Take what has happened since the last call, in order; return what is to be done."""
         self.actions = []
         self.throttles.now = now
-        if self.timers.lateness_ns(now) > STALL_NS:
+        timers = self.timers
+        if now - timers.first_due_ns > STALL_NS:
             self.attempt_results.exclude_stalled(self.requests.values(), self.fleet.endpoints.values(), now)
         for event in events:
             handler = self._handlers.get(type(event))
             if handler is not None:  # no decision depends on gossip
                 handler(event, now)
-        while (timer := self.timers.pop_due(now)) is not None:
-            self._on_timer(timer, now)
+        while timers.first_due_ns <= now:
+            self._on_timer(timers.pop(), now)
         for pool in self.fleet.pools.values():
             self._serve_queue(pool, now)
         if now - self.feedback_ns >= FEEDBACK_NS:
             self._feedback(now)
-        wake_up = self.timers.next_wake_up(now)
+        wake_up = timers.next_wake_up(now)
         if wake_up is not None:
             self.actions.append(wake_up)
         return self.actions
 
-    def _on_timer_expired(self, event: messages.TimerExpired, now: int) -> None:
+    def _on_timer_expired(self, event: messages.TimerExpired, _now: int) -> None:
         self.timers.on_wake_up(event.name)
 
     def _on_health_check_ended(self, event: messages.HealthCheckEnded, now: int) -> None:
@@ -105,11 +106,11 @@
         if state is not None:
             self.actions += self.load_probing.record_result(state, event, now)
 
-    def _on_client_disconnected(self, event: messages.ClientDisconnected, now: int) -> None:
+    def _on_client_disconnected(self, event: messages.ClientDisconnected, _now: int) -> None:
         if event.request_id in self.requests:
             self._finish(self.requests[event.request_id])
 
-    def _on_response_started(self, event: messages.ResponseStarted, now: int) -> None:
+    def _on_response_started(self, event: messages.ResponseStarted, _now: int) -> None:
         if event.request_id in self.requests:
             self.requests[event.request_id].streaming = True
 
@@ -194,7 +195,7 @@
         """Serve the queue in order while an endpoint has capacity."""
         while pool.queue:
             request = pool.queue[0]
-            if self.load_probing.is_waiting(request, now):
+            if request.probed_endpoints and self.load_probing.is_waiting(request, now):
                 break
             candidates = self.selection.retry_candidates(request, now) if request.attempts else None
             probed = self.load_probing.take_answered(request, now) if request.probed_endpoints else None
--- a/loadbalancer/policy/latency_model.py
+++ b/loadbalancer/policy/latency_model.py
@@ -57,9 +57,9 @@
 
     def record_latency(self, load: float, latency_ns: float) -> None:
         """Fit the line anew; with little variance in the load, all is laid on what each request adds."""
-        samples = self.regression
-        samples.add(load, latency_ns)
-        slope_max = self.service_interval_ns = max(1.0, samples.mean_y() / samples.mean_x())
-        slope = (samples.covariance() + slope_max) / (samples.variance_x() + 1)
+        self.regression.add(load, latency_ns)
+        mean_load, mean_latency_ns, variance, covariance = self.regression.moments()
+        slope_max = self.service_interval_ns = max(1.0, mean_latency_ns / mean_load)
+        slope = (covariance + slope_max) / (variance + 1)
         self.per_request_ns = min(slope_max, max(slope_max / 10, slope))
-        self.base_ns = max(0.0, samples.mean_y() - self.per_request_ns * samples.mean_x())
+        self.base_ns = max(0.0, mean_latency_ns - self.per_request_ns * mean_load)
--- a/loadbalancer/policy/load_probing.py
+++ b/loadbalancer/policy/load_probing.py
@@ -56,7 +56,7 @@
 
     def is_waiting(self, request: Request, now: int) -> bool:
         """Tell whether a request still waits for a load that was asked for on its behalf."""
-        if not request.probed_endpoints or now >= request.probed_ns + PROBE_TIMEOUT_NS:
+        if now >= request.probed_ns + PROBE_TIMEOUT_NS:
             return False
         oldest_ns = request.probed_ns - PROBE_FRESH_NS
         return any(state.reported_ns <= oldest_ns for state in request.probed_endpoints)
--- a/loadbalancer/state/running_regression.py
+++ b/loadbalancer/state/running_regression.py
@@ -2,6 +2,17 @@
 
 from __future__ import annotations
 
+from typing import NamedTuple
+
+
+class Moments(NamedTuple):
+    """What a least-squares fit of y over x needs."""
+
+    mean_x: float
+    mean_y: float
+    variance_x: float
+    covariance: float
+
 
 class RunningRegression:
     """The sums of a least-squares fit of y over x.
@@ -27,18 +38,10 @@
         self.sum_xx = self.decay * self.sum_xx + x * x
         self.sum_xy = self.decay * self.sum_xy + x * y
 
-    def mean_x(self) -> float:
-        """Return the mean of x."""
-        return self.sum_x / self.count
-
-    def mean_y(self) -> float:
-        """Return the mean of y."""
-        return self.sum_y / self.count
-
-    def variance_x(self) -> float:
-        """Return the variance of x."""
-        return self.sum_xx / self.count - self.mean_x() ** 2
-
-    def covariance(self) -> float:
-        """Return the covariance of x and y."""
-        return self.sum_xy / self.count - self.mean_x() * self.mean_y()
+    def moments(self) -> Moments:
+        """Return the means, the variance of x and the covariance of the samples."""
+        mean_x = self.sum_x / self.count
+        mean_y = self.sum_y / self.count
+        variance_x = self.sum_xx / self.count - mean_x**2
+        covariance = self.sum_xy / self.count - mean_x * mean_y
+        return Moments(mean_x, mean_y, variance_x, covariance)
--- a/loadbalancer/state/timer_queue.py
+++ b/loadbalancer/state/timer_queue.py
@@ -3,6 +3,7 @@
 from __future__ import annotations
 
 import heapq
+import sys
 from collections.abc import Iterator
 from dataclasses import dataclass
 from typing import TYPE_CHECKING
@@ -49,12 +50,16 @@
 Timer = GiveUp | AttemptOverdue | TokenDue | ServeQueue | PollDiscovery
 
 
+NEVER_NS = sys.maxsize  # later than any clock
+
+
 class TimerQueue:
     """A heap of timers. Those due at the same time come in the order in which they were scheduled."""
 
     def __init__(self) -> None:
         self._heap: list[tuple[int, int, Timer]] = []  # due time, sequence number, timer
         self._last_sequence_number = 0
+        self.first_due_ns = NEVER_NS  # when the first timer is due
         self._wake_up_ns = 0  # when the wake-up that counts is due; 0: none is set
         self._wake_up_number = 0
         self.wake_up_name = "0"  # of the wake-up that counts; earlier ones are out of date
@@ -70,16 +75,13 @@
         """Add a timer."""
         self._last_sequence_number += 1
         heapq.heappush(self._heap, (due_ns, self._last_sequence_number, timer))
+        self.first_due_ns = self._heap[0][0]
 
-    def lateness_ns(self, now: int) -> int:
-        """Return for how long the first timer has been due; 0 or less: none is late."""
-        return now - self._heap[0][0] if self._heap else 0
-
-    def pop_due(self, now: int) -> Timer | None:
-        """Remove and return the first timer if it is due, else return None."""
-        if self._heap and self._heap[0][0] <= now:
-            return heapq.heappop(self._heap)[2]
-        return None
+    def pop(self) -> Timer:
+        """Remove and return the first timer; IndexError if there is none."""
+        timer = heapq.heappop(self._heap)[2]
+        self.first_due_ns = self._heap[0][0] if self._heap else NEVER_NS
+        return timer
 
     def on_wake_up(self, name: str) -> None:
         """Note that a wake-up has come: by its name, not the clock, for it may come a little early."""
@@ -88,10 +90,8 @@
 
     def next_wake_up(self, now: int) -> SetTimer | None:
         """Return the wake-up to set, if the first timer is due before the one that is set."""
-        if not self._heap:
-            return None
-        first_due_ns = self._heap[0][0]
-        if self._wake_up_ns and first_due_ns >= self._wake_up_ns:
+        first_due_ns = self.first_due_ns
+        if first_due_ns >= (self._wake_up_ns or NEVER_NS):
             return None
         self._wake_up_ns = first_due_ns
         self._wake_up_number += 1
--- a/tests/policy/test_running_regression.py
+++ b/tests/policy/test_running_regression.py
@@ -11,9 +11,10 @@
     regression = RunningRegression(1.0)
     for x, y in ((1.0, 5.0), (2.0, 7.0), (3.0, 9.0)):
         regression.add(x, y)
-    assert (regression.mean_x(), regression.mean_y()) == (2.0, 7.0)
-    assert regression.variance_x() == pytest.approx(2 / 3)
-    assert regression.covariance() == pytest.approx(2 * regression.variance_x())  # y = 2 x + 3
+    moments = regression.moments()
+    assert (moments.mean_x, moments.mean_y) == (2.0, 7.0)
+    assert moments.variance_x == pytest.approx(2 / 3)
+    assert moments.covariance == pytest.approx(2 * moments.variance_x)  # y = 2 x + 3
 
 
 def test_earlier_samples_fade() -> None:
@@ -21,5 +22,5 @@
     regression.add(0.0, 0.0)
     regression.add(3.0, 6.0)
     assert regression.count == 1.5
-    assert regression.mean_x() == 2.0
-    assert regression.mean_y() == 4.0
+    assert regression.moments().mean_x == 2.0
+    assert regression.moments().mean_y == 4.0
--- a/tests/policy/test_subsetting.py
+++ b/tests/policy/test_subsetting.py
@@ -322,13 +322,12 @@
     harness = PolicyHarness(proxy_settings(8800, index=3), endpoint_count=0)
     harness.give(EndpointUpdate(EndpointUpdateKind.CACHED, endpoints_in_all_zones(2000)))
     fleet = harness.balancer.fleet
-    selection = harness.balancer.selection
     checked = fleet.default_pool.endpoints[0]
     others = [u for u in endpoints_in_all_zones(2000, seed=9) if u.id != checked.id]
     harness.give(EndpointUpdate(EndpointUpdateKind.FULL, [*others, checked.endpoint._replace(zone="z7")]))
     if checked.id not in fleet.used_ids:
-        assert not selection.is_available(checked, harness.now)
+        assert not harness.balancer.selection.is_available(checked, harness.now)
         assert checked.id not in fleet.endpoints
     harness.give(EndpointUpdate(EndpointUpdateKind.FULL, others))
-    assert not selection.is_available(checked, harness.now)
+    assert not harness.balancer.selection.is_available(checked, harness.now)
     assert checked.id not in fleet.endpoints
--- a/tests/policy/test_timer_queue.py
+++ b/tests/policy/test_timer_queue.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from loadbalancer.messages import SetTimer
-from loadbalancer.state.timer_queue import PollDiscovery, ServeQueue, TimerQueue
+from loadbalancer.state.timer_queue import NEVER_NS, PollDiscovery, ServeQueue, TimerQueue
 
 
 def test_timers_come_by_due_time_and_then_in_the_order_of_scheduling() -> None:
@@ -12,9 +12,10 @@
     queue.schedule(20, later)
     queue.schedule(10, first)
     queue.schedule(10, second)
-    assert list(queue.pop_due(9)) == []
-    assert list(queue.pop_due(20)) == [first, second, later]
+    assert queue.first_due_ns == 10
+    assert [queue.pop(), queue.pop(), queue.pop()] == [first, second, later]
     assert len(queue) == 0
+    assert queue.first_due_ns == NEVER_NS
 
 
 def test_a_timer_that_is_due_when_scheduled_comes_in_the_same_walk() -> None:
@@ -22,9 +23,9 @@
     first, second = ServeQueue(), ServeQueue()
     queue.schedule(10, first)
     popped = []
-    for timer in queue.pop_due(10):
-        popped.append(timer)
-        if timer is first:
+    while queue.first_due_ns <= 10:
+        popped.append(queue.pop())
+        if popped[-1] is first:
             queue.schedule(5, second)
     assert popped == [first, second]
 
