--- a/tests/proxy/__init__.py
+++ b/tests/proxy/__init__.py
@@ -0,0 +1,1 @@
+"""Tests of the proxy on real loopback connections."""
--- a/tests/support/sockets.py
+++ b/tests/support/sockets.py
@@ -72,14 +72,14 @@
 
 
 def answers(status: int, body: bytes = b"", *headers: str) -> Answer:
-    async def answer(got: ReceivedRequest, writer: Writer) -> None:
+    async def answer(_request: ReceivedRequest, writer: Writer) -> None:
         writer.write(written(status, body, *headers))
 
     return answer
 
 
 def sends_raw(data: bytes, close: bool = False) -> Answer:
-    async def answer(got: ReceivedRequest, writer: Writer) -> None:
+    async def answer(_request: ReceivedRequest, writer: Writer) -> None:
         writer.write(data)
         if close:
             writer.close()
@@ -87,7 +87,7 @@
     return answer
 
 
-async def breaks(got: ReceivedRequest, writer: Writer) -> None:
+async def breaks(_request: ReceivedRequest, writer: Writer) -> None:
     writer.transport.abort()
 
 
@@ -184,12 +184,12 @@
 class ScriptedPolicy:
     """Stands in for the module: notes the events, and does what the test says."""
 
-    react: Callable[[Event], Iterable[Action]] = lambda event: ()
+    react: Callable[[Event], Iterable[Action]] = lambda _event: ()
     events: list[Event] = field(default_factory=list)
     entered: int = 0
     deepest: int = 0
 
-    def handle(self, now: int, events: Iterable[Event]) -> list[Action]:
+    def handle(self, now: int, events: Iterable[Event]) -> list[Action]:  # noqa: ARG002 - the signature of a policy
         self.entered += 1
         self.deepest = max(self.deepest, self.entered)
         self.events += events
