--- a/loadbalancer/policy/attempt_results.py
+++ b/loadbalancer/policy/attempt_results.py
@@ -20,7 +20,7 @@
         self.outlier_detection, self.concurrency_limit, self.rate_controller = outliers, limit, rate
         self.latency_model = limit.latency_model
 
-    def record(self, request: Request, attempt: Attempt, event: AttemptEnded, now: int) -> None:
+    def record(self, request: Request, attempt: Attempt, event: AttemptEnded, now_ns: int) -> None:
         """Learn from one attempt that has ended."""
         state, result = attempt.endpoint_state, event.result
         is_outlier = result not in NO_EVIDENCE and self.outlier_detection.record_attempt_end(
@@ -28,61 +28,63 @@
         )
         match result:
             case AttemptResult.OK:
-                self._record_success(request, attempt, event.elapsed_ns, now)
+                self._record_success(request, attempt, event.elapsed_ns, now_ns)
             case AttemptResult.ERROR:
                 self.rate_controller.successes += 1
             case AttemptResult.TIMEOUT:
                 if not request.stalled:
-                    self._record_timeout(request, attempt, event.elapsed_ns, now)
+                    self._record_timeout(request, attempt, event.elapsed_ns, now_ns)
             case AttemptResult.REJECTED:
                 self.rate_controller.failures[state.id] += 1
-                self.outlier_detection.eject_slow(attempt, now)
+                self.outlier_detection.eject_slow(attempt, now_ns)
             case AttemptResult.CONNECT_FAILED:
                 self.rate_controller.failures[state.id] += 1
-                self.outlier_detection.eject(state, now, EJECTION_NS)
+                self.outlier_detection.eject(state, now_ns, EJECTION_NS)
             case AttemptResult.RESET if is_outlier:
                 self.rate_controller.failures[state.id] += 1
-                self.outlier_detection.eject(state, now, EJECTION_NS)
+                self.outlier_detection.eject(state, now_ns, EJECTION_NS)
             case AttemptResult.RESET:
                 # Fewer requests cure no connection that broke by chance: the rate is not judged by it.
                 self.rate_controller.successes += 1
 
-    def _record_success(self, request: Request, attempt: Attempt, elapsed_ns: int, now: int) -> None:
+    def _record_success(self, request: Request, attempt: Attempt, elapsed_ns: int, now_ns: int) -> None:
         state = attempt.endpoint_state
         state.last_answered_ns = max(state.last_answered_ns, attempt.sent_ns)
         if not request.stalled:
             self.latency_model.record_success(request, attempt, elapsed_ns)
         self.concurrency_limit.record_completion(state)
-        if now <= request.objective_ns:
+        if now_ns <= request.objective_ns:
             self.rate_controller.successes += 1
         else:
             self._record_late(request, state.id)  # overload shows in it first
         if state.consecutive_failures:
             state.consecutive_failures = state.ejected_until_ns = 0
 
-    def _record_timeout(self, request: Request, attempt: Attempt, elapsed_ns: int, now: int) -> None:
+    def _record_timeout(self, request: Request, attempt: Attempt, elapsed_ns: int, now_ns: int) -> None:
         self._record_late(request, attempt.endpoint_state.id)
         # It would have taken longer: what is cut off must not flatten the slope.
         expected_ns = self.latency_model.latency_at(attempt.load)
         self.latency_model.record_latency(attempt.load, max(CUT_OFF_FACTOR * elapsed_ns, expected_ns))
-        self.outlier_detection.eject_slow(attempt, now)
+        self.outlier_detection.eject_slow(attempt, now_ns)
 
     def _record_late(self, request: Request, endpoint_id: int) -> None:
         """Note a late end: the interval has begun, but the end counts only if its endpoint is to blame."""
         failures = self.rate_controller.failures
         failures[endpoint_id] += 0 if request.delayed_by_throttle else 1
 
-    def record_overdue(self, attempt: Attempt, now: int) -> None:
+    def record_overdue(self, attempt: Attempt, now_ns: int) -> None:
         """Eject the endpoint of an attempt that is out longer than it should take."""
         state = attempt.endpoint_state
-        self.outlier_detection.eject_slow(attempt, now)
+        self.outlier_detection.eject_slow(attempt, now_ns)
         if state.last_answered_ns > attempt.sent_ns:
             # It answers what came later: this answer is lost, and keeps no place until its client gives up.
-            self.concurrency_limit.record_occupancy(state, now)
+            self.concurrency_limit.record_occupancy(state, now_ns)
             attempt.overdue = True
             state.mark_overdue()
 
-    def exclude_stalled(self, requests: Iterable[Request], states: Iterable[EndpointState], now: int) -> None:
+    def exclude_stalled(
+        self, requests: Iterable[Request], states: Iterable[EndpointState], now_ns: int
+    ) -> None:
         """Learn nothing from what was open while this proxy stood still: it ends late for that alone.
 
         Guards against a process that is stopped for a while (a spent share of the processor, a paused or
@@ -93,4 +95,4 @@
         for request in requests:
             request.stalled = request.delayed_by_throttle = True
         for state in states:
-            state.in_flight_since_ns = now  # nor did endpoints hold them for so long without finishing
+            state.in_flight_since_ns = now_ns  # nor did endpoints hold them for so long without finishing
--- a/loadbalancer/policy/concurrency_limit.py
+++ b/loadbalancer/policy/concurrency_limit.py
@@ -4,7 +4,7 @@
 from loadbalancer.policy.rate_control import MIN_OUTCOMES
 from loadbalancer.state.endpoint_state import EndpointState
 from loadbalancer.state.throughput_samples import ThroughputSamples
-from loadbalancer.units import SECOND
+from loadbalancer.units import NANOSECONDS_PER_SECOND
 
 LIMIT_MAX = 64
 SAMPLE_DECAY = 0.95  # a feedback interval
@@ -24,11 +24,13 @@
         self.increased_ns = 0  # when the limit last rose
         self.samples = ThroughputSamples(LIMIT_MAX + 1, MIN_OUTCOMES)
 
-    def record_occupancy(self, endpoint: EndpointState, now: int) -> None:
+    def record_occupancy(self, endpoint: EndpointState, now_ns: int) -> None:
         """Book the time for which an endpoint held what it holds; call before that changes."""
         if endpoint.in_flight and endpoint.in_subset:
-            self.samples.add_time(endpoint.in_flight, (now - endpoint.in_flight_since_ns) / SECOND)
-        endpoint.in_flight_since_ns = now
+            self.samples.add_time(
+                endpoint.in_flight, (now_ns - endpoint.in_flight_since_ns) / NANOSECONDS_PER_SECOND
+            )
+        endpoint.in_flight_since_ns = now_ns
 
     def record_completion(self, endpoint: EndpointState) -> None:
         """Book a request that an endpoint finished; call before it leaves the requests in flight."""
@@ -42,18 +44,18 @@
             return False
         return level == 1 or busy[level] * completions[level - 1] >= 4 * MIN_OUTCOMES * busy[level - 1]
 
-    def increase(self, now: int) -> bool:
+    def increase(self, now_ns: int) -> bool:
         """Raise the limit by one, as the queue waits, unless that is known not to help."""
         level = self.limit
         # Requests just sent finish less often than older ones: guards against a limit that runs away at the
         # start, before the first ones are done (incident i4eb9e9).
-        settled = now - self.increased_ns >= 3 * self.latency_model.mean_ns
+        settled = now_ns - self.increased_ns >= 3 * self.latency_model.mean_ns
         if level >= LIMIT_MAX or not settled or not self.has_enough_samples(level):
             return False
         best_below = max((self.samples.throughput(lower) for lower in range(1, level)), default=0.0)
         if self.samples.throughput(level) < MIN_GAIN * best_below or self._is_saturated(level):
             return False
-        self.limit, self.increased_ns = level + 1, now
+        self.limit, self.increased_ns = level + 1, now_ns
         return True
 
     def _is_saturated(self, level: int) -> bool:
--- a/loadbalancer/policy/discovery_retry.py
+++ b/loadbalancer/policy/discovery_retry.py
@@ -4,10 +4,14 @@
 
 from loadbalancer.messages import EndpointUpdateKind
 from loadbalancer.settings import Settings
-from loadbalancer.units import SECOND
+from loadbalancer.units import NANOSECONDS_PER_SECOND
 
-CALL_GAP_MAX_NS = 9 * SECOND // 2  # from a call that fails to the next: what it missed counts as told in 6 s
-URGENT_BACKOFF_MAX_NS = SECOND // 5  # after a call that fails where the watch before it had timed out
+CALL_GAP_MAX_NS = (
+    9 * NANOSECONDS_PER_SECOND // 2
+)  # from a call that fails to the next: what it missed counts as told in 6 s
+URGENT_BACKOFF_MAX_NS = (
+    NANOSECONDS_PER_SECOND // 5
+)  # after a call that fails where the watch before it had timed out
 FIRST_JITTER, JITTER = 0.1, 0.67  # least part of the longest backoff: after the first failure, and later
 
 
@@ -32,7 +36,7 @@
         """Return the delay of the first call, spread over the proxies that start together."""
         return int(self.rng.random() * self.poll_interval_ns / 4)
 
-    def delay_after(self, kind: EndpointUpdateKind, now: int) -> int:
+    def delay_after(self, kind: EndpointUpdateKind, now_ns: int) -> int:
         """Return the delay of the next call, after one that failed or a watch that timed out."""
         failed = kind is EndpointUpdateKind.FAILED
         urgent = failed and self.watch_timed_out
@@ -42,14 +46,14 @@
         if not failed:
             return 0
         self.failures += 1
-        backoff = self._longest_backoff_ns(now) * jitter
+        backoff = self._longest_backoff_ns(now_ns) * jitter
         if urgent:
             backoff = min(backoff, URGENT_BACKOFF_MAX_NS * self.rng.random())
         return int(backoff)
 
-    def _longest_backoff_ns(self, now: int) -> float:
+    def _longest_backoff_ns(self, now_ns: int) -> float:
         longest = min(CALL_GAP_MAX_NS, self.poll_interval_ns * 0.8)
-        call_duration_ns = now - self.called_ns
+        call_duration_ns = now_ns - self.called_ns
         if call_duration_ns >= CALL_GAP_MAX_NS:
             return longest
         return max(longest / 3, longest - call_duration_ns)
@@ -59,10 +63,10 @@
         if kind is not EndpointUpdateKind.CACHED:
             self.failures = 0
 
-    def start_call(self, now: int) -> bool:
+    def start_call(self, now_ns: int) -> bool:
         """Note that a call is due, and tell whether to make it: not where one is out already."""
         if self.watching:
             return False
         self.watching = True
-        self.called_ns = now
+        self.called_ns = now_ns
         return True
--- a/loadbalancer/policy/live_weights.py
+++ b/loadbalancer/policy/live_weights.py
@@ -21,8 +21,8 @@
             largest = self.largest.get(endpoint.machine_type, 0.0)
             self.largest[endpoint.machine_type] = max(largest, endpoint.weight)
 
-    def record(self, state: EndpointState, now: int) -> None:
+    def record(self, state: EndpointState, now_ns: int) -> None:
         """Take the load that an endpoint's weight implies as if it had been reported."""
         endpoint = state.endpoint
         if self.enabled and 0 < endpoint.weight < LOAD_MAX:
-            state.record_load(self.largest[endpoint.machine_type] / endpoint.weight - 1, now)
+            state.record_load(self.largest[endpoint.machine_type] / endpoint.weight - 1, now_ns)
--- a/loadbalancer/policy/load_probing.py
+++ b/loadbalancer/policy/load_probing.py
@@ -6,11 +6,11 @@
 from loadbalancer.state.endpoint_state import EndpointState
 from loadbalancer.state.request import Request
 from loadbalancer.state.timer_queue import ServeQueue, TimerQueue
-from loadbalancer.units import SECOND
+from loadbalancer.units import NANOSECONDS_PER_SECOND
 
 PROBES = 3  # endpoints asked before a send
 PROBE_PRICE_MAX = 0.01  # of the probes of one request, one that is repeated included
-PROBE_TIMEOUT_NS = SECOND // 100  # an answer that takes longer is not waited for
+PROBE_TIMEOUT_NS = NANOSECONDS_PER_SECOND // 100  # an answer that takes longer is not waited for
 PROBE_FRESH_NS = PROBE_TIMEOUT_NS // 2  # one so new is not repeated: a busy proxy would ask more than changes
 
 
@@ -27,40 +27,40 @@
     def __init__(self, enabled: bool, selection: Selection, timers: TimerQueue) -> None:
         self.enabled, self.selection, self.timers = enabled, selection, timers
 
-    def start(self, request: Request, now: int) -> list[CheckHealth]:
+    def start(self, request: Request, now_ns: int) -> list[CheckHealth]:
         """Draw endpoints for a request, and return the health checks that ask them for their load."""
-        request.probed_endpoints = list(dict.fromkeys(self.selection.draw(request.pool, PROBES, now)))
-        request.probed_ns = now
+        request.probed_endpoints = list(dict.fromkeys(self.selection.draw(request.pool, PROBES, now_ns)))
+        request.probed_ns = now_ns
         checks = []
         for state in request.probed_endpoints:
-            if now - max(state.reported_ns, state.checked_ns) >= PROBE_FRESH_NS:
-                state.checked_ns = now
+            if now_ns - max(state.reported_ns, state.checked_ns) >= PROBE_FRESH_NS:
+                state.checked_ns = now_ns
                 checks.append(CheckHealth(state.id))
-        self.timers.schedule(now + PROBE_TIMEOUT_NS, ServeQueue())
+        self.timers.schedule(now_ns + PROBE_TIMEOUT_NS, ServeQueue())
         return checks
 
-    def record_result(self, state: EndpointState, event: HealthCheckEnded, now: int) -> list[CheckHealth]:
+    def record_result(self, state: EndpointState, event: HealthCheckEnded, now_ns: int) -> list[CheckHealth]:
         """Take the load, and return the health check that is made once more if the connection broke.
 
         Any connection may break, and the request would wait for nothing. Harm: one more health check for each
         endpoint that resets all it is sent.
         """
         if event.load_report is not None:
-            state.record_load(event.load_report.get("inflight"), now)
+            state.record_load(event.load_report.get("inflight"), now_ns)
         elif event.result is AttemptResult.RESET and state.failed_check_ns < state.checked_ns:
-            state.failed_check_ns = now
+            state.failed_check_ns = now_ns
             return [CheckHealth(state.id)]
         return []
 
-    def is_waiting(self, request: Request, now: int) -> bool:
+    def is_waiting(self, request: Request, now_ns: int) -> bool:
         """Tell whether a request still waits for a load that was asked for on its behalf."""
-        if now >= request.probed_ns + PROBE_TIMEOUT_NS:
+        if now_ns >= request.probed_ns + PROBE_TIMEOUT_NS:
             return False
         oldest_ns = request.probed_ns - PROBE_FRESH_NS
         return any(state.reported_ns <= oldest_ns for state in request.probed_endpoints)
 
-    def take_answered(self, request: Request, now: int) -> list[EndpointState]:
+    def take_answered(self, request: Request, now_ns: int) -> list[EndpointState]:
         """End a request's probing, and return the available endpoints whose load is known."""
         oldest_ns, probed = request.probed_ns - PROBE_FRESH_NS, request.probed_endpoints
         request.probed_endpoints = []
-        return [s for s in probed if s.reported_ns > oldest_ns and self.selection.is_available(s, now)]
+        return [s for s in probed if s.reported_ns > oldest_ns and self.selection.is_available(s, now_ns)]
--- a/loadbalancer/policy/outlier_detection.py
+++ b/loadbalancer/policy/outlier_detection.py
@@ -7,10 +7,10 @@
 from loadbalancer.state.fleet import Fleet
 from loadbalancer.state.request import Attempt
 from loadbalancer.state.timer_queue import ServeQueue, TimerQueue
-from loadbalancer.units import SECOND
+from loadbalancer.units import NANOSECONDS_PER_SECOND
 
-EJECTION_NS = SECOND / 4  # after a first failure that says nothing of how long it may last
-EJECTION_MAX = 3 * SECOND
+EJECTION_NS = NANOSECONDS_PER_SECOND / 4  # after a first failure that says nothing of how long it may last
+EJECTION_MAX = 3 * NANOSECONDS_PER_SECOND
 DOUBLINGS_MAX = 5
 EJECTED_PART_MAX = 0.7  # of the endpoints that a pool draws from; one beyond that is not ejected
 CHANCE = 1e-3  # resets in a row less likely than this by chance are the endpoint's own fault
@@ -26,31 +26,31 @@
         self.shortest_objective_ns = objective_ns
         self.recent_attempts = self.recent_resets = 0.0  # over the endpoints in use
 
-    def eject_slow(self, attempt: Attempt, now: int) -> None:
+    def eject_slow(self, attempt: Attempt, now_ns: int) -> None:
         """Eject an endpoint that did not finish an attempt in time, or had no capacity for it.
 
         Guards against one hopelessly heavy request taking its endpoint from all others for as long as it
         would have run: it is cut off, and its client asks again, at the next endpoint and the next. Harm:
         where it runs on all the same, the next one there finds out, and the ejection doubles.
         """
-        self.eject(attempt.endpoint_state, now, min(attempt.expected_ns, self.shortest_objective_ns))
+        self.eject(attempt.endpoint_state, now_ns, min(attempt.expected_ns, self.shortest_objective_ns))
 
-    def eject(self, state: EndpointState, now: int, base_ns: float) -> None:
+    def eject(self, state: EndpointState, now_ns: int, base_ns: float) -> None:
         """Leave a failing endpoint alone, longer each time, unless that would leave hardly any.
 
         What was in flight there when it stood still fails together, and counts as one failure.
         """
-        if state.ejected_until_ns <= now:
+        if state.ejected_until_ns <= now_ns:
             state.consecutive_failures += 1
             pools = self.fleet.pools.values()
-            if all(self._may_eject_from(p, now) for p in pools if state in p.endpoints[: p.draw_width]):
+            if all(self._may_eject_from(p, now_ns) for p in pools if state in p.endpoints[: p.draw_width]):
                 doublings = min(state.consecutive_failures - 1, DOUBLINGS_MAX)
                 length = min(base_ns * 2**doublings, EJECTION_MAX)
-                state.ejected_until_ns = now + int(length * self.rng.uniform(0.75, 1.25))
+                state.ejected_until_ns = now_ns + int(length * self.rng.uniform(0.75, 1.25))
         self.timers.schedule(state.ejected_until_ns, ServeQueue())
 
-    def _may_eject_from(self, pool: EndpointPool, now: int) -> bool:
-        ejected = sum(state.ejected_until_ns > now for state in pool.endpoints[: pool.draw_width])
+    def _may_eject_from(self, pool: EndpointPool, now_ns: int) -> bool:
+        ejected = sum(state.ejected_until_ns > now_ns for state in pool.endpoints[: pool.draw_width])
         return ejected < EJECTED_PART_MAX * pool.draw_width
 
     def record_attempt_end(self, state: EndpointState, was_reset: bool) -> bool:
--- a/loadbalancer/policy/rate_control.py
+++ b/loadbalancer/policy/rate_control.py
@@ -5,9 +5,9 @@
 from typing import NamedTuple
 
 from loadbalancer.policy.throttle import INITIAL_RATE, Throttle
-from loadbalancer.units import SECOND
+from loadbalancer.units import NANOSECONDS_PER_SECOND
 
-FEEDBACK_NS = SECOND // 2  # the feedback interval
+FEEDBACK_NS = NANOSECONDS_PER_SECOND // 2  # the feedback interval
 FEEDBACK_MAX_NS = 4 * FEEDBACK_NS  # the same where few attempts end
 MIN_OUTCOMES = 8  # before a figure is believed
 TOLERATED_FAILURES = 0.1  # share of the outcomes that says nothing
@@ -38,40 +38,40 @@
     tenants, 0 where `throttles` holds them all.
     """
 
-    def __init__(self, throttles: Collection[Throttle], now: int, weight: float = 0.0) -> None:
+    def __init__(self, throttles: Collection[Throttle], now_ns: int, weight: float = 0.0) -> None:
         self.throttles, self.weight = throttles, weight
         self.rate = INITIAL_RATE  # requests a second, as all rates here
         self.borrowed_rate = INITIAL_RATE  # what a tenant that asks for nothing could have
         self.failed_rate = 0.0  # the rate at which too many failed, fading with each decrease
         self.attempt_rate = 0.0  # attempts that ended
         self.success_rate = INITIAL_RATE  # and those of them in time
-        self.interval_start_ns = now
+        self.interval_start_ns = now_ns
         self.successes = 0  # in this interval, as are the next three
         self.expired_in_queue = 0  # requests that no endpoint had capacity for in time
         self.failures: Counter[int] = Counter()  # by endpoint
         self.no_arrivals = True
 
-    def on_arrival(self, now: int) -> None:
+    def on_arrival(self, now_ns: int) -> None:
         """Let the interval begin with its first request."""
         # The quiet before it, as ahead of a proxy's first clients, would thin out what is sent and served a
         # second, and a decrease would go far below what is served.
         if self.no_arrivals and not (self.successes or self.expired_in_queue or self.failures):
-            self.interval_start_ns = now
+            self.interval_start_ns = now_ns
         self.no_arrivals = False
 
-    def adjust(self, now: int, draw_width: int, is_loaded: bool = True) -> None:
+    def adjust(self, now_ns: int, draw_width: int, is_loaded: bool = True) -> None:
         """Set the rate and its shares by the interval's outcomes, once it is long enough.
 
         `draw_width` endpoints were drawn from; only where the fleet `is_loaded` can failures be its overload.
         """
-        elapsed = now - self.interval_start_ns
+        elapsed = now_ns - self.interval_start_ns
         attempts = self.successes + self.failures.total()
         outcomes = attempts + self.expired_in_queue
         # A proxy with little traffic waits for enough outcomes, but not for ever.
         if elapsed < FEEDBACK_NS or (outcomes < MIN_OUTCOMES and elapsed < FEEDBACK_MAX_NS):
             return
-        self.success_rate = self.successes * SECOND / elapsed
-        self.attempt_rate = attempts * SECOND / elapsed
+        self.success_rate = self.successes * NANOSECONDS_PER_SECOND / elapsed
+        self.attempt_rate = attempts * NANOSECONDS_PER_SECOND / elapsed
         # One failure of five outcomes is chance.
         failed_share = self._overload_failures(draw_width) / max(outcomes, 2 * MIN_OUTCOMES)
         if failed_share > TOLERATED_FAILURES and is_loaded:
@@ -79,8 +79,8 @@
         elif outcomes and any(t.token_missed for t in self.throttles):
             self._increase()
         self._update_demand(elapsed)
-        self._share_rate(now)
-        self.interval_start_ns, self.no_arrivals = now, True
+        self._share_rate(now_ns)
+        self.interval_start_ns, self.no_arrivals = now_ns, True
         self.successes = self.expired_in_queue = 0
         self.failures.clear()
 
@@ -104,16 +104,18 @@
 
     def _update_demand(self, elapsed: int) -> None:
         for throttle in self.throttles:
-            throttle.demand += DEMAND_SMOOTHING * (throttle.arrivals * SECOND / elapsed - throttle.demand)
+            throttle.demand += DEMAND_SMOOTHING * (
+                throttle.arrivals * NANOSECONDS_PER_SECOND / elapsed - throttle.demand
+            )
             throttle.arrivals, throttle.token_missed = 0, False
 
-    def _share_rate(self, now: int) -> None:
+    def _share_rate(self, now_ns: int) -> None:
         """Set the tenants' rates: fair shares by weight, and what others leave lent on top."""
         self.weight = self.weight or sum(t.weight for t in self.throttles)
         offered, served = self._water_fill(self.rate), self._water_fill(self.success_rate)
         self.borrowed_rate = offered.spare
         for throttle, rate, fair_share in zip(self.throttles, offered.rates, served.rates, strict=True):
-            throttle.set_rate(max(self.rate_of_idle_tenant(throttle.weight), rate), now)
+            throttle.set_rate(max(self.rate_of_idle_tenant(throttle.weight), rate), now_ns)
             throttle.over_share = throttle.demand > OVER_SHARE_FACTOR * fair_share
 
     def rate_of_idle_tenant(self, weight: float) -> float:
--- a/loadbalancer/policy/request.py
+++ b/loadbalancer/policy/retry_eligibility.py
@@ -24,9 +24,9 @@
     return request_class.deduplication_scope is DeduplicationScope.ZONE or first.cell == other.cell
 
 
-def may_forward(request: Request, endpoint: Endpoint, now: int, limits: Limits) -> bool:
+def may_forward(request: Request, endpoint: Endpoint, now_ns: int, limits: Limits) -> bool:
     """Tell whether a request may be sent to an endpoint now."""
-    if request.finished or request.streaming or now >= request.deadline_ns:
+    if request.finished or request.streaming or now_ns >= request.deadline_ns:
         return False
     if len(request.attempts) >= limits.max_attempts:
         return False
@@ -34,10 +34,10 @@
         return False
     if request.attempts_in_flight >= (2 if limits.hedging else 1):
         return False
-    return _may_repeat(request, endpoint, now, limits)
+    return _may_repeat(request, endpoint, now_ns, limits)
 
 
-def _may_repeat(request: Request, endpoint: Endpoint, now: int, limits: Limits) -> bool:
+def _may_repeat(request: Request, endpoint: Endpoint, now_ns: int, limits: Limits) -> bool:
     """Tell whether another attempt has no second effect, whatever came of the earlier ones."""
     request_class = request.request_class
     risky = [attempt for attempt in request.attempts if attempt.may_have_run]
@@ -46,7 +46,7 @@
     if request_class.idempotency is not Idempotency.IDEMPOTENCY_KEY:
         return False
     # It may go out as late as this, if it needs a new connection.
-    latest_send_ns = now + limits.connect_timeout_ns
+    latest_send_ns = now_ns + limits.connect_timeout_ns
     if latest_send_ns - risky[0].sent_ns >= request_class.deduplication_window_ns:
         return False
     endpoints = [attempt.endpoint_state.endpoint for attempt in risky]
--- a/loadbalancer/policy/selection.py
+++ b/loadbalancer/policy/selection.py
@@ -6,7 +6,7 @@
 from loadbalancer.messages import EndpointStatus
 from loadbalancer.policy.concurrency_limit import ConcurrencyLimit
 from loadbalancer.policy.load_reports import estimated_load, has_fresh_load
-from loadbalancer.policy.request import same_deduplication_group
+from loadbalancer.policy.retry_eligibility import same_deduplication_group
 from loadbalancer.policy.slow_start import SlowStart
 from loadbalancer.settings import DeduplicationScope, Idempotency
 from loadbalancer.state.endpoint_pool import EndpointPool
@@ -27,24 +27,24 @@
     ) -> None:
         self.updates, self.slow_start, self.concurrency_limit, self.rng = updates, slow_start, limit, rng
 
-    def concurrency_limit_of(self, state: EndpointState, now: int) -> int:
+    def concurrency_limit_of(self, state: EndpointState, now_ns: int) -> int:
         """Return how many requests of this proxy may be in flight at an endpoint."""
         if not state.in_subset:  # other proxies fill it, and own counts say little of it
-            return 0 if state.consecutive_failures or self.slow_start.is_warming_up(state, now) else 1
+            return 0 if state.consecutive_failures or self.slow_start.is_warming_up(state, now_ns) else 1
         if state.consecutive_failures:
             return 1
         limit = self.concurrency_limit.limit
-        return max(1, limit // 2) if self.slow_start.is_warming_up(state, now) else limit
+        return max(1, limit // 2) if self.slow_start.is_warming_up(state, now_ns) else limit
 
-    def is_available(self, state: EndpointState, now: int) -> bool:
+    def is_available(self, state: EndpointState, now_ns: int) -> bool:
         """Tell whether an endpoint may be sent a request now."""
         return (
             state.endpoint.status is EndpointStatus.READY
-            and now >= state.ejected_until_ns
-            and state.in_flight < self.concurrency_limit_of(state, now)
+            and now_ns >= state.ejected_until_ns
+            and state.in_flight < self.concurrency_limit_of(state, now_ns)
         )
 
-    def draw(self, pool: EndpointPool, count: int, now: int) -> list[EndpointState]:
+    def draw(self, pool: EndpointPool, count: int, now_ns: int) -> list[EndpointState]:
         """Return so many random draws from the available endpoints of a pool, and its last choice."""
         width, chance = pool.draw_width, self.rng.random
         if width <= SCAN:
@@ -53,39 +53,39 @@
             scanned = [pool.endpoints[int(chance() * width)] for _ in range(SCAN)]
         drawn = [scanned[int(chance() * len(scanned))] for _ in range(count)] if scanned else []
         # Seldom: most are available, and looking at all takes time.
-        if not all(self.is_available(state, now) for state in drawn):
-            available = [state for state in scanned if self.is_available(state, now)]
+        if not all(self.is_available(state, now_ns) for state in drawn):
+            available = [state for state in scanned if self.is_available(state, now_ns)]
             drawn = [available[int(chance() * len(available))] for _ in range(count)] if available else []
         last = pool.last_choice
-        if last is not None and self.is_available(last, now) and last in pool.endpoints[:width]:
+        if last is not None and self.is_available(last, now_ns) and last in pool.endpoints[:width]:
             drawn.append(last)
         return drawn
 
     def pick(
-        self, pool: EndpointPool, now: int, candidates: Iterable[EndpointState] | None = None
+        self, pool: EndpointPool, now_ns: int, candidates: Iterable[EndpointState] | None = None
     ) -> EndpointState | None:
         """Return the least loaded of two draws and the last choice, or of the candidates.
 
         The load is that in flight, weighted by how long the endpoint takes for a request.
         """
         if candidates is None:
-            drawn = self.draw(pool, DRAWS, now)
+            drawn = self.draw(pool, DRAWS, now_ns)
         else:
-            drawn = [state for state in candidates if self.is_available(state, now)]
+            drawn = [state for state in candidates if self.is_available(state, now_ns)]
         if not drawn:
             return None
-        choice = min(drawn, key=lambda state: (estimated_load(state, now) + 1) * state.relative_latency)
+        choice = min(drawn, key=lambda state: (estimated_load(state, now_ns) + 1) * state.relative_latency)
         pool.last_choice = choice
         return choice
 
-    def would_answer_late(self, request: Request, state: EndpointState, now: int) -> bool:
+    def would_answer_late(self, request: Request, state: EndpointState, now_ns: int) -> bool:
         """Tell whether an endpoint that reports a load would answer too late; an idle one never does."""
-        if state.reported_load < 1 or not has_fresh_load(state, now):
+        if state.reported_load < 1 or not has_fresh_load(state, now_ns):
             return False
         latency_ns = self.concurrency_limit.latency_model.latency_at(state.reported_load + LOAD_MARGIN)
-        return latency_ns * state.relative_latency > request.objective_ns - now
+        return latency_ns * state.relative_latency > request.objective_ns - now_ns
 
-    def retry_candidates(self, request: Request, now: int) -> list[EndpointState] | None:
+    def retry_candidates(self, request: Request, now_ns: int) -> list[EndpointState] | None:
         """Return where a request that may have run may go again; None: anywhere."""
         request_class = request.request_class
         scope = request_class.deduplication_scope
@@ -96,4 +96,4 @@
             return None
         pool, like = request.pool, first.endpoint_state.endpoint
         group = [s for s in pool.endpoints if same_deduplication_group(request_class, s.endpoint, like)]
-        return group + self.updates.unused_group(pool, like, scope, self.rng.random, SCAN, now)
+        return group + self.updates.unused_group(pool, like, scope, self.rng.random, SCAN, now_ns)
--- a/loadbalancer/policy/slow_start.py
+++ b/loadbalancer/policy/slow_start.py
@@ -5,7 +5,7 @@
 from loadbalancer.state.endpoint_state import EndpointState
 from loadbalancer.state.fleet import Fleet
 from loadbalancer.state.timer_queue import ServeQueue, TimerQueue
-from loadbalancer.units import SECOND
+from loadbalancer.units import NANOSECONDS_PER_SECOND
 
 BUDGET_PART = 0.7  # of what an endpoint that is warming up may be sent
 THROUGHPUT_GAIN = 0.2  # weight of the newest feedback interval
@@ -19,12 +19,12 @@
         self.fleet, self.timers, self.latency_model = fleet, timers, latency
         self.sustained_throughput = 0.0  # own attempts a second that a warm endpoint is seen to carry
 
-    def is_warming_up(self, state: EndpointState, now: int) -> bool:
+    def is_warming_up(self, state: EndpointState, now_ns: int) -> bool:
         """Tell whether an endpoint has started so lately that it cannot carry full load yet."""
         started_ns = state.endpoint.started_ns
-        return bool(started_ns) and now - started_ns < self.rules.slow_start_ns
+        return bool(started_ns) and now_ns - started_ns < self.rules.slow_start_ns
 
-    def pacing_interval_ns(self, state: EndpointState, now: int) -> int:
+    def pacing_interval_ns(self, state: EndpointState, now_ns: int) -> int:
         """Return the least time between two sends of this proxy to an endpoint that is warming up.
 
         All proxies that have it in their subset must stay, together, inside what it can carry now. A warm one
@@ -33,19 +33,19 @@
         """
         rules = self.rules
         initial = rules.slow_start_initial_capacity
-        capacity = initial + (1 - initial) * (now - state.endpoint.started_ns) / rules.slow_start_ns
+        capacity = initial + (1 - initial) * (now_ns - state.endpoint.started_ns) / rules.slow_start_ns
         # Other proxies may have it in the subset of another pool: all pools that admit it count.
         pools = self.fleet.pools.values()
         sharers = sum(pool.proxies_sharing for pool in pools if pool.admits(state.endpoint))
         sharers = max(1.0, min(self.proxy_count, sharers))
-        finished = SECOND / self.latency_model.service_interval_ns / sharers
+        finished = NANOSECONDS_PER_SECOND / self.latency_model.service_interval_ns / sharers
         throughput = max(self.sustained_throughput, finished)
-        return int(SECOND / (BUDGET_PART * rules.overload_factor * capacity * throughput))
+        return int(NANOSECONDS_PER_SECOND / (BUDGET_PART * rules.overload_factor * capacity * throughput))
 
-    def pace(self, state: EndpointState, now: int, intervals: float) -> None:
+    def pace(self, state: EndpointState, now_ns: int, intervals: float) -> None:
         """Leave an endpoint that is warming up alone for so many of its pacing intervals."""
-        pause_ns = int(intervals * self.pacing_interval_ns(state, now))
-        state.ejected_until_ns = max(state.ejected_until_ns, now + pause_ns)
+        pause_ns = int(intervals * self.pacing_interval_ns(state, now_ns))
+        state.ejected_until_ns = max(state.ejected_until_ns, now_ns + pause_ns)
         self.timers.schedule(state.ejected_until_ns, ServeQueue())
 
     def record_throughput(self, attempts_per_second: float) -> None:
--- a/loadbalancer/policy/throttle.py
+++ b/loadbalancer/policy/throttle.py
@@ -6,7 +6,7 @@
 from enum import Enum, auto
 
 from loadbalancer.state.request import Request
-from loadbalancer.units import SECOND
+from loadbalancer.units import NANOSECONDS_PER_SECOND
 
 BANK_S = 0.5  # C_T, in seconds of tokens
 BANK_MIN = 4  # tokens
@@ -30,15 +30,19 @@
     an arrival takes one away, within [0, C_J + C_T] (2.8).
     """
 
-    def __init__(self, weight: float, rng: random.Random, now: int, objective_ns: int = SECOND) -> None:
+    def __init__(
+        self, weight: float, rng: random.Random, now_ns: int, objective_ns: int = NANOSECONDS_PER_SECOND
+    ) -> None:
         self.weight = weight
-        self.buffer_s = min(BANK_S, BUFFER_SHARE * objective_ns / SECOND)  # C_J, in seconds of tokens
+        self.buffer_s = min(
+            BANK_S, BUFFER_SHARE * objective_ns / NANOSECONDS_PER_SECOND
+        )  # C_J, in seconds of tokens
         self.bank_capacity = round(INITIAL_RATE * BANK_S)  # C_T
         self.buffer_capacity = round(INITIAL_RATE * self.buffer_s)  # C_J
         self.counter = self.bank_capacity + self.buffer_capacity  # U; the bank starts full
         self.rate = INITIAL_RATE  # tokens a second
         self.tick_credit = rng.random()  # part of the next token; at random, or proxies would release in step
-        self.updated_ns = now
+        self.updated_ns = now_ns
         self.arrivals = 0  # in this feedback interval
         self.buffer: deque[Request] = deque()
         self.demand = 0.0  # requests a second, smoothed
@@ -46,26 +50,26 @@
         self.wake_scheduled = False  # a timer is set for the next token
         self.token_missed = False  # an arrival found no token in this feedback interval
 
-    def set_rate(self, rate: float, now: int) -> None:
+    def set_rate(self, rate: float, now_ns: int) -> None:
         """Change the rate and with it the capacities; tokens in the bank and buffered requests stay."""
-        self.accrue(now)
+        self.accrue(now_ns)
         balance = self.counter - self.buffer_capacity  # T - J
         self.rate = rate
         self.bank_capacity = max(BANK_MIN, round(rate * BANK_S))
         self.buffer_capacity = max(1, round(rate * self.buffer_s), len(self.buffer))
         self.counter = max(0, min(self.bank_capacity + self.buffer_capacity, balance + self.buffer_capacity))
 
-    def accrue(self, now: int) -> None:
+    def accrue(self, now_ns: int) -> None:
         """Add the tokens of the time since the last call to the counter."""
-        self.tick_credit += self.rate * (now - self.updated_ns) / SECOND
+        self.tick_credit += self.rate * (now_ns - self.updated_ns) / NANOSECONDS_PER_SECOND
         tokens = int(self.tick_credit)
         self.tick_credit -= tokens
-        self.updated_ns = now
+        self.updated_ns = now_ns
         self.counter = min(self.bank_capacity + self.buffer_capacity, self.counter + tokens)
 
-    def admit(self, request: Request, now: int) -> Admission:
+    def admit(self, request: Request, now_ns: int) -> Admission:
         """Take a token for an arrival, buffer it, or reject it where U is 0."""
-        self.accrue(now)
+        self.accrue(now_ns)
         self.arrivals += 1
         if self.counter <= self.buffer_capacity:
             self.token_missed = True
@@ -77,17 +81,17 @@
         self.buffer.append(request)
         return Admission.BUFFER
 
-    def take_retry_token(self, now: int) -> bool:
+    def take_retry_token(self, now_ns: int) -> bool:
         """Take a token for a hedged request or a client's retry, if fresh work leaves part of the bank."""
-        self.accrue(now)
+        self.accrue(now_ns)
         if self.counter - self.buffer_capacity <= self.bank_capacity // 4:
             return False
         self.counter -= 1
         return True
 
-    def release(self, now: int) -> Iterable[Request]:
+    def release(self, now_ns: int) -> Iterable[Request]:
         """Give the buffered requests that have a token by now, the oldest first: J = max(0, C_J - U) stay."""
-        self.accrue(now)
+        self.accrue(now_ns)
         while len(self.buffer) > max(0, self.buffer_capacity - self.counter):
             yield self.buffer.popleft()
 
@@ -96,9 +100,9 @@
         self.buffer.remove(request)
         self.counter += 1
 
-    def is_idle(self, now: int) -> bool:
+    def is_idle(self, now_ns: int) -> bool:
         """Tell whether a new throttle would do the same: empty buffer, full bank, next to no demand."""
-        self.accrue(now)
+        self.accrue(now_ns)
         if self.buffer or self.wake_scheduled or self.arrivals or self.demand > IDLE_DEMAND:
             return False
         return self.counter >= self.bank_capacity + self.buffer_capacity
--- a/loadbalancer/proxy/attempts.py
+++ b/loadbalancer/proxy/attempts.py
@@ -16,7 +16,7 @@
 from loadbalancer.proxy.load_report import parse_load_report
 from loadbalancer.proxy.pending_requests import PendingRequest, PendingRequests
 from loadbalancer.proxy.upstream import Exchange
-from loadbalancer.units import MS, SECOND
+from loadbalancer.units import NANOSECONDS_PER_MILLISECOND, NANOSECONDS_PER_SECOND
 
 # A second response to one request may come some milliseconds late, and must not pass for the response to the
 # next one. So long a connection is left alone after a response; whatever comes on it meanwhile closes it.
@@ -81,7 +81,7 @@
         pending.exchange = Exchange(
             pool, attempt.serialize, attempt.on_ended, is_wanted=attempt.is_wanted, quarantine_s=QUARANTINE_S
         )
-        pending.exchange.start(end_ns / SECOND)
+        pending.exchange.start(end_ns / NANOSECONDS_PER_SECOND)
 
     def cancel(self, action: CancelAttempt) -> None:
         """Cancel an attempt if it is the one in flight."""
@@ -143,7 +143,7 @@
     def serialize(self) -> bytes:
         """Give the request's bytes; called when they are written, so that they tell the time left then."""
         request = self.pending_request.request
-        left_ms = (self.end_ns - time.monotonic_ns()) // MS
+        left_ms = (self.end_ns - time.monotonic_ns()) // NANOSECONDS_PER_MILLISECOND
         headers = [header for header in request.end_to_end() if header[0] != DEADLINE_HEADER]
         headers.append((b"Req-Deadline-Ms", b"%d" % max(1, left_ms)))
         return write_request(request.method, request.target, headers, request.body)
--- a/loadbalancer/proxy/pending_requests.py
+++ b/loadbalancer/proxy/pending_requests.py
@@ -19,12 +19,12 @@
     ValidRequest,
 )
 from loadbalancer.proxy.upstream import Exchange
-from loadbalancer.units import MS, SECOND
+from loadbalancer.units import NANOSECONDS_PER_MILLISECOND, NANOSECONDS_PER_SECOND
 
 # The policy's deadline comes before the client's, so that its answer has time to reach the client.
-POLICY_DEADLINE_MARGIN_NS = 4 * MS
+POLICY_DEADLINE_MARGIN_NS = 4 * NANOSECONDS_PER_MILLISECOND
 # The proxy's own deadline comes between the two, for requests that the policy has left open.
-PROXY_DEADLINE_MARGIN_NS = 3 * MS // 2
+PROXY_DEADLINE_MARGIN_NS = 3 * NANOSECONDS_PER_MILLISECOND // 2
 MICROSECOND_NS = 1000
 GATEWAY_TIMEOUT = 504
 SERVICE_UNAVAILABLE = 503
@@ -102,7 +102,9 @@
         self._by_id[pending.id] = pending
         self._by_client[client] = pending
         self._client_request_ids.add(pending.client_request_id)
-        pending.deadline_timer = self._loop.call_at(pending.deadline_ns / SECOND, self._expire, pending)
+        pending.deadline_timer = self._loop.call_at(
+            pending.deadline_ns / NANOSECONDS_PER_SECOND, self._expire, pending
+        )
         policy_deadline_ns = client_deadline_ns - POLICY_DEADLINE_MARGIN_NS
         self._on_event(_arrival(pending.id, valid_request.class_name, policy_deadline_ns, request))
         return None
@@ -126,7 +128,7 @@
             return
         headers = []
         if action.retry_after_ns > 0:
-            headers.append((b"Retry-After", b"%.3f" % (action.retry_after_ns / SECOND)))
+            headers.append((b"Retry-After", b"%.3f" % (action.retry_after_ns / NANOSECONDS_PER_SECOND)))
         self.finish(pending, SERVICE_UNAVAILABLE, headers)
 
     def fail(self, request_id: str) -> None:
--- a/loadbalancer/proxy/proxy.py
+++ b/loadbalancer/proxy/proxy.py
@@ -49,7 +49,7 @@
 from loadbalancer.proxy.http import Message
 from loadbalancer.proxy.pending_requests import PendingRequests
 from loadbalancer.proxy.request_validation import RejectedRequest, validate_request
-from loadbalancer.units import SECOND
+from loadbalancer.units import NANOSECONDS_PER_SECOND
 
 log = logging.getLogger(__name__)
 RESERVED_DESCRIPTORS = 32  # for the event loop, listening, discovery, peers, logs, and sockets being closed
@@ -60,7 +60,7 @@
 class Policy(Protocol):
     """What decides: the `Balancer` of `loadbalancer/policy/balancer.py`."""
 
-    def handle(self, now: int, events: Iterable[Event]) -> list[Action]:
+    def handle(self, now_ns: int, events: Iterable[Event]) -> list[Action]:
         """Take events at a time of the monotonic clock, and give the actions that follow from them."""
         ...
 
@@ -82,7 +82,9 @@
         self._sweep_timer: asyncio.TimerHandle | None = None
         max_connections = max(MIN_CONNECTIONS, (config.max_sockets - RESERVED_DESCRIPTORS) // 2)
         self._connection_limits = ConnectionLimits(
-            max_connections, limits.connect_timeout_ns / SECOND, limits.connection_idle_timeout_ns / SECOND
+            max_connections,
+            limits.connect_timeout_ns / NANOSECONDS_PER_SECOND,
+            limits.connection_idle_timeout_ns / NANOSECONDS_PER_SECOND,
         )
         self.downstream = DownstreamServer(self, max_connections)
         self._list_reader = EndpointListReader(
@@ -223,7 +225,7 @@
             case CheckHealth():
                 self._health_checks.start(action.endpoint_id)
             case SetTimer():
-                due_s = (self._decision_time_ns + action.delay_ns) / SECOND
+                due_s = (self._decision_time_ns + action.delay_ns) / NANOSECONDS_PER_SECOND
                 self._loop.call_at(due_s, self.dispatch, TimerExpired(action.name))
             case LogMessage():
                 log.info("%s: policy: %s", self.config.name, action.text)
--- a/loadbalancer/proxy/request_validation.py
+++ b/loadbalancer/proxy/request_validation.py
@@ -7,7 +7,7 @@
 
 from loadbalancer.proxy.http import Headers, Message, parse_decimal
 from loadbalancer.settings import Idempotency, RequestClass
-from loadbalancer.units import MS
+from loadbalancer.units import NANOSECONDS_PER_MILLISECOND
 
 METHOD_BY_IDEMPOTENCY = {
     Idempotency.IDEMPOTENT: b"GET",
@@ -68,4 +68,6 @@
         return WRONG_METHOD[allowed_method]
     if request.method == b"GET" and request.body:
         return BODY_NOT_ALLOWED
-    return ValidRequest(class_name, request_ids[0], min(timeout_ms, MAX_DEADLINE_MS) * MS)
+    return ValidRequest(
+        class_name, request_ids[0], min(timeout_ms, MAX_DEADLINE_MS) * NANOSECONDS_PER_MILLISECOND
+    )
--- a/loadbalancer/proxy/shutdown.py
+++ b/loadbalancer/proxy/shutdown.py
@@ -9,7 +9,7 @@
 from collections.abc import Callable, Iterable
 
 from loadbalancer.settings import RequestClass
-from loadbalancer.units import SECOND
+from loadbalancer.units import NANOSECONDS_PER_SECOND
 
 LATE_CONNECTIONS_S = 0.5  # after SIGTERM, new connections go on coming for so long
 POLL_INTERVAL_S = 0.01
@@ -23,7 +23,7 @@
 def shutdown_timeout_s(request_classes: Iterable[RequestClass]) -> float:
     """Tell how long after SIGTERM a proxy may go on: what is open at SIGKILL gets no answer."""
     longest_s = max(
-        (c.client_timeout_ns / SECOND or MAX_CLIENT_TIMEOUT_S for c in request_classes),
+        (c.client_timeout_ns / NANOSECONDS_PER_SECOND or MAX_CLIENT_TIMEOUT_S for c in request_classes),
         default=MAX_CLIENT_TIMEOUT_S,
     )
     return min(longest_s, MAX_CLIENT_TIMEOUT_S) + KILL_GRACE_S - FINAL_RESPONSES_S
--- a/loadbalancer/simulator_adapter.py
+++ b/loadbalancer/simulator_adapter.py
@@ -40,7 +40,7 @@
     A balancer's events are gathered and handed over together, so that it sees all that a batch brings.
     """
 
-    now: int  # simulated time, in nanoseconds
+    now_ns: int  # simulated time, in nanoseconds
     events: dict[int, list[Event]] = field(default_factory=dict)  # not handed over yet, by balancer
     commands: list[Json] = field(default_factory=list)  # the reply
 
@@ -94,7 +94,7 @@
         batch.events.pop(number, None)
         settings = read_settings(event["settings"])
         try:
-            self.balancers[number] = Balancer(settings, event["seed"], batch.now)
+            self.balancers[number] = Balancer(settings, event["seed"], batch.now_ns)
         except Exception as error:
             batch.commands.append(_fault(number, error))
 
@@ -117,7 +117,7 @@
 
     def _run(self, number: int, events: list[Event], batch: Batch) -> None:
         try:
-            for action in self.balancers[number].handle(batch.now, events):
+            for action in self.balancers[number].handle(batch.now_ns, events):
                 command = write_command(action)
                 command["balancer"] = number
                 batch.commands.append(command)
--- a/loadbalancer/state/endpoint_state.py
+++ b/loadbalancer/state/endpoint_state.py
@@ -32,11 +32,11 @@
     checked_ns: int = 0  # the last health check sent to it
     failed_check_ns: int = 0  # the last health check whose connection broke
 
-    def record_load(self, load: float | None, now: int) -> None:
+    def record_load(self, load: float | None, now_ns: int) -> None:
         """Take a reported load; what cannot be one (negative, huge, not a number) says nothing."""
         if load is not None and 0 <= load < LOAD_MAX:
             self.reported_load = load
-            self.reported_ns = now
+            self.reported_ns = now_ns
 
     def add_attempt(self) -> None:
         """Count an attempt that is sent to it, in its reported load too."""
--- a/loadbalancer/state/endpoint_updates.py
+++ b/loadbalancer/state/endpoint_updates.py
@@ -31,7 +31,7 @@
         self.draws_from_all = draws_from_all  # the reserve included, since loads are probed
         self.live_weights = live_weights
 
-    def apply(self, update: EndpointUpdate, now: int) -> list[EndpointState]:
+    def apply(self, update: EndpointUpdate, now_ns: int) -> list[EndpointState]:
         """Take a list; return the endpoints that are new in a subset of this proxy or have started anew."""
         fleet, table = self.fleet, self.fleet.table
         missing = set(table.attributes) if update.kind is not EndpointUpdateKind.DELTA else set()
@@ -48,29 +48,29 @@
                     state.consecutive_failures = state.ejected_until_ns = 0
                     kept.discard(state)
                 state.endpoint = endpoint
-                self.live_weights.record(state, now)
+                self.live_weights.record(state, now_ns)
         for number in missing:
             table.remove(number)
             if number in fleet.endpoints:
                 fleet.mark_removed(fleet.endpoints[number])
         if table.apply_changes():
-            self._rebuild_pools(now)
+            self._rebuild_pools(now_ns)
         elif len(kept) == size_before:  # only weights have changed, as they do all the time
             return []
         return [state for state in fleet.endpoints.values() if state.in_subset and state not in kept]
 
-    def _state(self, number: int, now: int) -> EndpointState:
+    def _state(self, number: int, now_ns: int) -> EndpointState:
         """Return what is known of a listed endpoint, which is kept from now on."""
         state = self.fleet.endpoints.get(number)
         if state is None:
             state = self.fleet.add(number)
-            self.live_weights.record(state, now)
+            self.live_weights.record(state, now_ns)
         return state
 
-    def _states(self, keys: Iterable[RingKey], now: int) -> list[EndpointState]:
-        return [self._state(unmix64(key), now) for key in keys]
+    def _states(self, keys: Iterable[RingKey], now_ns: int) -> list[EndpointState]:
+        return [self._state(unmix64(key), now_ns) for key in keys]
 
-    def _rebuild_pools(self, now: int) -> None:
+    def _rebuild_pools(self, now_ns: int) -> None:
         """Take up each pool's subset; what it is made of is the same whatever came before."""
         fleet, pools = self.fleet, self.fleet.pools.values()
         subsets = [self.choose_subset(fleet.table, pool.placement) for pool in pools]
@@ -79,13 +79,13 @@
         for state in fleet.endpoints.values():
             state.in_subset = False
         for pool, subset in zip(pools, subsets, strict=True):
-            self._rebuild_pool(pool, subset, now)
+            self._rebuild_pool(pool, subset, now_ns)
         fleet.record_pools()
 
-    def _rebuild_pool(self, pool: EndpointPool, subset: Subset, now: int) -> None:
-        assigned = self._states(subset.assigned, now)
-        zone_reserve = self._states(subset.zone_reserve, now)
-        remote_reserve = self._states(subset.remote_reserve, now)
+    def _rebuild_pool(self, pool: EndpointPool, subset: Subset, now_ns: int) -> None:
+        assigned = self._states(subset.assigned, now_ns)
+        zone_reserve = self._states(subset.zone_reserve, now_ns)
+        remote_reserve = self._states(subset.remote_reserve, now_ns)
         zone_reserve.sort(key=lambda state: state.reserve_rank)
         remote_reserve.sort(key=lambda state: state.reserve_rank)
         pool.current_subset = subset
@@ -103,7 +103,7 @@
         scope: DeduplicationScope,
         chance: Callable[[], float],
         count: int,
-        now: int,
+        now_ns: int,
     ) -> list[EndpointState]:
         """Return some endpoints of the same zone or cell that this proxy does not use otherwise."""
         fleet = self.fleet
@@ -112,4 +112,4 @@
         if len(fleet.endpoints) > len(fleet.used_ids) + 4 * count:
             fleet.forget_unused()
         numbers = fleet.table.ready_in_group(pool.placement, like, scope, chance(), count)
-        return [self._state(number, now) for number in numbers if number not in fleet.used_ids]
+        return [self._state(number, now_ns) for number in numbers if number not in fleet.used_ids]
--- a/loadbalancer/state/tenant_throttles.py
+++ b/loadbalancer/state/tenant_throttles.py
@@ -18,25 +18,25 @@
     silent tenants cost nothing, however many there are.
     """
 
-    def __init__(self, settings: Settings, rng: random.Random, now: int, objective_ns: int) -> None:
+    def __init__(self, settings: Settings, rng: random.Random, now_ns: int, objective_ns: int) -> None:
         super().__init__()
         self.tenants = settings.tenants or {"": Tenant("")}
         self.default_tenant = next(iter(self.tenants))  # stands for tenants that are not configured
-        self.rng, self.now, self.objective_ns = rng, now, objective_ns
+        self.rng, self.now_ns, self.objective_ns = rng, now_ns, objective_ns
         total_weight = sum(self._weight(name) for name in self.tenants)
-        self.rate_controller = RateController(self.values(), now, total_weight)
+        self.rate_controller = RateController(self.values(), now_ns, total_weight)
 
     def __missing__(self, name: str) -> Throttle:
         if name not in self.tenants:
             return self[self.default_tenant]
-        throttle = self[name] = Throttle(self._weight(name), self.rng, self.now, self.objective_ns)
-        throttle.set_rate(self.rate_controller.rate_of_idle_tenant(throttle.weight), self.now)
+        throttle = self[name] = Throttle(self._weight(name), self.rng, self.now_ns, self.objective_ns)
+        throttle.set_rate(self.rate_controller.rate_of_idle_tenant(throttle.weight), self.now_ns)
         return throttle
 
     def _weight(self, name: str) -> float:
         return max(WEIGHT_MIN, self.tenants[name].quota_share)
 
-    def forget_idle(self, now: int) -> None:
+    def forget_idle(self, now_ns: int) -> None:
         """Drop the throttles that a new one could replace."""
-        for name in [name for name, throttle in self.items() if throttle.is_idle(now)]:
+        for name in [name for name, throttle in self.items() if throttle.is_idle(now_ns)]:
             del self[name]
--- a/loadbalancer/state/timer_queue.py
+++ b/loadbalancer/state/timer_queue.py
@@ -88,7 +88,7 @@
         if name == self.wake_up_name:
             self._wake_up_ns = 0
 
-    def next_wake_up(self, now: int) -> SetTimer | None:
+    def next_wake_up(self, now_ns: int) -> SetTimer | None:
         """Return the wake-up to set, if the first timer is due before the one that is set."""
         first_due_ns = self.first_due_ns
         if first_due_ns >= (self._wake_up_ns or NEVER_NS):
@@ -96,4 +96,4 @@
         self._wake_up_ns = first_due_ns
         self._wake_up_number += 1
         self.wake_up_name = str(self._wake_up_number)
-        return SetTimer(max(1, first_due_ns - now), self.wake_up_name)
+        return SetTimer(max(1, first_due_ns - now_ns), self.wake_up_name)
--- a/scale_test/hollow.py
+++ b/scale_test/hollow.py
@@ -26,11 +26,11 @@
         self._policy = policy
         self.changes: list[PolicyChange] = []
 
-    def handle(self, now: int, events: Iterable[Event]) -> list[Action]:
+    def handle(self, now_ns: int, events: Iterable[Event]) -> list[Action]:
         """Let the policy handle the events, and record those that change the list."""
         events = list(events)
         begun_ns = time.monotonic_ns()
-        actions = self._policy.handle(now, events)
+        actions = self._policy.handle(now_ns, events)
         done_ns = time.monotonic_ns()
         for event in events:
             if isinstance(event, EndpointUpdate) and event.kind is EndpointUpdateKind.DELTA:
