--- a/loadbalancer/proxy/attempts.py
+++ b/loadbalancer/proxy/attempts.py
@@ -12,10 +12,10 @@
 
 from loadbalancer.messages import AttemptEnded, AttemptResult, CancelAttempt, Forward
 from loadbalancer.proxy.connection_pool import ConnectionPool
+from loadbalancer.proxy.exchange import Exchange
 from loadbalancer.proxy.http import Message, write_request
 from loadbalancer.proxy.load_report import parse_load_report
 from loadbalancer.proxy.pending_requests import PendingRequest, PendingRequests
-from loadbalancer.proxy.upstream import Exchange
 from loadbalancer.units import NANOSECONDS_PER_MILLISECOND, NANOSECONDS_PER_SECOND
 
 # A second response to one request may come some milliseconds late, and must not pass for the response to the
--- a/loadbalancer/proxy/discovery_call.py
+++ b/loadbalancer/proxy/discovery_call.py
@@ -14,6 +14,7 @@
 from loadbalancer.proxy.endpoint_list import EndpointList
 from loadbalancer.proxy.endpoint_list_reader import EndpointListReader
 from loadbalancer.proxy.errors import EndpointListError
+from loadbalancer.proxy.exchange import start_exchange
 from loadbalancer.proxy.http import Message, write_request
 from loadbalancer.proxy.steps import Steps, run_interleaved, run_through
 
@@ -75,7 +76,7 @@
         self._read_task: asyncio.Task[None] | None = None
         request = write_request(b"GET", (LIST_PATH + query).encode(), [(b"Host", target.host)])
         timeout_s = wait_s + TIMEOUT_MARGIN_S
-        self._exchange = target.pool.start_exchange(request, timeout_s, self._on_exchange_ended)
+        self._exchange = start_exchange(target.pool, request, timeout_s, self._on_exchange_ended)
 
     def abandon(self) -> None:
         """End the call; its result is not reported."""
@@ -101,7 +102,7 @@
         if self._exchange.response_too_large:
             log.warning(
                 "discovery: a list of over %d bytes is rejected; the old list stays",
-                self._target.pool.limits.max_response_body,
+                self._target.pool.limits.max_response_body_bytes,
             )
         status = response.status if response else ""
         log.info("discovery: call failed: %s %s", result.value, status)
--- a/loadbalancer/proxy/endpoint_addresses.py
+++ b/loadbalancer/proxy/endpoint_addresses.py
@@ -17,6 +17,8 @@
     def __init__(self, limits: ConnectionLimits) -> None:
         self._limits = limits
         self.by_id: dict[int, PackedAddress | None] = {}
+        self.pools: dict[int, ConnectionPool] = {}
+        """By endpoint, for those that have been sent something recently."""
 
     def __len__(self) -> int:
         return len(self.by_id)
@@ -35,27 +37,44 @@
             self._retire_pool(endpoint_id)
 
     def _retire_pool(self, endpoint_id: int) -> None:
-        # What comes up later at the old address belongs to another endpoint.
-        pool = self._limits.pools.pop(endpoint_id, None)
+        # A server that later listens at the old address is another endpoint.
+        pool = self.pools.pop(endpoint_id, None)
         if pool is not None:
             pool.retire()
 
     def connection_pool(self, endpoint_id: int) -> ConnectionPool | None:
         """Return the pool of an endpoint, made at its first use; None if it takes no new requests."""
-        pool = self._limits.pools.get(endpoint_id)
+        pool = self.pools.get(endpoint_id)
         if pool is not None:
             return pool
         address = self.by_id.get(endpoint_id)
         if address is None:
             return None
         pool = ConnectionPool(self._limits, unpack_address(address))
-        self._limits.pools[endpoint_id] = pool
+        self.pools[endpoint_id] = pool
         return pool
 
+    def close_idle_connections(self, endpoint_id: int) -> None:
+        """Close the idle connections to one endpoint."""
+        pool = self.pools.get(endpoint_id)
+        if pool is not None:
+            pool.close_idle()
+
+    def close_all_idle_connections(self) -> None:
+        """Close the idle connections to all endpoints."""
+        for pool in self.pools.values():
+            pool.close_idle()
+
+    def forget_empty_pools(self) -> None:
+        """Forget the pools without a connection: endpoints come and go, and only a few are in use."""
+        empty = [endpoint_id for endpoint_id, pool in self.pools.items() if not pool.open_connections]
+        for endpoint_id in empty:
+            del self.pools[endpoint_id]
+
     def ready(self) -> dict[int, Address]:
         """Return the addresses of the endpoints that take new requests."""
         return {
-            endpoint_id: unpack_address(packed)
-            for endpoint_id, packed in self.by_id.items()
-            if packed is not None
+            endpoint_id: unpack_address(address)
+            for endpoint_id, address in self.by_id.items()
+            if address is not None
         }
--- /dev/null
+++ b/loadbalancer/proxy/endpoint_connection.py
@@ -0,0 +1,154 @@
+"""One connection to an endpoint or to discovery; it carries one exchange at a time."""
+
+from __future__ import annotations
+
+import asyncio
+import contextlib
+import time
+from typing import Protocol, cast
+
+from loadbalancer.messages import AttemptResult
+from loadbalancer.proxy.http import CONTENT_TOO_LARGE, Message, MessageReader
+from loadbalancer.proxy.socket_state import has_unread_input
+
+
+class ConnectionCallbacks(Protocol):
+    """What the pool of a connection is notified of."""
+
+    def on_idle(self, connection: EndpointConnection, quarantine_s: float) -> None:
+        """The connection's exchange has ended, and it may carry another one after `quarantine_s`."""
+
+    def on_closed(self, connection: EndpointConnection) -> None:
+        """The connection is closed; called once."""
+
+
+class ActiveExchange(Protocol):
+    """The exchange that a connection carries."""
+
+    quarantine_s: float
+
+    def serialize(self) -> bytes:
+        """Return the request as it is to be written now."""
+
+    def extend_timeout(self, size_bytes: int) -> None:
+        """Part of the response has come."""
+
+    def on_response_too_large(self) -> None:
+        """The response is larger than allowed; `finish` follows."""
+
+    def finish(self, result: AttemptResult, response: Message | None = None) -> None:
+        """The exchange has ended, with its response if the result is OK."""
+
+
+class EndpointConnection(asyncio.Protocol):
+    """A connection that is kept alive between exchanges."""
+
+    def __init__(self, callbacks: ConnectionCallbacks, max_response_body_bytes: int) -> None:
+        self._callbacks = callbacks
+        self._reader = MessageReader(responses=True, max_body_bytes=max_response_body_bytes)
+        self._transport: asyncio.Transport | None = None
+        self._exchange: ActiveExchange | None = None
+        self._request_written = False
+        self._closed = False
+        self.idle_since_s = 0.0
+        """By the monotonic clock."""
+        self.quarantined_until_s = 0.0
+        """By the monotonic clock; the connection is not reused before."""
+
+    @property
+    def usable(self) -> bool:
+        """Whether it is open, with nothing unread.
+
+        A connection that its endpoint has closed is removed from its pool only some event loop turns later.
+        """
+        return (
+            self._transport is not None
+            and not self._transport.is_closing()
+            and not has_unread_input(self._transport)
+        )
+
+    def mark_idle(self, quarantine_s: float) -> None:
+        """Record that it is idle from now on, and not to be reused for `quarantine_s`."""
+        self.idle_since_s = time.monotonic()
+        self.quarantined_until_s = self.idle_since_s + quarantine_s
+
+    def send(self, exchange: ActiveExchange) -> None:
+        """Write the request of an exchange, which is notified when it ends."""
+        self._exchange = exchange
+        self._request_written = False
+        if self._transport is None or not self.usable:
+            asyncio.get_running_loop().call_soon(self.fail)  # not at once: its sender still sets it up
+            return
+        self._transport.write(exchange.serialize())
+        self._request_written = (
+            not self._transport.is_closing() and not self._transport.get_write_buffer_size()
+        )
+
+    # -- asyncio.Protocol --
+
+    def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """Keep the transport, or abort it if the connection was closed while it was being established."""
+        self._transport = cast(asyncio.Transport, transport)
+        if self._closed:
+            self._transport.abort()
+        # With no high-water mark, `resume_writing` is called when the last byte is written.
+        self._transport.set_write_buffer_limits(high=0)
+
+    def resume_writing(self) -> None:
+        """Record that the last byte of the request is written."""
+        self._request_written = True
+
+    def data_received(self, data: bytes) -> None:
+        """Read on, and finish the exchange if its response is complete."""
+        responses = self._reader.feed(data)
+        exchange = self._exchange
+        if exchange is None:
+            self.fail()  # no request is in flight
+        elif responses:
+            self._finish_exchange(exchange, responses)
+        elif self._reader.error_status:
+            if self._reader.error_status == CONTENT_TOO_LARGE:
+                exchange.on_response_too_large()
+            self.fail()
+        else:
+            exchange.extend_timeout(len(data))
+
+    def _finish_exchange(self, exchange: ActiveExchange, responses: list[Message]) -> None:
+        """Finish the exchange with the first response, and keep the connection alive if it is clean.
+
+        Bytes behind a complete response do not invalidate it, but they must not be read as the next one.
+        """
+        self._exchange = None
+        response = responses[0]
+        followed = len(responses) > 1 or self._reader.message_started or self._reader.error_status
+        if response.keep_alive and self._request_written and not followed:
+            self._callbacks.on_idle(self, exchange.quarantine_s)
+        else:
+            self.close()
+        exchange.finish(AttemptResult.OK, response)
+
+    def connection_lost(self, error: Exception | None) -> None:  # noqa: ARG002 - asyncio.Protocol's signature
+        """Close the connection, and fail the exchange that waits for its response."""
+        self.fail()
+
+    def fail(self) -> None:
+        """Close the connection; the result of its exchange depends on whether the request was written."""
+        exchange = self._exchange
+        self.close()
+        if exchange is not None:
+            # Up to its last byte nothing can have run; from then on it may have.
+            sent = self._request_written
+            exchange.finish(AttemptResult.RESET if sent else AttemptResult.CONNECT_FAILED)
+
+    def close(self) -> None:
+        """Close the connection at once; a late response is dropped."""
+        self._exchange = None
+        if not self._closed:
+            self._closed = True
+            self._callbacks.on_closed(self)
+        if self._transport is not None:
+            # The transport closes its socket only in the loop's next turn, when the request may have been
+            # sent again: two copies on open connections. What is written here ends at once.
+            with contextlib.suppress(OSError):
+                self._transport.write_eof()
+            self._transport.abort()
--- /dev/null
+++ b/loadbalancer/proxy/exchange.py
@@ -0,0 +1,167 @@
+"""Exchanges: one request and its response, sent on a pooled connection, with a timeout."""
+
+from __future__ import annotations
+
+import asyncio
+from collections.abc import Callable
+
+from loadbalancer.messages import AttemptResult
+from loadbalancer.proxy.connection_pool import ConnectionPool
+from loadbalancer.proxy.endpoint_connection import EndpointConnection
+from loadbalancer.proxy.http import Message
+
+OnExchangeEnded = Callable[[AttemptResult, Message | None], None]
+"""Is called with OK and the response, whatever its status, or with the failure and None."""
+
+RequestSerializer = Callable[[], bytes]
+"""Builds a request at the moment it is written."""
+
+
+class Exchange:
+    """One request and its response on one connection: an attempt, a health check or a call to discovery."""
+
+    def __init__(
+        self,
+        pool: ConnectionPool,
+        serialize: RequestSerializer,
+        on_ended: OnExchangeEnded,
+        reserved_connections: int = 0,
+        is_wanted: Callable[[], bool] = lambda: True,
+        quarantine_s: float = 0.0,
+    ) -> None:
+        """Prepare an exchange; `start` begins it.
+
+        Args:
+            pool: The connections to the endpoint.
+            serialize: Builds the request when it is written, which is up to the connect timeout after the
+                start, so that a remaining time in it is still right.
+            on_ended: Is called once at the end, unless the exchange is abandoned.
+            reserved_connections: Connections of the limit that it must leave to others.
+            is_wanted: Is called before a connection is taken and before the first byte; may abandon the
+                exchange. The exchange does not continue if it returns False.
+            quarantine_s: How long its connection is not reused afterwards.
+        """
+        self.pool = pool
+        self.reserved_connections = reserved_connections
+        self.quarantine_s = quarantine_s
+        self.serialize = serialize
+        self.finished = False
+        self.response_too_large = False
+        """It has ended because its response was larger than allowed."""
+        self._on_ended = on_ended
+        self._is_wanted = is_wanted
+        self._connection: EndpointConnection | None = None
+        self._connecting: EndpointConnection | None = None
+        self._connect_task: asyncio.Task[None] | None = None
+        self._timeout_timer: asyncio.TimerHandle | None = None
+
+    @property
+    def unsent(self) -> bool:
+        """Whether it still waits for its connection: no byte of it has been sent."""
+        return not self.finished and self._connection is None
+
+    def start(self, deadline_s: float | None) -> None:
+        """Send the request as soon as there is a connection.
+
+        Args:
+            deadline_s: When it times out, by the event loop's clock; None for never.
+        """
+        if not self._is_wanted():
+            return
+        if deadline_s is not None:
+            self._set_timeout(deadline_s)
+        connection = self.pool.take_idle()
+        if connection is not None:
+            self._send_on(connection)
+            return
+        # Reserved now and not when it is established: other exchanges of this turn count it.
+        connection = self.pool.reserve_connection(self.reserved_connections)
+        if connection is not None:
+            self._connect(connection)
+        else:
+            asyncio.get_running_loop().call_soon(self.finish, AttemptResult.CONNECT_FAILED)
+
+    def _set_timeout(self, deadline_s: float) -> None:
+        self._timeout_timer = asyncio.get_running_loop().call_at(
+            deadline_s, self.finish, AttemptResult.TIMEOUT
+        )
+
+    def _connect(self, connection: EndpointConnection) -> None:
+        self._connecting = connection
+        self._connect_task = asyncio.get_running_loop().create_task(self._connect_and_send(connection))
+
+    async def _connect_and_send(self, connection: EndpointConnection) -> None:
+        host, port = self.pool.address
+        try:
+            async with asyncio.timeout(self.pool.limits.connect_timeout_s):
+                await asyncio.get_running_loop().create_connection(lambda: connection, host, port)
+        except (OSError, TimeoutError):
+            self._connect_task = None
+            self.finish(AttemptResult.CONNECT_FAILED)
+            return
+        self._connect_task = None
+        self._connecting = None
+        if self._is_wanted():  # the client may have disconnected, unread, while it was being established
+            self._send_on(connection)
+        else:
+            connection.close()
+
+    def _send_on(self, connection: EndpointConnection) -> None:
+        self._connection = connection
+        connection.send(self)
+
+    def extend_timeout(self, size_bytes: int) -> None:
+        """Extend the timeout by what so many bytes of the response take at the least rate, if one is set."""
+        min_bytes_per_s = self.pool.limits.min_response_bytes_per_s
+        if min_bytes_per_s and self._timeout_timer is not None:
+            deadline_s = self._timeout_timer.when() + size_bytes / min_bytes_per_s
+            self._timeout_timer.cancel()
+            self._set_timeout(deadline_s)
+
+    def on_response_too_large(self) -> None:
+        """Record why the exchange is about to fail."""
+        self.response_too_large = True
+
+    def finish(self, result: AttemptResult, response: Message | None = None) -> None:
+        """End the exchange and report how, once; without effect on one that has ended."""
+        if not self.finished:
+            self._release(close_connection=response is None)
+            self._on_ended(result, response)
+
+    def abandon(self) -> None:
+        """End the exchange without a report; the connection on which its response is due is closed."""
+        self._release(close_connection=True)
+
+    def _release(self, close_connection: bool) -> None:
+        """Mark it as finished and release all that it holds."""
+        self.finished = True
+        if self._timeout_timer is not None:
+            self._timeout_timer.cancel()
+        if self._connect_task is not None:
+            self._connect_task.cancel()
+        if self._connecting is not None:
+            self._connecting.close()
+        if self._connection is not None and close_connection:
+            self._connection.close()
+
+
+def start_exchange(
+    pool: ConnectionPool,
+    data: bytes,
+    timeout_s: float | None,
+    on_ended: OnExchangeEnded,
+    reserved_connections: int = 0,
+) -> Exchange:
+    """Start an exchange whose request names no remaining time, so that it may be built beforehand.
+
+    Args:
+        pool: The connections to the endpoint.
+        data: The request.
+        timeout_s: After which it times out; None for never.
+        on_ended: Is called at the end, see `Exchange`.
+        reserved_connections: Connections of the limit that it must leave to others.
+    """
+    exchange = Exchange(pool, lambda: data, on_ended, reserved_connections)
+    deadline_s = None if timeout_s is None else asyncio.get_running_loop().time() + timeout_s
+    exchange.start(deadline_s)
+    return exchange
--- a/loadbalancer/proxy/health_checks.py
+++ b/loadbalancer/proxy/health_checks.py
@@ -8,6 +8,7 @@
 
 from loadbalancer.messages import AttemptResult, HealthCheckEnded
 from loadbalancer.proxy.connection_pool import ConnectionPool
+from loadbalancer.proxy.exchange import start_exchange
 from loadbalancer.proxy.http import Message, write_request
 from loadbalancer.proxy.load_report import parse_load_report
 
@@ -50,7 +51,8 @@
         self.in_flight += 1
         check = HealthCheck(self, endpoint_id, started_ns)
         host, port = pool.address
-        pool.start_exchange(
+        start_exchange(
+            pool,
             write_request(b"GET", self._path, [(b"Host", f"{host}:{port}".encode())]),
             TIMEOUT_S,
             check.on_ended,
--- a/loadbalancer/proxy/http.py
+++ b/loadbalancer/proxy/http.py
@@ -10,7 +10,7 @@
 # Of a request.
 MAX_REQUEST_BODY_BYTES = 64 * 1024
 
-# Of a response: upstreams send some of 400 KB, though 64 KB are agreed.
+# Of a response: endpoints send some of 400 KB, though 64 KB are agreed.
 MAX_RESPONSE_BODY_BYTES = 1024 * 1024
 
 # Of a message's start line and headers, or of the trailers together with them.
@@ -97,9 +97,9 @@
 class MessageReader:
     """Cuts the bytes of a connection into messages; `error_status` says when they can't be read on."""
 
-    def __init__(self, responses: bool = False, max_body: int = MAX_REQUEST_BODY_BYTES) -> None:
+    def __init__(self, responses: bool = False, max_body_bytes: int = MAX_REQUEST_BODY_BYTES) -> None:
         self._parser = httptools.HttpResponseParser(self) if responses else httptools.HttpRequestParser(self)
-        self._max_body = max_body
+        self._max_body_bytes = max_body_bytes
         self._complete: list[Message] = []
         self._bytes_fed = 0  # of a message that is not whole yet, with its framing
         self._interim_responses = 0  # 1xx responses ahead of the final one
@@ -136,7 +136,7 @@
         """Bound what a message without end may take of the memory (its head) and of the parser's time."""
         if not self._in_body and self._bytes_fed > MAX_HEADER_BYTES:
             self._set_error(REQUEST_HEADER_FIELDS_TOO_LARGE)
-        elif self._bytes_fed > MAX_HEADER_BYTES + MAX_FRAMING_FACTOR * self._max_body:
+        elif self._bytes_fed > MAX_HEADER_BYTES + MAX_FRAMING_FACTOR * self._max_body_bytes:
             self._set_error(CONTENT_TOO_LARGE)  # for example chunk extensions without end
 
     def _set_error(self, status: int) -> None:
@@ -172,14 +172,14 @@
         if self._parser.get_http_version() not in ("1.0", "1.1"):
             self._set_error(BAD_REQUEST)
         for name, value in self._headers:
-            if name == b"content-length" and int(value) > self._max_body:
+            if name == b"content-length" and int(value) > self._max_body_bytes:
                 self._set_error(CONTENT_TOO_LARGE)  # not only when that much has come
             elif name == b"transfer-encoding" and value.strip().lower() != b"chunked":
                 self._set_error(BAD_REQUEST)  # a coding that would have to be undone
 
     def on_body(self, data: bytes) -> None:
         """Part of the body has come."""
-        if len(self._body) + len(data) > self._max_body:
+        if len(self._body) + len(data) > self._max_body_bytes:
             self._set_error(CONTENT_TOO_LARGE)
         if not self.error_status:
             self._body += data
--- a/loadbalancer/proxy/load_report.py
+++ b/loadbalancer/proxy/load_report.py
@@ -1,4 +1,4 @@
-"""Load reports: the figures on its load that an upstream sends with answers or health checks."""
+"""Load reports: the figures on its load that an endpoint sends with answers or health checks."""
 
 from __future__ import annotations
 
--- a/loadbalancer/proxy/pending_requests.py
+++ b/loadbalancer/proxy/pending_requests.py
@@ -11,6 +11,7 @@
 
 from loadbalancer.messages import AttemptResult, ClientDisconnected, Event, Reject, RequestArrived
 from loadbalancer.proxy.client_connection import ClientConnection
+from loadbalancer.proxy.exchange import Exchange
 from loadbalancer.proxy.http import Headers, Message, parse_decimal
 from loadbalancer.proxy.request_validation import (
     DUPLICATE_ID,
@@ -18,7 +19,6 @@
     RejectedRequest,
     ValidRequest,
 )
-from loadbalancer.proxy.upstream import Exchange
 from loadbalancer.units import NANOSECONDS_PER_MILLISECOND, NANOSECONDS_PER_SECOND
 
 # The policy's deadline comes before the client's, so that its answer has time to reach the client.
--- a/loadbalancer/proxy/proxy.py
+++ b/loadbalancer/proxy/proxy.py
@@ -143,7 +143,7 @@
 
     def _sweep_once(self) -> None:
         self._connection_limits.close_expired()
-        self._connection_limits.forget_empty_pools()
+        self._addresses.forget_empty_pools()
         self._endpoint_updater.sweep_ids()
         self._sweep_timer = self._loop.call_later(SWEEP_INTERVAL_S, self._sweep_once)
 
@@ -183,8 +183,7 @@
         self._endpoint_updater.close()
         if self._sweep_timer is not None:
             self._sweep_timer.cancel()
-        for pool in self._connection_limits.pools.values():
-            pool.close_idle()
+        self._addresses.close_all_idle_connections()
         self._gossip.close()
         self.downstream.abort()
 
@@ -239,8 +238,7 @@
             case SendGossip():
                 self._gossip.send(action.data, action.recipient)
             case CloseIdleConnections():
-                if (pool := self._connection_limits.pools.get(action.endpoint_id)) is not None:
-                    pool.close_idle()
+                self._addresses.close_idle_connections(action.endpoint_id)
             case WatchEndpoints(watch=True):
                 self._discovery_client.watch()
             case WatchEndpoints():
--- a/tests/process/test_process.py
+++ b/tests/process/test_process.py
@@ -22,7 +22,7 @@
     PATIENCE_S,
     Answer,
     FakeDiscovery,
-    FakeUpstream,
+    FakeEndpoint,
     ReceivedRequest,
     answers,
     breaks,
@@ -134,7 +134,7 @@
                 await release.wait()
             writer.write(written(200, b"done"))
 
-        upstream, second = await FakeUpstream(answer).start(), await FakeUpstream(answer).start()
+        upstream, second = await FakeEndpoint(answer).start(), await FakeEndpoint(answer).start()
         async with running_proxy(tmp_path, upstream.port, second.port) as (process, port):
             assert (await exchange(port, READINESS_CHECK)).status == 200
             idle_reader, idle_writer = await asyncio.open_connection(HOST, port)
@@ -163,7 +163,7 @@
 def test_the_proxy_is_ready_once_the_processor_time_of_its_start_is_paid_for(tmp_path: Path) -> None:
     # Guards against clients that wait while the system stops a process that overspent its share at the start.
     async def test() -> None:
-        upstream = await FakeUpstream(answers(200)).start()
+        upstream = await FakeEndpoint(answers(200)).start()
         async with running_proxy(tmp_path, upstream.port, cores=0.001) as (_, port):
             while (got := await exchange(port, READINESS_CHECK)).status != 200:
                 assert got.status == 503
@@ -186,7 +186,7 @@
 def test_a_proxy_with_a_long_known_list_becomes_ready_and_serves(tmp_path: Path) -> None:
     # Nothing is timed: each request must reach the only one of 30,001 endpoints that is up.
     async def test() -> None:
-        upstream = await FakeUpstream(answers(200)).start()
+        upstream = await FakeEndpoint(answers(200)).start()
         rows = known(*[1] * 30_000, upstream.port)
         assert isinstance(rows["hosts"], list)
         for row in rows["hosts"][:-1]:
@@ -207,8 +207,8 @@
     async def test() -> None:
         discoveries = [FakeDiscovery(), FakeDiscovery()]
         for discovery in discoveries:
-            await discovery.upstream.start()
-        upstream = await FakeUpstream(answers(200)).start()
+            await discovery.server.start()
+        upstream = await FakeEndpoint(answers(200)).start()
         path = tmp_path / "config.json"
         async with running_proxy(tmp_path, upstream.port) as (process, port):
             for text in ("{", "[" * 100_000, json.dumps(configuration(listen=3))):
@@ -221,13 +221,13 @@
                     assert line, "it ended"
             assert (await exchange(port, request())).status == 200
             for discovery in discoveries:
-                path.write_text(json.dumps(configuration(discovery=f"{HOST}:{discovery.upstream.port}")))
+                path.write_text(json.dumps(configuration(discovery=f"{HOST}:{discovery.server.port}")))
                 process.send_signal(signal.SIGHUP)
                 await until(lambda r=discovery: len(r.calls) >= 2)  # type: ignore[misc]
             process.send_signal(signal.SIGTERM)
             process.send_signal(signal.SIGHUP)  # also during the shutdown
             assert await asyncio.wait_for(process.wait(), PATIENCE_S) == 0
-        for server in (upstream, *(r.upstream for r in discoveries)):
+        for server in (upstream, *(r.server for r in discoveries)):
             server.stop()
 
     run(test())
@@ -235,7 +235,7 @@
 
 def test_the_proxy_serves_after_it_ran_out_of_descriptors(tmp_path: Path) -> None:
     async def test() -> None:
-        upstream = await FakeUpstream(answers(200)).start()
+        upstream = await FakeEndpoint(answers(200)).start()
         async with running_proxy(tmp_path, upstream.port, descriptors=24) as (process, port):
             idle = [await asyncio.open_connection(HOST, port) for _ in range(40)]
             assert (await exchange(port, READINESS_CHECK)).status == 200
@@ -254,8 +254,8 @@
     # Discovery breaks two calls while idle clients and connections to endpoints take all descriptors.
     async def test() -> None:
         discovery, fails = FakeDiscovery(), iter(range(2))
-        heard: Answer = discovery.upstream.answer
-        upstreams = [await FakeUpstream(answers(200)).start() for _ in range(16)]
+        heard: Answer = discovery.server.answer
+        upstreams = [await FakeEndpoint(answers(200)).start() for _ in range(16)]
 
         async def answer(got: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
             if next(fails, None) is not None:
@@ -266,14 +266,14 @@
                     discovery.change("s0", dial=f"{HOST}:{upstreams[0].port}", health="draining")
                 await heard(got, writer)
 
-        discovery.upstream.answer = answer
-        await discovery.upstream.start()
+        discovery.server.answer = answer
+        await discovery.server.start()
         async with running_proxy(
             tmp_path,
             *(u.port for u in upstreams),
             descriptors=256,
             mode=mode,
-            discovery=discovery.upstream.port,
+            discovery=discovery.server.port,
             sockets=256,
         ) as (process, port):
             idle = [await asyncio.open_connection(HOST, port) for _ in range(300)]
@@ -289,7 +289,7 @@
             assert process.returncode is None
             for _, writer in idle:
                 writer.close()
-        for server in (*upstreams, discovery.upstream):
+        for server in (*upstreams, discovery.server):
             server.stop()
 
     run(test())
--- a/tests/proxy/test_attempt_results.py
+++ b/tests/proxy/test_attempt_results.py
@@ -12,6 +12,7 @@
     AttemptEnded,
     AttemptResult,
 )
+from loadbalancer.proxy.exchange import start_exchange
 from tests.support.scripted import (
     fail_unless_complete,
     forwarding_policy,
@@ -22,7 +23,7 @@
     HOST,
     NANOSECONDS_PER_MILLISECOND,
     Answer,
-    FakeUpstream,
+    FakeEndpoint,
     answers,
     breaks,
     known,
@@ -73,13 +74,13 @@
     ],
 )
 async def test_the_response_determines_the_result(answer: Answer, result: AttemptResult) -> None:
-    upstream = await FakeUpstream(answer).start()
+    endpoint = await FakeEndpoint(answer).start()
     policy = forwarding_policy(fail_unless_complete)
-    async with node(policy, upstream) as client:
+    async with node(policy, endpoint) as client:
         got = await client.ask(request())
         assert got.status == (200 if result is AttemptResult.OK else 504)
         assert results(policy) == [result]
-        assert len(upstream.got) == 1  # nothing is retried without the policy
+        assert len(endpoint.got) == 1  # nothing is retried without the policy
 
 
 @pytest.mark.parametrize(
@@ -95,9 +96,9 @@
     ],
 )
 async def test_an_unreadable_load_report_is_dropped(report: str, expected: object) -> None:
-    upstream = await FakeUpstream(answers(200, b"it", f"Srv-Load: {report}")).start()
+    endpoint = await FakeEndpoint(answers(200, b"it", f"Srv-Load: {report}")).start()
     policy = forwarding_policy()
-    async with node(policy, upstream, in_answers=True) as client:
+    async with node(policy, endpoint, in_answers=True) as client:
         for number in (1, 2):
             assert (await client.ask(request())).body == b"it"
             await until(lambda number=number: len(policy.of(AttemptEnded)) == number)  # type: ignore[misc]
@@ -107,18 +108,18 @@
 
 
 async def test_a_refused_connection_is_a_connect_failure() -> None:
-    upstream = await FakeUpstream(silent).start()
-    upstream.stop()
+    endpoint = await FakeEndpoint(silent).start()
+    endpoint.stop()
     policy = forwarding_policy(fail_unless_complete)
-    async with node(policy, upstream) as client:
+    async with node(policy, endpoint) as client:
         assert (await client.ask(request())).status == 504
         assert results(policy) == [AttemptResult.CONNECT_FAILED]
 
 
 async def test_a_connect_timeout_is_a_connect_failure(monkeypatch: pytest.MonkeyPatch) -> None:
-    upstream = await FakeUpstream(silent).start()
+    endpoint = await FakeEndpoint(silent).start()
     policy = forwarding_policy(fail_unless_complete)
-    async with node(policy, upstream, connect_timeout_ns=20 * NANOSECONDS_PER_MILLISECOND) as client:
+    async with node(policy, endpoint, connect_timeout_ns=20 * NANOSECONDS_PER_MILLISECOND) as client:
         await client.send(request())
         hold_connections(monkeypatch, asyncio.Event())
         assert (await client.read()).status == 504
@@ -138,8 +139,8 @@
         pool = client.node._connection_pool(next(iter(client.node.endpoint_addresses())))
         assert pool is not None
         ended: list[AttemptResult] = []
-        exchange = pool.start_exchange(
-            b"x" * 50_000_000, None, lambda result, _response: ended.append(result)
+        exchange = start_exchange(
+            pool, b"x" * 50_000_000, None, lambda result, _response: ended.append(result)
         )
         await until(lambda: held and not exchange.unsent)
         held[0].transport.abort()
--- a/tests/proxy/test_attempts.py
+++ b/tests/proxy/test_attempts.py
@@ -34,7 +34,7 @@
 from tests.support.sockets import (
     HOST,
     NANOSECONDS_PER_MILLISECOND,
-    FakeUpstream,
+    FakeEndpoint,
     ReceivedRequest,
     ScriptedPolicy,
     known,
@@ -50,13 +50,13 @@
     release = asyncio.Event()
 
     async def late(_received: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
-        if len(upstream.got) == 1:
+        if len(endpoint.got) == 1:
             await release.wait()
             writer.write(b"HTTP/1.1 200 X\r\nContent-Length: 4\r\n\r\nlate")
         else:
             writer.write(b"HTTP/1.1 200 X\r\nContent-Length: 5\r\n\r\nfresh")
 
-    upstream = await FakeUpstream(late).start()
+    endpoint = await FakeEndpoint(late).start()
     policy = ScriptedPolicy()
 
     def retry(event: Event) -> Iterable[Action]:
@@ -66,10 +66,10 @@
         return ()
 
     forward_requests(policy, retry, timeout_ns=30 * NANOSECONDS_PER_MILLISECOND)
-    async with node(policy, upstream) as client:
+    async with node(policy, endpoint) as client:
         assert (await client.ask(request())).body == b"fresh"
-        assert upstream.opened == 2
-        await until(lambda: upstream.closed == 1)
+        assert endpoint.opened == 2
+        await until(lambda: endpoint.closed == 1)
         assert [(o.result, o.attempt) for o in policy.of(AttemptEnded)] == [
             (AttemptResult.TIMEOUT, 0),
             (AttemptResult.OK, 1),
@@ -101,23 +101,23 @@
 
 
 async def test_a_cancelled_attempt_closes_its_connection() -> None:
-    upstream = await FakeUpstream(silent).start()
+    endpoint = await FakeEndpoint(silent).start()
     policy = ScriptedPolicy()
     forward_requests(
         policy,
         lambda e: [CancelAttempt("1", 0)] if isinstance(e, TimerExpired) else fail_unless_complete(e),
     )
-    async with node(policy, upstream) as client:
+    async with node(policy, endpoint) as client:
         await client.send(request())
-        await until(lambda: upstream.got)
+        await until(lambda: endpoint.got)
         client.node.dispatch(TimerExpired("now"))
         assert (await client.read()).status == 504
-        await until(lambda: upstream.closed == 1)
+        await until(lambda: endpoint.closed == 1)
         assert results(policy) == [AttemptResult.CANCELLED]
 
 
 async def test_a_stall_after_the_decision_does_not_extend_the_timeout() -> None:
-    upstream = await FakeUpstream(silent).start()
+    endpoint = await FakeEndpoint(silent).start()
     policy = ScriptedPolicy()
 
     def react(event: Event) -> Iterable[Action]:
@@ -130,7 +130,7 @@
         return ()
 
     policy.react = react
-    async with node(policy, upstream) as client:
+    async with node(policy, endpoint) as client:
         assert (await client.ask(request(deadline_ms=150))).status == 503
         assert results(policy) == [AttemptResult.TIMEOUT]
         await until(lambda: policy.of(TimerExpired))
@@ -157,16 +157,16 @@
             arrival = policy.of(RequestArrived)[0]
             deadline = arrival.deadline_ns + POLICY_DEADLINE_MARGIN_NS - PROXY_DEADLINE_MARGIN_NS
             ends.append(client.node._decision_time_ns + timeout_ns if timeout_ns else deadline)
-            upstreams = policy.ids()
-            return [Forward(arrival.request_id, upstreams[-1 if len(ends) == attempts else 0], timeout_ns)]
+            endpoints = policy.ids()
+            return [Forward(arrival.request_id, endpoints[-1 if len(ends) == attempts else 0], timeout_ns)]
         return ()
 
-    refusing, upstream = await FakeUpstream(silent).start(), await FakeUpstream(answer).start()
+    refusing, endpoint = await FakeEndpoint(silent).start(), await FakeEndpoint(answer).start()
     refusing.stop()
     policy, up = ScriptedPolicy(forward), asyncio.Event()
-    async with node(policy, refusing, upstream) as client:
+    async with node(policy, refusing, endpoint) as client:
         await connect(client)
-        hold_connections(monkeypatch, up, upstream.port)
+        hold_connections(monkeypatch, up, endpoint.port)
         await client.send(request())
         await until(lambda: len(ends) == attempts)
         begun = time.monotonic_ns()
@@ -174,6 +174,6 @@
         opened = time.monotonic_ns()
         up.set()
         assert (await client.read()).status == 200
-        told_ns = int(upstream.got[0].headers["req-deadline-ms"]) * NANOSECONDS_PER_MILLISECOND
+        told_ns = int(endpoint.got[0].headers["req-deadline-ms"]) * NANOSECONDS_PER_MILLISECOND
         # It was written between these two times, and what it tells is in whole milliseconds.
         assert ends[-1] - received[0] - NANOSECONDS_PER_MILLISECOND < told_ns <= ends[-1] - opened
--- a/tests/proxy/test_client_disconnect.py
+++ b/tests/proxy/test_client_disconnect.py
@@ -46,7 +46,7 @@
     PATIENCE_S,
     Answer,
     Client,
-    FakeUpstream,
+    FakeEndpoint,
     ReceivedRequest,
     ScriptedPolicy,
     Writer,
@@ -63,7 +63,7 @@
 # An attempt that begins so long after the disconnect breaks the rule.
 MAX_NOTICE_S = 0.1
 
-# Longer than a full garbage collection on a busy machine: the request must reach the upstream before it.
+# Longer than a full garbage collection on a busy machine: the request must reach the endpoint before it.
 ATTEMPT_TIMEOUT_NS = 250 * NANOSECONDS_PER_MILLISECOND
 
 # How an attempt can end without success.
@@ -124,14 +124,14 @@
             self._pending_disconnect()
             self._pending_disconnect = None
 
-    def watch_connections(self, monkeypatch: pytest.MonkeyPatch, *upstreams: FakeUpstream) -> None:
+    def watch_connections(self, monkeypatch: pytest.MonkeyPatch, *endpoints: FakeEndpoint) -> None:
         """Make the attempts use idle connections or new ones, as the time of the disconnect wants it."""
         quarantine_s = 0.0 if self._when is DisconnectTime.DECIDED else 60.0
         monkeypatch.setattr("loadbalancer.proxy.attempts.QUARANTINE_S", quarantine_s)
         if self._when is not DisconnectTime.CONNECTED:
             return
         loop = asyncio.get_running_loop()
-        ports = [upstream.port for upstream in upstreams]
+        ports = [endpoint.port for endpoint in endpoints]
         original: Callable[..., Awaitable[object]] = loop.create_connection
 
         async def create_connection(*args: object, **options: object) -> object:
@@ -155,9 +155,9 @@
     return Balancer(settings(**limits), 1, time.monotonic_ns())
 
 
-def forwarded(upstream: FakeUpstream) -> list[str]:
+def forwarded(endpoint: FakeEndpoint) -> list[str]:
     """The targets of the forwarded requests; those of health checks are left out."""
-    return [target for target in targets(upstream) if "/read/" in target]
+    return [target for target in targets(endpoint) if "/read/" in target]
 
 
 async def ask_until_served(client: Client) -> None:
@@ -182,14 +182,14 @@
             await may_respond.wait()
         writer.write(written(200))
 
-    upstream = await FakeUpstream(answer).start()
+    endpoint = await FakeEndpoint(answer).start()
     balancer = balancer_of()
     policy = DisconnectInjector(balancer, when, request_id="2")
-    policy.watch_connections(monkeypatch, upstream)
-    async with node(policy, upstream) as client, plain_socket(client) as sock:
+    policy.watch_connections(monkeypatch, endpoint)
+    async with node(policy, endpoint) as client, plain_socket(client) as sock:
         first = client.another()
         await first.send(request("/read/first"))
-        await until(lambda: upstream.got)
+        await until(lambda: endpoint.got)
         sock.send(request("/read/abandoned"))
         # The only endpoint has no capacity for a second request.
         await until(lambda: balancer.fleet.default_pool.queue)
@@ -199,7 +199,7 @@
         assert (await first.read()).status == 200  # now it would have
 
         await ask_until_served(client)
-        assert forwarded(upstream) == ["/read/first", "/read/later"]
+        assert forwarded(endpoint) == ["/read/first", "/read/later"]
         assert policy.done
         assert not balancer.requests
         first.close()
@@ -225,21 +225,21 @@
         int(PATIENCE_S * 1000) * NANOSECONDS_PER_MILLISECOND,
     )
     monkeypatch.setattr("loadbalancer.proxy.health_checks.TIMEOUT_S", PATIENCE_S)
-    upstream = await FakeUpstream(answer).start()
+    endpoint = await FakeEndpoint(answer).start()
     balancer = balancer_of(health_checks=True)
     policy = DisconnectInjector(balancer, when)
-    policy.watch_connections(monkeypatch, upstream)
-    async with node(policy, upstream, health_checks=True) as client, plain_socket(client) as sock:
+    policy.watch_connections(monkeypatch, endpoint)
+    async with node(policy, endpoint, health_checks=True) as client, plain_socket(client) as sock:
         sock.send(request("/read/abandoned"))
-        await until(lambda: upstream.got)  # a load probe, and the request waits for its result
+        await until(lambda: endpoint.got)  # a load probe, and the request waits for its result
         assert balancer.fleet.default_pool.queue
-        assert not forwarded(upstream)
+        assert not forwarded(endpoint)
 
         await policy.disconnect(disconnect, sock, client)
         may_respond.set()
 
         await ask_until_served(client)
-        assert forwarded(upstream) == ["/read/later"]
+        assert forwarded(endpoint) == ["/read/later"]
         assert policy.done
         assert not balancer.requests
 
@@ -254,22 +254,22 @@
 
     async def answer(received: ReceivedRequest, writer: Writer) -> None:
         await may_respond.wait()
-        upstream.answer = answers(200)
+        endpoint.answer = answers(200)
         await ATTEMPT_ENDS[end](received, writer)
 
-    upstream = await FakeUpstream(answer).start()
+    endpoint = await FakeEndpoint(answer).start()
     policy = DisconnectInjector(balancer_of(), when, attempt=1)
-    policy.watch_connections(monkeypatch, upstream)
-    async with node(policy, upstream) as client, plain_socket(client) as sock:
+    policy.watch_connections(monkeypatch, endpoint)
+    async with node(policy, endpoint) as client, plain_socket(client) as sock:
         sock.send(request("/read/abandoned"))
-        await until(lambda: upstream.got)
+        await until(lambda: endpoint.got)
 
         await policy.disconnect(disconnect, sock, client)  # where it is read: while the first one is out
         may_respond.set()
 
         await until(lambda: not client.node._pending_requests)
         await ask_until_served(client)
-        assert forwarded(upstream) == ["/read/abandoned", "/read/later"]
+        assert forwarded(endpoint) == ["/read/abandoned", "/read/later"]
         assert policy.done
 
 
@@ -279,8 +279,8 @@
 async def test_disconnect_after_an_attempt_with_any_result(
     monkeypatch: pytest.MonkeyPatch, disconnect: Disconnect, when: DisconnectTime, end: str
 ) -> None:
-    upstream = await FakeUpstream(ATTEMPT_ENDS.get(end, silent)).start()
-    other = await FakeUpstream(answers(200)).start()
+    endpoint = await FakeEndpoint(ATTEMPT_ENDS.get(end, silent)).start()
+    other = await FakeEndpoint(answers(200)).start()
     attempt_timeout_ns = ATTEMPT_TIMEOUT_NS if end == "timeout" else 0
     retry_at = TimerExpired if when is DisconnectTime.READ else AttemptEnded
 
@@ -296,11 +296,11 @@
 
     script = ScriptedPolicy(react)
     policy = DisconnectInjector(script, when, request_id="2", attempt=1)
-    policy.watch_connections(monkeypatch, upstream, other)
-    async with node(policy, upstream, other) as client:
+    policy.watch_connections(monkeypatch, endpoint, other)
+    async with node(policy, endpoint, other) as client:
         assert (await client.ask(request("/read/first"))).status == 200  # leaves its connection to others
         if end == "refused":
-            upstream.stop()
+            endpoint.stop()
         async with plain_socket(client) as sock:
             if when is not DisconnectTime.READ:
                 await policy.disconnect(disconnect, sock, client)
@@ -316,7 +316,7 @@
             )
             await ask_until_served(client)
             assert forwarded(other) == ["/read/first", "/read/later"]
-            assert len(upstream.got) == (0 if end == "refused" else 1)
+            assert len(endpoint.got) == (0 if end == "refused" else 1)
             assert policy.done
 
 
@@ -326,9 +326,9 @@
     monkeypatch: pytest.MonkeyPatch, disconnect: Disconnect, idle_connection: bool
 ) -> None:
     monkeypatch.setattr("loadbalancer.proxy.attempts.QUARANTINE_S", 0.0)
-    upstream = await FakeUpstream(answers(200)).start()
+    endpoint = await FakeEndpoint(answers(200)).start()
     policy = forwarding_policy()
-    async with node(policy, upstream) as client:
+    async with node(policy, endpoint) as client:
         if idle_connection:
             assert (await client.ask(request("/read/first"))).status == 200
         # No turn of the loop from connecting to the disconnect.
@@ -336,7 +336,7 @@
             sock.send(request("/read/abandoned"))
             disconnect(sock)
             await assert_only_later_request_is_forwarded(
-                upstream, client, policy, received_before=1 if idle_connection else 0
+                endpoint, client, policy, received_before=1 if idle_connection else 0
             )
 
 
@@ -351,13 +351,13 @@
         await all_received.wait()
         writer.write(written(200))
 
-    upstream = await FakeUpstream(answer).start()
+    endpoint = await FakeEndpoint(answer).start()
     policy = forwarding_policy()
-    async with node(policy, upstream) as client, AsyncExitStack() as stack:
+    async with node(policy, endpoint) as client, AsyncExitStack() as stack:
         socks = [await stack.enter_async_context(plain_socket(client)) for _ in range(6)]
         for sock in socks:
             sock.send(request("/read/first"))
-        await until(lambda: len(upstream.got) == 6)
+        await until(lambda: len(endpoint.got) == 6)
         all_received.set()
         await until(lambda: len(policy.of(AttemptEnded)) == 6)  # an idle connection for each
         policy.react = lambda _event: ()
@@ -379,7 +379,7 @@
 
         await until(lambda: len(policy.of(AttemptEnded)) == 12)
         assert len(policy.of(ClientDisconnected)) == 3
-        assert sorted(forwarded(upstream)[6:]) == ["/read/1", "/read/3", "/read/5"]
+        assert sorted(forwarded(endpoint)[6:]) == ["/read/1", "/read/3", "/read/5"]
 
 
 @each_disconnect
@@ -387,12 +387,12 @@
 async def test_unread_disconnect_opens_no_connection_and_closes_no_idle_one(
     monkeypatch: pytest.MonkeyPatch, disconnect: Disconnect, idle_connection: bool
 ) -> None:
-    # Guards against clients that disconnect in numbers costing upstreams a handshake each.
-    upstream = await FakeUpstream(answers(200)).start()
+    # Guards against clients that disconnect in numbers costing endpoints a handshake each.
+    endpoint = await FakeEndpoint(answers(200)).start()
     script = forwarding_policy()
     policy = DisconnectInjector(script, DisconnectTime.DECIDED, request_id="2" if idle_connection else "1")
-    policy.watch_connections(monkeypatch, upstream)
-    async with node(policy, upstream) as client:
+    policy.watch_connections(monkeypatch, endpoint)
+    async with node(policy, endpoint) as client:
         if idle_connection:
             assert (await client.ask(request("/read/first"))).status == 200
         async with plain_socket(client) as sock:
@@ -401,20 +401,20 @@
 
             await until(lambda: script.of(ClientDisconnected))
             await assert_only_later_request_is_forwarded(
-                upstream, client, script, received_before=1 if idle_connection else 0
+                endpoint, client, script, received_before=1 if idle_connection else 0
             )
-            assert upstream.opened == 1
-            assert not upstream.closed
+            assert endpoint.opened == 1
+            assert not endpoint.closed
 
 
 @each_disconnect
 async def test_disconnect_while_reading_is_paused(disconnect: Disconnect) -> None:
     # Unread responses make a full close a reset. Its request lies in the socket, and is not forwarded.
-    upstream = await FakeUpstream(answers(200)).start()
+    endpoint = await FakeEndpoint(answers(200)).start()
     policy = forwarding_policy()
     async with (
-        node(policy, upstream) as client,
-        client_with_unread_response(client, upstream, 900_000) as sock,
+        node(policy, endpoint) as client,
+        client_with_unread_response(client, endpoint, 900_000) as sock,
     ):
         connection = first_connection(client)
         assert not transport_of(connection).is_reading()
@@ -427,7 +427,7 @@
             while len(policy.of(RequestArrived)) < 2:
                 await asyncio.get_running_loop().sock_recv(sock, 1 << 16)
         await until(lambda: connection not in client.node.downstream._connections)
-        await assert_only_later_request_is_forwarded(upstream, client, policy, received_before=1)
+        await assert_only_later_request_is_forwarded(endpoint, client, policy, received_before=1)
 
 
 @each_disconnect
@@ -438,16 +438,16 @@
 ) -> None:
     # A proxy has one attempt in flight at a time, also where the settings allow two: a hedged request is
     # not sent at all.
-    upstream = await FakeUpstream(silent).start()
-    other = await FakeUpstream(answers(200)).start()
+    endpoint = await FakeEndpoint(silent).start()
+    other = await FakeEndpoint(answers(200)).start()
     script = forwarding_policy()
     policy = DisconnectInjector(script, when, attempt=1)
     async with (
-        node(policy, upstream, other, hedging=hedging, cancellation=True) as client,
+        node(policy, endpoint, other, hedging=hedging, cancellation=True) as client,
         plain_socket(client) as sock,
     ):
         sock.send(request("/read/abandoned"))
-        await until(lambda: upstream.got)
+        await until(lambda: endpoint.got)
         script.react = lambda event: (
             [Forward("1", script.ids()[1])] if isinstance(event, TimerExpired) else ()
         )
@@ -458,8 +458,8 @@
         await until(lambda: script.of(ClientDisconnected) and len(script.of(AttemptEnded)) == 2)
         results = {ended.result for ended in script.of(AttemptEnded)}
         assert results == {AttemptResult.CANCELLED, AttemptResult.NOT_SENT}
-        upstream.answer = answers(200)
-        await assert_only_later_request_is_forwarded(upstream, client, script, received_before=1)
-        assert forwarded(upstream) == ["/read/abandoned", "/read/later"]
+        endpoint.answer = answers(200)
+        await assert_only_later_request_is_forwarded(endpoint, client, script, received_before=1)
+        assert forwarded(endpoint) == ["/read/abandoned", "/read/later"]
         assert not other.got
-        await until(lambda: upstream.closed)  # the attempt that was in flight has been cancelled
+        await until(lambda: endpoint.closed)  # the attempt that was in flight has been cancelled
--- a/tests/proxy/test_discovery_handover.py
+++ b/tests/proxy/test_discovery_handover.py
@@ -45,7 +45,7 @@
     registry = FakeDiscovery()
     registry.rows = {host: entry(host, 9) for host in rows}
     registry.broken, registry.version = broken, 3
-    await registry.upstream.start()
+    await registry.server.start()
     return registry
 
 
@@ -56,7 +56,7 @@
         async with node(script, registry=old, known_list=known(5)) as client:
             await until(lambda: old.calls)
             left = client.node._discovery_client._target
-            client.node.move_discovery((HOST, new.upstream.port))
+            client.node.move_discovery((HOST, new.server.port))
             await until(lambda: len(new.calls) == 2)
             assert new.calls[0][1] == "/registry/instances"
             assert new.calls[1][1].startswith("/registry/instances?after=3&")
@@ -65,7 +65,7 @@
             assert left.pool.limits.open_connections == 0
             new.change("s7")
             await until(lambda: len(client.node.endpoint_addresses()) == 3)
-        new.upstream.stop()
+        new.server.stop()
 
     run(test())
 
@@ -76,13 +76,13 @@
         new = await start_discovery("s9", broken=written(503))
         async with node(script, registry=old, known_list=known(5)) as client:
             await until(lambda: old.calls)
-            client.node.move_discovery((HOST, new.upstream.port))
+            client.node.move_discovery((HOST, new.server.port))
             await until(lambda: len(new.calls) == 2)
             old.change("s1")
             await until(lambda: len(client.node.endpoint_addresses()) == 2)
             new.broken = b""
             await until(lambda: len(client.node.endpoint_addresses()) == 1)
-        new.upstream.stop()
+        new.server.stop()
 
     run(test())
 
@@ -93,14 +93,14 @@
         new = await start_discovery("s9", broken=written(503))
         async with node(script, registry=old, known_list=known(5)) as client:
             await until(lambda: old.calls)
-            client.node.move_discovery((HOST, new.upstream.port))
+            client.node.move_discovery((HOST, new.server.port))
             old.broken = written(503)
             old.change("s1")  # the watch ends
             await until(lambda: client.node._discovery_client._watch_call is None)
             assert client.node._discovery_client._watch_timer is None
             new.broken = b""
             await until(lambda: len(new.calls) > 1 and "after=3" in new.calls[-1][1])
-        new.upstream.stop()
+        new.server.stop()
 
     run(test())
 
@@ -111,7 +111,7 @@
         new = [await start_discovery(f"s{i}") for i in (7, 8)]
         async with node(script, registry=old, known_list=known(5)) as client:
             await until(lambda: old.calls)
-            addresses = [(HOST, r.upstream.port) for r in (*new, old)]
+            addresses = [(HOST, r.server.port) for r in (*new, old)]
             for address in addresses:
                 client.node.move_discovery(address)
             old.change("s1")
@@ -123,21 +123,21 @@
             assert client.node._discovery_client._handover is None
             assert last_full_list(script) == [preferred_id("s8")]
         for registry in new:
-            registry.upstream.stop()
+            registry.server.stop()
 
     run(test())
 
 
 def answer_in_turn(registry: FakeDiscovery, work_s: float) -> None:
     """Each call is work of so many seconds, one after the other, also for a caller that has gone."""
-    turn, heard = asyncio.Lock(), registry.upstream.answer
+    turn, heard = asyncio.Lock(), registry.server.answer
 
     async def answer(got: ReceivedRequest, writer: Writer) -> None:
         async with turn:
             await asyncio.sleep(work_s)
         await heard(got, writer)
 
-    registry.upstream.answer = answer
+    registry.server.answer = answer
 
 
 def test_a_new_address_that_answers_in_turn_is_waited_for() -> None:
@@ -149,18 +149,18 @@
         answer_in_turn(new, 1.3)
         async with node(script, registry=old, known_list=known(5)) as client:
             await until(lambda: old.calls)
-            client.node.move_discovery((HOST, new.upstream.port))
-            await until(lambda: new.upstream.got)
+            client.node.move_discovery((HOST, new.server.port))
+            await until(lambda: new.server.got)
             handover = client.node._discovery_client._handover
             assert handover is not None
-            client.node.move_discovery((HOST, new.upstream.port))
+            client.node.move_discovery((HOST, new.server.port))
             assert client.node._discovery_client._handover is handover
             await until(lambda: client.node._discovery_client._handover is None)
             assert last_full_list(script) == [preferred_id("s9")]
-            await until(lambda: len(new.upstream.got) == 2)
-            assert [("after=" in got.first) for got in new.upstream.got] == [False, True]
+            await until(lambda: len(new.server.got) == 2)
+            assert [("after=" in got.first) for got in new.server.got] == [False, True]
             assert handover.backoff.failures == 0
-        new.upstream.stop()
+        new.server.stop()
 
     run(test())
 
@@ -181,10 +181,10 @@
     """Move the proxy to a new address while the old one ends its watch and listens no more."""
     client.node.dispatch(TimerExpired("watch"))
     await until(lambda: old.calls)
-    client.node.move_discovery((HOST, new.upstream.port))
-    await until(lambda: new.upstream.got)
+    client.node.move_discovery((HOST, new.server.port))
+    await until(lambda: new.server.got)
     old.broken = written(503)
-    old.upstream.stop()
+    old.server.stop()
     old.change("s1")
     await until(lambda: client.node._discovery_client._watch_call is None)
     assert failed_updates(script) == 1  # of the watch that has ended
@@ -211,7 +211,7 @@
             assert last_full_list(script) == [preferred_id("s9")]
             assert "after=3" in new.calls[1][1]
             assert failed_updates(script) == 1
-        new.upstream.stop()
+        new.server.stop()
 
     run(test())
 
@@ -238,7 +238,7 @@
             new.broken = b""
             await until(lambda: discovery._handover is None)
             assert last_full_list(script) == [preferred_id("s9")]
-        new.upstream.stop()
+        new.server.stop()
 
     run(test())
 
@@ -253,9 +253,9 @@
             await close_old_address_in_handover(old, new, client, script)
             client.node.dispatch(TimerExpired(asked))
             await until(lambda: client.node._discovery_client._target.refuses_connections)
-            client.node.move_discovery((HOST, old.upstream.port))
+            client.node.move_discovery((HOST, old.server.port))
             await until(lambda: failed_updates(script) >= 2)  # it is still closed, and is asked
-        new.upstream.stop()
+        new.server.stop()
 
     run(test())
 
@@ -270,7 +270,7 @@
         release = hold_first_list(new)
         async with node(script, registry=old, known_list=known(5)) as client:
             await until(lambda: old.calls)
-            client.node.move_discovery((HOST, new.upstream.port))
+            client.node.move_discovery((HOST, new.server.port))
             await until(lambda: new.calls)
             old.change("s0", health="draining")
             await until(lambda: reported_statuses(script)[-1] is EndpointStatus.DRAINING)
@@ -281,6 +281,6 @@
             new.rows["s0"]["health"], new.version = "draining", 2
             await until(lambda: client.node._discovery_client._handover is None)
             assert EndpointStatus.READY not in reported_statuses(script)[1:]
-        new.upstream.stop()
+        new.server.stop()
 
     run(test())
--- a/tests/proxy/test_discovery_outage.py
+++ b/tests/proxy/test_discovery_outage.py
@@ -22,12 +22,13 @@
 )
 from loadbalancer.policy.balancer import Balancer
 from loadbalancer.proxy.connection_pool import MAX_IDLE_CONNECTIONS_PER_ENDPOINT
+from loadbalancer.proxy.exchange import start_exchange
 from tests.support.policy_harness import NANOSECONDS_PER_SECOND, START, settings
 from tests.support.sockets import (
     HOST,
     Answer,
     FakeDiscovery,
-    FakeUpstream,
+    FakeEndpoint,
     ReceivedRequest,
     ScriptedPolicy,
     Writer,
@@ -145,7 +146,7 @@
 
     async def test() -> None:
         registry, bad = FakeDiscovery(), iter(order)
-        heard: Answer = registry.upstream.answer
+        heard: Answer = registry.server.answer
 
         async def answer(got: ReceivedRequest, writer: Writer) -> None:
             fails = next(bad, None)
@@ -157,7 +158,7 @@
                 registry.change("s0", health="draining")
             await heard(got, writer)
 
-        registry.upstream.answer = answer
+        registry.server.answer = answer
         module = Balancer(node_settings(asked=asked), 1, time.monotonic_ns())
         async with node(module, registry=registry, known_list=known(5), asked=asked) as client:
             await until(
@@ -170,7 +171,7 @@
     run(test())
 
 
-class Machine(FakeUpstream):
+class Machine(FakeEndpoint):
     """One that is not there yet: its port is held, connections to it are refused, or never come up."""
 
     def __init__(self, answer: Answer, refuses: bool) -> None:
@@ -179,7 +180,7 @@
         self._refuses = refuses
         self._filling: list[socket.socket] = []
 
-    async def start(self) -> FakeUpstream:
+    async def start(self) -> FakeEndpoint:
         self._socket.bind((HOST, 0))
         self.port = self._socket.getsockname()[1]
         if not self._refuses:
@@ -208,7 +209,7 @@
 
     async def test() -> None:
         registry = FakeDiscovery()
-        registry.upstream = machine = Machine(registry.upstream.answer, refuses)
+        registry.server = machine = Machine(registry.server.answer, refuses)
         module = Balancer(node_settings(asked=asked), 1, time.monotonic_ns())
         monkeypatch.setattr(
             "loadbalancer.proxy.discovery_client.POLL_WAIT_MS", 40
@@ -231,32 +232,32 @@
     async def test() -> None:
         old, new = FakeDiscovery(), FakeDiscovery()
         new.rows, new.version = {"s0": entry("s0", 5, health="draining")}, 3
-        heard: Answer = new.upstream.answer
+        heard: Answer = new.server.answer
         if kind == "silent":
-            new.upstream.answer = silent
+            new.server.answer = silent
         else:
-            new.upstream = Machine(heard, kind == "refuses")
-        await new.upstream.start()
+            new.server = Machine(heard, kind == "refuses")
+        await new.server.start()
         async with node(ScriptedPolicy(), registry=old, known_list=known(5)) as client:
             await until(lambda: old.calls)
-            client.node.move_discovery((HOST, new.upstream.port))
+            client.node.move_discovery((HOST, new.server.port))
             handover = client.node._discovery_client._handover
             assert handover is not None
             await until(lambda: handover.backoff.failures >= 2)
             assert client.node.endpoint_addresses()
-            if isinstance(new.upstream, Machine):
-                await new.upstream.comes_back()
+            if isinstance(new.server, Machine):
+                await new.server.comes_back()
             else:
-                new.upstream.answer = heard
+                new.server.answer = heard
             await until(lambda: not client.node.endpoint_addresses())
             assert client.node._discovery_client._handover is None
-        new.upstream.stop()
+        new.server.stop()
 
     run(test())
 
 
 DESCRIPTORS = 256
-PLACES = (DESCRIPTORS - 32) // 2  # for clients, and as many for connections to upstreams
+PLACES = (DESCRIPTORS - 32) // 2  # for clients, and as many for connections to endpoints
 
 
 async def says_nothing(port: int) -> None:
@@ -277,18 +278,18 @@
     monkeypatch.setattr("loadbalancer.proxy.discovery_client.POLL_WAIT_MS", 40)
 
     async def test() -> None:
-        upstreams = [
-            await FakeUpstream(answers(200)).start()
+        endpoints = [
+            await FakeEndpoint(answers(200)).start()
             for _ in range(PLACES // MAX_IDLE_CONNECTIONS_PER_ENDPOINT)
         ]
         registry = FakeDiscovery()
-        heard: Answer = registry.upstream.answer
+        heard: Answer = registry.server.answer
         if kind == "refuses":
-            registry.upstream = Machine(heard, True)
+            registry.server = Machine(heard, True)
         else:
-            registry.upstream.answer = {"breaks": breaks, "silent": silent}[kind]
+            registry.server.answer = {"breaks": breaks, "silent": silent}[kind]
         module = Balancer(node_settings(asked=asked), 1, time.monotonic_ns())
-        async with node(module, *upstreams, registry=registry, sockets=DESCRIPTORS, asked=asked) as client:
+        async with node(module, *endpoints, registry=registry, sockets=DESCRIPTORS, asked=asked) as client:
             hub, server, discovery = (
                 client.node._connection_limits,
                 client.node.downstream,
@@ -299,7 +300,7 @@
                 pool = client.node._connection_pool(number)
                 assert pool is not None
                 for _ in range(MAX_IDLE_CONNECTIONS_PER_ENDPOINT):
-                    pool.start_exchange(b"GET /read HTTP/1.1\r\n\r\n", None, lambda _result, _response: None)
+                    start_exchange(pool, b"GET /read HTTP/1.1\r\n\r\n", None, lambda _result, _response: None)
             await until(lambda: len(hub.idle_connections) == PLACES)
             idle = [asyncio.create_task(says_nothing(client.port)) for _ in range(PLACES + 30)]
             served, most = [], 0
@@ -319,17 +320,17 @@
 
             while discovery._watch_backoff.failures < 4:
                 await asks()
-            registry.change("s0", port=upstreams[0].port, health="draining")
-            if isinstance(registry.upstream, Machine):
-                await registry.upstream.comes_back()
+            registry.change("s0", port=endpoints[0].port, health="draining")
+            if isinstance(registry.server, Machine):
+                await registry.server.comes_back()
             else:
-                registry.upstream.answer = heard
-            await until(lambda: numbers[upstreams[0].port] not in client.node.endpoint_addresses())
-            before = len(upstreams[0].got)
+                registry.server.answer = heard
+            await until(lambda: numbers[endpoints[0].port] not in client.node.endpoint_addresses())
+            before = len(endpoints[0].got)
             for _ in range(20):
                 await asks()
             await until(lambda: len(registry.calls) > 1)  # the watch goes on
-            assert len(upstreams[0].got) == before
+            assert len(endpoints[0].got) == before
             assert set(served) == {200}
             assert most <= DESCRIPTORS - 32 + 2
             for task in idle:
--- a/tests/proxy/test_discovery_watch.py
+++ b/tests/proxy/test_discovery_watch.py
@@ -70,10 +70,10 @@
 
 
 def test_a_silently_lost_watch_is_repeated_before_its_changes_are_due() -> None:
-    # Guards against sending to an upstream whose drain was told on a connection that had died unseen.
+    # Guards against sending to an endpoint whose drain was told on a connection that had died unseen.
     async def test() -> None:
         registry, script = FakeDiscovery(), ScriptedPolicy()
-        heard: Answer = registry.upstream.answer
+        heard: Answer = registry.server.answer
 
         async def first_is_lost(got: ReceivedRequest, writer: Writer) -> None:
             if registry.calls:
@@ -81,7 +81,7 @@
             else:
                 registry.calls.append((time.monotonic(), got.first))
 
-        registry.upstream.answer = first_is_lost
+        registry.server.answer = first_is_lost
         async with node(script, registry=registry, known_list=known(5)):
             await until(lambda: registry.calls)
             registry.change("s0", health="draining")
@@ -101,7 +101,7 @@
         monkeypatch.setattr("loadbalancer.proxy.discovery_client.POLL_WAIT_MS", 20)
         monkeypatch.setattr("loadbalancer.proxy.discovery_call.TIMEOUT_MARGIN_S", 0.02)
         registry = FakeDiscovery()
-        heard: Answer = registry.upstream.answer
+        heard: Answer = registry.server.answer
 
         async def first_is_lost(got: ReceivedRequest, writer: Writer) -> None:
             if registry.calls:
@@ -110,7 +110,7 @@
                 registry.change("s0", health="draining")
                 registry.calls.append((time.monotonic(), got.first))
 
-        registry.upstream.answer = first_is_lost
+        registry.server.answer = first_is_lost
         module = Watched(Balancer(settings(asked=True), 1, time.monotonic_ns()))
         async with node(module, registry=registry, known_list=known(5), asked=True) as client:
             assert client.node.endpoint_addresses()
@@ -147,7 +147,7 @@
     run(test())
 
 
-def test_an_upstream_that_moves_is_found_at_its_new_address() -> None:
+def test_an_endpoint_that_moves_is_found_at_its_new_address() -> None:
     async def test() -> None:
         registry = FakeDiscovery()
         async with node(ScriptedPolicy(), registry=registry, known_list=known(5)) as client:
@@ -176,7 +176,7 @@
             await until(lambda: len(script.of(EndpointUpdate)) == 2)
             assert script.of(EndpointUpdate)[1].kind is EndpointUpdateKind.FULL
             assert not client.node._addresses.by_id
-            assert not client.node._connection_limits.pools
+            assert not client.node._addresses.pools
             assert registry.calls[2][1] == "/registry/instances"
 
     run(test())
@@ -212,7 +212,7 @@
                 listing = {"seq": 2, "whole": True, "hosts": [entry("s8", 8), entry("s9", 9)]}
                 writer.write(written(200, json.dumps(listing, indent=8).replace("\n", "\r\n\t").encode()))
 
-        registry.upstream.answer = indented
+        registry.server.answer = indented
         async with node(ScriptedPolicy(), registry=registry, known_list=known(5)) as client:
             await until(lambda: len(client.node.endpoint_addresses()) == 2 and len(registry.calls) == 2)
 
--- a/tests/proxy/test_endpoint_changes.py
+++ b/tests/proxy/test_endpoint_changes.py
@@ -25,7 +25,7 @@
 )
 from tests.support.sockets import (
     HOST,
-    FakeUpstream,
+    FakeEndpoint,
     ReceivedRequest,
     ScriptedPolicy,
     answers,
@@ -41,28 +41,28 @@
 async def test_a_drain_cancels_an_attempt_that_waits_for_its_connection(
     monkeypatch: pytest.MonkeyPatch, health: str
 ) -> None:
-    upstream = await FakeUpstream(answers(200)).start()
+    endpoint = await FakeEndpoint(answers(200)).start()
     policy = forwarding_policy(fail_unless_complete)
     up = asyncio.Event()
-    async with node(policy, upstream) as client:
+    async with node(policy, endpoint) as client:
         await connect(client)
         hold_connections(monkeypatch, up)
         await client.send(request())
         await until(lambda: policy.of(RequestArrived))
-        update_first_endpoint(client.node, 2, dial=f"{HOST}:{upstream.port}", health=health)
+        update_first_endpoint(client.node, 2, dial=f"{HOST}:{endpoint.port}", health=health)
         assert (await client.read()).status == 504
         up.set()
         assert results(policy) == [AttemptResult.NOT_SENT]
         assert (await client.ask(request())).status == 504  # nor does a new one go there
         assert results(policy) == [AttemptResult.NOT_SENT] * 2
-        assert not upstream.got
+        assert not endpoint.got
 
 
 async def test_an_attempt_that_waits_for_its_connection_follows_a_move(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    old = await FakeUpstream(answers(200, b"old")).start()
-    new = await FakeUpstream(answers(200, b"new")).start()
+    old = await FakeEndpoint(answers(200, b"old")).start()
+    new = await FakeEndpoint(answers(200, b"new")).start()
     policy = forwarding_policy(retry_unless_complete)
     async with node(policy, known_list=known(old.port)) as client:
         await connect(client)
@@ -87,8 +87,8 @@
         await release.wait()
         writer.write(written(200, b"old"))
 
-    old = await FakeUpstream(late).start()
-    new = await FakeUpstream(answers(200, b"new")).start()
+    old = await FakeEndpoint(late).start()
+    new = await FakeEndpoint(answers(200, b"new")).start()
     policy = forwarding_policy()
     async with node(policy, known_list=known(old.port)) as client:
         await client.send(request())
@@ -105,9 +105,9 @@
 async def test_an_endpoint_removed_and_added_again_gets_one_attempt(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    upstream = await FakeUpstream(answers(200, b"it")).start()
+    endpoint = await FakeEndpoint(answers(200, b"it")).start()
     policy = ScriptedPolicy()
-    async with node(policy, upstream) as client:
+    async with node(policy, endpoint) as client:
         await connect(client)
         up = asyncio.Event()
         hold_connections(monkeypatch, up)
@@ -116,10 +116,10 @@
         await until(lambda: policy.of(RequestArrived))
         update_first_endpoint(client.node, 2, health="removed")
         assert results(policy) == [AttemptResult.NOT_SENT]  # before it is back
-        update_first_endpoint(client.node, 3, dial=f"{HOST}:{upstream.port}")
+        update_first_endpoint(client.node, 3, dial=f"{HOST}:{endpoint.port}")
         policy.react = on_timer(lambda: [Forward("1", policy.ids()[0])])
         client.node.dispatch(TimerExpired("again"))
         up.set()
         assert (await client.read()).body == b"it"
-        assert len(upstream.got) == 1
+        assert len(endpoint.got) == 1
         assert client.node._connection_limits.open_connections == 1
--- a/tests/proxy/test_upstream_connections.py
+++ b/tests/proxy/test_endpoint_connections.py
@@ -15,6 +15,7 @@
     RequestArrived,
     TimerExpired,
 )
+from loadbalancer.proxy.exchange import start_exchange
 from tests.support.scripted import (
     end_quarantine,
     fail_unless_complete,
@@ -25,7 +26,7 @@
 )
 from tests.support.sockets import (
     NANOSECONDS_PER_MILLISECOND,
-    FakeUpstream,
+    FakeEndpoint,
     ReceivedRequest,
     ScriptedPolicy,
     answers,
@@ -44,12 +45,12 @@
     ids=["second response", "noise", "part of a response"],
 )
 async def test_bytes_after_a_response_close_the_connection(behind: bytes) -> None:
-    upstream = await FakeUpstream(sends_raw(written(200, b"mine") + behind)).start()
+    endpoint = await FakeEndpoint(sends_raw(written(200, b"mine") + behind)).start()
     policy = forwarding_policy(fail_unless_complete)
-    async with node(policy, upstream) as client:
+    async with node(policy, endpoint) as client:
         for number in (1, 2):
             assert (await client.ask(request())).body == b"mine"
-            assert upstream.opened == len(upstream.got) == number
+            assert endpoint.opened == len(endpoint.got) == number
             assert not client.node._connection_limits.idle_connections
         assert results(policy) == [AttemptResult.OK] * 2
 
@@ -68,12 +69,12 @@
             return
         writers[0].write(written(200, b"first"))  # once more, when the next request is there
         await writers[0].drain()
-        await until(lambda: upstream.closed or len(policy.of(AttemptEnded)) > 1)
+        await until(lambda: endpoint.closed or len(policy.of(AttemptEnded)) > 1)
         writer.write(written(200, b"second"))
 
-    upstream = await FakeUpstream(answer).start()
+    endpoint = await FakeEndpoint(answer).start()
     policy = forwarding_policy(fail_unless_complete)
-    async with node(policy, upstream) as client:
+    async with node(policy, endpoint) as client:
         assert (await client.ask(request())).body == b"first"
         assert (await client.ask(request())).body == b"second"
 
@@ -85,50 +86,50 @@
             writer.write(bytes([byte]))
             await asyncio.sleep(0)
 
-    upstream = await FakeUpstream(answer).start()
+    endpoint = await FakeEndpoint(answer).start()
     policy = forwarding_policy(fail_unless_complete)
-    async with node(policy, upstream) as client:
+    async with node(policy, endpoint) as client:
         for _ in range(2):
             got = await client.ask(request())
             assert (got.status, got.body) == (200, b"it")
             assert "link" not in got.headers
             end_quarantine(client.node)
-        assert upstream.opened == 1
+        assert endpoint.opened == 1
 
 
 async def test_a_connection_near_its_idle_timeout_is_not_reused() -> None:
-    upstream = await FakeUpstream(answers(200)).start()
+    endpoint = await FakeEndpoint(answers(200)).start()
     policy = forwarding_policy()
     async with node(
-        policy, upstream, connection_idle_timeout_ns=15_000 * NANOSECONDS_PER_MILLISECOND
+        policy, endpoint, connection_idle_timeout_ns=15_000 * NANOSECONDS_PER_MILLISECOND
     ) as client:
         for opened in (1, 1, 2):
             assert (await client.ask(request())).status == 200
             end_quarantine(client.node)
-            assert upstream.opened == opened
-            if len(upstream.got) == 2:
-                pool = next(iter(client.node._connection_limits.pools.values()))
-                pool.idle_connections[0].idle_since -= 12.5  # as if it had been idle for so long
-        await until(lambda: upstream.closed == 1)
+            assert endpoint.opened == opened
+            if len(endpoint.got) == 2:
+                pool = next(iter(client.node._addresses.pools.values()))
+                pool.idle_connections[0].idle_since_s -= 12.5  # as if it had been idle for so long
+        await until(lambda: endpoint.closed == 1)
 
 
 async def test_a_connection_that_its_endpoint_has_just_closed_is_not_reused() -> None:
-    upstream = await FakeUpstream(answers(200)).start()
+    endpoint = await FakeEndpoint(answers(200)).start()
     policy = forwarding_policy()
-    async with node(policy, upstream) as client:
+    async with node(policy, endpoint) as client:
         assert (await client.ask(request())).status == 200
-        pool = next(iter(client.node._connection_limits.pools.values()))
+        pool = next(iter(client.node._addresses.pools.values()))
         transport = pool.idle_connections[0]._transport
         assert transport is not None
         transport.close()  # as it does when the other end closes; the pool is told a turn later
         ended: list[AttemptResult] = []
-        pool.start_exchange(
-            b"GET /read HTTP/1.1\r\n\r\n", None, lambda result, _response: ended.append(result)
+        start_exchange(
+            pool, b"GET /read HTTP/1.1\r\n\r\n", None, lambda result, _response: ended.append(result)
         )
         assert not ended
         await until(lambda: ended)
         assert ended == [AttemptResult.OK]
-        assert upstream.opened == 2
+        assert endpoint.opened == 2
 
 
 @pytest.mark.parametrize("unread", [b"", written(200, b"nobody's")], ids=["end of stream", "second response"])
@@ -140,9 +141,9 @@
         writers.append(writer)
         writer.write(written(200, b"mine"))
 
-    upstream = await FakeUpstream(answer).start()
+    endpoint = await FakeEndpoint(answer).start()
     policy = forwarding_policy()
-    async with node(policy, upstream) as client:
+    async with node(policy, endpoint) as client:
         assert (await client.ask(request())).status == 200
         end_quarantine(client.node)
         policy.react = on_timer(lambda: [Forward("2", policy.ids()[0])])
@@ -155,18 +156,18 @@
             endpoint_socket.shutdown(socket.SHUT_WR)
         client.node.dispatch(TimerExpired("retry"))  # in the same turn
         assert (await client.read()).body == b"mine"
-        assert upstream.opened == 2
+        assert endpoint.opened == 2
         assert results(policy) == [AttemptResult.OK] * 2
 
 
 async def test_connections_to_endpoints_are_limited() -> None:
-    upstream = await FakeUpstream(silent).start()
+    endpoint = await FakeEndpoint(silent).start()
     policy = forwarding_policy(fail_unless_complete)
-    async with node(policy, upstream, sockets=32 + 16) as client:  # so eight on either side
+    async with node(policy, endpoint, sockets=32 + 16) as client:  # so eight on either side
         others = [client.another() for _ in range(8)]
         for other in others[:7]:
             await other.send(request())
-        await until(lambda: len(upstream.got) == 7)
+        await until(lambda: len(endpoint.got) == 7)
         client.node._connection_limits.max_connections = 7
         assert (await client.ask(request())).status == 504
         assert client.node._connection_limits.open_connections == 7
@@ -182,9 +183,9 @@
     async def wait(_received: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
         waiting.append(writer)
 
-    upstream = await FakeUpstream(wait).start()
+    endpoint = await FakeEndpoint(wait).start()
     policy = forwarding_policy()
-    async with node(policy, upstream) as client:
+    async with node(policy, endpoint) as client:
         others = [client.another() for _ in range(6)]
         for turn in range(1, 4):
             for other in others:
@@ -196,19 +197,19 @@
             for other in others:
                 assert (await other.read()).status == 200
             end_quarantine(client.node)
-            assert (len(upstream.got), upstream.opened) == (6 * turn, 6)
+            assert (len(endpoint.got), endpoint.opened) == (6 * turn, 6)
         for other in others:
             other.close()
 
 
 async def test_an_idle_connection_is_closed_for_one_to_another_endpoint() -> None:
-    first, second = await FakeUpstream(answers(200)).start(), await FakeUpstream(answers(200)).start()
+    first, second = await FakeEndpoint(answers(200)).start(), await FakeEndpoint(answers(200)).start()
     policy = ScriptedPolicy()
     async with node(policy, first, second) as client:
         client.node._connection_limits.max_connections = 1
-        for index, upstream in enumerate((first, second)):
+        for index, endpoint in enumerate((first, second)):
             forward_requests(policy, index=index)
             assert (await client.ask(request())).status == 200
-            assert len(upstream.got) == 1
+            assert len(endpoint.got) == 1
             assert client.node._connection_limits.open_connections == 1
         await until(lambda: first.closed == 1)
--- a/tests/proxy/test_endpoint_list_reader.py
+++ b/tests/proxy/test_endpoint_list_reader.py
@@ -23,6 +23,7 @@
 from loadbalancer.proxy.endpoint_list import EndpointList
 from loadbalancer.proxy.endpoint_list_reader import STEP_BYTES, EndpointListReader
 from loadbalancer.proxy.errors import EndpointListError
+from loadbalancer.proxy.exchange import start_exchange
 from loadbalancer.proxy.proxy import Proxy
 from loadbalancer.proxy.steps import run_through
 from loadbalancer.startup import freeze_heap
@@ -33,7 +34,7 @@
     HOST,
     PATIENCE_S,
     FakeDiscovery,
-    FakeUpstream,
+    FakeEndpoint,
     Json,
     ReceivedRequest,
     ScriptedPolicy,
@@ -139,13 +140,13 @@
 
     async def test() -> None:
         registry, script = FakeDiscovery(), ScriptedPolicy()
-        await registry.upstream.start()
+        await registry.server.start()
         long = json.dumps(complete_list(200, 2)).encode()
         registry.broken = written(200, long)
         config = Configuration(
             "n",
             (HOST, 0),
-            (HOST, registry.upstream.port),
+            (HOST, registry.server.port),
             1,
             1024,
             settings(),
@@ -166,7 +167,7 @@
             await until(lambda: preferred_id("s9") in proxy.endpoint_addresses())
         finally:
             proxy.close()
-            registry.upstream.stop()
+            registry.server.stop()
 
     run(test())
 
@@ -181,21 +182,22 @@
             await go.wait()
             writer.write(written(200, b"x" * 6000)[3000:])
 
-        upstream = await FakeUpstream(part).start()
+        endpoint = await FakeEndpoint(part).start()
         try:
             for rate, put_off in ((1000.0, 3.0), (0.0, 0.0)):
                 ended: list[AttemptResult] = []
                 pool = ConnectionPool(
-                    ConnectionLimits(2, 2.0, 0.0, min_response_rate=rate), (HOST, upstream.port)
+                    ConnectionLimits(2, 2.0, 0.0, min_response_bytes_per_s=rate), (HOST, endpoint.port)
                 )
-                exchange = pool.start_exchange(
+                exchange = start_exchange(
+                    pool,
                     b"GET / HTTP/1.1\r\n\r\n",
                     PATIENCE_S,
                     lambda result, _response, ended=ended: ended.append(result),  # type: ignore[misc]
                 )
                 before = exchange._timeout_timer.when()  # type: ignore[union-attr]
-                seen = len(upstream.got)
-                await until(lambda seen=seen: len(upstream.got) > seen)  # type: ignore[misc]
+                seen = len(endpoint.got)
+                await until(lambda seen=seen: len(endpoint.got) > seen)  # type: ignore[misc]
                 if rate:
                     await until(lambda e=exchange, b=before: e._timeout_timer.when() > b)  # type: ignore[misc]
                 assert exchange._timeout_timer.when() - before == pytest.approx(put_off)  # type: ignore[union-attr]
@@ -204,7 +206,7 @@
                 go.clear()
                 pool.close_idle()
         finally:
-            upstream.stop()
+            endpoint.stop()
 
     run(test())
 
--- a/tests/proxy/test_endpoint_updates.py
+++ b/tests/proxy/test_endpoint_updates.py
@@ -21,7 +21,7 @@
             assert set(proxy._addresses.by_id) == {preferred_id("s1")}
             proxy._on_watch_result(read_list({"seq": 3, "whole": True, "hosts": []}))
             assert not proxy._addresses.by_id
-            assert not proxy._connection_limits.pools
+            assert not proxy._addresses.pools
             assert not proxy._endpoint_updater._pending
 
     run(test())
@@ -54,7 +54,7 @@
             assert removed == {preferred_id("s0"), preferred_id("s1")}  # s2 is in both
             assert set(client.node._addresses.by_id) == {preferred_id(f"s{i}") for i in range(2, 1002)}
             assert (
-                not client.node._connection_limits.pools
+                not client.node._addresses.pools
             )  # no connections, nor a place for any, where nothing is sent
 
     run(test())
@@ -104,14 +104,14 @@
     run(test())
 
 
-def test_connections_are_kept_only_for_upstreams_in_use() -> None:
+def test_connections_are_kept_only_for_endpoints_in_use() -> None:
     async def test() -> None:
         async with node(ScriptedPolicy(), known_list=complete_list(200)) as client:
             numbers = list(client.node.endpoint_addresses())
             assert client.node._connection_pool(numbers[3]) is client.node._connection_pool(numbers[3])
-            assert list(client.node._connection_limits.pools) == [numbers[3]]
+            assert list(client.node._addresses.pools) == [numbers[3]]
             assert client.node._connection_pool(1) is None
-            client.node._connection_limits.forget_empty_pools()
-            assert not client.node._connection_limits.pools
+            client.node._addresses.forget_empty_pools()
+            assert not client.node._addresses.pools
 
     run(test())
--- a/tests/proxy/test_faults.py
+++ b/tests/proxy/test_faults.py
@@ -12,7 +12,7 @@
 from tests.support.sockets import (
     NANOSECONDS_PER_MILLISECOND,
     Answer,
-    FakeUpstream,
+    FakeEndpoint,
     ReceivedRequest,
     Writer,
     answers,
@@ -43,8 +43,8 @@
     return answer
 
 
-async def start_upstreams(answer: Answer, count: int) -> list[FakeUpstream]:
-    return [await FakeUpstream(answer).start() for _ in range(count)]
+async def start_upstreams(answer: Answer, count: int) -> list[FakeEndpoint]:
+    return [await FakeEndpoint(answer).start() for _ in range(count)]
 
 
 def ejected_count(balancer: Balancer) -> int:
@@ -54,7 +54,7 @@
 
 async def test_resets_at_all_endpoints_eject_no_more_than_one() -> None:
     # Guards against a bad network, whose resets strike all alike, taking most of a healthy fleet out of use.
-    upstreams = [await FakeUpstream(reset_every(4)).start() for _ in range(ENDPOINTS)]
+    upstreams = [await FakeEndpoint(reset_every(4)).start() for _ in range(ENDPOINTS)]
     balancer = Balancer(settings(), 1, time.monotonic_ns())
     most_ejected = 0
     async with node(balancer, *upstreams) as client:
@@ -66,7 +66,7 @@
 
 
 async def test_endpoint_that_alone_resets_connections_is_ejected_at_once() -> None:
-    outlier = await FakeUpstream(breaks).start()
+    outlier = await FakeEndpoint(breaks).start()
     healthy = await start_upstreams(answers(200), ENDPOINTS - 1)
     async with node(Balancer(settings(), 1, time.monotonic_ns()), outlier, *healthy) as client:
         for _ in range(30):
@@ -90,7 +90,7 @@
 
     monkeypatch.setattr("loadbalancer.policy.load_probing.PROBE_TIMEOUT_NS", 4 * NANOSECONDS_PER_SECOND)
     monkeypatch.setattr("loadbalancer.proxy.health_checks.TIMEOUT_S", 4.0)
-    upstream = await FakeUpstream(answer).start()
+    upstream = await FakeEndpoint(answer).start()
     async with node(Balancer(settings(health_checks=True), 1, time.monotonic_ns()), upstream) as client:
         begun = time.monotonic_ns()
         assert (await client.ask(request())).status == 200
@@ -103,7 +103,7 @@
     a_minute_us = 60_000_000
     # A slow machine changes nothing here.
     monkeypatch.setattr("loadbalancer.policy.balancer.STALL_NS", 60 * NANOSECONDS_PER_SECOND)
-    upstream = await FakeUpstream(silent).start()
+    upstream = await FakeEndpoint(silent).start()
     balancer = Balancer(settings(), 1, time.monotonic_ns())
     async with node(balancer, upstream) as client:
         response = await client.ask(request("/read", f"Req-Cost: {a_minute_us}", deadline_ms=500))
@@ -141,7 +141,7 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     # Guards against a second execution: by then the upstreams have forgotten the first one.
-    upstream = await FakeUpstream(breaks).start()
+    upstream = await FakeEndpoint(breaks).start()
     balancer = Balancer(
         settings(connect_timeout_ns=1000 * NANOSECONDS_PER_MILLISECOND), 1, time.monotonic_ns()
     )
--- a/tests/proxy/test_health_checks.py
+++ b/tests/proxy/test_health_checks.py
@@ -15,7 +15,7 @@
     on_timer,
 )
 from tests.support.sockets import (
-    FakeUpstream,
+    FakeEndpoint,
     ReceivedRequest,
     ScriptedPolicy,
     answers,
@@ -27,15 +27,15 @@
 
 
 async def test_health_checks_leave_connections_for_attempts() -> None:
-    upstream = await FakeUpstream(silent).start()
+    endpoint = await FakeEndpoint(silent).start()
     policy = ScriptedPolicy(on_timer(lambda: [CheckHealth(policy.ids()[0])] * 20))
-    async with node(policy, upstream) as client:
+    async with node(policy, endpoint) as client:
         client.node._connection_limits.max_connections = 16
         client.node.dispatch(TimerExpired("now"))
         assert client.node._connection_limits.open_connections <= 14
         forward_requests(policy)
         await client.send(request())
-        await until(lambda: any("/read" in got.first for got in upstream.got))
+        await until(lambda: any("/read" in got.first for got in endpoint.got))
 
 
 async def test_health_checks_return_load_reports() -> None:
@@ -47,19 +47,19 @@
     ]
 
     async def stats(received: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
-        status, body = responses[len(upstream.got) - 1]
+        status, body = responses[len(endpoint.got) - 1]
         await answers(status, body)(received, writer)
 
-    upstream = await FakeUpstream(stats).start()
+    endpoint = await FakeEndpoint(stats).start()
     policy = ScriptedPolicy(on_timer(lambda: [CheckHealth(policy.ids()[0])]))
-    async with node(policy, upstream) as client:
+    async with node(policy, endpoint) as client:
         for i in range(len(responses)):
             client.node.dispatch(TimerExpired("now"))
             await until(lambda ended=i + 1: len(policy.of(HealthCheckEnded)) == ended)  # type: ignore[misc]
         policy.react = on_timer(lambda: [CheckHealth(99)])
         client.node.dispatch(TimerExpired("now"))
-    assert upstream.got[0].first == "GET /stats HTTP/1.1"
-    assert upstream.opened == 1
+    assert endpoint.got[0].first == "GET /stats HTTP/1.1"
+    assert endpoint.opened == 1
     ended = [(check.result, check.load_report) for check in policy.of(HealthCheckEnded)]
     assert ended == [
         (AttemptResult.OK, {"inflight": 3.0, "queue": 1.0}),
--- a/tests/proxy/test_requests.py
+++ b/tests/proxy/test_requests.py
@@ -36,7 +36,7 @@
 from tests.support.sockets import (
     HOST,
     NANOSECONDS_PER_MILLISECOND,
-    FakeUpstream,
+    FakeEndpoint,
     ReceivedRequest,
     ScriptedPolicy,
     answers,
@@ -50,9 +50,9 @@
 
 
 async def test_a_request_is_forwarded_unchanged() -> None:
-    upstream = await FakeUpstream(answers(200, b"\x00quote\r\n", "Content-Type: x/y", "Srv-Load: {}")).start()
+    endpoint = await FakeEndpoint(answers(200, b"\x00quote\r\n", "Content-Type: x/y", "Srv-Load: {}")).start()
     policy = forwarding_policy()
-    async with node(policy, upstream) as client:
+    async with node(policy, endpoint) as client:
         got = await client.ask(
             request(
                 "/pay/a%20b?x=1&y=%2F",
@@ -71,7 +71,7 @@
         assert (got.status, got.body) == (200, b"\x00quote\r\n")
         assert got.headers["content-type"] == "x/y"
         assert "srv-load" not in got.headers
-        forwarded = upstream.got[0]
+        forwarded = endpoint.got[0]
         assert (forwarded.first, forwarded.body) == ("POST /pay/a%20b?x=1&y=%2F HTTP/1.1", b"\x01body")
         assert (forwarded.headers["req-id"], forwarded.headers["idempotency-key"]) == ("9b1f03aa", "k1")
         assert 4000 < int(forwarded.headers["req-deadline-ms"]) <= 5000
@@ -87,11 +87,11 @@
 
 
 async def test_a_proxy_with_the_real_policy_serves() -> None:
-    upstream = await FakeUpstream(answers(200, b'{"inflight": 1}')).start()
-    async with node(Balancer(settings(health_checks=True), 1, time.monotonic_ns()), upstream) as client:
+    endpoint = await FakeEndpoint(answers(200, b'{"inflight": 1}')).start()
+    async with node(Balancer(settings(health_checks=True), 1, time.monotonic_ns()), endpoint) as client:
         for _ in range(3):
             assert (await client.ask(request())).status == 200
-    assert sum(g.first.startswith("GET /read") for g in upstream.got) == 3
+    assert sum(g.first.startswith("GET /read") for g in endpoint.got) == 3
 
 
 async def test_a_rejection_is_answered_at_once_with_retry_after() -> None:
@@ -109,17 +109,17 @@
 
 
 async def test_a_proxy_within_its_ready_delay_is_not_ready_but_serves() -> None:
-    upstream = await FakeUpstream(answers(200)).start()
+    endpoint = await FakeEndpoint(answers(200)).start()
     policy = forwarding_policy()
-    async with node(policy, upstream, rest_s=3600.0) as client:
+    async with node(policy, endpoint, rest_s=3600.0) as client:
         assert (await connect(client)).status == 503
         assert (await client.ask(request())).status == 200
-    async with node(policy, upstream) as client:
+    async with node(policy, endpoint) as client:
         assert (await connect(client)).status == 200
 
 
 async def test_one_attempt_at_a_time_and_none_after_the_final_answer() -> None:
-    upstream = await FakeUpstream(silent).start()
+    endpoint = await FakeEndpoint(silent).start()
     policy = ScriptedPolicy()
 
     def react(event: Event) -> Iterable[Action]:
@@ -131,31 +131,31 @@
         return ()
 
     policy.react = react
-    async with node(policy, upstream) as client:
+    async with node(policy, endpoint) as client:
         await client.send(request())
-        await until(lambda: upstream.got)
+        await until(lambda: endpoint.got)
         client.node.dispatch(TimerExpired("now"))
         assert (await client.read()).status == 504
-        await until(lambda: upstream.closed == 1)
+        await until(lambda: endpoint.closed == 1)
         ended = {(o.attempt, o.result, o.request_complete) for o in policy.of(AttemptEnded)}
         assert ended == {
             (1, AttemptResult.NOT_SENT, False),
             (0, AttemptResult.CANCELLED, True),
             (0, AttemptResult.NOT_SENT, True),
         }
-        assert len(upstream.got) == 1
+        assert len(endpoint.got) == 1
         assert policy.deepest == 1
         assert (await connect(client)).status == 200  # one answer only
 
 
 async def test_a_client_disconnect_cancels_its_request() -> None:
-    upstream = await FakeUpstream(silent).start()
+    endpoint = await FakeEndpoint(silent).start()
     policy = forwarding_policy()
-    async with node(policy, upstream) as client:
+    async with node(policy, endpoint) as client:
         await client.send(request())
-        await until(lambda: upstream.got)
+        await until(lambda: endpoint.got)
         client.close()
-        await until(lambda: upstream.closed == 1)
+        await until(lambda: endpoint.closed == 1)
         assert policy.of(ClientDisconnected) == [ClientDisconnected("1")]
         assert [(o.result, o.request_complete) for o in policy.of(AttemptEnded)] == [
             (AttemptResult.CANCELLED, True)
@@ -216,9 +216,9 @@
     async def wait(_received: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
         writers.append(writer)
 
-    upstream = await FakeUpstream(wait).start()
+    endpoint = await FakeEndpoint(wait).start()
     policy = forwarding_policy(fail_unless_complete, timeout_ns=100 * NANOSECONDS_PER_MILLISECOND)
-    async with node(policy, upstream) as client:
+    async with node(policy, endpoint) as client:
         client_socket = socket.socket()
         client_socket.setblocking(False)
         await asyncio.get_running_loop().sock_connect(client_socket, (HOST, client.port))
@@ -233,9 +233,9 @@
         await until(lambda: policy.of(AttemptEnded))
         await until(lambda: not client.node._pending_requests)
         assert len(policy.of(AttemptEnded)) == 1
-        assert len(upstream.got) == 1
+        assert len(endpoint.got) == 1
         assert len(policy.of(ClientDisconnected)) <= 1
         forward_requests(policy)
-        upstream.answer = answers(200, b"next")
+        endpoint.answer = answers(200, b"next")
         assert (await client.ask(request())).body == b"next"  # it does not get the late response
         client_socket.close()
--- a/tests/proxy/test_shutdown.py
+++ b/tests/proxy/test_shutdown.py
@@ -22,7 +22,7 @@
 from tests.support.scripted import connect, fail_all, forwarding_policy
 from tests.support.sockets import (
     NANOSECONDS_PER_MILLISECOND,
-    FakeUpstream,
+    FakeEndpoint,
     ReceivedRequest,
     ScriptedPolicy,
     answers,
@@ -55,9 +55,9 @@
             await release.wait()
         writer.write(written(200, b"it"))
 
-    upstream = await FakeUpstream(answer).start()
+    endpoint = await FakeEndpoint(answer).start()
     policy = forwarding_policy()
-    async with node(policy, upstream) as client:
+    async with node(policy, endpoint) as client:
         draining = asyncio.create_task(client.node.drain())
         await until(lambda: not client.node.ready)
         assert (await client.ask(request())).status == 200  # for a moment none is pending
@@ -121,11 +121,11 @@
     caplog: pytest.LogCaptureFixture,
 ) -> None:
     # Guards against leaving to SIGKILL what came late, where the longest deadline is short.
-    upstream = await FakeUpstream(silent).start()
+    endpoint = await FakeEndpoint(silent).start()
     policy = forwarding_policy()
-    async with node(policy, upstream, limit_ns=100 * NANOSECONDS_PER_MILLISECOND) as client:
+    async with node(policy, endpoint, limit_ns=100 * NANOSECONDS_PER_MILLISECOND) as client:
         await client.send(request(deadline_ms=600_000))
-        await until(lambda: upstream.got)
+        await until(lambda: endpoint.got)
         begun = time.monotonic()
         draining = asyncio.create_task(client.node.drain())
         assert (await client.read()).status == 504
@@ -140,9 +140,9 @@
     monkeypatch: pytest.MonkeyPatch, kept: bool
 ) -> None:
     monkeypatch.setattr("loadbalancer.proxy.downstream.MIN_EVICTION_AGE_S", 0.0)
-    upstream = await FakeUpstream(answers(200, b"it")).start()
+    endpoint = await FakeEndpoint(answers(200, b"it")).start()
     policy = forwarding_policy()
-    async with node(policy, upstream) as client:
+    async with node(policy, endpoint) as client:
         if kept:
             assert (await client.ask(request())).status == 200
         idle = client.another()
@@ -160,9 +160,9 @@
 
 async def test_a_large_response_is_written_completely_in_a_shutdown() -> None:
     body = bytes(range(256)) * 1000
-    upstream = await FakeUpstream(answers(200, body)).start()
+    endpoint = await FakeEndpoint(answers(200, body)).start()
     policy = forwarding_policy()
-    async with node(policy, upstream) as client:
+    async with node(policy, endpoint) as client:
         await client.send(b"")
         assert client.writer is not None
         client_side = cast(asyncio.Transport, client.writer.transport)
--- a/tests/proxy/test_unread_disconnect.py
+++ b/tests/proxy/test_unread_disconnect.py
@@ -37,7 +37,7 @@
 from tests.support.scripted import forward_to_first, forwarding_policy
 from tests.support.sockets import (
     Answer,
-    FakeUpstream,
+    FakeEndpoint,
     ReceivedRequest,
     ScriptedPolicy,
     Writer,
@@ -64,9 +64,9 @@
 async def test_buffered_request_of_a_disconnected_client_is_not_forwarded(
     disconnect: Disconnect, unread: bool
 ) -> None:
-    upstream = await FakeUpstream(answers(200)).start()
+    endpoint = await FakeEndpoint(answers(200)).start()
     policy = ScriptedPolicy()
-    async with node(policy, upstream) as client, plain_socket(client) as sock:
+    async with node(policy, endpoint) as client, plain_socket(client) as sock:
         sock.send(request("/read/abandoned"))
         await until(lambda: policy.of(RequestArrived))
         forward_at_timer(policy, "1")
@@ -77,7 +77,7 @@
         client.node.dispatch(TimerExpired("token"))
 
         await until(lambda: policy.of(ClientDisconnected) and policy.of(AttemptEnded))
-        await assert_only_later_request_is_forwarded(upstream, client, policy)
+        await assert_only_later_request_is_forwarded(endpoint, client, policy)
         assert policy.of(ClientDisconnected) == [ClientDisconnected("1")]
 
 
@@ -85,9 +85,9 @@
 async def test_buffered_request_of_a_disconnected_client_is_not_forwarded_on_an_idle_connection(
     disconnect: Disconnect,
 ) -> None:
-    upstream = await FakeUpstream(answers(200)).start()
+    endpoint = await FakeEndpoint(answers(200)).start()
     policy = forwarding_policy()
-    async with node(policy, upstream) as client, plain_socket(client) as sock:
+    async with node(policy, endpoint) as client, plain_socket(client) as sock:
         assert (await client.ask(request("/read/first"))).status == 200
         forward_at_timer(policy, "2")
         sock.send(request("/read/abandoned"))
@@ -97,7 +97,7 @@
         client.node.dispatch(TimerExpired("token"))
 
         await until(lambda: policy.of(ClientDisconnected))
-        await assert_only_later_request_is_forwarded(upstream, client, policy, received_before=1)
+        await assert_only_later_request_is_forwarded(endpoint, client, policy, received_before=1)
 
 
 @each_disconnect
@@ -105,7 +105,7 @@
 async def test_request_of_a_client_that_disconnects_during_connect_is_not_forwarded(
     monkeypatch: pytest.MonkeyPatch, disconnect: Disconnect, unread: bool
 ) -> None:
-    upstream = await FakeUpstream(answers(200)).start()
+    endpoint = await FakeEndpoint(answers(200)).start()
     policy = forwarding_policy()
     may_be_up = asyncio.Event()
     loop = asyncio.get_running_loop()
@@ -118,10 +118,10 @@
             disconnect(sock)
         return connection
 
-    async with node(policy, upstream) as client, plain_socket(client) as sock:
+    async with node(policy, endpoint) as client, plain_socket(client) as sock:
         monkeypatch.setattr(loop, "create_connection", create_connection_late)
         sock.send(request("/read/abandoned"))
-        await until(lambda: upstream.opened)
+        await until(lambda: endpoint.opened)
 
         if not unread:
             disconnect(sock)
@@ -130,7 +130,7 @@
 
         await until(lambda: policy.of(ClientDisconnected))
         monkeypatch.setattr(loop, "create_connection", create_connection)
-        await assert_only_later_request_is_forwarded(upstream, client, policy)
+        await assert_only_later_request_is_forwarded(endpoint, client, policy)
         assert policy.of(AttemptEnded)[0].result is AttemptResult.CANCELLED
 
 
@@ -144,9 +144,9 @@
     async def next_response(received: ReceivedRequest, writer: Writer) -> None:
         await responses.pop(0)(received, writer)
 
-    upstream = await FakeUpstream(next_response).start()
+    endpoint = await FakeEndpoint(next_response).start()
     policy = ScriptedPolicy()
-    async with node(policy, upstream) as client, plain_socket(client) as sock:
+    async with node(policy, endpoint) as client, plain_socket(client) as sock:
 
         def react(event: Event) -> Iterable[Action]:
             if isinstance(event, AttemptEnded) and unread and not event.request_complete:
@@ -165,16 +165,16 @@
             client.node.dispatch(TimerExpired("again"))
 
         await until(lambda: policy.of(ClientDisconnected))
-        await assert_only_later_request_is_forwarded(upstream, client, policy, received_before=1)
+        await assert_only_later_request_is_forwarded(endpoint, client, policy, received_before=1)
 
 
 async def test_disconnect_is_notified_while_an_earlier_response_is_unwritten() -> None:
     # The transport ends only when its last byte is out: the client's disconnect must not wait for that.
-    upstream = await FakeUpstream(answers(200)).start()
+    endpoint = await FakeEndpoint(answers(200)).start()
     policy = forwarding_policy()
     async with (
-        node(policy, upstream) as client,
-        client_with_unread_response(client, upstream, 50_000) as sock,  # too little to pause reading
+        node(policy, endpoint) as client,
+        client_with_unread_response(client, endpoint, 50_000) as sock,  # too little to pause reading
     ):
         connection = first_connection(client)
         policy.react = lambda _event: ()
@@ -186,15 +186,15 @@
         await until(lambda: policy.of(ClientDisconnected))
         assert connection.has_unsent_data
         assert connection in client.node.downstream._flushing
-        await assert_only_later_request_is_forwarded(upstream, client, policy, received_before=1)
+        await assert_only_later_request_is_forwarded(endpoint, client, policy, received_before=1)
 
 
 async def test_request_of_a_client_that_disconnects_while_reading_is_paused_is_not_forwarded() -> None:
-    upstream = await FakeUpstream(answers(200)).start()
+    endpoint = await FakeEndpoint(answers(200)).start()
     policy = forwarding_policy()
     async with (
-        node(policy, upstream) as client,
-        client_with_unread_response(client, upstream, 900_000) as sock,
+        node(policy, endpoint) as client,
+        client_with_unread_response(client, endpoint, 900_000) as sock,
     ):
         assert not transport_of(first_connection(client)).is_reading()
 
@@ -204,14 +204,14 @@
             await asyncio.get_running_loop().sock_recv(sock, 1 << 16)
 
         await until(lambda: policy.of(ClientDisconnected))
-        await assert_only_later_request_is_forwarded(upstream, client, policy, received_before=1)
+        await assert_only_later_request_is_forwarded(endpoint, client, policy, received_before=1)
 
 
 @each_disconnect
 async def test_balancer_forwards_no_buffered_request_of_a_disconnected_client(disconnect: Disconnect) -> None:
-    upstream = await FakeUpstream(answers(200)).start()
+    endpoint = await FakeEndpoint(answers(200)).start()
     balancer = Balancer(settings(), 1, time.monotonic_ns())
-    async with node(balancer, upstream) as client, plain_socket(client) as sock:
+    async with node(balancer, endpoint) as client, plain_socket(client) as sock:
         throttle = balancer.throttles[""]
         # No token left, and none comes however long this takes: the next request waits for one.
         throttle.set_rate(0.001, time.monotonic_ns())
@@ -226,4 +226,4 @@
         throttle.set_rate(4.0, time.monotonic_ns())
         await client.send(request("/read/stays"))
         assert (await client.read()).status == 200  # the next token is its own
-        assert targets(upstream) == ["/read/stays"]
+        assert targets(endpoint) == ["/read/stays"]
--- a/tests/support/clients.py
+++ b/tests/support/clients.py
@@ -12,7 +12,7 @@
 
 from loadbalancer.proxy.client_connection import ClientConnection
 from tests.support.scripted import forward_requests
-from tests.support.sockets import HOST, Client, FakeUpstream, ScriptedPolicy, answers, request, until
+from tests.support.sockets import HOST, Client, FakeEndpoint, ScriptedPolicy, answers, request, until
 
 Disconnect = Callable[[socket.socket], None]
 
@@ -60,7 +60,7 @@
 
 @asynccontextmanager
 async def client_with_unread_response(
-    client: Client, upstream: FakeUpstream, response_bytes: int
+    client: Client, endpoint: FakeEndpoint, response_bytes: int
 ) -> AsyncIterator[socket.socket]:
     """A client that has not read its response: a good part of that is still the proxy's to write."""
     async with plain_socket(client, receive_buffer=2048) as sock:
@@ -68,23 +68,23 @@
         connection = first_connection(client)
         proxy_socket = transport_of(connection).get_extra_info("socket")
         proxy_socket.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
-        upstream.answer = answers(200, b"x" * response_bytes)
+        endpoint.answer = answers(200, b"x" * response_bytes)
         sock.send(request("/read/large"))
         await until(lambda: connection.has_unsent_data)
-        upstream.answer = answers(200)
+        endpoint.answer = answers(200)
         yield sock
 
 
 async def assert_only_later_request_is_forwarded(
-    upstream: FakeUpstream, client: Client, policy: ScriptedPolicy, received_before: int = 0
+    endpoint: FakeEndpoint, client: Client, policy: ScriptedPolicy, received_before: int = 0
 ) -> None:
-    """Assert that a later request of another client is served, and that it alone has come to the upstream."""
+    """Assert that a later request of another client is served, and that it alone has come to the endpoint."""
     forward_requests(policy)
     assert (await client.another().ask(request("/read/later"))).status == 200
-    assert targets(upstream)[received_before:] == ["/read/later"]
+    assert targets(endpoint)[received_before:] == ["/read/later"]
     assert not client.node._pending_requests
 
 
-def targets(upstream: FakeUpstream) -> list[str]:
+def targets(endpoint: FakeEndpoint) -> list[str]:
     """The targets of the requests that came, in their order."""
-    return [received.first.split()[1] for received in upstream.got]
+    return [received.first.split()[1] for received in endpoint.got]
--- a/tests/support/discovery.py
+++ b/tests/support/discovery.py
@@ -24,7 +24,7 @@
 
 def hold_first_list(registry: FakeDiscovery) -> asyncio.Event:
     """Hold back the first complete list, as it was when it was asked for, until the event is set."""
-    release, heard = asyncio.Event(), registry.upstream.answer
+    release, heard = asyncio.Event(), registry.server.answer
 
     async def answer(got: ReceivedRequest, writer: Writer) -> None:
         if "after=" in got.first or release.is_set():
@@ -35,7 +35,7 @@
         await release.wait()
         writer.write(written(200, body.encode()))
 
-    registry.upstream.answer = answer
+    registry.server.answer = answer
     return release
 
 
--- a/tests/support/scripted.py
+++ b/tests/support/scripted.py
@@ -92,7 +92,7 @@
 def end_quarantine(proxy: Proxy) -> None:
     """Go on as if all idle connections had been left alone for long enough."""
     for connection in proxy._connection_limits.idle_connections:
-        connection.quarantined_until -= QUARANTINE_S
+        connection.quarantined_until_s -= QUARANTINE_S
 
 
 def update_first_endpoint(proxy: Proxy, version: int, **row: object) -> None:
--- a/tests/support/sockets.py
+++ b/tests/support/sockets.py
@@ -1,4 +1,4 @@
-"""Helpers of the socket tests: a scripted module, a client, an upstream and a discovery, all on loopback."""
+"""Helpers of the socket tests: a scripted module, a client, an endpoint and a discovery, all on loopback."""
 
 from __future__ import annotations
 
@@ -91,7 +91,7 @@
     writer.transport.abort()
 
 
-class FakeUpstream:
+class FakeEndpoint:
     """A server that notes what comes and answers as told."""
 
     def __init__(self, answer: Answer) -> None:
@@ -101,7 +101,7 @@
         self.port = 0
         self._server: asyncio.Server | None = None
 
-    async def start(self) -> FakeUpstream:
+    async def start(self) -> FakeEndpoint:
         self._server = await asyncio.start_server(self._serve, HOST, 0)
         self.port = self._server.sockets[0].getsockname()[1]
         return self
@@ -133,7 +133,7 @@
         self.broken = b""  # what it answers instead, while it is broken
         self._changed = asyncio.Event()
         self._news: list[str] = []
-        self.upstream = FakeUpstream(self._answer)
+        self.server = FakeEndpoint(self._answer)
 
     def change(self, host: str, **row: object) -> None:
         self.rows[host] = {**entry(host), **self.rows.get(host, {}), **row}
@@ -202,7 +202,7 @@
         return [e for e in self.events if isinstance(e, kind)]
 
     def ids(self) -> list[int]:
-        """The numbers of the upstreams, as last listed whole."""
+        """The numbers of the endpoints, as last listed whole."""
         lists = [e for e in self.of(EndpointUpdate) if e.kind is not EndpointUpdateKind.DELTA]
         return [u.id for u in lists[-1].endpoints]
 
@@ -256,24 +256,24 @@
 @asynccontextmanager
 async def node(
     module: Policy,
-    *upstreams: FakeUpstream,
+    *endpoints: FakeEndpoint,
     registry: FakeDiscovery | None = None,
     sockets: int = 1024,
     known_list: object = None,
     rest_s: float = 0.0,
     **limits: Any,
 ) -> AsyncIterator[Client]:
-    """A node that knows these upstreams, and a client of it."""
+    """A node that knows these endpoints, and a client of it."""
     registry = registry or FakeDiscovery()
-    await registry.upstream.start()
+    await registry.server.start()
     config = Configuration(
         "n",
         (HOST, 0),
-        (HOST, registry.upstream.port),
+        (HOST, registry.server.port),
         1,
         sockets,
         settings(**limits),
-        listing(known_list or known(*(u.port for u in upstreams))),
+        listing(known_list or known(*(u.port for u in endpoints))),
     )
     balancer = Proxy(config, module)
     port = await balancer.start(rest_s)
@@ -283,7 +283,7 @@
     finally:
         client.close()
         balancer.close()
-        for u in (*upstreams, registry.upstream):
+        for u in (*endpoints, registry.server):
             u.stop()
 
 
