--- a/loadbalancer/proxy/attempts.py
+++ b/loadbalancer/proxy/attempts.py
@@ -77,7 +77,7 @@
         if not may_start or pool is None or not pool.accepts_requests:
             self._report_not_sent(action, number, request_complete=False)
             return
-        attempt = Attempt(self, pending, number, action.endpoint_id, now_ns, end_ns)
+        attempt = AttemptInFlight(self, pending, number, action.endpoint_id, now_ns, end_ns)
         pending.exchange = Exchange(
             pool, attempt.serialize, attempt.on_ended, is_wanted=attempt.is_wanted, quarantine_s=QUARANTINE_S
         )
@@ -102,7 +102,7 @@
                 exchange.finish(AttemptResult.NOT_SENT)
 
     def on_attempt_ended(
-        self, attempt: Attempt, result: AttemptResult, response: Message | None, elapsed_ns: int
+        self, attempt: AttemptInFlight, result: AttemptResult, response: Message | None, elapsed_ns: int
     ) -> None:
         """Answer the client if the attempt succeeded, and report the result."""
         pending = attempt.pending_request
@@ -130,7 +130,7 @@
 
 
 @dataclass(slots=True, eq=False)
-class Attempt:
+class AttemptInFlight:
     """One attempt, from its start to its result; times on the monotonic clock."""
 
     attempts: Attempts
--- a/loadbalancer/proxy/endpoint_updates.py
+++ b/loadbalancer/proxy/endpoint_list_applier.py
@@ -26,7 +26,7 @@
 }
 
 
-class EndpointUpdater:
+class EndpointListApplier:
     """Applies endpoint lists in the order in which they came."""
 
     def __init__(
--- a/loadbalancer/proxy/proxy.py
+++ b/loadbalancer/proxy/proxy.py
@@ -41,9 +41,9 @@
 from loadbalancer.proxy.discovery_client import DiscoveryClient
 from loadbalancer.proxy.downstream import DownstreamServer
 from loadbalancer.proxy.endpoint_addresses import EndpointAddresses
+from loadbalancer.proxy.endpoint_list_applier import EndpointListApplier
 from loadbalancer.proxy.endpoint_list_parser import unix_offset_ns
 from loadbalancer.proxy.endpoint_list_reader import EndpointListReader
-from loadbalancer.proxy.endpoint_updates import EndpointUpdater
 from loadbalancer.proxy.gossip import Gossip
 from loadbalancer.proxy.health_checks import HealthChecks
 from loadbalancer.proxy.http import Message
@@ -91,7 +91,7 @@
             unix_offset_ns(), None if config.known_endpoints is None else config.known_endpoints.id_registry
         )
         self._addresses = EndpointAddresses(self._connection_limits)
-        self._endpoint_updater = EndpointUpdater(self._list_reader, self._addresses, self._on_endpoint_update)
+        self._list_applier = EndpointListApplier(self._list_reader, self._addresses, self._on_endpoint_update)
         self._discovery_client = DiscoveryClient(
             config.discovery,
             self._list_reader,
@@ -139,12 +139,12 @@
         known = self.config.known_endpoints
         if known is not None:
             self._discovery_client.start_from(self._list_reader.accept(known))
-        self._endpoint_updater.apply_cached(known)
+        self._list_applier.apply_cached(known)
 
     def _sweep_once(self) -> None:
         self._connection_limits.close_expired()
         self._addresses.forget_empty_pools()
-        self._endpoint_updater.sweep_ids()
+        self._list_applier.sweep_ids()
         self._sweep_timer = self._loop.call_later(SWEEP_INTERVAL_S, self._sweep_once)
 
     @property
@@ -180,7 +180,7 @@
         """Stop everything at once; pending requests fail."""
         self._pending_requests.fail_all()
         self._discovery_client.stop()
-        self._endpoint_updater.close()
+        self._list_applier.close()
         if self._sweep_timer is not None:
             self._sweep_timer.cancel()
         self._addresses.close_all_idle_connections()
@@ -270,7 +270,7 @@
     # -- endpoint lists --
 
     def _on_watch_result(self, result: WatchResult) -> None:
-        self._endpoint_updater.on_watch_result(result)
+        self._list_applier.on_watch_result(result)
 
     def _on_endpoint_update(self, update: EndpointUpdate) -> None:
         self._attempts.cancel_unsent()
--- a/scale_test/hollow.py
+++ b/scale_test/hollow.py
@@ -53,8 +53,8 @@
             return
         at = len(self.in_force)
         self.in_force.append((listing.version, time.monotonic_ns()))
-        applying = self._endpoint_updater.task
-        if self._endpoint_updater.is_pending(listing) and applying is not None:
+        applying = self._list_applier.task
+        if self._list_applier.is_pending(listing) and applying is not None:
             wait = self._loop.create_task(self._until_in_force(at, applying))
             self._waits.add(wait)
             wait.add_done_callback(self._waits.discard)
--- a/tests/proxy/test_endpoint_ids.py
+++ b/tests/proxy/test_endpoint_ids.py
@@ -87,7 +87,7 @@
             proxy._on_watch_result(
                 read_hosts(proxy._list_reader, 2, entry("s1", 4), entry("s0", 3), whole=True)
             )
-            await until(lambda: proxy._endpoint_updater.task is None)
+            await until(lambda: proxy._list_applier.task is None)
             assert ports(proxy) == {3: SHARED_ID, 4: SHARED_ID + 1}
 
     run(test())
@@ -106,7 +106,7 @@
                 version = (proxy._list_reader._newest_version or 0) + 1
                 proxy._on_watch_result(read_hosts(proxy._list_reader, version, *hosts, whole=whole))
                 if swept:
-                    proxy._endpoint_updater.sweep_ids(SEGMENTS)
+                    proxy._list_applier.sweep_ids(SEGMENTS)
 
             if whole:
                 apply(entry(f"s{stays}", stays + 1), whole=True)
@@ -128,12 +128,12 @@
             proxy, reader = client.node, client.node._list_reader
             many = [entry(f"s{i}", i + 1) for i in range(1, 100)]
             proxy._on_watch_result(read_hosts(reader, 2, *many, whole=True))  # applied in slices
-            assert proxy._endpoint_updater.task is not None
-            proxy._endpoint_updater.sweep_ids(SEGMENTS)
+            assert proxy._list_applier.task is not None
+            proxy._list_applier.sweep_ids(SEGMENTS)
             assert len(reader.id_registry) == 100
             assert list(read_hosts(reader, 3, entry("new", 200)).ids) == [SHARED_ID + 100]  # none is free
-            await until(lambda: proxy._endpoint_updater.task is None)
-            proxy._endpoint_updater.sweep_ids(SEGMENTS)
+            await until(lambda: proxy._list_applier.task is None)
+            proxy._list_applier.sweep_ids(SEGMENTS)
             assert len(reader.id_registry) == len(proxy._addresses.by_id) == 99
             assert list(read_hosts(reader, 4, entry("newer", 201)).ids) == [SHARED_ID]
 
@@ -151,7 +151,7 @@
             read_hosts(reader, 1, entry("late"))  # older than the last: not taken
             abandoned = reader.steps(bytearray(json.dumps(known(*range(1, 200))).encode()))
             next(abandoned)
-            proxy._endpoint_updater.sweep_ids(SEGMENTS)
+            proxy._list_applier.sweep_ids(SEGMENTS)
             assert len(reader.id_registry) > 50  # what is being read may name any
             abandoned.close()
             for _ in range(SEGMENTS):  # as once a second
--- a/tests/proxy/test_endpoint_updates.py
+++ b/tests/proxy/test_endpoint_list_applier.py
@@ -5,7 +5,7 @@
 import asyncio
 
 from loadbalancer.messages import EndpointStatus, EndpointUpdate, EndpointUpdateKind
-from loadbalancer.proxy.endpoint_updates import SLICE_ENTRIES
+from loadbalancer.proxy.endpoint_list_applier import SLICE_ENTRIES
 from loadbalancer.state.endpoint_ids import preferred_id
 from tests.support.discovery import complete_list, read_list
 from tests.support.sockets import ScriptedPolicy, entry, known, listing, node, run, until
@@ -22,7 +22,7 @@
             proxy._on_watch_result(read_list({"seq": 3, "whole": True, "hosts": []}))
             assert not proxy._addresses.by_id
             assert not proxy._addresses.pools
-            assert not proxy._endpoint_updater._pending
+            assert not proxy._list_applier._pending
 
     run(test())
 
@@ -40,7 +40,7 @@
         script, turns = ScriptedPolicy(), 0
         async with node(script, known_list=complete_list(3)) as client:
             client.node._on_watch_result(listing(complete_list(1000, 2, first=2)))
-            while client.node._endpoint_updater.task is not None:
+            while client.node._list_applier.task is not None:
                 await asyncio.sleep(0)
                 turns += 1
             assert turns >= 1000 // SLICE_ENTRIES  # so many turns of the loop were others' too
@@ -73,19 +73,19 @@
                 "hosts": [entry("s499", health="draining"), entry("s498", health="removed"), entry("new", 7)],
             }
             proxy._on_watch_result(listing(last))  # applied at once
-            assert proxy._endpoint_updater.task is not None
+            assert proxy._list_applier.task is not None
             names = ("s499", "s498", "new")
             assert [u.id for u in later_updates(script)[-1].endpoints] == [
                 preferred_id(name) for name in names
             ]
-            await until(lambda: proxy._endpoint_updater.task is None)
+            await until(lambda: proxy._list_applier.task is None)
             assert last_statuses(script)[preferred_id("s499")] is EndpointStatus.DRAINING
             assert last_statuses(script)[preferred_id("s498")] is EndpointStatus.REMOVED
             assert last_statuses(script)[preferred_id("new")] is EndpointStatus.READY
             assert len(proxy._addresses.by_id) == 500
             assert not {preferred_id("s499"), preferred_id("s498")} & set(proxy.endpoint_addresses())
             proxy._on_watch_result(listing(complete_list(300, 5)))  # a newer whole list counts again
-            await until(lambda: proxy._endpoint_updater.task is None)
+            await until(lambda: proxy._list_applier.task is None)
             assert len(proxy.endpoint_addresses()) == 300
 
     run(test())
@@ -97,7 +97,7 @@
         async with node(script, known_list=complete_list(3)) as client:
             for version, count in ((2, 700), (3, 2)):
                 client.node._on_watch_result(listing(complete_list(count, version)))
-                await until(lambda: client.node._endpoint_updater.task is None)
+                await until(lambda: client.node._list_applier.task is None)
             assert max(len(list(update.endpoints)) for update in later_updates(script)) <= SLICE_ENTRIES
             assert len(client.node._addresses.by_id) == 2
 
