--- a/loadbalancer/configuration.py
+++ b/loadbalancer/configuration.py
@@ -1,23 +1,22 @@
 """The configuration file of a proxy: read from JSON into a typed configuration.
 
-The file may hold the last known endpoint list, of 100,000 entries and more. It is therefore parsed in
-steps, between which a running proxy serves requests.
+The file may hold the last known endpoint list, of 100,000 entries and more. It is therefore parsed
+cooperatively: a running proxy serves requests meanwhile.
 """
 
 from __future__ import annotations
 
-from collections.abc import Generator
 from dataclasses import dataclass, field
 
 from loadbalancer.proxy.addresses import Address, read_address
+from loadbalancer.proxy.cooperative import CooperativeWork, run_to_completion
 from loadbalancer.proxy.endpoint_list import EndpointList
 from loadbalancer.proxy.endpoint_list_parser import EndpointListParser, unix_offset_ns
-from loadbalancer.proxy.endpoint_list_reader import read_beside
+from loadbalancer.proxy.endpoint_list_reader import parse_object_around_list
 from loadbalancer.proxy.errors import EndpointListError
-from loadbalancer.proxy.steps import run_through
 from loadbalancer.settings import Json, Settings, read_settings
 
-CHUNK_BYTES = 16 * 1024  # of the file that are parsed in one step
+CHUNK_BYTES = 16 * 1024  # of the file, parsed between two yields
 DEFAULT_MAX_SOCKETS = 1024
 MEGABYTE = 1024 * 1024
 
@@ -46,13 +45,13 @@
 
 def read_configuration(path: str) -> Configuration:
     """Read a configuration file; raise ConfigurationError if it can't be used."""
-    return run_through(read_configuration_in_steps(path))
+    return run_to_completion(read_configuration_cooperatively(path))
 
 
-def read_configuration_in_steps(
+def read_configuration_cooperatively(
     path: str, keep_known_endpoints: bool = True
-) -> Generator[None, None, Configuration]:
-    """Read a configuration file in steps of `CHUNK_BYTES` each; raise ConfigurationError if it can't be used.
+) -> CooperativeWork[Configuration]:
+    """Read a configuration file, yielding every `CHUNK_BYTES`; raise ConfigurationError if it can't be used.
 
     Without `keep_known_endpoints` the endpoint list of the file is parsed and left out.
     """
@@ -67,12 +66,12 @@
         raise ConfigurationError(f"{path}: {error}") from error
 
 
-def _parse(path: str, endpoints: EndpointListParser) -> Generator[None, None, Json]:
+def _parse(path: str, endpoints: EndpointListParser) -> CooperativeWork[Json]:
     """Parse the file but for its endpoint list, which `endpoints` takes."""
     try:
         with open(path, "rb") as file:
             chunks = iter(lambda: file.read(CHUNK_BYTES), b"")
-            raw: Json = yield from read_beside(chunks, "known", endpoints)
+            raw: Json = yield from parse_object_around_list(chunks, "known", endpoints)
     except OSError as error:
         raise ConfigurationError(f"{path}: {error.strerror}") from error
     except EndpointListError as error:
--- a/loadbalancer/configuration_reload.py
+++ b/loadbalancer/configuration_reload.py
@@ -6,11 +6,10 @@
 
 from __future__ import annotations
 
-import asyncio
 import logging
-from typing import cast
 
-from loadbalancer.configuration import Configuration, ConfigurationError, read_configuration_in_steps
+from loadbalancer.configuration import Configuration, ConfigurationError, read_configuration_cooperatively
+from loadbalancer.proxy.cooperative import run_cooperatively
 from loadbalancer.proxy.proxy import Proxy
 
 log = logging.getLogger(__name__)
@@ -25,7 +24,7 @@
         proxy: the running proxy.
     """
     try:
-        new = await _read_between_requests(path)
+        new = await run_cooperatively(read_configuration_cooperatively(path, keep_known_endpoints=False))
     except ConfigurationError as error:
         log.warning("%s: reload: %s; the old configuration stays", current.name, error)
         return
@@ -49,14 +48,3 @@
         "peers_all": new.gossip_broadcast != current.gossip_broadcast,
     }
     return [name for name, differs in changed.items() if differs]
-
-
-async def _read_between_requests(path: str) -> Configuration:
-    """Read the file in steps; its endpoint list may be long, and requests go on meanwhile."""
-    steps = read_configuration_in_steps(path, keep_known_endpoints=False)
-    while True:
-        try:
-            next(steps)
-        except StopIteration as end:
-            return cast(Configuration, end.value)
-        await asyncio.sleep(0)
--- a/loadbalancer/proxy/discovery_call.py
+++ b/loadbalancer/proxy/discovery_call.py
@@ -11,19 +11,19 @@
 from loadbalancer.messages import AttemptResult
 from loadbalancer.proxy.addresses import Address
 from loadbalancer.proxy.connection_pool import ConnectionLimits, ConnectionPool
+from loadbalancer.proxy.cooperative import CooperativeWork, run_cooperatively, run_to_completion
 from loadbalancer.proxy.endpoint_list import EndpointList
 from loadbalancer.proxy.endpoint_list_reader import EndpointListReader
 from loadbalancer.proxy.errors import EndpointListError
 from loadbalancer.proxy.exchange import start_exchange
 from loadbalancer.proxy.http import Message, write_request
-from loadbalancer.proxy.steps import Steps, run_interleaved, run_through
 
 log = logging.getLogger(__name__)
 LIST_PATH = "/registry/instances"
 MAX_LIST_BYTES = 32 * 1024 * 1024
 MEMORY_DIVISOR = 4  # a list may take a quarter of the memory limit at most
 MIN_RESPONSE_RATE = 4_000_000  # bytes a second of a long answer that put off its timeout
-READ_AT_ONCE_BYTES = 64 * 1024  # a longer list is read in steps
+READ_AT_ONCE_BYTES = 64 * 1024  # a longer list is read cooperatively
 MAX_CONNECTIONS = 2  # to one address: the watch, and a fetch beside it
 CONNECT_TIMEOUT_S = 2.0
 TIMEOUT_MARGIN_S = 1.0  # beyond the time that a call may wait, and for an answer that waits for nothing
@@ -92,11 +92,11 @@
             timed_out = result is AttemptResult.TIMEOUT
             self._on_result(WatchFailure.TIMED_OUT if timed_out else WatchFailure.CALL_FAILED)
             return
-        steps = self._target.reader.steps(response.body)
+        reading = self._target.reader.read_cooperatively(response.body)
         if len(response.body) > READ_AT_ONCE_BYTES:
-            self._read_task = asyncio.get_running_loop().create_task(self._read_in_steps(steps))
+            self._read_task = asyncio.get_running_loop().create_task(self._read_cooperatively(reading))
         else:
-            self._read_at_once(steps)
+            self._read_at_once(reading)
 
     def _log_failure(self, result: AttemptResult, response: Message | None) -> None:
         if self._exchange.response_too_large:
@@ -107,18 +107,18 @@
         status = response.status if response else ""
         log.info("discovery: call failed: %s %s", result.value, status)
 
-    def _read_at_once(self, steps: Steps[EndpointList]) -> None:
+    def _read_at_once(self, reading: CooperativeWork[EndpointList]) -> None:
         read: WatchResult
         try:
-            read = run_through(steps)
+            read = run_to_completion(reading)
         except EndpointListError as error:
             read = _unreadable(error)
         self._on_result(read)
 
-    async def _read_in_steps(self, steps: Steps[EndpointList]) -> None:
+    async def _read_cooperatively(self, reading: CooperativeWork[EndpointList]) -> None:
         read: WatchResult
         try:
-            read = await run_interleaved(steps)
+            read = await run_cooperatively(reading)
         except EndpointListError as error:
             read = _unreadable(error)
         self._on_result(read)
--- a/loadbalancer/proxy/endpoint_list_reader.py
+++ b/loadbalancer/proxy/endpoint_list_reader.py
@@ -1,4 +1,4 @@
-"""Reads endpoint lists from JSON in steps, so that nothing waits for a long one."""
+"""Reads endpoint lists from JSON, cooperatively: requests are served while a long one is read."""
 
 from __future__ import annotations
 
@@ -11,14 +11,14 @@
 import ijson
 from ijson.backends.yajl2_c import basic_parse_coro
 
+from loadbalancer.proxy.cooperative import CooperativeWork, run_to_completion
 from loadbalancer.proxy.endpoint_list import EndpointList
 from loadbalancer.proxy.endpoint_list_parser import ENDS, STARTS, EndpointListParser, JsonEvent
 from loadbalancer.proxy.errors import EndpointListError
-from loadbalancer.proxy.steps import Steps, run_through
 from loadbalancer.state.endpoint_ids import EndpointIdRegistry
 
 log = logging.getLogger(__name__)
-STEP_BYTES = 4096  # some thirty rows: what waits meanwhile waits under a millisecond
+YIELD_BYTES = 4096  # some thirty rows, which take less than a millisecond
 
 
 class EndpointListReader:
@@ -36,10 +36,10 @@
         Raises:
             EndpointListError: if the text is no list.
         """
-        return run_through(self.steps(bytearray(text)))
+        return run_to_completion(self.read_cooperatively(bytearray(text)))
 
-    def steps(self, text: bytearray) -> Steps[EndpointList]:
-        """Read a list in steps of a fraction of a millisecond, which use the text up.
+    def read_cooperatively(self, text: bytearray) -> CooperativeWork[EndpointList]:
+        """Read a list, yielding every `YIELD_BYTES`; the text is empty afterwards.
 
         Raises:
             EndpointListError: if the text is no list.
@@ -48,8 +48,8 @@
         finished = False
         with self._count_read(), _json_parser() as (json_parser, events):
             while text:
-                json_parser.send(bytes(text[:STEP_BYTES]))
-                del text[:STEP_BYTES]  # what has been read takes no more memory
+                json_parser.send(bytes(text[:YIELD_BYTES]))
+                del text[:YIELD_BYTES]  # what has been read takes no more memory
                 if not finished:
                     finished = list_parser.take(iter(events))
                 events.clear()
@@ -89,8 +89,10 @@
         raise EndpointListError(str(error).strip().partition("\n")[0]) from error
 
 
-def read_beside(chunks: Iterable[bytes], key: str, list_parser: EndpointListParser) -> Steps[Any]:
-    """Read a JSON object in a step a chunk, but for the endpoint list under a key, which the parser takes.
+def parse_object_around_list(
+    chunks: Iterable[bytes], key: str, list_parser: EndpointListParser
+) -> CooperativeWork[Any]:
+    """Parse a JSON object, yielding after each chunk; `list_parser` takes the endpoint list under `key`.
 
     Raises:
         EndpointListError: if the text is not JSON.
--- a/tests/proxy/test_endpoint_ids.py
+++ b/tests/proxy/test_endpoint_ids.py
@@ -149,7 +149,7 @@
             with pytest.raises(EndpointListError):
                 read_list({"hosts": [entry("bad")]}, reader)
             read_hosts(reader, 1, entry("late"))  # older than the last: not taken
-            abandoned = reader.steps(bytearray(json.dumps(known(*range(1, 200))).encode()))
+            abandoned = reader.read_cooperatively(bytearray(json.dumps(known(*range(1, 200))).encode()))
             next(abandoned)
             proxy._list_applier.sweep_ids(SEGMENTS)
             assert len(reader.id_registry) > 50  # what is being read may name any
--- a/tests/proxy/test_endpoint_list_reader.py
+++ b/tests/proxy/test_endpoint_list_reader.py
@@ -1,4 +1,4 @@
-"""Endpoint lists are read in steps and bounded, from discovery and from the configuration."""
+"""Endpoint lists are read cooperatively and bounded, from discovery and from the configuration."""
 
 from __future__ import annotations
 
@@ -20,12 +20,12 @@
 from loadbalancer.policy.balancer import Balancer
 from loadbalancer.proxy import addresses, endpoint_list_parser
 from loadbalancer.proxy.connection_pool import ConnectionLimits, ConnectionPool
+from loadbalancer.proxy.cooperative import run_to_completion
 from loadbalancer.proxy.endpoint_list import EndpointList
-from loadbalancer.proxy.endpoint_list_reader import STEP_BYTES, EndpointListReader
+from loadbalancer.proxy.endpoint_list_reader import YIELD_BYTES, EndpointListReader
 from loadbalancer.proxy.errors import EndpointListError
 from loadbalancer.proxy.exchange import start_exchange
 from loadbalancer.proxy.proxy import Proxy
-from loadbalancer.proxy.steps import run_through
 from loadbalancer.startup import freeze_heap
 from loadbalancer.state import endpoint_table, hash_ring
 from loadbalancer.state.endpoint_ids import preferred_id
@@ -92,8 +92,8 @@
     body = json.dumps({key: text[key] for key in order}, indent=indent).encode()
     once = EndpointListReader(0).read(body)
     with pytest.MonkeyPatch.context() as patch:
-        patch.setattr("loadbalancer.proxy.endpoint_list_reader.STEP_BYTES", stride)
-        pieces = run_through(EndpointListReader(0).steps(bytearray(body)))
+        patch.setattr("loadbalancer.proxy.endpoint_list_reader.YIELD_BYTES", stride)
+        pieces = run_to_completion(EndpointListReader(0).read_cooperatively(bytearray(body)))
     assert contents(once) == contents(pieces)
     assert (once.version, once.complete) == (4, False)
     named = [row["host"] for row in rows if isinstance(row, dict) and isinstance(row.get("host"), str)]
@@ -123,14 +123,14 @@
     assert len(reader.read(json.dumps(complete_list(2)).encode())) == 2
 
 
-def test_a_long_list_is_read_in_steps() -> None:
+def test_a_long_list_is_read_cooperatively() -> None:
     body = bytearray(json.dumps(complete_list(2000)).encode())
-    size, steps = len(body), 0
-    reading = EndpointListReader(0).steps(body)
+    size, yields = len(body), 0
+    reading = EndpointListReader(0).read_cooperatively(body)
     for _ in reading:
-        steps += 1
-        assert len(body) == size - steps * STEP_BYTES  # no more at a stretch; what is read is let go
-    assert steps == (size - 1) // STEP_BYTES
+        yields += 1
+        assert len(body) == size - yields * YIELD_BYTES  # what has been read is freed
+    assert yields == (size - 1) // YIELD_BYTES
 
 
 def test_a_list_over_the_size_limit_is_rejected_with_one_log_line_and_the_old_one_stays(
