--- a/loadbalancer/configuration.py
+++ b/loadbalancer/configuration.py
@@ -8,7 +8,7 @@
 
 from dataclasses import dataclass, field
 
-from loadbalancer.proxy.addresses import Address, read_address
+from loadbalancer.proxy.addresses import Address, parse_address
 from loadbalancer.proxy.cooperative import CooperativeWork, run_to_completion
 from loadbalancer.proxy.endpoint_list import EndpointList
 from loadbalancer.proxy.endpoint_list_parser import EndpointListParser, unix_offset_ns
@@ -90,14 +90,14 @@
     limits = raw.get("limits") or {}
     return Configuration(
         name=str(raw["name"]),
-        listen=read_address(raw["listen"]),
-        discovery=read_address(raw["discovery"]),
+        listen=parse_address(raw["listen"]),
+        discovery=parse_address(raw["discovery"]),
         seed=int.from_bytes(str(raw["seed"]).encode(), "big"),
         max_sockets=int(limits.get("sockets") or DEFAULT_MAX_SOCKETS),
         settings=read_settings(raw["settings"]),
         known_endpoints=known_endpoints,
         gossip_listen=_optional_address(raw.get("peer_listen")),
-        gossip_peers=[read_address(text) for text in raw.get("peers") or ()],
+        gossip_peers=[parse_address(text) for text in raw.get("peers") or ()],
         gossip_broadcast=_optional_address(raw.get("peers_all")),
         cpu_cores=float(limits.get("cores") or 0.0),
         memory_bytes=int(float(limits.get("memory_mb") or 0) * MEGABYTE),
@@ -105,4 +105,4 @@
 
 
 def _optional_address(text: str | None) -> Address | None:
-    return read_address(text) if text else None
+    return parse_address(text) if text else None
--- a/loadbalancer/proxy/addresses.py
+++ b/loadbalancer/proxy/addresses.py
@@ -6,30 +6,35 @@
 
 from loadbalancer.proxy.errors import AddressError
 
-Address = tuple[str, int]  # host and port, as asyncio takes them
+Address = tuple[str, int]
+"""Host and port, as asyncio takes them."""
+
+CompactAddress = int | Address
+"""An IPv4 address and port in one number, which takes a third of the memory; an IPv6 address as it is."""
+
 NO_ADDRESS: Address = ("", 0)  # of an endpoint that was removed
-PackedAddress = int | Address  # an IPv4 address and port in one number: a third of the memory
 PORT_BITS = 16
 MAX_PORT = (1 << PORT_BITS) - 1
 IPV4_BYTES = 4
+MAX_QUOTED_CHARACTERS = 80  # of an invalid address, in the error
 
 
-def read_address(text: str) -> Address:
+def parse_address(text: str) -> Address:
     """Parse an IP address and a port.
 
     A host name is not accepted: looking it up would block, and there is no DNS.
 
     Raises:
-        AddressError: if the text is anything else.
+        AddressError: The text is anything else.
     """
-    return unpack_address(pack_address(text))
+    return expand_address(parse_compact_address(text))
 
 
-def pack_address(text: str) -> PackedAddress:
+def parse_compact_address(text: str) -> CompactAddress:
     """Parse an IP address and a port into the form in which many of them are stored.
 
     Raises:
-        AddressError: if the text is anything else.
+        AddressError: The text is anything else.
     """
     host, _, port = text.rpartition(":")
     host = host.strip("[]")
@@ -46,12 +51,12 @@
 
 
 def _address_error(text: str) -> AddressError:
-    return AddressError(f"no address: {text!r:.80}")
+    return AddressError(f"not an IP address and port: {text!r:.{MAX_QUOTED_CHARACTERS}}")
 
 
-def unpack_address(packed: PackedAddress) -> Address:
+def expand_address(address: CompactAddress) -> Address:
     """Return a stored address as host and port."""
-    if isinstance(packed, int):
-        host = socket.inet_ntoa((packed >> PORT_BITS).to_bytes(IPV4_BYTES, "big"))
-        return host, packed & MAX_PORT
-    return packed
+    if isinstance(address, int):
+        host = socket.inet_ntoa((address >> PORT_BITS).to_bytes(IPV4_BYTES, "big"))
+        return host, address & MAX_PORT
+    return address
--- a/loadbalancer/proxy/endpoint_addresses.py
+++ b/loadbalancer/proxy/endpoint_addresses.py
@@ -4,7 +4,7 @@
 
 from collections.abc import Iterable
 
-from loadbalancer.proxy.addresses import Address, PackedAddress, unpack_address
+from loadbalancer.proxy.addresses import Address, CompactAddress, expand_address
 from loadbalancer.proxy.connection_pool import ConnectionLimits, ConnectionPool
 
 
@@ -16,14 +16,14 @@
 
     def __init__(self, limits: ConnectionLimits) -> None:
         self._limits = limits
-        self.by_id: dict[int, PackedAddress | None] = {}
+        self.by_id: dict[int, CompactAddress | None] = {}
         self.pools: dict[int, ConnectionPool] = {}
         """By endpoint, for those that have been sent something recently."""
 
     def __len__(self) -> int:
         return len(self.by_id)
 
-    def set(self, endpoint_id: int, address: PackedAddress | None) -> None:
+    def set(self, endpoint_id: int, address: CompactAddress | None) -> None:
         """Store an endpoint's address; None if it takes no new requests."""
         if self.by_id.get(endpoint_id, 0) == address:
             return
@@ -50,7 +50,7 @@
         address = self.by_id.get(endpoint_id)
         if address is None:
             return None
-        pool = ConnectionPool(self._limits, unpack_address(address))
+        pool = ConnectionPool(self._limits, expand_address(address))
         self.pools[endpoint_id] = pool
         return pool
 
@@ -74,7 +74,7 @@
     def ready(self) -> dict[int, Address]:
         """Return the addresses of the endpoints that take new requests."""
         return {
-            endpoint_id: unpack_address(address)
+            endpoint_id: expand_address(address)
             for endpoint_id, address in self.by_id.items()
             if address is not None
         }
--- a/loadbalancer/proxy/endpoint_list.py
+++ b/loadbalancer/proxy/endpoint_list.py
@@ -7,7 +7,7 @@
 from typing import NamedTuple
 
 from loadbalancer.messages import Endpoint
-from loadbalancer.proxy.addresses import Address, PackedAddress, unpack_address
+from loadbalancer.proxy.addresses import Address, CompactAddress, expand_address
 from loadbalancer.state.endpoint_ids import EndpointIdRegistry
 from loadbalancer.state.endpoint_table import EndpointAttributes
 
@@ -31,14 +31,14 @@
         self.complete = complete
         self.ids = array("Q")
         self.attributes: list[EndpointAttributes] = []
-        self.addresses: list[PackedAddress] = []
+        self.addresses: list[CompactAddress] = []
         self.unreadable: list[int] = []  # listed, but their entries can't be read: what is known stays
         self.superseded: set[int] = set()  # named by a newer list that was applied before this one
 
     def __len__(self) -> int:
         return len(self.ids)
 
-    def append(self, endpoint_id: int, attributes: EndpointAttributes, address: PackedAddress) -> None:
+    def append(self, endpoint_id: int, attributes: EndpointAttributes, address: CompactAddress) -> None:
         """Add an entry."""
         self.ids.append(endpoint_id)
         self.attributes.append(attributes)
@@ -54,4 +54,4 @@
     def entries(self) -> Iterator[ListedEndpoint]:
         """The entries one by one, unpacked."""
         for endpoint_id, attributes, address in zip(self.ids, self.attributes, self.addresses, strict=True):
-            yield ListedEndpoint(Endpoint(endpoint_id, *attributes), unpack_address(address))
+            yield ListedEndpoint(Endpoint(endpoint_id, *attributes), expand_address(address))
--- a/loadbalancer/proxy/endpoint_list_parser.py
+++ b/loadbalancer/proxy/endpoint_list_parser.py
@@ -12,7 +12,7 @@
 from typing import Any
 
 from loadbalancer.messages import EndpointStatus
-from loadbalancer.proxy.addresses import NO_ADDRESS, PackedAddress, pack_address
+from loadbalancer.proxy.addresses import NO_ADDRESS, CompactAddress, parse_compact_address
 from loadbalancer.proxy.endpoint_list import EndpointList
 from loadbalancer.proxy.errors import EndpointListError
 from loadbalancer.state.endpoint_ids import EndpointIdRegistry, host_fingerprint, preferred_id
@@ -175,7 +175,7 @@
             attributes = self._interned.setdefault(attributes, attributes)
             self._list.append(endpoint_id, attributes, address)
 
-    def _read_row(self, row: Row) -> tuple[EndpointAttributes, PackedAddress]:
+    def _read_row(self, row: Row) -> tuple[EndpointAttributes, CompactAddress]:
         status = STATUSES[str(row.get("health"))]
         started_ms = row.get("born_ms") or 0
         cell = row.get("block") or 0
@@ -185,7 +185,9 @@
         if not isinstance(weight, int | float | Decimal):
             raise EndpointListError("an entry's figures are no numbers")
         started_ns = self._started_ns(started_ms)
-        address = NO_ADDRESS if status is EndpointStatus.REMOVED else pack_address(str(row.get("dial")))
+        address = (
+            NO_ADDRESS if status is EndpointStatus.REMOVED else parse_compact_address(str(row.get("dial")))
+        )
         weight = float(weight)
         weight = self._interned.setdefault(weight, weight)
         zone = intern(str(row.get("site") or ""))
--- a/loadbalancer/proxy/health_checks.py
+++ b/loadbalancer/proxy/health_checks.py
@@ -14,7 +14,7 @@
 
 TIMEOUT_S = 0.05
 MAX_IN_FLIGHT = 256
-CONNECTION_SHARE = 8  # one in so many connections is kept for attempts, which come before health checks
+ATTEMPT_CONNECTIONS_DIVISOR = 8  # one in so many connections is reserved for attempts
 OK_STATUS = 200
 LOAD_REPORT_PATH = b"/stats"
 LIVENESS_PATH = b"/health/live"
@@ -42,7 +42,7 @@
         self._path = LOAD_REPORT_PATH if with_load_reports else LIVENESS_PATH
 
     def start(self, endpoint_id: int) -> None:
-        """Start a health check; it fails at once where there is no room for it."""
+        """Start a health check; it fails at once where it can't be sent."""
         pool = self._connection_pool(endpoint_id)
         started_ns = time.monotonic_ns()
         if pool is None or self.in_flight >= MAX_IN_FLIGHT:
@@ -56,7 +56,7 @@
             write_request(b"GET", self._path, [(b"Host", f"{host}:{port}".encode())]),
             TIMEOUT_S,
             check.on_ended,
-            pool.limits.max_connections // CONNECTION_SHARE,
+            pool.limits.max_connections // ATTEMPT_CONNECTIONS_DIVISOR,
         )
 
     def report(self, ended: HealthCheckEnded) -> None:
--- a/loadbalancer/proxy/pending_requests.py
+++ b/loadbalancer/proxy/pending_requests.py
@@ -179,7 +179,7 @@
 
 
 def _user_cookie(request: Message) -> str:
-    """Give the value of the cookie `user`, by which requests are kept on one endpoint."""
+    """Give the value of the cookie `user`, by which requests are sticky to one endpoint."""
     for cookie in request.header(b"cookie").decode("latin-1").split(";"):
         name_and_value = cookie.strip()
         if name_and_value.startswith(USER_COOKIE):
--- a/tests/process/test_configuration_reload.py
+++ b/tests/process/test_configuration_reload.py
@@ -84,7 +84,7 @@
     moves = reload(path, CONFIGURATION)
     assert moves == []
     assert [record.getMessage() for record in caplog.records] == [
-        f"n0: reload: {path}: no address: 'nowhere'; the old configuration stays"
+        f"n0: reload: {path}: not an IP address and port: 'nowhere'; the old configuration stays"
     ]
 
 
--- a/tests/process/test_process.py
+++ b/tests/process/test_process.py
@@ -302,7 +302,7 @@
         ("{", "premature EOF"),
         ("[]", ""),
         ("{}", "'name' is missing"),
-        (json.dumps(configuration(1, listen="nowhere")), "no address"),
+        (json.dumps(configuration(1, listen="nowhere")), "not an IP address and port"),
         (json.dumps(configuration(1, settings=3)), ""),
         (json.dumps(configuration(1, known={"hosts": 3})), "known"),
     ],
--- a/tests/proxy/test_endpoint_list_reader.py
+++ b/tests/proxy/test_endpoint_list_reader.py
@@ -252,8 +252,8 @@
 
     for module, name in (
         (endpoint_list_parser, "preferred_id"),
-        (endpoint_list_parser, "pack_address"),
-        (addresses, "pack_address"),
+        (endpoint_list_parser, "parse_compact_address"),
+        (addresses, "parse_compact_address"),
         (endpoint_table, "mix64"),
         (hash_ring, "mix64"),
     ):
@@ -270,7 +270,7 @@
 
     run(test())
     assert done["preferred_id"] == count
-    assert done["pack_address"] <= count + 2
+    assert done["parse_compact_address"] <= count + 2
     assert done["mix64"] <= count + 10
     assert len(balancer.fleet.endpoints) == len(balancer.fleet.used_ids)
     assert config.known_endpoints is not None
