--- a/loadbalancer/proxy/attempts.py
+++ b/loadbalancer/proxy/attempts.py
@@ -16,6 +16,13 @@
 from loadbalancer.proxy.http import Message, write_request
 from loadbalancer.proxy.load_report import parse_load_report
 from loadbalancer.proxy.pending_requests import PendingRequest, PendingRequests
+from loadbalancer.proxy.wire_names import (
+    DEADLINE_MS_HEADER,
+    DECLINED_HEADER,
+    FLAG_SET,
+    FORWARDED_DEADLINE_MS_HEADER,
+    LOAD_REPORT_HEADER,
+)
 from loadbalancer.units import NANOSECONDS_PER_MILLISECOND, NANOSECONDS_PER_SECOND
 
 # A second response to one request may come some milliseconds late, and must not pass for the response to the
@@ -23,9 +30,6 @@
 QUARANTINE_S = 0.01
 OK_STATUS = 200
 DECLINED_STATUSES = (503, 504)
-DEADLINE_HEADER = b"req-deadline-ms"
-DECLINED_HEADER = b"srv-declined"
-LOAD_REPORT_HEADER = b"srv-load"
 
 
 class Attempts:
@@ -144,8 +148,8 @@
         """Give the request's bytes; called when they are written, so that they tell the time left then."""
         request = self.pending_request.request
         left_ms = (self.end_ns - time.monotonic_ns()) // NANOSECONDS_PER_MILLISECOND
-        headers = [header for header in request.end_to_end() if header[0] != DEADLINE_HEADER]
-        headers.append((b"Req-Deadline-Ms", b"%d" % max(1, left_ms)))
+        headers = [header for header in request.end_to_end() if header[0] != DEADLINE_MS_HEADER]
+        headers.append((FORWARDED_DEADLINE_MS_HEADER, b"%d" % max(1, left_ms)))
         return write_request(request.method, request.target, headers, request.body)
 
     def is_wanted(self) -> bool:
@@ -168,6 +172,6 @@
     """Tell the result from a response: only a 503 or 504 marked as declined proves that nothing ran."""
     if response.status == OK_STATUS:
         return AttemptResult.OK
-    if response.status in DECLINED_STATUSES and response.header(DECLINED_HEADER) == b"1":
+    if response.status in DECLINED_STATUSES and response.header(DECLINED_HEADER) == FLAG_SET:
         return AttemptResult.REJECTED
     return AttemptResult.ERROR
--- a/loadbalancer/proxy/client_connection.py
+++ b/loadbalancer/proxy/client_connection.py
@@ -8,8 +8,8 @@
 
 from loadbalancer.proxy.http import Headers, Message, MessageReader, write_response
 from loadbalancer.proxy.socket_state import has_peer_closed, has_unread_input
+from loadbalancer.proxy.wire_names import READY_PATH
 
-READY_PATH = b"/health/ready"
 # Bytes read and discarded after a rejection: closing over unread input would reset the connection, and the
 # client could lose the answer.
 LINGERING_CLOSE_MAX_BYTES = 256 * 1024
--- a/loadbalancer/proxy/discovery_call.py
+++ b/loadbalancer/proxy/discovery_call.py
@@ -17,9 +17,9 @@
 from loadbalancer.proxy.errors import EndpointListError
 from loadbalancer.proxy.exchange import start_exchange
 from loadbalancer.proxy.http import Message, write_request
+from loadbalancer.proxy.wire_names import ENDPOINT_LIST_PATH
 
 log = logging.getLogger(__name__)
-LIST_PATH = "/registry/instances"
 MAX_LIST_BYTES = 32 * 1024 * 1024
 MEMORY_DIVISOR = 4  # a list may take a quarter of the memory limit at most
 MIN_RESPONSE_RATE = 4_000_000  # bytes a second of a long answer that put off its timeout
@@ -74,7 +74,7 @@
         self._target = target
         self._on_result = on_result
         self._read_task: asyncio.Task[None] | None = None
-        request = write_request(b"GET", (LIST_PATH + query).encode(), [(b"Host", target.host)])
+        request = write_request(b"GET", (ENDPOINT_LIST_PATH + query).encode(), [(b"Host", target.host)])
         timeout_s = wait_s + TIMEOUT_MARGIN_S
         self._exchange = start_exchange(target.pool, request, timeout_s, self._on_exchange_ended)
 
--- a/loadbalancer/proxy/discovery_client.py
+++ b/loadbalancer/proxy/discovery_client.py
@@ -18,6 +18,7 @@
 from loadbalancer.proxy.discovery_handover import DiscoveryHandover
 from loadbalancer.proxy.endpoint_list import EndpointList
 from loadbalancer.proxy.endpoint_list_reader import EndpointListReader
+from loadbalancer.proxy.wire_names import AFTER_VERSION_PARAMETER, WAIT_MS_PARAMETER
 
 # How long a watch call may wait at discovery. Silence for longer shows that the call is lost, on a connection
 # that has died unseen or at a discovery that is down. What a lost call would have brought counts as received
@@ -85,7 +86,11 @@
             self._watch_deferred = True
             return
         wait_ms = self._watch_wait_ms()
-        query = "" if self._version is None else f"?after={self._version}&wait_ms={wait_ms}"
+        query = (
+            ""
+            if self._version is None
+            else f"?{AFTER_VERSION_PARAMETER}={self._version}&{WAIT_MS_PARAMETER}={wait_ms}"
+        )
         # A call that waits for a short time leaves a discovery with too many callers more time to answer.
         timeout_s = max(wait_ms, AGENT_WAIT_MS) / 1000
         self._watch_call = self._target.call(query, timeout_s, self._on_watch_ended)
--- a/loadbalancer/proxy/endpoint_list_parser.py
+++ b/loadbalancer/proxy/endpoint_list_parser.py
@@ -15,16 +15,25 @@
 from loadbalancer.proxy.addresses import NO_ADDRESS, CompactAddress, parse_compact_address
 from loadbalancer.proxy.endpoint_list import EndpointList
 from loadbalancer.proxy.errors import EndpointListError
+from loadbalancer.proxy.wire_names import (
+    ENTRY_ADDRESS,
+    ENTRY_CELL,
+    ENTRY_HOST,
+    ENTRY_MACHINE_TYPE,
+    ENTRY_STARTED_MS,
+    ENTRY_STATUS,
+    ENTRY_WEIGHT,
+    ENTRY_ZONE,
+    LIST_COMPLETE,
+    LIST_ENDPOINTS,
+    LIST_VERSION,
+    STATUS_BY_NAME,
+)
 from loadbalancer.state.endpoint_ids import EndpointIdRegistry, host_fingerprint, preferred_id
 from loadbalancer.state.endpoint_table import EndpointAttributes
 
 log = logging.getLogger(__name__)
 NS_PER_MS = 1_000_000
-STATUSES = {
-    "up": EndpointStatus.READY,
-    "draining": EndpointStatus.DRAINING,
-    "removed": EndpointStatus.REMOVED,
-}
 # Kinds of the JSON parser's events, beside "map_key" and the kinds of scalars.
 STARTS = frozenset({"start_map", "start_array"})
 ENDS = frozenset({"end_map", "end_array"})
@@ -126,7 +135,7 @@
         self._depth += 1
         if self._depth == MEMBER_DEPTH:
             self._section = _Section.MEMBERS
-        elif self._depth == HOSTS_DEPTH and kind == "start_array" and self._member == "hosts":
+        elif self._depth == HOSTS_DEPTH and kind == "start_array" and self._member == LIST_ENDPOINTS:
             self._section = _Section.HOSTS
             self._has_hosts = True
 
@@ -138,9 +147,9 @@
             self._section = _Section.FINISHED
 
     def _take_member(self, value: object) -> None:
-        if self._member == "seq":
+        if self._member == LIST_VERSION:
             self._version = value
-        elif self._member == "whole":
+        elif self._member == LIST_COMPLETE:
             self._complete = value
 
     def finish(self) -> EndpointList:
@@ -158,7 +167,7 @@
         return self._list
 
     def _add_row(self, row: Row) -> None:
-        host = row.get("host")
+        host = row.get(ENTRY_HOST)
         if not isinstance(host, str):
             return
         try:
@@ -176,22 +185,24 @@
             self._list.append(endpoint_id, attributes, address)
 
     def _read_row(self, row: Row) -> tuple[EndpointAttributes, CompactAddress]:
-        status = STATUSES[str(row.get("health"))]
-        started_ms = row.get("born_ms") or 0
-        cell = row.get("block") or 0
-        weight = row.get("share") or 1.0
+        status = STATUS_BY_NAME[str(row.get(ENTRY_STATUS))]
+        started_ms = row.get(ENTRY_STARTED_MS) or 0
+        cell = row.get(ENTRY_CELL) or 0
+        weight = row.get(ENTRY_WEIGHT) or 1.0
         if not isinstance(started_ms, int) or not isinstance(cell, int):
             raise EndpointListError("an entry's figures are no numbers")
         if not isinstance(weight, int | float | Decimal):
             raise EndpointListError("an entry's figures are no numbers")
         started_ns = self._started_ns(started_ms)
         address = (
-            NO_ADDRESS if status is EndpointStatus.REMOVED else parse_compact_address(str(row.get("dial")))
+            NO_ADDRESS
+            if status is EndpointStatus.REMOVED
+            else parse_compact_address(str(row.get(ENTRY_ADDRESS)))
         )
         weight = float(weight)
         weight = self._interned.setdefault(weight, weight)
-        zone = intern(str(row.get("site") or ""))
-        machine_type = intern(str(row.get("class") or ""))
+        zone = intern(str(row.get(ENTRY_ZONE) or ""))
+        machine_type = intern(str(row.get(ENTRY_MACHINE_TYPE) or ""))
         return EndpointAttributes(status, zone, cell, weight, started_ns, machine_type), address
 
     def _started_ns(self, started_ms: int) -> int:
--- a/loadbalancer/proxy/health_checks.py
+++ b/loadbalancer/proxy/health_checks.py
@@ -11,13 +11,12 @@
 from loadbalancer.proxy.exchange import start_exchange
 from loadbalancer.proxy.http import Message, write_request
 from loadbalancer.proxy.load_report import parse_load_report
+from loadbalancer.proxy.wire_names import LIVENESS_PATH, LOAD_REPORT_PATH
 
 TIMEOUT_S = 0.05
 MAX_IN_FLIGHT = 256
 ATTEMPT_CONNECTIONS_DIVISOR = 8  # one in so many connections is reserved for attempts
 OK_STATUS = 200
-LOAD_REPORT_PATH = b"/stats"
-LIVENESS_PATH = b"/health/live"
 
 
 class HealthChecks:
--- a/loadbalancer/proxy/pending_requests.py
+++ b/loadbalancer/proxy/pending_requests.py
@@ -19,6 +19,15 @@
     RejectedRequest,
     ValidRequest,
 )
+from loadbalancer.proxy.wire_names import (
+    AFFINITY_COOKIE,
+    COOKIE_HEADER,
+    COST_US_HEADER,
+    FLAG_SET,
+    IS_RETRY_HEADER,
+    RETRY_AFTER_HEADER,
+    TENANT_HEADER,
+)
 from loadbalancer.units import NANOSECONDS_PER_MILLISECOND, NANOSECONDS_PER_SECOND
 
 # The policy's deadline comes before the client's, so that its answer has time to reach the client.
@@ -28,7 +37,6 @@
 MICROSECOND_NS = 1000
 GATEWAY_TIMEOUT = 504
 SERVICE_UNAVAILABLE = 503
-USER_COOKIE = "user="
 
 
 @dataclass(slots=True, eq=False)
@@ -128,7 +136,7 @@
             return
         headers = []
         if action.retry_after_ns > 0:
-            headers.append((b"Retry-After", b"%.3f" % (action.retry_after_ns / NANOSECONDS_PER_SECOND)))
+            headers.append((RETRY_AFTER_HEADER, b"%.3f" % (action.retry_after_ns / NANOSECONDS_PER_SECOND)))
         self.finish(pending, SERVICE_UNAVAILABLE, headers)
 
     def fail(self, request_id: str) -> None:
@@ -166,22 +174,22 @@
 
 
 def _arrival(request_id: str, class_name: str, deadline_ns: int, request: Message) -> RequestArrived:
-    cost_us = parse_decimal(request.header(b"req-cost")) or 0
+    cost_us = parse_decimal(request.header(COST_US_HEADER)) or 0
     return RequestArrived(
         request_id=request_id,
         class_name=class_name,
-        tenant=request.header(b"req-owner").decode("latin-1"),
+        tenant=request.header(TENANT_HEADER).decode("latin-1"),
         deadline_ns=deadline_ns,
         cost_hint_ns=cost_us * MICROSECOND_NS,
-        affinity_key=_user_cookie(request),
-        is_retry=request.header(b"req-retry") == b"1",
+        affinity_key=_affinity_cookie(request),
+        is_retry=request.header(IS_RETRY_HEADER) == FLAG_SET,
     )
 
 
-def _user_cookie(request: Message) -> str:
-    """Give the value of the cookie `user`, by which requests are sticky to one endpoint."""
-    for cookie in request.header(b"cookie").decode("latin-1").split(";"):
-        name_and_value = cookie.strip()
-        if name_and_value.startswith(USER_COOKIE):
-            return name_and_value[len(USER_COOKIE) :]
+def _affinity_cookie(request: Message) -> str:
+    """Return the value of the cookie by which requests are sticky to one endpoint; empty if there is none."""
+    for cookie in request.header(COOKIE_HEADER).decode("latin-1").split(";"):
+        name, separator, value = cookie.strip().partition("=")
+        if separator and name == AFFINITY_COOKIE:
+            return value
     return ""
--- a/loadbalancer/proxy/request_validation.py
+++ b/loadbalancer/proxy/request_validation.py
@@ -6,6 +6,12 @@
 from dataclasses import dataclass
 
 from loadbalancer.proxy.http import Headers, Message, parse_decimal
+from loadbalancer.proxy.wire_names import (
+    ALLOW_HEADER,
+    DEADLINE_MS_HEADER,
+    REQUEST_ID_HEADER,
+    RETRY_AFTER_HEADER,
+)
 from loadbalancer.settings import Idempotency, RequestClass
 from loadbalancer.units import NANOSECONDS_PER_MILLISECOND
 
@@ -36,15 +42,15 @@
     timeout_ns: int  # from the time at which the request was received
 
 
-UNKNOWN_METHOD = RejectedRequest(405, ((b"Allow", b"GET, POST"),))
+UNKNOWN_METHOD = RejectedRequest(405, ((ALLOW_HEADER, b"GET, POST"),))
 MALFORMED = RejectedRequest(400)
 # An endpoint reads no body behind a GET and would take it for the next request.
 BODY_NOT_ALLOWED = RejectedRequest(400)
 # Of two pending requests with one id, it could not be told to which of them a response belongs.
 DUPLICATE_ID = RejectedRequest(409)
-TOO_MANY_PENDING = RejectedRequest(503, ((b"Retry-After", RETRY_AFTER_S),))
+TOO_MANY_PENDING = RejectedRequest(503, ((RETRY_AFTER_HEADER, RETRY_AFTER_S),))
 # By the method that the request class allows.
-WRONG_METHOD = {method: RejectedRequest(405, ((b"Allow", method),)) for method in ALLOWED_METHODS}
+WRONG_METHOD = {method: RejectedRequest(405, ((ALLOW_HEADER, method),)) for method in ALLOWED_METHODS}
 
 
 def validate_request(request: Message, classes: Mapping[str, RequestClass]) -> ValidRequest | RejectedRequest:
@@ -57,8 +63,8 @@
         return UNKNOWN_METHOD
     class_name = request.target[1:].partition(b"?")[0].partition(b"/")[0].decode("latin-1")
     request_class = classes.get(class_name)
-    timeout_ms = parse_decimal(request.header(b"req-deadline-ms"))
-    request_ids = [value for name, value in request.headers if name == b"req-id"]
+    timeout_ms = parse_decimal(request.header(DEADLINE_MS_HEADER))
+    request_ids = [value for name, value in request.headers if name == REQUEST_ID_HEADER]
     if request_class is None or not timeout_ms or b"#" in request.target:
         return MALFORMED
     if len(request_ids) != 1 or not request_ids[0]:
--- /dev/null
+++ b/loadbalancer/proxy/wire_names.py
@@ -0,0 +1,54 @@
+"""The names of the HTTP protocol between clients, proxies, endpoints and discovery, for `proxy`."""
+
+from __future__ import annotations
+
+from loadbalancer.messages import EndpointStatus
+
+# Request headers, in lower case as the HTTP reader gives them.
+REQUEST_ID_HEADER = b"req-id"
+DEADLINE_MS_HEADER = b"req-deadline-ms"
+COST_US_HEADER = b"req-cost"
+TENANT_HEADER = b"req-owner"
+IS_RETRY_HEADER = b"req-retry"
+FORWARDED_DEADLINE_MS_HEADER = b"Req-Deadline-Ms"  # as the proxy writes it
+COOKIE_HEADER = b"cookie"
+AFFINITY_COOKIE = "user"  # requests with equal values are sticky to one endpoint
+
+# Response headers.
+DECLINED_HEADER = b"srv-declined"  # of an endpoint: the request did not run
+LOAD_REPORT_HEADER = b"srv-load"
+RETRY_AFTER_HEADER = b"Retry-After"
+ALLOW_HEADER = b"Allow"
+
+FLAG_SET = b"1"  # value of the headers that are flags
+
+# Paths.
+READY_PATH = b"/health/ready"  # of the proxy
+LIVENESS_PATH = b"/health/live"  # of an endpoint
+LOAD_REPORT_PATH = b"/stats"  # of an endpoint
+ENDPOINT_LIST_PATH = "/registry/instances"  # of discovery
+
+# Query of a watch.
+AFTER_VERSION_PARAMETER = "after"
+WAIT_MS_PARAMETER = "wait_ms"
+
+# Members of an endpoint list.
+LIST_VERSION = "seq"
+LIST_COMPLETE = "whole"
+LIST_ENDPOINTS = "hosts"
+
+# Members of its entries.
+ENTRY_HOST = "host"
+ENTRY_ADDRESS = "dial"
+ENTRY_STATUS = "health"
+ENTRY_ZONE = "site"
+ENTRY_CELL = "block"
+ENTRY_MACHINE_TYPE = "class"
+ENTRY_WEIGHT = "share"
+ENTRY_STARTED_MS = "born_ms"  # Unix time
+
+STATUS_BY_NAME = {
+    "up": EndpointStatus.READY,
+    "draining": EndpointStatus.DRAINING,
+    "removed": EndpointStatus.REMOVED,
+}
