--- a/loadbalancer/__main__.py
+++ b/loadbalancer/__main__.py
@@ -3,7 +3,7 @@
     RELAY_CONFIG=config.json python -m loadbalancer
 
 SIGTERM and SIGINT begin a graceful shutdown, SIGHUP reloads the configuration. The exit status is 0 after a
-shutdown, 1 if the system refuses a resource (the port is taken, for example), and 2 for a bad configuration.
+shutdown, 1 if the system refuses a resource (the port is in use, for example), and 2 for a bad configuration.
 """
 
 from __future__ import annotations
@@ -23,7 +23,9 @@
 from loadbalancer.startup import cpu_debt_s, freeze_heap
 
 CONFIGURATION_VARIABLE = "RELAY_CONFIG"
-EXIT_OK, EXIT_SYSTEM_ERROR, EXIT_BAD_CONFIGURATION = 0, 1, 2
+EXIT_OK = 0
+EXIT_SYSTEM_ERROR = 1
+EXIT_BAD_CONFIGURATION = 2
 
 log = logging.getLogger(__name__)
 
@@ -35,7 +37,7 @@
     for number in (signal.SIGTERM, signal.SIGINT):
         loop.add_signal_handler(number, stop.set)
     proxy = Proxy(config, Balancer(config.settings, config.seed, time.monotonic_ns()))
-    reloads: set[asyncio.Task[None]] = set()  # held, or they might be collected before their end
+    reloads: set[asyncio.Task[None]] = set()  # referenced, so that they are not collected while they run
 
     def start_reload() -> None:
         task = loop.create_task(reload_configuration(path, config, proxy))
@@ -54,7 +56,7 @@
 def main() -> int:
     """Run the program; return its exit status."""
     configure_logging()
-    signal.signal(signal.SIGHUP, signal.SIG_IGN)  # it must not end a process that has no proxy to reload yet
+    signal.signal(signal.SIGHUP, signal.SIG_IGN)  # until there is a proxy to reload
     path = os.environ.get(CONFIGURATION_VARIABLE)
     if not path:
         print(f"loadbalancer: {CONFIGURATION_VARIABLE} is not set", file=sys.stderr)
--- a/loadbalancer/configuration.py
+++ b/loadbalancer/configuration.py
@@ -1,7 +1,7 @@
 """The configuration file of a proxy: read from JSON into a typed configuration.
 
-The file may hold the last known endpoint list, of 100,000 entries and more. It is therefore parsed in
-steps, between which a running proxy serves requests.
+The file may hold the last known endpoint list, of 100,000 entries and more, so it is parsed in chunks; a
+running proxy serves requests between them.
 """
 
 from __future__ import annotations
@@ -15,7 +15,8 @@
 from loadbalancer.proxy.endpoint_list_reader import read_beside
 from loadbalancer.proxy.errors import EndpointListError
 from loadbalancer.proxy.steps import run_through
-from loadbalancer.settings import Json, Settings, read_settings
+from loadbalancer.settings import Settings
+from loadbalancer.settings_reader import Json, SettingsError, read_settings
 
 CHUNK_BYTES = 16 * 1024  # of the file that are parsed in one step
 DEFAULT_MAX_SOCKETS = 1024
@@ -28,20 +29,20 @@
 
 @dataclass(frozen=True, slots=True)
 class Configuration:
-    """What a proxy is configured with at its start."""
+    """The configuration of a proxy, as read at its start."""
 
     name: str  # of this proxy, in log lines
     listen: Address  # where clients connect
-    discovery: Address  # the service that gives the endpoint list
+    discovery: Address  # of the service that provides the endpoint list
     seed: int  # of all random draws
     max_sockets: int  # open sockets of all kinds together
     settings: Settings  # of the decisions
     known_endpoints: EndpointList | None = None  # the list as last known before the start; None: not given
-    gossip_listen: Address | None = None  # where messages of other proxies come in; None: gossip is off
+    gossip_listen: Address | None = None  # where messages of other proxies arrive; None: gossip is off
     gossip_peers: list[Address] = field(default_factory=list)  # by proxy index
     gossip_broadcast: Address | None = None  # reaches all peers
-    cpu_cores: float = 0.0  # share of the processor, in cores; 0: not given
-    memory_bytes: int = 0  # limit of the process; 0: not given
+    cpu_cores: float = 0.0  # CPU limit of the process, in cores; 0: not given
+    memory_bytes: int = 0  # memory limit of the process; 0: not given
 
 
 def read_configuration(path: str) -> Configuration:
@@ -61,6 +62,8 @@
     known = _known_endpoints(path, endpoints) if endpoints.started and keep_known_endpoints else None
     try:
         return _configuration(raw, known)
+    except SettingsError as error:
+        raise ConfigurationError(f"{path}: settings: {error}") from error
     except KeyError as error:
         raise ConfigurationError(f"{path}: {error} is missing") from error
     except (ValueError, TypeError, AttributeError, OverflowError) as error:
--- a/loadbalancer/logging_setup.py
+++ b/loadbalancer/logging_setup.py
@@ -1,4 +1,4 @@
-"""Logging of the process: one line a record on standard error, limited in rate."""
+"""Logging of the process: a line per record on standard error, with a rate limit."""
 
 from __future__ import annotations
 
@@ -9,25 +9,27 @@
 
 
 class LogRateLimiter(logging.Filter):
-    """Lets `MAX_LINES_PER_SECOND` lines through, and says in the next second how many it dropped.
+    """Passes `MAX_LINES_PER_SECOND` lines, and reports in the next second how many it dropped.
 
-    Guards against a fault that logs a line a request and takes up the processor with it.
+    A fault that logs a line per request must not use up the CPU.
     """
 
     def __init__(self) -> None:
         super().__init__()
-        self._second = 0  # that the counts are of, by the monotonic clock
+        self._second = 0  # to which the counts belong, by the monotonic clock
         self._lines = 0
         self._dropped = 0
 
     def filter(self, record: logging.LogRecord) -> bool:
-        """Return whether to write a record; the first of a second carries the count of dropped ones."""
+        """Return whether to write a record; the first of a second reports the count of dropped ones."""
         second = int(time.monotonic())
         if second != self._second:
             if self._dropped:
                 record.msg = f"{record.getMessage()} ({self._dropped} lines left out)"
                 record.args = ()
-            self._second, self._lines, self._dropped = second, 0, 0
+            self._second = second
+            self._lines = 0
+            self._dropped = 0
         self._lines += 1
         if self._lines <= MAX_LINES_PER_SECOND:
             return True
--- a/loadbalancer/settings.py
+++ b/loadbalancer/settings.py
@@ -1,7 +1,6 @@
-"""Typed settings of the decisions, and reading them from JSON.
+"""Typed settings of the decisions, with their defaults (read from JSON by `settings_reader`).
 
-The JSON object is the same on the simulator's wire and in a proxy's configuration file. All times and
-durations are whole nanoseconds (`_ns`). A field that the object leaves out has the default given here.
+All times and durations are whole nanoseconds (`_ns`).
 
 Some settings are carried because the wire has them, and no decision reads them: of the limits `gossip`,
 `max_streams_per_connection`, `cpu_us_per_s` and `cpu_us_per_request`; of the rules `drain_notice_ns`,
@@ -15,7 +14,6 @@
 from collections.abc import Mapping, Sequence
 from dataclasses import dataclass, field
 from enum import Enum
-from typing import Any
 
 
 class Idempotency(Enum):
@@ -52,11 +50,11 @@
     idempotency: Idempotency = Idempotency.IDEMPOTENT
     deduplication_scope: DeduplicationScope = DeduplicationScope.ALL  # with an idempotency key
     deduplication_window_ns: int = 0  # for which repeats are dropped, from the first send that may have run
-    # What an answer is worth.
-    latency_objective_ns: int = 1_000_000_000  # an answer within this has the full weight
-    priority_weight: float = 1.0  # of an answer in time
-    late_weight_factor: float = 0.0  # part of the weight that an answer after the objective has
-    stream: bool = False  # answers are streamed; `ResponseStarted` tells that one has begun
+    # What a response is worth.
+    latency_objective_ns: int = 1_000_000_000  # a response within this has the full weight
+    priority_weight: float = 1.0  # of a response in time
+    late_weight_factor: float = 0.0  # fraction of the weight that a response after the objective has
+    stream: bool = False  # responses are streamed; `ResponseStarted` reports that one has begun
     latency_objective_stretch: float = 0.0  # the objective grows by this multiple of the request's own work
     client_timeout_ns: int = 0  # the client's wait over all its attempts; 0: not known
     # Placement: the only endpoints that may be used; None: any.
@@ -108,9 +106,9 @@
     # Overload: one that warms up fails for good if it is sent too much for too long.
     overload_factor: float = 3.0  # more than this many times its current capacity
     overload_window_ns: int = 2_000_000_000  # for this long
-    # Answers.
+    # Responses.
     rejected_may_have_run: bool = False  # an endpoint's rejection is no proof that the request never ran
-    answer_grace_ns: int = 0  # a final answer this long after the deadline still counts
+    answer_grace_ns: int = 0  # a final response this long after the deadline still counts
 
 
 @dataclass(frozen=True, slots=True)
@@ -118,7 +116,7 @@
     """Points taken off the operators' rating of a site, each times the rate given here."""
 
     cross_zone: float = 0.0  # attempts at endpoints in other zones, per first attempt
-    waste: float = 0.0  # endpoints' work that served no answer, as a fraction of the work offered
+    waste: float = 0.0  # endpoints' work that served no response, as a fraction of the work offered
     health_check: float = 0.0  # health checks, per first attempt
     gossip: float = 0.0  # bytes delivered to other proxies / 256, per first attempt
     connection: float = 0.0  # mean number of open connections an endpoint / 100
@@ -148,115 +146,5 @@
     # What is known of endpoints.
     discovery_pushes: bool = True  # updates of the list come by themselves; else a proxy has to ask
     load_report_columns: Sequence[str] = ()  # names of the figures in a load report
-    load_reports_in_responses: bool = False  # else in the answers to health checks alone
+    load_reports_in_responses: bool = False  # else in the responses to health checks alone
     weight_source: WeightSource = WeightSource.NONE
-
-
-Json = dict[str, Any]  # a JSON object as the parser gives it
-IDEMPOTENCY_BY_NAME = {
-    "read_like": Idempotency.IDEMPOTENT,
-    "idempotency_key": Idempotency.IDEMPOTENCY_KEY,
-    "non_idempotent": Idempotency.NON_IDEMPOTENT,
-}
-# Names on the wire, and the fields that they fill. A value that is absent or null keeps the field's default.
-REQUEST_CLASS_FIELDS = {
-    "window_ns": "deduplication_window_ns",
-    "aim_ns": "latency_objective_ns",
-    "worth": "priority_weight",
-    "late_worth": "late_weight_factor",
-    "stream": "stream",
-    "aim_stretch": "latency_objective_stretch",
-    "hard_limit_ns": "client_timeout_ns",
-}
-PLACEMENT_FIELDS = {
-    "runs_in": "allowed_zones",
-    "allowed_on": "allowed_machine_types",
-}
-TENANT_FIELDS = {
-    "share": "quota_share",
-    "quota_per_s": "quota_per_s",
-}
-LIMIT_FIELDS = {
-    "send_cap": "max_attempts",
-    "second_copies": "hedging",
-    "may_cancel": "cancellation",
-    "probes": "health_checks",
-    "peers": "gossip",
-    "retry_after": "retry_after",
-    "max_retry_after_ns": "max_retry_after_ns",
-    "connect_timeout_ns": "connect_timeout_ns",
-    "conn_idle_ns": "connection_idle_timeout_ns",
-    "max_streams": "max_streams_per_connection",
-    "max_open": "max_pending_requests",
-    "cpu_us_per_s": "cpu_us_per_s",
-    "cpu_us_per_request": "cpu_us_per_request",
-}
-RULE_FIELDS = {
-    "grace_to_answer_ns": "answer_grace_ns",
-    "stop_sending_within_ns": "drain_notice_ns",
-    "ask_within_ns": "poll_interval_ns",
-    "cold_from": "slow_start_initial_capacity",
-    "cold_ns": "slow_start_ns",
-    "fall_multiple": "overload_factor",
-    "overload_for_ns": "overload_window_ns",
-    "full_unproven": "rejected_may_have_run",
-}
-PRICE_FIELDS = {
-    "registry_mode": "endpoint_list",
-    "cross_zone": "cross_zone",
-    "waste": "waste",
-    "probe": "health_check",
-    "peer": "gossip",
-    "connection": "connection",
-    "handshake": "handshake",
-    "late_fail": "late_failure",
-}
-
-
-def _present_fields(raw: Json, names: Mapping[str, str]) -> Json:
-    """Return the values of an object that are present and known, under the names of their fields."""
-    return {field_name: raw[name] for name, field_name in names.items() if raw.get(name) is not None}
-
-
-def _read_request_class(row: Json) -> RequestClass:
-    fields = _present_fields(row, REQUEST_CLASS_FIELDS)
-    for name, field_name in PLACEMENT_FIELDS.items():
-        if row.get(name) is not None:
-            fields[field_name] = frozenset(row[name])
-    return RequestClass(
-        row["name"],
-        IDEMPOTENCY_BY_NAME[row.get("repeat", "non_idempotent")],
-        DeduplicationScope(row.get("dedup_scope") or "all"),
-        **fields,
-    )
-
-
-def _read_tenant(row: Json) -> Tenant:
-    return Tenant(row["name"], **_present_fields(row, TENANT_FIELDS))
-
-
-def read_settings(raw: Json) -> Settings:
-    """Read the settings object of the wire (WIRE, Settings); unknown keys are ignored.
-
-    Raises:
-        KeyError, TypeError, ValueError, AttributeError: the object can't be used.
-    """
-    load_report = raw.get("load_report") or {}
-    clients = raw.get("clients") or {}
-    return Settings(
-        proxy_index=raw.get("me", 0),
-        proxy_count=raw.get("replicas_of_me", 1),
-        zone=raw.get("locality") or "",
-        discovery_pushes=raw.get("registry_mode", "push") == "push",
-        request_classes={row["name"]: _read_request_class(row) for row in raw.get("profiles") or ()},
-        tenants={row["name"]: _read_tenant(row) for row in raw.get("realms") or ()},
-        limits=Limits(**_present_fields(raw.get("limits") or {}, LIMIT_FIELDS)),
-        rules=Rules(**_present_fields(raw.get("rules") or {}, RULE_FIELDS)),
-        prices=Prices(**_present_fields(raw.get("prices") or {}, PRICE_FIELDS)),
-        load_report_columns=tuple(load_report.get("columns") or ()),
-        load_reports_in_responses=load_report.get("how") == "answers",
-        zones=tuple(raw.get("zones") or ()),
-        weight_source=WeightSource(raw.get("weight_source") or "none"),
-        client_retries_marked=bool(clients.get("marks_retry")),
-        **_present_fields(raw, {"over_share_worth": "over_quota_weight"}),
-    )
--- a/loadbalancer/simulator_adapter.py
+++ b/loadbalancer/simulator_adapter.py
@@ -1,9 +1,9 @@
-"""The simulator's adapter: hosts many balancers on the simulator's wire. It translates and decides nothing.
+"""The simulator's adapter: hosts many balancers on the simulator's wire.
 
     python -m loadbalancer.simulator_adapter < batches > replies
 
-One JSON object a line each way. A line that is not a batch ends the process with a message on standard
-error and exit status 2; an exception inside a balancer is reported as that balancer's `fault`.
+It reads one JSON object a line and writes one a line. A line that is not a batch ends the process with a
+message on standard error and exit status 2; an exception inside a balancer is reported as its `fault`.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 
 from loadbalancer.messages import Endpoint, EndpointUpdate, EndpointUpdateKind, Event
 from loadbalancer.policy.balancer import Balancer
-from loadbalancer.settings import Json, read_settings
+from loadbalancer.settings_reader import Json, read_settings
 from loadbalancer.simulator_wire import (
     EVENT_READERS,
     UPDATE_KIND_BY_FORM,
@@ -25,27 +25,28 @@
     write_command,
 )
 
-EXIT_OK, EXIT_MALFORMED_INPUT = 0, 2
-MAX_QUOTED_CHARACTERS = 200  # of a malformed event, in the message about it
+EXIT_OK = 0
+EXIT_MALFORMED_INPUT = 2
+MALFORMED_EVENT_QUOTE_MAX_CHARACTERS = 200
 
 
 class MalformedInputError(Exception):
-    """The input is not what the wire allows; the message says where."""
+    """A line of input violates the wire format; the message says where."""
 
 
 @dataclass(slots=True)
 class Batch:
-    """One line of input while it is worked on.
+    """One line of input while it is handled.
 
-    A balancer's events are gathered and handed over together, so that it sees all that a batch brings.
+    A balancer gets all its events of the batch in one call.
     """
 
     now_ns: int  # simulated time, in nanoseconds
-    events: dict[int, list[Event]] = field(default_factory=dict)  # not handed over yet, by balancer
+    events: dict[int, list[Event]] = field(default_factory=dict)  # not handled yet, by balancer
     commands: list[Json] = field(default_factory=list)  # the reply
 
     def add_event(self, number: int, event: Event) -> None:
-        """Keep an event for its balancer."""
+        """Queue an event for its balancer."""
         self.events.setdefault(number, []).append(event)
 
 
@@ -57,24 +58,28 @@
         self.endpoint_lists: dict[int, Sequence[Endpoint]] = {}
 
     def handle_line(self, line: str) -> str:
-        """Handle one batch and return the reply; raise MalformedInputError if it is none."""
+        """Handle one batch and return the reply.
+
+        Raises:
+            MalformedInputError: The line is not a batch of the wire.
+        """
         raw = _parse(line)
         batch = Batch(_integer(raw, "sim_time_ns"))
         round_number = _integer(raw, "round")
         happened = raw.get("happened")
         if not isinstance(happened, list):
-            raise MalformedInputError("batch without the array happened")
+            raise MalformedInputError(f"happened: {type(happened).__name__} is not an array")
         for event in happened:
-            self._take(event, batch)
+            self._handle_event(event, batch)
         for balancer, events in batch.events.items():
             self._run(balancer, events, batch)
         return json.dumps({"round": round_number, "cmds": batch.commands}, separators=(",", ":"))
 
-    def _take(self, event: Json, batch: Batch) -> None:
+    def _handle_event(self, event: Json, batch: Batch) -> None:
         try:
             self._dispatch(event, batch)
         except (KeyError, TypeError, ValueError, AttributeError) as error:
-            text = json.dumps(event)[:MAX_QUOTED_CHARACTERS]
+            text = json.dumps(event)[:MALFORMED_EVENT_QUOTE_MAX_CHARACTERS]
             raise MalformedInputError(f"event {text}: {type(error).__name__} {error}") from error
 
     def _dispatch(self, event: Json, batch: Batch) -> None:
@@ -131,23 +136,23 @@
     except ValueError as error:
         raise MalformedInputError(f"not JSON: {error}") from error
     if not isinstance(raw, dict):
-        raise MalformedInputError("a batch must be an object")
+        raise MalformedInputError(f"batch: {type(raw).__name__} is not an object")
     return raw
 
 
 def _integer(batch: Json, name: str) -> int:
     value = batch.get(name)
     if not is_integer(value):
-        raise MalformedInputError(f"batch without a whole-number {name}")
+        raise MalformedInputError(f"{name}: {value!r} is not a whole number")
     return value
 
 
 def _fault(number: int, error: Exception) -> Json:
-    """Return the report of an exception in the decisions, with the place where it was raised."""
-    place = error.__traceback__
-    while place is not None and place.tb_next is not None:
-        place = place.tb_next
-    where = f" at {place.tb_frame.f_code.co_name}:{place.tb_lineno}" if place is not None else ""
+    """Return the report of an exception in the decisions, with the function and line that raised it."""
+    frame = error.__traceback__
+    while frame is not None and frame.tb_next is not None:
+        frame = frame.tb_next
+    where = f" at {frame.tb_frame.f_code.co_name}:{frame.tb_lineno}" if frame is not None else ""
     return {"t": "fault", "balancer": number, "message": f"{type(error).__name__}: {error}{where}"}
 
 
--- a/loadbalancer/simulator_wire.py
+++ b/loadbalancer/simulator_wire.py
@@ -1,8 +1,8 @@
-"""The simulator's wire: its JSON objects as messages of the decisions, and back (WIRE, Events and Actions).
+"""Maps JSON objects of the simulator's wire to messages of the decisions, and back (WIRE).
 
-Names and numbers here are the wire's own. Keys that are unknown are ignored, and values that may be absent
-get the default of the message. The readers raise KeyError, TypeError, ValueError or AttributeError where an
-object is not what the wire allows.
+The wire's names and numbers stand in this module and in `settings_reader` alone. Unknown keys are ignored; an
+absent value has the default of its message. The readers raise KeyError, TypeError, ValueError or
+AttributeError where an object is not what the wire allows.
 """
 
 from __future__ import annotations
@@ -37,7 +37,7 @@
     TimerExpired,
     WatchEndpoints,
 )
-from loadbalancer.settings import Json
+from loadbalancer.settings_reader import Json
 
 RESULT_BY_NAME = {
     "delivered": AttemptResult.OK,
@@ -61,37 +61,37 @@
 def read_endpoint(row: Json) -> Endpoint:
     """Read an entry of an endpoint list."""
     return Endpoint(
-        row["upstream"],
-        STATUS_BY_NUMBER[row.get("availability", 1)],
-        row.get("locality") or "",
-        row.get("cohort") or 0,
-        row.get("scale") or 1.0,
-        row.get("up_since_ns") or 0,
-        row.get("class_of_host") or "",
+        id=row["upstream"],
+        status=STATUS_BY_NUMBER[row.get("availability", 1)],
+        zone=row.get("locality") or "",
+        cell=row.get("cohort") or 0,
+        weight=row.get("scale") or 1.0,
+        started_ns=row.get("up_since_ns") or 0,
+        machine_type=row.get("class_of_host") or "",
     )
 
 
 def read_event(event: Json) -> Event:
-    """Read any event but an endpoint update, whose list is named by number."""
+    """Read any event except an endpoint update, whose list is referred to by number."""
     return EVENT_READERS[event["t"]](event)
 
 
 def is_integer(value: object) -> TypeGuard[int]:
-    """Return whether a JSON value is a whole number; true and false, which Python counts as such, are not."""
+    """Return whether a JSON value is a whole number; booleans, which Python counts as integers, are not."""
     return isinstance(value, int) and not isinstance(value, bool)
 
 
 def _integer(event: Json, name: str) -> int:
     value = event[name]
     if not is_integer(value):
-        raise TypeError(f"{name} is no whole number")
+        raise TypeError(f"{name}: {value!r} is not a whole number")
     return value
 
 
 def _text(event: Json, name: str) -> str:
     value = event[name]
     if not isinstance(value, str):
-        raise TypeError(f"{name} is no text")
+        raise TypeError(f"{name}: {value!r} is not text")
     return value
 
 
@@ -100,31 +100,31 @@
     if report is None:
         return None
     if not isinstance(report, dict) or not all(isinstance(v, int | float) for v in report.values()):
-        raise TypeError("metrics is no object of numbers")
+        raise TypeError(f"metrics: {report!r} is not an object of numbers")
     return report
 
 
 def _request_arrived(event: Json) -> RequestArrived:
     return RequestArrived(
-        _text(event, "ticket"),
-        _text(event, "kind"),
-        str(event.get("user_group") or ""),
-        _integer(event, "deadline_ns"),
-        event.get("cost_guess_ns") or 0,
-        event.get("entity") or "",
-        bool(event.get("resent")),
+        request_id=_text(event, "ticket"),
+        class_name=_text(event, "kind"),
+        tenant=str(event.get("user_group") or ""),
+        deadline_ns=_integer(event, "deadline_ns"),
+        cost_hint_ns=event.get("cost_guess_ns") or 0,
+        affinity_key=event.get("entity") or "",
+        is_retry=bool(event.get("resent")),
     )
 
 
 def _attempt_ended(event: Json) -> AttemptEnded:
     return AttemptEnded(
-        _text(event, "ticket"),
-        _integer(event, "attempt"),
-        _integer(event, "upstream"),
-        RESULT_BY_NAME[event["result"]],
-        event.get("took_ns") or 0,
-        bool(event.get("complete")),
-        _load_report(event),
+        request_id=_text(event, "ticket"),
+        attempt=_integer(event, "attempt"),
+        endpoint_id=_integer(event, "upstream"),
+        result=RESULT_BY_NAME[event["result"]],
+        elapsed_ns=event.get("took_ns") or 0,
+        request_complete=bool(event.get("complete")),
+        load_report=_load_report(event),
     )
 
 
@@ -138,19 +138,19 @@
 
 def _response_started(event: Json) -> ResponseStarted:
     return ResponseStarted(
-        _text(event, "ticket"),
-        _integer(event, "attempt"),
-        _integer(event, "upstream"),
-        event.get("took_ns") or 0,
+        request_id=_text(event, "ticket"),
+        attempt=_integer(event, "attempt"),
+        endpoint_id=_integer(event, "upstream"),
+        elapsed_ns=event.get("took_ns") or 0,
     )
 
 
 def _health_check_ended(event: Json) -> HealthCheckEnded:
     return HealthCheckEnded(
-        _integer(event, "upstream"),
-        RESULT_BY_NAME[event["result"]],
-        event.get("took_ns") or 0,
-        _load_report(event),
+        endpoint_id=_integer(event, "upstream"),
+        result=RESULT_BY_NAME[event["result"]],
+        elapsed_ns=event.get("took_ns") or 0,
+        load_report=_load_report(event),
     )
 
 
@@ -170,7 +170,7 @@
 
 
 def write_command(action: Action) -> Json:
-    """Return an action as a command of the wire, but for the number of its balancer."""
+    """Return an action as a command of the wire, without the number of its balancer."""
     match action:
         case Forward() | Reject() | Fail() | CancelAttempt():
             return _request_command(action)
--- a/loadbalancer/startup.py
+++ b/loadbalancer/startup.py
@@ -1,23 +1,23 @@
-"""What a start settles before the proxy is ready: processor time and garbage collection."""
+"""Start-up of the process: when the proxy may report readiness, and garbage collection."""
 
 from __future__ import annotations
 
 import gc
 
-MAX_CPU_DEBT_S = 1.0  # with a small share of a processor, serving slowly beats not serving
-THROTTLING_DELAY_S = 0.15  # the system may stop an overspent process this long after it spent the time
+# With a small CPU limit, serving slowly is better than not serving.
+MAX_CPU_DEBT_S = 1.0
+# The system may throttle a process so long after it exceeded its limit.
+THROTTLING_DELAY_S = 0.15
 
 
 def cpu_debt_s(cpu_cores: float, cpu_time_s: float) -> float:
-    """Return the seconds until the processor time of the start is paid for out of the share of it.
+    """Return the seconds after which the CPU time of the start is within the CPU limit.
 
-    Guards against readiness on credit: the system stops a process that has overspent its share until it is
-    even, and the first clients would wait out that stop. Harm: a restarted proxy is back some tenths of a
-    second later; clients that come all the same are served.
+    Until then the system may throttle the process, so it should not report readiness.
 
     Args:
-        cpu_cores: the share of the processor, in cores; 0 if it is not known, which owes nothing.
-        cpu_time_s: the processor time used so far.
+        cpu_cores: The CPU limit, in cores; 0 if it is not known: the result is 0 then.
+        cpu_time_s: The CPU time used so far, in seconds.
     """
     if cpu_cores <= 0:
         return 0.0
@@ -25,10 +25,6 @@
 
 
 def freeze_heap() -> None:
-    """Exempt all objects that exist now from garbage collection.
-
-    Guards against pauses: a list of 160,000 endpoints would otherwise hold up all requests for some
-    milliseconds at each full collection. Harm: cycles among these objects are never freed.
-    """
+    """Exempt all objects that exist now from garbage collection, which takes long on a long endpoint list."""
     gc.collect()
     gc.freeze()
--- a/scale_test/slopes/policy_subjects.py
+++ b/scale_test/slopes/policy_subjects.py
@@ -12,7 +12,8 @@
 from loadbalancer.messages import Endpoint, EndpointUpdate, EndpointUpdateKind, Forward
 from loadbalancer.policy.balancer import Balancer
 from loadbalancer.proxy.endpoint_list_reader import EndpointListReader
-from loadbalancer.settings import Settings, read_settings
+from loadbalancer.settings import Settings
+from loadbalancer.settings_reader import read_settings
 from scale_test.slopes.inputs import ZONES, Json, endpoint_list, endpoint_row, raw_settings
 from scale_test.slopes.measuring import Figures, build_cost, timed
 from scale_test.slopes.policy_harness import PolicyHarness
--- a/tests/simulator/test_simulator_adapter.py
+++ b/tests/simulator/test_simulator_adapter.py
@@ -4,6 +4,7 @@
 
 import json
 import os
+import re
 import subprocess
 import sys
 import tomllib
@@ -12,7 +13,8 @@
 import pytest
 
 from loadbalancer.messages import Endpoint
-from loadbalancer.settings import DeduplicationScope, Json, WeightSource, read_settings
+from loadbalancer.settings import DeduplicationScope, WeightSource
+from loadbalancer.settings_reader import Json, SettingsError, read_settings
 from loadbalancer.simulator_wire import read_endpoint
 
 SETTINGS: Json = {
@@ -134,7 +136,7 @@
     ("line", "message"),
     [
         ("{", "not JSON"),
-        ("[]", "must be an object"),
+        ("[]", "batch: list is not an object"),
         ('{"round":1,"happened":[]}', "sim_time_ns"),
         ('{"sim_time_ns":1,"happened":[]}', "round"),
         ('{"sim_time_ns":1,"round":1}', "happened"),
@@ -144,9 +146,12 @@
         (batch(1, 1, *started_balancer(), {"t": "submit", "balancer": 0, "ticket": "t1"}), "KeyError 'kind'"),
         (
             batch(1, 1, *started_balancer(), {**request_arrived("t1", 1), "deadline_ns": "soon"}),
-            "deadline_ns is no whole number",
+            "deadline_ns: 'soon' is not a whole number",
+        ),
+        (
+            batch(1, 1, *started_balancer(), {**request_arrived("t1", 1), "ticket": 7}),
+            "ticket: 7 is not text",
         ),
-        (batch(1, 1, *started_balancer(), {**request_arrived("t1", 1), "ticket": 7}), "ticket is no text"),
         (
             batch(
                 1,
@@ -178,7 +183,7 @@
                     "metrics": {"util": "high"},
                 },
             ),
-            "metrics is no object of numbers",
+            "metrics: {'util': 'high'} is not an object of numbers",
         ),
     ],
 )
@@ -269,6 +274,27 @@
     assert read_endpoint(row) == Endpoint(5, cell=2, weight=0.25, started_ns=3, machine_type="big")
 
 
+@pytest.mark.parametrize(
+    ("raw", "key"),
+    [
+        (None, "settings: None"),
+        ({"limits": 3}, "limits: 3"),
+        ({"zones": 5}, "zones: 5"),
+        ({"weight_source": "heavy"}, "weight_source: 'heavy'"),
+        ({"realms": [{"share": 0.5}]}, "realms[0].name: missing"),
+        ({"realms": "ash"}, "realms: 'ash'"),
+        ({"profiles": [{"name": "a"}, "b"]}, "profiles[1]: 'b'"),
+        ({"profiles": [{"name": "a", "repeat": "often"}]}, "profiles[0].repeat: 'often'"),
+        ({"profiles": [{"name": "a", "repeat": None}]}, "profiles[0].repeat: None"),
+        ({"profiles": [{"name": "a", "dedup_scope": "site"}]}, "profiles[0].dedup_scope: 'site'"),
+        ({"profiles": [{"name": "a", "runs_in": 4}]}, "profiles[0].runs_in: 4"),
+    ],
+)
+def test_unusable_settings_are_reported_by_key_and_value(raw: Json, key: str) -> None:
+    with pytest.raises(SettingsError, match=re.escape(key)):
+        read_settings(raw)
+
+
 def test_the_adapter_builds_and_starts_as_the_deploy_file_says() -> None:
     root = Path(__file__).parent.parent.parent
     deploy = tomllib.loads((root / "deploy" / "balancer.toml").read_text())
--- a/tests/simulator/test_simulator_wire.py
+++ b/tests/simulator/test_simulator_wire.py
@@ -27,7 +27,7 @@
     TimerExpired,
     WatchEndpoints,
 )
-from loadbalancer.settings import Json
+from loadbalancer.settings_reader import Json
 from loadbalancer.simulator_wire import read_event, write_command
 
 
@@ -103,5 +103,5 @@
     ],
 )
 def test_values_of_another_type_are_refused(raw: Json) -> None:
-    with pytest.raises(TypeError, match="is no "):
+    with pytest.raises(TypeError, match="is not "):
         read_event(raw)
