--- a/loadbalancer/configuration.py
+++ b/loadbalancer/configuration.py
@@ -8,6 +8,7 @@
 
 from collections.abc import Generator
 from dataclasses import dataclass, field
+from pathlib import Path
 
 from loadbalancer.proxy.addresses import Address, read_address
 from loadbalancer.proxy.endpoint_list import EndpointList
@@ -73,7 +74,7 @@
 def _parse(path: str, endpoints: EndpointListParser) -> Generator[None, None, Json]:
     """Parse the file but for its endpoint list, which `endpoints` takes."""
     try:
-        with open(path, "rb") as file:
+        with Path(path).open("rb") as file:
             chunks = iter(lambda: file.read(CHUNK_BYTES), b"")
             raw: Json = yield from read_beside(chunks, "known", endpoints)
     except OSError as error:
--- a/scale_test/__main__.py
+++ b/scale_test/__main__.py
@@ -131,7 +131,7 @@
     type=click.Path(dir_okay=False, writable=True, path_type=Path),
     help="Write the figures to this file too.",
 )
-def command(path: Path | None, **arguments: Any) -> None:
+def command(path: Path | None, **arguments: Any) -> None:  # noqa: ANN401 - click passes any option type
     """Measure what the list of upstreams costs balancers, and how fast a change is in force."""
     plan = Plan(**arguments)
     plan.check()
--- a/scale_test/child_process.py
+++ b/scale_test/child_process.py
@@ -80,7 +80,7 @@
         lines = self.log.read_text(errors="replace").strip().splitlines()
         return ExperimentError(f"{self.name} has ended: {lines[-1] if lines else 'it said nothing'}")
 
-    async def call(self, command: str, **arguments: object) -> Any:
+    async def call(self, command: str, **arguments: object) -> Any:  # noqa: ANN401 - any JSON value
         """Give a helper one command, and wait for its result.
 
         Raises:
--- a/tests/policy/test_queue.py
+++ b/tests/policy/test_queue.py
@@ -30,7 +30,7 @@
     harness.give(arrival(1, harness.now_ns))
     for i in range(2, 40):
         harness.give(arrival(i, harness.now_ns, wait_ns=3 * NANOSECONDS_PER_MILLISECOND))
-        early = [t for t in harness.timers]
+        early = list(harness.timers)
         harness.timers = [(at - 300, name) for at, name in early]
         harness.advance(30 * NANOSECONDS_PER_MILLISECOND, step_ns=NANOSECONDS_PER_MILLISECOND)
     harness.advance(NANOSECONDS_PER_SECOND)
--- a/tests/support/sockets.py
+++ b/tests/support/sockets.py
@@ -230,7 +230,12 @@
         return next(told, None)
 
 
-def settings(in_answers: bool = False, asked: bool = False, limit_ns: int = 0, **limits: Any) -> Settings:
+def settings(
+    in_answers: bool = False,
+    asked: bool = False,
+    limit_ns: int = 0,
+    **limits: Any,  # noqa: ANN401 - fields of `Limits`
+) -> Settings:
     return Settings(
         load_reports_in_responses=in_answers,
         discovery_pushes=not asked,
@@ -261,7 +266,7 @@
     sockets: int = 1024,
     known_list: object = None,
     rest_s: float = 0.0,
-    **limits: Any,
+    **limits: Any,  # noqa: ANN401 - fields of `Limits`
 ) -> AsyncIterator[Client]:
     """A node that knows these upstreams, and a client of it."""
     registry = registry or FakeDiscovery()
