--- a/loadbalancer/configuration_reload.py
+++ b/loadbalancer/configuration_reload.py
@@ -7,21 +7,24 @@
 from __future__ import annotations
 
 import logging
+from collections.abc import Callable
 
 from loadbalancer.configuration import Configuration, ConfigurationError, read_configuration_cooperatively
+from loadbalancer.proxy.addresses import Address
 from loadbalancer.proxy.cooperative import run_cooperatively
-from loadbalancer.proxy.proxy import Proxy
 
 log = logging.getLogger(__name__)
 
 
-async def reload_configuration(path: str, current: Configuration, proxy: Proxy) -> None:
+async def reload_configuration(
+    path: str, current: Configuration, move_discovery: Callable[[Address], None]
+) -> None:
     """Put in force what can be changed without a restart; a file that can't be used changes nothing.
 
     Args:
         path: the configuration file.
         current: the configuration that the proxy was started with.
-        proxy: the running proxy.
+        move_discovery: is called with the address of discovery.
     """
     try:
         new = await run_cooperatively(read_configuration_cooperatively(path, keep_known_endpoints=False))
@@ -31,7 +34,7 @@
     log.info("%s: reload: discovery at %s:%d", current.name, *new.discovery)
     for name in changes_that_need_a_restart(current, new):
         log.warning("%s: reload: another %s needs a restart", current.name, name)
-    proxy.move_discovery(new.discovery)
+    move_discovery(new.discovery)
 
 
 def changes_that_need_a_restart(current: Configuration, new: Configuration) -> list[str]:
--- a/loadbalancer/proxy/discovery_call.py
+++ b/loadbalancer/proxy/discovery_call.py
@@ -40,7 +40,7 @@
 OnResult = Callable[[WatchResult], None]
 
 
-def list_size_limit(memory_bytes: int) -> int:
+def list_size_limit_bytes(memory_bytes: int) -> int:
     """Return the bytes that a list may have at most under a memory limit; 0: there is none."""
     if memory_bytes < MEMORY_DIVISOR:
         return MAX_LIST_BYTES
--- a/loadbalancer/proxy/downstream.py
+++ b/loadbalancer/proxy/downstream.py
@@ -244,6 +244,10 @@
 
     # -- shutdown --
 
+    def start_draining(self) -> None:
+        """Close each connection with its next response."""
+        self.draining = True
+
     def continue_shutdown(self) -> bool:
         """Take the next step of the graceful shutdown.
 
--- /dev/null
+++ b/loadbalancer/proxy/parts.py
@@ -0,0 +1,69 @@
+"""Builds the parts of a proxy from its configuration."""
+
+from __future__ import annotations
+
+import random
+from collections.abc import Callable
+
+from loadbalancer.configuration import Configuration
+from loadbalancer.proxy.connection_pool import ConnectionLimits
+from loadbalancer.proxy.discovery_call import OnResult, list_size_limit_bytes
+from loadbalancer.proxy.discovery_client import DiscoveryClient
+from loadbalancer.proxy.endpoint_list_parser import unix_offset_ns
+from loadbalancer.proxy.endpoint_list_reader import EndpointListReader
+from loadbalancer.proxy.gossip import Gossip
+from loadbalancer.units import NANOSECONDS_PER_SECOND
+
+# File descriptors for the event loop, listening, discovery, peers, logs, and sockets being closed.
+RESERVED_DESCRIPTORS = 32
+
+# To clients, and to endpoints, however few descriptors there are.
+MIN_CONNECTIONS = 8
+
+# Discovery's backoff draws from a generator of its own; the policy's is seeded with the seed itself.
+DISCOVERY_SEED_OFFSET = 1
+
+
+def max_connections(max_sockets: int) -> int:
+    """Return how many connections to clients may be open, and how many to endpoints."""
+    return max(MIN_CONNECTIONS, (max_sockets - RESERVED_DESCRIPTORS) // 2)
+
+
+def make_connection_limits(config: Configuration) -> ConnectionLimits:
+    """Return the limits that the connections to all endpoints share."""
+    limits = config.settings.limits
+    return ConnectionLimits(
+        max_connections=max_connections(config.max_sockets),
+        connect_timeout_s=limits.connect_timeout_ns / NANOSECONDS_PER_SECOND,
+        endpoint_idle_timeout_s=limits.connection_idle_timeout_ns / NANOSECONDS_PER_SECOND,
+    )
+
+
+def make_list_reader(config: Configuration) -> EndpointListReader:
+    """Return the reader of endpoint lists; the ids of a known list stay in use."""
+    known = config.known_endpoints
+    return EndpointListReader(unix_offset_ns(), None if known is None else known.id_registry)
+
+
+def make_discovery_client(
+    config: Configuration, reader: EndpointListReader, on_result: OnResult
+) -> DiscoveryClient:
+    """Return the client of discovery, which makes no call yet."""
+    return DiscoveryClient(
+        address=config.discovery,
+        reader=reader,
+        pushes=config.settings.discovery_pushes,
+        rng=random.Random(config.seed + DISCOVERY_SEED_OFFSET),
+        on_result=on_result,
+        max_list_bytes=list_size_limit_bytes(config.memory_bytes),
+    )
+
+
+def make_gossip(config: Configuration, on_message: Callable[[int, bytes], None]) -> Gossip:
+    """Return the sender and receiver of gossip, which has no socket yet."""
+    return Gossip(
+        peers=config.gossip_peers,
+        all_peers=config.gossip_broadcast,
+        proxy_index=config.settings.proxy_index,
+        on_message=on_message,
+    )
--- a/loadbalancer/proxy/proxy.py
+++ b/loadbalancer/proxy/proxy.py
@@ -1,14 +1,13 @@
-"""The proxy: reports events to the policy and has its actions carried out.
+"""The proxy: hands events to the policy and carries out its actions.
 
 The parts that carry them out each have a module: `pending_requests`, `attempts`, `health_checks`, `gossip`,
-`discovery_client` and `downstream`.
+`discovery_client`, `endpoint_list_applier` and `downstream`.
 """
 
 from __future__ import annotations
 
 import asyncio
 import logging
-import random
 import time
 from collections.abc import Iterable
 from typing import Protocol, assert_never
@@ -32,19 +31,12 @@
     TimerExpired,
     WatchEndpoints,
 )
-from loadbalancer.proxy import shutdown
-from loadbalancer.proxy.addresses import Address
+from loadbalancer.proxy import parts, shutdown
 from loadbalancer.proxy.attempts import Attempts
 from loadbalancer.proxy.client_connection import ClientConnection
-from loadbalancer.proxy.connection_pool import ConnectionLimits, ConnectionPool
-from loadbalancer.proxy.discovery_call import WatchResult, list_size_limit
-from loadbalancer.proxy.discovery_client import DiscoveryClient
 from loadbalancer.proxy.downstream import DownstreamServer
 from loadbalancer.proxy.endpoint_addresses import EndpointAddresses
 from loadbalancer.proxy.endpoint_list_applier import EndpointListApplier
-from loadbalancer.proxy.endpoint_list_parser import unix_offset_ns
-from loadbalancer.proxy.endpoint_list_reader import EndpointListReader
-from loadbalancer.proxy.gossip import Gossip
 from loadbalancer.proxy.health_checks import HealthChecks
 from loadbalancer.proxy.http import Message
 from loadbalancer.proxy.pending_requests import PendingRequests
@@ -52,99 +44,103 @@
 from loadbalancer.units import NANOSECONDS_PER_SECOND
 
 log = logging.getLogger(__name__)
-RESERVED_DESCRIPTORS = 32  # for the event loop, listening, discovery, peers, logs, and sockets being closed
-MIN_CONNECTIONS = 8  # on either side, however few descriptors there are
-SWEEP_INTERVAL_S = 1.0  # of idle connections, empty pools and the ids of hosts that are gone
+
+# Of idle connections, empty pools and the ids of removed hosts.
+SWEEP_INTERVAL_S = 1.0
 
 
 class Policy(Protocol):
-    """What decides: the `Balancer` of `loadbalancer/policy/balancer.py`."""
+    """The decisions: the `Balancer` of `loadbalancer/policy/balancer.py`."""
 
     def handle(self, now_ns: int, events: Iterable[Event]) -> list[Action]:
-        """Take events at a time of the monotonic clock, and give the actions that follow from them."""
+        """Handle events at a time of the monotonic clock, and return the actions that follow from them."""
         ...
 
 
 class Proxy:
     """One load balancer process: its sockets, its timers and the policy that decides for it."""
 
+    list_applier_class: type[EndpointListApplier] = EndpointListApplier
+    list_applier: EndpointListApplier
+
     def __init__(self, config: Configuration, policy: Policy) -> None:
         """Set up all parts inside a running event loop; nothing is sent or accepted before `start`."""
         self.config = config
-        limits = config.settings.limits
         self._loop = asyncio.get_running_loop()
         self._policy = policy
         self._queued_events: list[Event] = []
         self._dispatching = False
-        self._decision_time_ns = 0  # when the policy was last called; its delays count from then
+        self._decision_time_ns = 0  # of the last call of the policy; its delays count from then
         self._draining = False
-        self._ready_at_s = 0.0  # not ready before, by the event loop's clock
+        self._ready_at_s = 0.0  # by the event loop's clock
         self._sweep_timer: asyncio.TimerHandle | None = None
-        max_connections = max(MIN_CONNECTIONS, (config.max_sockets - RESERVED_DESCRIPTORS) // 2)
-        self._connection_limits = ConnectionLimits(
-            max_connections,
-            limits.connect_timeout_ns / NANOSECONDS_PER_SECOND,
-            limits.connection_idle_timeout_ns / NANOSECONDS_PER_SECOND,
-        )
-        self.downstream = DownstreamServer(self, max_connections)
-        self._list_reader = EndpointListReader(
-            unix_offset_ns(), None if config.known_endpoints is None else config.known_endpoints.id_registry
-        )
-        self._addresses = EndpointAddresses(self._connection_limits)
-        self._list_applier = EndpointListApplier(self._list_reader, self._addresses, self._on_endpoint_update)
-        self._discovery_client = DiscoveryClient(
-            config.discovery,
-            self._list_reader,
-            config.settings.discovery_pushes,
-            random.Random(config.seed + 1),
-            self._on_watch_result,
-            list_size_limit(config.memory_bytes),
+
+        self.downstream = DownstreamServer(self, parts.max_connections(config.max_sockets))
+        self._pending_requests = PendingRequests(self.dispatch, config.settings.limits.max_pending_requests)
+        self._gossip = parts.make_gossip(config, self._on_gossip)
+
+        self._connection_limits = parts.make_connection_limits(config)
+        self.addresses = EndpointAddresses(self._connection_limits)
+        self._attempts = self._make_attempts()
+        self._health_checks = self._make_health_checks()
+
+        self._list_reader = parts.make_list_reader(config)
+        self.list_applier = self.list_applier_class(
+            self._list_reader, self.addresses, self._on_endpoint_update
         )
-        self._gossip = Gossip(
-            config.gossip_peers, config.gossip_broadcast, config.settings.proxy_index, self._on_gossip
+        self.discovery_client = parts.make_discovery_client(
+            config, self._list_reader, self.list_applier.on_watch_result
         )
-        self._pending_requests = PendingRequests(self.dispatch, limits.max_pending_requests)
-        self._attempts = Attempts(
-            self._pending_requests,
-            self._connection_pool,
-            self.dispatch,
-            limits.max_attempts,
-            config.settings.load_reports_in_responses,
+
+    def _make_attempts(self) -> Attempts:
+        return Attempts(
+            pending_requests=self._pending_requests,
+            connection_pool=self.addresses.connection_pool,
+            on_ended=self.dispatch,
+            max_attempts=self.config.settings.limits.max_attempts,
+            read_load_reports=self.config.settings.load_reports_in_responses,
         )
-        self._health_checks = HealthChecks(
-            self._connection_pool, self.dispatch, bool(config.settings.load_report_columns)
+
+    def _make_health_checks(self) -> HealthChecks:
+        return HealthChecks(
+            connection_pool=self.addresses.connection_pool,
+            on_ended=self.dispatch,
+            with_load_reports=bool(self.config.settings.load_report_columns),
         )
 
-    # -- start and end --
+    # -- start and shutdown --
 
     async def start(self, ready_delay_s: float = 0.0) -> int:
-        """Apply the cached endpoint list, then listen; ready only after a delay.
+        """Apply the known endpoint list, then listen; ready only after a delay.
 
         Args:
             ready_delay_s: How long the proxy serves without reporting that it is ready.
 
         Returns:
             The port on which it listens.
+
+        Raises:
+            OSError: A socket can't be opened.
         """
         self._ready_at_s = self._loop.time() + ready_delay_s
         self._apply_known_list()
         if self.config.gossip_listen is not None:
             await self._loop.create_datagram_endpoint(lambda: self._gossip, self.config.gossip_listen)
         if self.config.settings.discovery_pushes:
-            self._discovery_client.watch()
+            self.discovery_client.watch()
         self._sweep_once()
         return self.downstream.listen(*self.config.listen)
 
     def _apply_known_list(self) -> None:
         known = self.config.known_endpoints
         if known is not None:
-            self._discovery_client.start_from(self._list_reader.accept(known))
-        self._list_applier.apply_cached(known)
+            self.discovery_client.start_from(self._list_reader.accept(known))
+        self.list_applier.apply_cached(known)
 
     def _sweep_once(self) -> None:
         self._connection_limits.close_expired()
-        self._addresses.forget_empty_pools()
-        self._list_applier.sweep_ids()
+        self.addresses.forget_empty_pools()
+        self.list_applier.sweep_ids()
         self._sweep_timer = self._loop.call_later(SWEEP_INTERVAL_S, self._sweep_once)
 
     @property
@@ -153,11 +149,12 @@
         return not self._draining and self._loop.time() >= self._ready_at_s
 
     async def drain(self) -> None:
-        """Shut down gracefully: go on with what still comes, answer all of it, then close everything."""
+        """Shut down gracefully: respond to all requests, including those that still arrive, then close."""
         timeout_s = shutdown.shutdown_timeout_s(self.config.settings.request_classes.values())
-        end_s = self._loop.time() + timeout_s
-        self._draining = self.downstream.draining = True
-        if not await shutdown.wait_until_drained(self._is_drained, end_s):
+        deadline_s = self._loop.time() + timeout_s
+        self._draining = True
+        self.downstream.start_draining()
+        if not await shutdown.wait_until_drained(self._is_drained, deadline_s):
             log.warning(
                 "%s: graceful shutdown: timeout after %.2f s, failing %d pending requests",
                 self.config.name,
@@ -168,22 +165,18 @@
         await asyncio.sleep(0)  # closed transports end in the event loop's next turn
 
     def _is_drained(self) -> bool:
-        """Whether all is answered to the last byte, also what was in the backlog or half read."""
+        """Whether all responses are written, also to requests of the backlog or half received before."""
         none_open = self.downstream.continue_shutdown()
         return none_open and not self._pending_requests and not self.downstream.flushing
 
-    def move_discovery(self, address: Address) -> None:
-        """Use another address for discovery, as the configuration now says."""
-        self._discovery_client.move_to(address)
-
     def close(self) -> None:
         """Stop everything at once; pending requests fail."""
         self._pending_requests.fail_all()
-        self._discovery_client.stop()
-        self._list_applier.close()
+        self.discovery_client.stop()
+        self.list_applier.close()
         if self._sweep_timer is not None:
             self._sweep_timer.cancel()
-        self._addresses.close_all_idle_connections()
+        self.addresses.close_all_idle_connections()
         self._gossip.close()
         self.downstream.abort()
 
@@ -197,7 +190,8 @@
         self._dispatching = True
         try:
             while self._queued_events:
-                batch, self._queued_events = self._queued_events, []
+                batch = self._queued_events
+                self._queued_events = []
                 for action in self._decide(batch):
                     self._execute(action)
         finally:
@@ -224,8 +218,7 @@
             case CheckHealth():
                 self._health_checks.start(action.endpoint_id)
             case SetTimer():
-                due_s = (self._decision_time_ns + action.delay_ns) / NANOSECONDS_PER_SECOND
-                self._loop.call_at(due_s, self.dispatch, TimerExpired(action.name))
+                self._set_timer(action)
             case LogMessage():
                 log.info("%s: policy: %s", self.config.name, action.text)
             case _:
@@ -238,23 +231,31 @@
             case SendGossip():
                 self._gossip.send(action.data, action.recipient)
             case CloseIdleConnections():
-                self._addresses.close_idle_connections(action.endpoint_id)
+                self.addresses.close_idle_connections(action.endpoint_id)
             case WatchEndpoints(watch=True):
-                self._discovery_client.watch()
+                self.discovery_client.watch()
             case WatchEndpoints():
-                self._discovery_client.unwatch()
+                self.discovery_client.unwatch()
             case FetchEndpoints():
-                self._discovery_client.fetch()
+                self.discovery_client.fetch()
             case _:
                 assert_never(action)
 
+    def _set_timer(self, action: SetTimer) -> None:
+        due_s = (self._decision_time_ns + action.delay_ns) / NANOSECONDS_PER_SECOND
+        self._loop.call_at(due_s, self.dispatch, TimerExpired(action.name))
+
     def _on_gossip(self, sender: int, data: bytes) -> None:
         self.dispatch(GossipReceived(sender, data))
 
-    # -- requests --
+    def _on_endpoint_update(self, update: EndpointUpdate) -> None:
+        self._attempts.cancel_unsent()
+        self.dispatch(update)
+
+    # -- requests of clients --
 
     def handle_request(self, client: ClientConnection, request: Message, received_ns: int) -> None:
-        """Admit a client's request, or reject it if it is malformed or there are too many."""
+        """Admit a client's request, or reject it if it is malformed or too many are pending."""
         checked = validate_request(request, self.config.settings.request_classes)
         if isinstance(checked, RejectedRequest):
             rejected: RejectedRequest | None = checked
@@ -264,21 +265,5 @@
             client.respond(rejected.status, rejected.headers)
 
     def handle_disconnect(self, client: ClientConnection) -> None:
-        """Forget the request of a client that has closed its connection."""
+        """Drop the request of a client that has disconnected."""
         self._pending_requests.on_disconnect(client)
-
-    # -- endpoint lists --
-
-    def _on_watch_result(self, result: WatchResult) -> None:
-        self._list_applier.on_watch_result(result)
-
-    def _on_endpoint_update(self, update: EndpointUpdate) -> None:
-        self._attempts.cancel_unsent()
-        self.dispatch(update)
-
-    def _connection_pool(self, endpoint_id: int) -> ConnectionPool | None:
-        return self._addresses.connection_pool(endpoint_id)
-
-    def endpoint_addresses(self) -> dict[int, Address]:
-        """Return the addresses of the endpoints that take new requests."""
-        return self._addresses.ready()
--- a/scale_test/hollow.py
+++ b/scale_test/hollow.py
@@ -5,7 +5,7 @@
 import asyncio
 import logging
 import time
-from collections.abc import Iterable
+from collections.abc import Callable, Iterable
 from dataclasses import replace
 from typing import Any
 
@@ -13,7 +13,10 @@
 from loadbalancer.messages import Action, EndpointUpdate, EndpointUpdateKind, Event
 from loadbalancer.policy.balancer import Balancer
 from loadbalancer.proxy.discovery_call import WatchResult
+from loadbalancer.proxy.endpoint_addresses import EndpointAddresses
 from loadbalancer.proxy.endpoint_list import EndpointList
+from loadbalancer.proxy.endpoint_list_applier import EndpointListApplier
+from loadbalancer.proxy.endpoint_list_reader import EndpointListReader
 from loadbalancer.proxy.proxy import Proxy
 from scale_test.child_process import commands_of, serve
 from scale_test.records import NEVER_NS, AnswerInForce, BalancerReport, PolicyChange
@@ -38,31 +41,46 @@
         return actions
 
 
-class HollowProxy(Proxy):
-    """A proxy that records when which answer of discovery was in force, to its last row."""
+class RecordingListApplier(EndpointListApplier):
+    """A list applier that records when each answer of discovery was in force, to its last row."""
 
-    def __init__(self, config: Configuration, policy: TimedPolicy) -> None:
-        super().__init__(config, policy)
-        self.changes = policy.changes
-        self.in_force: list[tuple[int, int]] = []  # version, done; in the order in which they came
+    def __init__(
+        self,
+        reader: EndpointListReader,
+        addresses: EndpointAddresses,
+        on_update: Callable[[EndpointUpdate], None],
+    ) -> None:
+        super().__init__(reader, addresses, on_update)
+        self.in_force: list[tuple[int, int]] = []  # version, time in ns; in the order in which they came
         self._waits: set[asyncio.Task[None]] = set()
 
-    def _on_watch_result(self, listing: WatchResult) -> None:
-        super()._on_watch_result(listing)
-        if not isinstance(listing, EndpointList) or not (listing.complete or len(listing)):
+    def on_watch_result(self, result: WatchResult) -> None:
+        """Apply an answer as usual, and record it."""
+        super().on_watch_result(result)
+        if not isinstance(result, EndpointList) or not (result.complete or len(result)):
             return
-        at = len(self.in_force)
-        self.in_force.append((listing.version, time.monotonic_ns()))
-        applying = self._list_applier.task
-        if self._list_applier.is_pending(listing) and applying is not None:
-            wait = self._loop.create_task(self._until_in_force(at, applying))
+        index = len(self.in_force)
+        self.in_force.append((result.version, time.monotonic_ns()))
+        if self.is_pending(result) and self.task is not None:
+            wait = asyncio.get_running_loop().create_task(self._record_in_force(index, self.task))
             self._waits.add(wait)
             wait.add_done_callback(self._waits.discard)
 
-    async def _until_in_force(self, at: int, applying: asyncio.Task[None]) -> None:
-        self.in_force[at] = (self.in_force[at][0], NEVER_NS)
+    async def _record_in_force(self, index: int, applying: asyncio.Task[None]) -> None:
+        self.in_force[index] = (self.in_force[index][0], NEVER_NS)
         await asyncio.wait({applying})  # where others wait for their turn, it is the end of the last one
-        self.in_force[at] = (self.in_force[at][0], time.monotonic_ns())
+        self.in_force[index] = (self.in_force[index][0], time.monotonic_ns())
+
+
+class HollowProxy(Proxy):
+    """A proxy that records when its endpoint lists were in force."""
+
+    list_applier_class = RecordingListApplier
+    list_applier: RecordingListApplier
+
+    def __init__(self, config: Configuration, policy: TimedPolicy) -> None:
+        super().__init__(config, policy)
+        self.changes = policy.changes
 
 
 class HollowCommands:
@@ -88,7 +106,7 @@
         for proxy in self._proxies:
             proxy.close()
         return [
-            BalancerReport(proxy.changes, [AnswerInForce(*answer) for answer in proxy.in_force])
+            BalancerReport(proxy.changes, [AnswerInForce(*answer) for answer in proxy.list_applier.in_force])
             for proxy in self._proxies
         ]
 
--- a/tests/process/test_configuration_reload.py
+++ b/tests/process/test_configuration_reload.py
@@ -7,34 +7,22 @@
 import logging
 from dataclasses import replace
 from pathlib import Path
-from typing import cast
 
 import pytest
 
 from loadbalancer.configuration import Configuration, read_configuration
 from loadbalancer.configuration_reload import changes_that_need_a_restart, reload_configuration
 from loadbalancer.proxy.addresses import Address
-from loadbalancer.proxy.proxy import Proxy
 from loadbalancer.settings import Settings
 
 CONFIGURATION = Configuration("n0", ("127.0.0.1", 80), ("127.0.0.1", 1), 1, 1024, Settings())
 OTHER_ADDRESS: Address = ("127.0.0.2", 2)
 
 
-class MovedProxy:
-    """Stands in for a proxy, and records where discovery was moved to."""
-
-    def __init__(self) -> None:
-        self.moves: list[Address] = []
-
-    def move_discovery(self, address: Address) -> None:
-        self.moves.append(address)
-
-
 def reload(path: Path, current: Configuration) -> list[Address]:
-    proxy = MovedProxy()
-    asyncio.run(reload_configuration(str(path), current, cast(Proxy, proxy)))
-    return proxy.moves
+    moves: list[Address] = []
+    asyncio.run(reload_configuration(str(path), current, moves.append))
+    return moves
 
 
 def written(folder: Path, **changes: object) -> Path:
--- a/tests/proxy/test_attempt_responses.py
+++ b/tests/proxy/test_attempt_responses.py
@@ -136,7 +136,7 @@
     policy = forwarding_policy(fail_unless_complete)
     port = server.sockets[0].getsockname()[1]
     async with node(policy, known_list=known(port)) as client:
-        pool = client.node._connection_pool(next(iter(client.node.endpoint_addresses())))
+        pool = client.node.addresses.connection_pool(next(iter(client.node.addresses.ready())))
         assert pool is not None
         ended: list[AttemptResult] = []
         exchange = start_exchange(
--- a/tests/proxy/test_discovery_handover.py
+++ b/tests/proxy/test_discovery_handover.py
@@ -55,16 +55,16 @@
         new = await start_discovery("s8", "s9")
         async with node(script, registry=old, known_list=known(5)) as client:
             await until(lambda: old.calls)
-            left = client.node._discovery_client._target
-            client.node.move_discovery((HOST, new.server.port))
+            left = client.node.discovery_client._target
+            client.node.discovery_client.move_to((HOST, new.server.port))
             await until(lambda: len(new.calls) == 2)
             assert new.calls[0][1] == "/registry/instances"
             assert new.calls[1][1].startswith("/registry/instances?after=3&")
             assert len(last_full_list(script)) == 2
-            assert len(client.node.endpoint_addresses()) == 2
+            assert len(client.node.addresses.ready()) == 2
             assert left.pool.limits.open_connections == 0
             new.change("s7")
-            await until(lambda: len(client.node.endpoint_addresses()) == 3)
+            await until(lambda: len(client.node.addresses.ready()) == 3)
         new.server.stop()
 
     run(test())
@@ -76,12 +76,12 @@
         new = await start_discovery("s9", broken=written(503))
         async with node(script, registry=old, known_list=known(5)) as client:
             await until(lambda: old.calls)
-            client.node.move_discovery((HOST, new.server.port))
+            client.node.discovery_client.move_to((HOST, new.server.port))
             await until(lambda: len(new.calls) == 2)
             old.change("s1")
-            await until(lambda: len(client.node.endpoint_addresses()) == 2)
+            await until(lambda: len(client.node.addresses.ready()) == 2)
             new.broken = b""
-            await until(lambda: len(client.node.endpoint_addresses()) == 1)
+            await until(lambda: len(client.node.addresses.ready()) == 1)
         new.server.stop()
 
     run(test())
@@ -93,11 +93,11 @@
         new = await start_discovery("s9", broken=written(503))
         async with node(script, registry=old, known_list=known(5)) as client:
             await until(lambda: old.calls)
-            client.node.move_discovery((HOST, new.server.port))
+            client.node.discovery_client.move_to((HOST, new.server.port))
             old.broken = written(503)
             old.change("s1")  # the watch ends
-            await until(lambda: client.node._discovery_client._watch_call is None)
-            assert client.node._discovery_client._watch_timer is None
+            await until(lambda: client.node.discovery_client._watch_call is None)
+            assert client.node.discovery_client._watch_timer is None
             new.broken = b""
             await until(lambda: len(new.calls) > 1 and "after=3" in new.calls[-1][1])
         new.server.stop()
@@ -113,14 +113,14 @@
             await until(lambda: old.calls)
             addresses = [(HOST, r.server.port) for r in (*new, old)]
             for address in addresses:
-                client.node.move_discovery(address)
+                client.node.discovery_client.move_to(address)
             old.change("s1")
-            await until(lambda: len(client.node.endpoint_addresses()) == 2)
+            await until(lambda: len(client.node.addresses.ready()) == 2)
             for address in addresses[:2]:
-                client.node.move_discovery(address)
+                client.node.discovery_client.move_to(address)
             await until(lambda: len(new[1].calls) == 2)
             assert not new[0].calls
-            assert client.node._discovery_client._handover is None
+            assert client.node.discovery_client._handover is None
             assert last_full_list(script) == [preferred_id("s8")]
         for registry in new:
             registry.server.stop()
@@ -149,13 +149,13 @@
         answer_in_turn(new, 1.3)
         async with node(script, registry=old, known_list=known(5)) as client:
             await until(lambda: old.calls)
-            client.node.move_discovery((HOST, new.server.port))
+            client.node.discovery_client.move_to((HOST, new.server.port))
             await until(lambda: new.server.got)
-            handover = client.node._discovery_client._handover
+            handover = client.node.discovery_client._handover
             assert handover is not None
-            client.node.move_discovery((HOST, new.server.port))
-            assert client.node._discovery_client._handover is handover
-            await until(lambda: client.node._discovery_client._handover is None)
+            client.node.discovery_client.move_to((HOST, new.server.port))
+            assert client.node.discovery_client._handover is handover
+            await until(lambda: client.node.discovery_client._handover is None)
             assert last_full_list(script) == [preferred_id("s9")]
             await until(lambda: len(new.server.got) == 2)
             assert [("after=" in got.first) for got in new.server.got] == [False, True]
@@ -181,12 +181,12 @@
     """Move the proxy to a new address while the old one ends its watch and listens no more."""
     client.node.dispatch(TimerExpired("watch"))
     await until(lambda: old.calls)
-    client.node.move_discovery((HOST, new.server.port))
+    client.node.discovery_client.move_to((HOST, new.server.port))
     await until(lambda: new.server.got)
     old.broken = written(503)
     old.server.stop()
     old.change("s1")
-    await until(lambda: client.node._discovery_client._watch_call is None)
+    await until(lambda: client.node.discovery_client._watch_call is None)
     assert failed_updates(script) == 1  # of the watch that has ended
 
 
@@ -197,7 +197,7 @@
         new = await start_discovery("s9")
         release = hold_first_list(new)
         async with node(script, registry=old, known_list=known(5), asked=True) as client:
-            discovery = client.node._discovery_client
+            discovery = client.node.discovery_client
             await close_old_address_in_handover(old, new, client, script)
             client.node.dispatch(TimerExpired("watch"))
             await until(lambda: discovery._watch_call is None)  # refused
@@ -222,7 +222,7 @@
         old, script = FakeDiscovery(), timer_driven_policy()
         new = await start_discovery("s9", broken=written(503))
         async with node(script, registry=old, known_list=known(5), asked=True) as client:
-            discovery = client.node._discovery_client
+            discovery = client.node.discovery_client
             await close_old_address_in_handover(old, new, client, script)
 
             async def is_reported_once(told: int) -> None:
@@ -252,8 +252,8 @@
         async with node(script, registry=old, known_list=known(5), asked=True) as client:
             await close_old_address_in_handover(old, new, client, script)
             client.node.dispatch(TimerExpired(asked))
-            await until(lambda: client.node._discovery_client._target.refuses_connections)
-            client.node.move_discovery((HOST, old.server.port))
+            await until(lambda: client.node.discovery_client._target.refuses_connections)
+            client.node.discovery_client.move_to((HOST, old.server.port))
             await until(lambda: failed_updates(script) >= 2)  # it is still closed, and is asked
         new.server.stop()
 
@@ -270,16 +270,16 @@
         release = hold_first_list(new)
         async with node(script, registry=old, known_list=known(5)) as client:
             await until(lambda: old.calls)
-            client.node.move_discovery((HOST, new.server.port))
+            client.node.discovery_client.move_to((HOST, new.server.port))
             await until(lambda: new.calls)
             old.change("s0", health="draining")
             await until(lambda: reported_statuses(script)[-1] is EndpointStatus.DRAINING)
             release.set()
             await until(lambda: len(new.calls) == 2)  # what it said is read, and it is asked once more
             assert reported_statuses(script) == [EndpointStatus.READY, EndpointStatus.DRAINING]
-            assert not client.node.endpoint_addresses()
+            assert not client.node.addresses.ready()
             new.rows["s0"]["health"], new.version = "draining", 2
-            await until(lambda: client.node._discovery_client._handover is None)
+            await until(lambda: client.node.discovery_client._handover is None)
             assert EndpointStatus.READY not in reported_statuses(script)[1:]
         new.server.stop()
 
--- a/tests/proxy/test_discovery_outage.py
+++ b/tests/proxy/test_discovery_outage.py
@@ -161,9 +161,7 @@
         registry.server.answer = answer
         module = Balancer(node_settings(asked=asked), 1, time.monotonic_ns())
         async with node(module, registry=registry, known_list=known(5), asked=asked) as client:
-            await until(
-                lambda: not client.node.endpoint_addresses() and len(registry.calls) == len(order) + 2
-            )
+            await until(lambda: not client.node.addresses.ready() and len(registry.calls) == len(order) + 2)
             waits = [int(query.rpartition("wait_ms=")[2]) for _, query in registry.calls]
             longest = 10_000 if asked else 40
             assert waits == [longest, *[20] * len(order), longest]  # short until one is answered
@@ -215,10 +213,10 @@
             "loadbalancer.proxy.discovery_client.POLL_WAIT_MS", 40
         )  # the first call too must be given up
         async with node(module, registry=registry, known_list=known(5), asked=asked) as client:
-            await until(lambda: client.node._discovery_client._watch_backoff.failures >= 3)
+            await until(lambda: client.node.discovery_client._watch_backoff.failures >= 3)
             registry.change("s0", health="draining")
             await machine.comes_back()
-            await until(lambda: not client.node.endpoint_addresses())
+            await until(lambda: not client.node.addresses.ready())
 
     run(test())
 
@@ -240,17 +238,17 @@
         await new.server.start()
         async with node(ScriptedPolicy(), registry=old, known_list=known(5)) as client:
             await until(lambda: old.calls)
-            client.node.move_discovery((HOST, new.server.port))
-            handover = client.node._discovery_client._handover
+            client.node.discovery_client.move_to((HOST, new.server.port))
+            handover = client.node.discovery_client._handover
             assert handover is not None
             await until(lambda: handover.backoff.failures >= 2)
-            assert client.node.endpoint_addresses()
+            assert client.node.addresses.ready()
             if isinstance(new.server, Machine):
                 await new.server.comes_back()
             else:
                 new.server.answer = heard
-            await until(lambda: not client.node.endpoint_addresses())
-            assert client.node._discovery_client._handover is None
+            await until(lambda: not client.node.addresses.ready())
+            assert client.node.discovery_client._handover is None
         new.server.stop()
 
     run(test())
@@ -293,11 +291,11 @@
             hub, server, discovery = (
                 client.node._connection_limits,
                 client.node.downstream,
-                client.node._discovery_client,
+                client.node.discovery_client,
             )
-            numbers = {port: number for number, (_, port) in client.node.endpoint_addresses().items()}
+            numbers = {port: number for number, (_, port) in client.node.addresses.ready().items()}
             for number in numbers.values():
-                pool = client.node._connection_pool(number)
+                pool = client.node.addresses.connection_pool(number)
                 assert pool is not None
                 for _ in range(MAX_IDLE_CONNECTIONS_PER_ENDPOINT):
                     start_exchange(pool, b"GET /read HTTP/1.1\r\n\r\n", None, lambda _result, _response: None)
@@ -325,7 +323,7 @@
                 await registry.server.comes_back()
             else:
                 registry.server.answer = heard
-            await until(lambda: numbers[endpoints[0].port] not in client.node.endpoint_addresses())
+            await until(lambda: numbers[endpoints[0].port] not in client.node.addresses.ready())
             before = len(endpoints[0].got)
             for _ in range(20):
                 await asks()
--- a/tests/proxy/test_discovery_watch.py
+++ b/tests/proxy/test_discovery_watch.py
@@ -45,7 +45,7 @@
         def react(event: Event) -> tuple[()]:
             if isinstance(event, EndpointUpdate) and event.kind is EndpointUpdateKind.DELTA:
                 asking.append(
-                    client.node._discovery_client._watch_call is not None
+                    client.node.discovery_client._watch_call is not None
                 )  # before the change is acted on
             return ()
 
@@ -61,10 +61,10 @@
             assert [u.zone for u in update.endpoints] == ["east"]
             assert asking == [True]
             assert registry.calls[1][1].startswith("/registry/instances?after=2&")
-            assert len(client.node._addresses.by_id) == 2 == len(client.node.endpoint_addresses())
+            assert len(client.node.addresses.by_id) == 2 == len(client.node.addresses.ready())
             registry.change("s9", health="removed")
             await until(lambda: len(script.of(EndpointUpdate)) == 3)
-            assert len(client.node._addresses.by_id) == 1 == len(client.node.endpoint_addresses())
+            assert len(client.node.addresses.by_id) == 1 == len(client.node.addresses.ready())
 
     run(test())
 
@@ -113,8 +113,8 @@
         registry.server.answer = first_is_lost
         module = Watched(Balancer(settings(asked=True), 1, time.monotonic_ns()))
         async with node(module, registry=registry, known_list=known(5), asked=True) as client:
-            assert client.node.endpoint_addresses()
-            await until(lambda: not client.node.endpoint_addresses())
+            assert client.node.addresses.ready()
+            await until(lambda: not client.node.addresses.ready())
             assert WatchEndpoints(True) in (module.answer_to(EndpointUpdateKind.WATCH_TIMED_OUT) or [])
 
     run(test())
@@ -139,10 +139,10 @@
             await until(lambda: len(registry.calls) >= 3)
             assert registry.calls[2][0] - registry.calls[0][0] > 0.1  # it backs off
             assert len(script.of(EndpointUpdate)) == 1
-            assert len(client.node._addresses.by_id) == 1
+            assert len(client.node.addresses.by_id) == 1
             registry.broken = b""
             registry.change("s9", dial="127.0.0.1:9")
-            await until(lambda: len(client.node.endpoint_addresses()) == 2)
+            await until(lambda: len(client.node.addresses.ready()) == 2)
 
     run(test())
 
@@ -152,7 +152,7 @@
         registry = FakeDiscovery()
         async with node(ScriptedPolicy(), registry=registry, known_list=known(5)) as client:
             registry.change("s0", dial="127.0.0.2:6")
-            await until(lambda: [*client.node.endpoint_addresses().values()] == [("127.0.0.2", 6)])
+            await until(lambda: [*client.node.addresses.ready().values()] == [("127.0.0.2", 6)])
 
     run(test())
 
@@ -169,14 +169,14 @@
         async with node(script, registry=registry, known_list=known(5)) as client:
             await until(lambda: registry.calls)
             client.node.dispatch(TimerExpired("off"))
-            assert client.node._discovery_client._target.pool.limits.open_connections == 0
+            assert client.node.discovery_client._target.pool.limits.open_connections == 0
             client.node.dispatch(TimerExpired("on"))
             await until(lambda: len(registry.calls) == 2)
             client.node.dispatch(TimerExpired("fetch"))
             await until(lambda: len(script.of(EndpointUpdate)) == 2)
             assert script.of(EndpointUpdate)[1].kind is EndpointUpdateKind.FULL
-            assert not client.node._addresses.by_id
-            assert not client.node._addresses.pools
+            assert not client.node.addresses.by_id
+            assert not client.node.addresses.pools
             assert registry.calls[2][1] == "/registry/instances"
 
     run(test())
@@ -195,9 +195,9 @@
             registry.change("s0", health="draining")
             await until(lambda: reported_statuses(script)[-1] is EndpointStatus.DRAINING)
             release.set()
-            await until(lambda: client.node._discovery_client._fetch_call is None)
+            await until(lambda: client.node.discovery_client._fetch_call is None)
             assert reported_statuses(script) == [EndpointStatus.READY, EndpointStatus.DRAINING]
-            assert not client.node.endpoint_addresses()
+            assert not client.node.addresses.ready()
 
     run(test())
 
@@ -214,6 +214,6 @@
 
         registry.server.answer = indented
         async with node(ScriptedPolicy(), registry=registry, known_list=known(5)) as client:
-            await until(lambda: len(client.node.endpoint_addresses()) == 2 and len(registry.calls) == 2)
+            await until(lambda: len(client.node.addresses.ready()) == 2 and len(registry.calls) == 2)
 
     run(test())
--- a/tests/proxy/test_endpoint_connections.py
+++ b/tests/proxy/test_endpoint_connections.py
@@ -108,7 +108,7 @@
             end_quarantine(client.node)
             assert endpoint.opened == opened
             if len(endpoint.got) == 2:
-                pool = next(iter(client.node._addresses.pools.values()))
+                pool = next(iter(client.node.addresses.pools.values()))
                 pool.idle_connections[0].idle_since_s -= 12.5  # as if it had been idle for so long
         await until(lambda: endpoint.closed == 1)
 
@@ -118,7 +118,7 @@
     policy = forwarding_policy()
     async with node(policy, endpoint) as client:
         assert (await client.ask(request())).status == 200
-        pool = next(iter(client.node._addresses.pools.values()))
+        pool = next(iter(client.node.addresses.pools.values()))
         transport = pool.idle_connections[0]._transport
         assert transport is not None
         transport.close()  # as it does when the other end closes; the pool is told a turn later
--- a/tests/proxy/test_endpoint_list_parser.py
+++ b/tests/proxy/test_endpoint_list_parser.py
@@ -63,13 +63,13 @@
             ).encode(),
         )
         async with node(script, registry=registry, known_list=known(1, 2, 3)) as client:
-            await until(lambda: len(client.node.endpoint_addresses()) == 2)  # s2 is gone, s0 is still there
-            assert {port for _, port in client.node.endpoint_addresses().values()} == {1, 2}
+            await until(lambda: len(client.node.addresses.ready()) == 2)  # s2 is gone, s0 is still there
+            assert {port for _, port in client.node.addresses.ready().values()} == {1, 2}
             told = [u for e in script.of(EndpointUpdate)[1:] for u in e.endpoints]
             assert {u.id for u in told if u.status is EndpointStatus.REMOVED} == {preferred_id("s2")}
             # What is known of s0 stays to the letter: nothing else is told of it, and it is where it was.
             assert preferred_id("s0") not in {u.id for u in told}
-            assert client.node.endpoint_addresses()[preferred_id("s0")] == (HOST, 1)
+            assert client.node.addresses.ready()[preferred_id("s0")] == (HOST, 1)
             assert all(e.kind is EndpointUpdateKind.DELTA for e in script.of(EndpointUpdate)[1:])
 
     run(test())
--- a/tests/proxy/test_endpoint_list_reader.py
+++ b/tests/proxy/test_endpoint_list_reader.py
@@ -160,11 +160,11 @@
             assert [r.getMessage() for r in caplog.records] == [
                 f"discovery: a list of over {len(long) - 1} bytes is rejected; the old list stays"
             ]
-            assert len(proxy.endpoint_addresses()) == 3
+            assert len(proxy.addresses.ready()) == 3
             assert len(script.of(EndpointUpdate)) == 1
             registry.broken = b""
             registry.change("s9", port=9)  # what is not too long is heard
-            await until(lambda: preferred_id("s9") in proxy.endpoint_addresses())
+            await until(lambda: preferred_id("s9") in proxy.addresses.ready())
         finally:
             proxy.close()
             registry.server.stop()
@@ -265,7 +265,7 @@
         started = Proxy(config, balancer)
         await started.start()
         assert started.ready
-        assert len(started.endpoint_addresses()) == count
+        assert len(started.addresses.ready()) == count
         started.close()
 
     run(test())
--- a/tests/support/scripted.py
+++ b/tests/support/scripted.py
@@ -98,7 +98,7 @@
 def update_first_endpoint(proxy: Proxy, version: int, **row: object) -> None:
     """Apply a change of the first endpoint at once, as discovery would send it."""
     changed = {**known(1)["hosts"][0], **row}
-    proxy._on_watch_result(listing({"seq": version, "whole": False, "hosts": [changed]}))
+    proxy.list_applier.on_watch_result(listing({"seq": version, "whole": False, "hosts": [changed]}))
 
 
 def hold_connections(
