--- a/loadbalancer/__main__.py
+++ b/loadbalancer/__main__.py
@@ -40,7 +40,7 @@
     reloads: set[asyncio.Task[None]] = set()  # referenced, so that they are not collected while they run
 
     def start_reload() -> None:
-        task = loop.create_task(reload_configuration(path, config, proxy.discovery_client.move_to))
+        task = loop.create_task(reload_configuration(path, config, proxy.discovery_client.hand_over_to))
         reloads.add(task)
         task.add_done_callback(reloads.discard)
 
--- a/loadbalancer/proxy/discovery_call.py
+++ b/loadbalancer/proxy/discovery_call.py
@@ -1,4 +1,4 @@
-"""A call to discovery: the request for an endpoint list, and the reading of the answer."""
+"""A call to discovery: the request for an endpoint list, and the reading of the response."""
 
 from __future__ import annotations
 
@@ -20,20 +20,38 @@
 from loadbalancer.proxy.wire_names import ENDPOINT_LIST_PATH
 
 log = logging.getLogger(__name__)
+
+# Of a response.
 MAX_LIST_BYTES = 32 * 1024 * 1024
-MEMORY_DIVISOR = 4  # a list may take a quarter of the memory limit at most
-MIN_RESPONSE_RATE = 4_000_000  # bytes a second of a long answer that put off its timeout
-READ_AT_ONCE_BYTES = 64 * 1024  # a longer list is read cooperatively
-MAX_CONNECTIONS = 2  # to one address: the watch, and a fetch beside it
+
+# A list may take this part of the memory limit at most.
+MAX_LIST_MEMORY_FRACTION = 0.25
+
+# A longer list is read cooperatively.
+MAX_READ_AT_ONCE_BYTES = 64 * 1024
+
+# To one address: the watch, and a fetch beside it.
+MAX_CONNECTIONS_PER_ADDRESS = 2
+
 CONNECT_TIMEOUT_S = 2.0
-TIMEOUT_MARGIN_S = 1.0  # beyond the time that a call may wait, and for an answer that waits for nothing
+
+# For the response, beyond the time for which discovery may hold the call.
+TIMEOUT_MARGIN_S = 1.0
+
+# A long response extends its timeout by the time that it takes at this rate.
+MIN_RESPONSE_BYTES_PER_S = 4_000_000
+
+# Discovery is no endpoint of the settings: the pool uses its default idle timeout.
+UNKNOWN_IDLE_TIMEOUT_S = 0.0
+
+MAX_LOGGED_ERROR_CHARACTERS = 120
 
 
 class WatchFailure(Enum):
     """How a call to discovery ended without a list."""
 
-    CALL_FAILED = "call failed"  # refused, broken, answered with an error or with what is no list
-    TIMED_OUT = "timed out"  # no answer: what it would have brought is lost
+    CALL_FAILED = "call failed"  # refused, reset, an error status or not an endpoint list
+    TIMED_OUT = "timed out"  # no response: the changes that it would have returned are lost
 
 
 WatchResult = EndpointList | WatchFailure
@@ -41,10 +59,9 @@
 
 
 def list_size_limit_bytes(memory_bytes: int) -> int:
-    """Return the bytes that a list may have at most under a memory limit; 0: there is none."""
-    if memory_bytes < MEMORY_DIVISOR:
-        return MAX_LIST_BYTES
-    return min(MAX_LIST_BYTES, memory_bytes // MEMORY_DIVISOR)
+    """Return how long a list may be in a process with this memory limit; 0: there is none."""
+    fraction_bytes = int(memory_bytes * MAX_LIST_MEMORY_FRACTION)
+    return min(MAX_LIST_BYTES, fraction_bytes) or MAX_LIST_BYTES
 
 
 class DiscoveryTarget:
@@ -53,13 +70,20 @@
     def __init__(self, address: Address, reader: EndpointListReader, max_list_bytes: int) -> None:
         self.address = address
         self.reader = reader
-        limits = ConnectionLimits(MAX_CONNECTIONS, CONNECT_TIMEOUT_S, 0.0, max_list_bytes, MIN_RESPONSE_RATE)
-        self.pool = ConnectionPool(limits, address)
         self.host = f"{address[0]}:{address[1]}".encode()
-        self.refuses_connections = False  # as the last call to it found
+        self.refuses_connections = False
+        """Whether the last call failed to connect."""
+        limits = ConnectionLimits(
+            max_connections=MAX_CONNECTIONS_PER_ADDRESS,
+            connect_timeout_s=CONNECT_TIMEOUT_S,
+            endpoint_idle_timeout_s=UNKNOWN_IDLE_TIMEOUT_S,
+            max_response_body_bytes=max_list_bytes,
+            min_response_bytes_per_s=MIN_RESPONSE_BYTES_PER_S,
+        )
+        self.pool = ConnectionPool(limits, address)
 
     def call(self, query: str, wait_s: float, on_result: OnResult) -> DiscoveryCall:
-        """Ask for a list; the answer may come after so many seconds and a margin."""
+        """Start a call for a list, which discovery may hold for `wait_s`."""
         return DiscoveryCall(self, query, wait_s, on_result)
 
     def close(self) -> None:
@@ -68,15 +92,18 @@
 
 
 class DiscoveryCall:
-    """A call in flight, up to the end of its answer; `on_result` is called once unless it is abandoned."""
+    """A call in flight; `on_result` is called once, after its response is read, unless it is abandoned."""
 
     def __init__(self, target: DiscoveryTarget, query: str, wait_s: float, on_result: OnResult) -> None:
         self._target = target
         self._on_result = on_result
         self._read_task: asyncio.Task[None] | None = None
-        request = write_request(b"GET", (ENDPOINT_LIST_PATH + query).encode(), [(b"Host", target.host)])
-        timeout_s = wait_s + TIMEOUT_MARGIN_S
-        self._exchange = start_exchange(target.pool, request, timeout_s, self._on_exchange_ended)
+        self._exchange = start_exchange(
+            pool=target.pool,
+            data=write_request(b"GET", (ENDPOINT_LIST_PATH + query).encode(), [(b"Host", target.host)]),
+            timeout_s=wait_s + TIMEOUT_MARGIN_S,
+            on_ended=self._on_exchange_ended,
+        )
 
     def abandon(self) -> None:
         """End the call; its result is not reported."""
@@ -93,7 +120,7 @@
             self._on_result(WatchFailure.TIMED_OUT if timed_out else WatchFailure.CALL_FAILED)
             return
         reading = self._target.reader.read_cooperatively(response.body)
-        if len(response.body) > READ_AT_ONCE_BYTES:
+        if len(response.body) > MAX_READ_AT_ONCE_BYTES:
             self._read_task = asyncio.get_running_loop().create_task(self._read_cooperatively(reading))
         else:
             self._read_at_once(reading)
@@ -108,22 +135,22 @@
         log.info("discovery: call failed: %s %s", result.value, status)
 
     def _read_at_once(self, reading: CooperativeWork[EndpointList]) -> None:
-        read: WatchResult
+        result: WatchResult
         try:
-            read = run_to_completion(reading)
+            result = run_to_completion(reading)
         except EndpointListError as error:
-            read = _unreadable(error)
-        self._on_result(read)
+            result = _unreadable(error)
+        self._on_result(result)
 
     async def _read_cooperatively(self, reading: CooperativeWork[EndpointList]) -> None:
-        read: WatchResult
+        result: WatchResult
         try:
-            read = await run_cooperatively(reading)
+            result = await run_cooperatively(reading)
         except EndpointListError as error:
-            read = _unreadable(error)
-        self._on_result(read)
+            result = _unreadable(error)
+        self._on_result(result)
 
 
 def _unreadable(error: EndpointListError) -> WatchFailure:
-    log.warning("discovery: %.120s", error)
+    log.warning("discovery: %.*s", MAX_LOGGED_ERROR_CHARACTERS, error)
     return WatchFailure.CALL_FAILED
--- a/loadbalancer/proxy/discovery_client.py
+++ b/loadbalancer/proxy/discovery_client.py
@@ -1,4 +1,4 @@
-"""The client of discovery: watches the endpoint list, and moves to another address when it is told to."""
+"""The client of discovery: watches the endpoint list, and hands over to another address of discovery."""
 
 from __future__ import annotations
 
@@ -19,22 +19,26 @@
 from loadbalancer.proxy.endpoint_list import EndpointList
 from loadbalancer.proxy.endpoint_list_reader import EndpointListReader
 from loadbalancer.proxy.wire_names import AFTER_VERSION_PARAMETER, WAIT_MS_PARAMETER
+from loadbalancer.units import MILLISECONDS_PER_SECOND
 
-# How long a watch call may wait at discovery. Silence for longer shows that the call is lost, on a connection
-# that has died unseen or at a discovery that is down. What a lost call would have brought counts as received
-# some seconds later all the same, so the loss must be found out before. An agent on this machine answers at
-# no cost, a discovery that is polled does not.
-AGENT_WAIT_MS = 2_000
+# How long discovery may hold a watch call until there is a change. A call that takes longer is lost, and the
+# change that it would have returned must be fetched within seconds. Short where discovery is an agent on this
+# machine, longer where many proxies poll one service.
+PUSH_WAIT_MS = 2_000
 POLL_WAIT_MS = 10_000
-RECOVERY_WAIT_MS = 1_000  # after a failed call: the return of discovery must not hide behind a long wait
-EMPTY_ANSWER_DELAY_S = 0.02  # an agent that answers at once with nothing must not be asked without pause
+
+# After a failed call, so that the return of discovery is detected soon.
+RECOVERY_WAIT_MS = 1_000
+
+# Between watch calls, if discovery returns an empty list at once.
+EMPTY_RESPONSE_DELAY_S = 0.02
 
 
 class DiscoveryClient:
     """Watches the endpoint list and fetches it, with one call of each kind in flight at most.
 
     Where discovery pushes, the client repeats the watch by itself, with backoff after failures, and reports
-    lists alone. Where it is polled, the policy says when to watch, and failures are reported too.
+    lists only. Where it is polled, the policy says when to watch, and failures are reported too.
     """
 
     def __init__(
@@ -57,14 +61,14 @@
         self._watching = False
         self._watch_call: DiscoveryCall | None = None
         self._fetch_call: DiscoveryCall | None = None
-        # Left to the end of the handover, since the old address refuses connections.
+        # Deferred to the end of the handover, since the old address refuses connections.
         self._watch_deferred = False
         self._fetch_deferred = False
         self._watch_timer: asyncio.TimerHandle | None = None
         self._watch_backoff = Backoff(rng)
 
     def start_from(self, endpoint_list: EndpointList) -> None:
-        """Watch for what is newer than a list that is known already."""
+        """Watch for changes after a list that is known already."""
         self._version = endpoint_list.version
 
     def stop(self) -> None:
@@ -77,28 +81,28 @@
     # -- watch and fetch --
 
     def watch(self) -> None:
-        """Ask for what is newer than the last list; a call that is in flight already serves."""
+        """Watch for changes after the last list; does nothing more if a watch call is in flight."""
         self._watching = True
         if self._watch_call is not None:
             return
         self._cancel_watch_timer()
-        if self._left_to_handover:
+        if self._defers_calls:
             self._watch_deferred = True
             return
         wait_ms = self._watch_wait_ms()
-        query = (
-            ""
-            if self._version is None
-            else f"?{AFTER_VERSION_PARAMETER}={self._version}&{WAIT_MS_PARAMETER}={wait_ms}"
-        )
-        # A call that waits for a short time leaves a discovery with too many callers more time to answer.
-        timeout_s = max(wait_ms, AGENT_WAIT_MS) / 1000
-        self._watch_call = self._target.call(query, timeout_s, self._on_watch_ended)
+        # A shorter wait does not shorten the timeout: a discovery with many callers may be slow to respond.
+        timeout_s = max(wait_ms, PUSH_WAIT_MS) / MILLISECONDS_PER_SECOND
+        self._watch_call = self._target.call(self._watch_query(wait_ms), timeout_s, self._on_watch_ended)
 
     def _watch_wait_ms(self) -> int:
         if self._watch_backoff.failures:
             return RECOVERY_WAIT_MS
-        return AGENT_WAIT_MS if self._pushes else POLL_WAIT_MS
+        return PUSH_WAIT_MS if self._pushes else POLL_WAIT_MS
+
+    def _watch_query(self, wait_ms: int) -> str:
+        if self._version is None:
+            return ""  # the complete list, at once
+        return f"?{AFTER_VERSION_PARAMETER}={self._version}&{WAIT_MS_PARAMETER}={wait_ms}"
 
     def unwatch(self) -> None:
         """End the watch."""
@@ -107,15 +111,15 @@
         self._abandon_watch_call()
 
     def fetch(self) -> None:
-        """Ask for the whole list once; a call that is in flight already serves."""
-        if self._left_to_handover:
+        """Fetch the complete list once; does nothing more if a fetch call is in flight."""
+        if self._defers_calls:
             self._fetch_deferred = True
         elif self._fetch_call is None:
             self._fetch_call = self._target.call("", 0.0, self._on_fetch_ended)
 
     @property
-    def _left_to_handover(self) -> bool:
-        """Whether the old address of a handover is closed, so that calls are left to the new one."""
+    def _defers_calls(self) -> bool:
+        """Whether a handover is running and the old address refuses connections."""
         return self._handover is not None and self._target.refuses_connections
 
     def _on_watch_ended(self, result: WatchResult) -> None:
@@ -126,23 +130,23 @@
         self._watch_backoff.reset()
         self._version = result.version
         if len(result):
-            self.watch()  # before the list is applied: a watch that pauses for 200 ms counts as a new one
+            self.watch()  # before the list is applied: discovery counts a watch after 200 ms as a new one
         else:
-            self._watch_later(EMPTY_ANSWER_DELAY_S)
+            self._watch_later(EMPTY_RESPONSE_DELAY_S)
         self._report(result)
 
     def _on_watch_failed(self, failure: WatchFailure) -> None:
         self._watch_backoff.record_failure()
-        if self._left_to_handover:
+        if self._defers_calls:
             self._watch_deferred = True
             return
-        if self._pushes and self._handover is None:  # else the watch goes on at the new address
+        if self._pushes and self._handover is None:  # otherwise the watch continues at the new address
             self._watch_later(self._watch_backoff.delay_s())
         self._report(failure)
 
     def _on_fetch_ended(self, result: WatchResult) -> None:
         self._fetch_call = None
-        if self._left_to_handover and isinstance(result, WatchFailure):
+        if self._defers_calls and isinstance(result, WatchFailure):
             self._fetch_deferred = True
             return
         self._report(result)
@@ -172,13 +176,13 @@
 
     # -- handover to another address --
 
-    def move_to(self, address: Address) -> None:
-        """Hand over to another address; the watch on the old one stays until the new one has answered."""
+    def hand_over_to(self, address: Address) -> None:
+        """Switch to another address; the watch at the old one continues until the new one has responded."""
         handover = self._handover
         if handover is not None and handover.call_in_flight and handover.target.address == address:
             return  # a second call would wait behind the first one
-        self._abandon_handover()  # of several moves in a row the last one counts
-        self._target.refuses_connections = False  # it may be back since
+        self._abandon_handover()
+        self._target.refuses_connections = False  # until a call shows that it still does
         if address == self._target.address:
             self._resume_calls()
             return
@@ -189,7 +193,7 @@
         self._handover.start()
 
     def _resume_calls(self) -> None:
-        """Go on at an address that a move leads back to, and whose calls had ended."""
+        """Resume the calls at the current address, after a handover to another one was abandoned."""
         if self._watching and self._watch_call is None:
             self.watch()
         if self._fetch_deferred:
@@ -206,7 +210,7 @@
         if self._handover is None:
             return
         self._abandon_watch_call()
-        self._abandon_fetch_call()  # this list answers it, and the deferred calls too
+        self._abandon_fetch_call()  # the new address's list is its result, and that of the deferred calls
         self._watch_deferred = False
         self._fetch_deferred = False
         self._target.close()
@@ -219,9 +223,9 @@
         self._report(endpoint_list)
 
     def _on_handover_failure(self, failure: WatchFailure) -> None:
-        """Report a failure once for each call that was left to the handover."""
-        deferred = [self._watch_deferred, self._fetch_deferred].count(True)
+        """Report a failure once for each deferred call."""
+        deferred_calls = [self._watch_deferred, self._fetch_deferred].count(True)
         self._watch_deferred = False
         self._fetch_deferred = False
-        for _ in range(deferred):
+        for _ in range(deferred_calls):
             self._report(failure)
--- a/loadbalancer/proxy/discovery_handover.py
+++ b/loadbalancer/proxy/discovery_handover.py
@@ -1,4 +1,4 @@
-"""The move to another address of discovery."""
+"""The handover to another address of discovery."""
 
 from __future__ import annotations
 
@@ -10,16 +10,15 @@
 from loadbalancer.proxy.discovery_call import DiscoveryCall, DiscoveryTarget, WatchFailure, WatchResult
 from loadbalancer.proxy.endpoint_list import EndpointList
 
-# The whole list of a new address counts as received 4 s after the signal. A discovery with many callers
-# answers them in turn, and a call that is given up stays in its queue: a retry would wait behind it. With the
-# margin of each call's timeout, the call has all of that time.
+# For the complete list of the new address, which must be there within 4 s: this and the margin of each call.
+# A shorter wait would not help, since a discovery with many callers serves abandoned calls before the retry.
 HANDOVER_WAIT_S = 3.0
 
 
 class DiscoveryHandover:
-    """Asks a new address for the whole list, with retries, until it answers; then the handover is complete.
+    """Calls a new address for the complete list, with retries and backoff, until it responds.
 
-    Until then the client keeps its watch on the old address.
+    Meanwhile the client keeps its watch at the old address.
     """
 
     def __init__(
@@ -29,6 +28,14 @@
         on_complete: Callable[[EndpointList], None],
         on_failure: Callable[[WatchFailure], None],
     ) -> None:
+        """Set up a handover; `start` begins it.
+
+        Args:
+            target: The new address.
+            rng: Draws the jitter of the backoff.
+            on_complete: Is called once with the complete list.
+            on_failure: Is called for each call that failed.
+        """
         self.target = target
         self.backoff = Backoff(rng)
         self._on_complete = on_complete
@@ -38,16 +45,16 @@
 
     @property
     def call_in_flight(self) -> bool:
-        """Whether the address is being asked at this moment."""
+        """Whether a call to the new address is in flight."""
         return self._call is not None
 
     def start(self) -> None:
-        """Ask the new address for the whole list."""
+        """Call the new address for the complete list."""
         self._retry_timer = None
         self._call = self.target.call("", HANDOVER_WAIT_S, self._on_call_ended)
 
     def abandon(self) -> None:
-        """Give the move up: another address counts now."""
+        """End the handover without a report."""
         if self._call is not None:
             self._call.abandon()
         if self._retry_timer is not None:
@@ -61,5 +68,5 @@
             return
         self.backoff.record_failure()
         self._retry_timer = asyncio.get_running_loop().call_later(self.backoff.delay_s(), self.start)
-        # A list that is not complete, or older than the one in force, is no success either.
+        # A list that is incomplete, or older than the current one, is a failure too.
         self._on_failure(result if isinstance(result, WatchFailure) else WatchFailure.CALL_FAILED)
--- a/loadbalancer/proxy/endpoint_list.py
+++ b/loadbalancer/proxy/endpoint_list.py
@@ -1,4 +1,4 @@
-"""An endpoint list as discovery gave it, stored without an object for each endpoint."""
+"""An endpoint list as received from discovery, stored without an object for each endpoint."""
 
 from __future__ import annotations
 
@@ -20,20 +20,23 @@
 
 
 class EndpointList:
-    """An answer of discovery: all endpoints, or those that changed.
+    """A response of discovery: all endpoints if it is complete, or those that changed.
 
     An entry is the id, the attributes and the address at the same index. Equal attributes are one object.
     """
 
     def __init__(self, id_registry: EndpointIdRegistry, version: int = 0, complete: bool = False) -> None:
-        self.id_registry = id_registry  # which assigned the ids
+        self.id_registry = id_registry
+        """Assigned the ids."""
         self.version = version
         self.complete = complete
         self.ids = array("Q")
         self.attributes: list[EndpointAttributes] = []
         self.addresses: list[CompactAddress] = []
-        self.unreadable: list[int] = []  # listed, but their entries can't be read: what is known stays
-        self.superseded: set[int] = set()  # named by a newer list that was applied before this one
+        self.unreadable: list[int] = []
+        """Endpoints with invalid entries, which keep their earlier state."""
+        self.superseded: set[int] = set()
+        """Endpoints in a newer list that was applied before this one."""
 
     def __len__(self) -> int:
         return len(self.ids)
@@ -44,6 +47,10 @@
         self.attributes.append(attributes)
         self.addresses.append(address)
 
+    def supersede(self, endpoint_ids: array[int]) -> None:
+        """Skip these endpoints when the list is applied, since a newer list with them was applied before."""
+        self.superseded.update(endpoint_ids)
+
     def clear(self) -> None:
         """Free the memory of the entries once they have been applied."""
         del self.ids[:]
@@ -52,6 +59,6 @@
 
     @property
     def entries(self) -> Iterator[ListedEndpoint]:
-        """The entries one by one, unpacked."""
+        """The entries one by one, with their addresses as host and port."""
         for endpoint_id, attributes, address in zip(self.ids, self.attributes, self.addresses, strict=True):
             yield ListedEndpoint(Endpoint(endpoint_id, *attributes), expand_address(address))
--- a/loadbalancer/proxy/endpoint_list_applier.py
+++ b/loadbalancer/proxy/endpoint_list_applier.py
@@ -1,8 +1,8 @@
 """Applies endpoint lists: stores the addresses and reports the endpoints to the policy.
 
 A long list is applied in slices of a fraction of a millisecond, as deltas, so that requests are served
-meanwhile. A short list that comes in between is applied at once; the long list then leaves out the endpoints
-that the short one named.
+meanwhile. A short list that is received in between is applied at once, and supersedes its endpoints' entries
+in the long list.
 """
 
 from __future__ import annotations
@@ -17,17 +17,26 @@
 from loadbalancer.proxy.endpoint_list import EndpointList
 from loadbalancer.proxy.endpoint_list_reader import EndpointListReader
 
-SLICE_ENTRIES = 64  # entries of a long list that are applied between two turns of the event loop
-SLICE_IDS = SLICE_ENTRIES * SLICE_ENTRIES  # the same for steps that only copy ids
-SWEEP_SEGMENTS = 1  # of the id registry at each sweep: all segments take some four minutes
-FAILURE_KINDS = {
+# Entries of a long list that are applied between two turns of the event loop.
+SLICE_ENTRIES = 64
+
+# Ids that are only copied between two turns of the event loop.
+SLICE_IDS = SLICE_ENTRIES * SLICE_ENTRIES
+
+# A complete list that replaces more endpoints than this is applied in slices, however short it is.
+MAX_REPLACED_AT_ONCE = 2 * SLICE_ENTRIES
+
+# Of the id registry at each sweep: all segments take some four minutes.
+SWEEP_SEGMENTS = 1
+
+UPDATE_KIND_BY_FAILURE = {
     WatchFailure.CALL_FAILED: EndpointUpdateKind.FAILED,
     WatchFailure.TIMED_OUT: EndpointUpdateKind.WATCH_TIMED_OUT,
 }
 
 
 class EndpointListApplier:
-    """Applies endpoint lists in the order in which they came."""
+    """Applies endpoint lists in the order in which they are received."""
 
     def __init__(
         self,
@@ -35,6 +44,13 @@
         addresses: EndpointAddresses,
         on_update: Callable[[EndpointUpdate], None],
     ) -> None:
+        """Start with no list.
+
+        Args:
+            reader: Reads the lists, and holds the registry of their ids.
+            addresses: Where the addresses are stored.
+            on_update: Is called with each update for the policy.
+        """
         self._reader = reader
         self._addresses = addresses
         self._on_update = on_update
@@ -56,7 +72,7 @@
             self._task.cancel()
 
     def apply_cached(self, endpoint_list: EndpointList | None) -> None:
-        """Apply the last known list at the start, in one go; the list is empty afterwards."""
+        """Apply the last known list at the start, at once; the list is empty afterwards."""
         if endpoint_list is None:
             self._on_update(EndpointUpdate(EndpointUpdateKind.CACHED, ()))
             return
@@ -66,13 +82,13 @@
             endpoints = list(endpoints)
         self._on_update(EndpointUpdate(EndpointUpdateKind.CACHED, endpoints))
         for _ in endpoints:
-            pass  # stores the addresses of what the policy has not read
+            pass  # stores the addresses of endpoints that the policy has not read
         endpoint_list.clear()
 
     def on_watch_result(self, result: WatchResult) -> None:
-        """Take what ended a call to discovery: a failure, or a list to apply now or in slices."""
+        """Report a failed call to discovery, or apply its list, at once or in slices."""
         if isinstance(result, WatchFailure):
-            self._on_update(EndpointUpdate(FAILURE_KINDS[result]))
+            self._on_update(EndpointUpdate(UPDATE_KIND_BY_FAILURE[result]))
         elif self._needs_slices(result):
             self._pending.append(result)
             if self._task is None:
@@ -85,13 +101,13 @@
             return True
         if not endpoint_list.complete:
             return False
-        many_listed = len(self._addresses) > 2 * SLICE_ENTRIES
-        return bool(endpoint_list.unreadable or self._pending or many_listed)
+        replaces_many = len(self._addresses) > MAX_REPLACED_AT_ONCE
+        return bool(endpoint_list.unreadable or self._pending or replaces_many)
 
     def _apply_at_once(self, endpoint_list: EndpointList) -> None:
         endpoints = list(self._store(endpoint_list, 0, len(endpoint_list)))
         for older in self._pending:
-            older.superseded.update(endpoint_list.ids)
+            older.supersede(endpoint_list.ids)
         kind = EndpointUpdateKind.DELTA
         if endpoint_list.complete:
             kind = EndpointUpdateKind.FULL
@@ -105,11 +121,7 @@
         self._task = None
 
     async def _apply_in_slices(self, endpoint_list: EndpointList) -> None:
-        unlisted: set[int] = set()  # endpoints that are known and not in a complete list
-        known = list(self._addresses.by_id) if endpoint_list.complete else []
-        for first in range(0, len(known), SLICE_IDS):
-            unlisted.update(known[first : first + SLICE_IDS])
-            await asyncio.sleep(0)
+        unlisted = await self._copy_known_ids() if endpoint_list.complete else set()
         unlisted.difference_update(endpoint_list.unreadable)
         for first in range(0, len(endpoint_list), SLICE_ENTRIES):
             end = min(first + SLICE_ENTRIES, len(endpoint_list))
@@ -119,17 +131,26 @@
             await asyncio.sleep(0)
         await self._remove_in_slices(list(unlisted), endpoint_list.superseded)
 
+    async def _copy_known_ids(self) -> set[int]:
+        known = list(self._addresses.by_id)
+        copied: set[int] = set()
+        for first in range(0, len(known), SLICE_IDS):
+            copied.update(known[first : first + SLICE_IDS])
+            await asyncio.sleep(0)
+        return copied
+
     async def _remove_in_slices(self, unlisted: list[int], superseded: set[int]) -> None:
+        """Remove endpoints that a complete list does not have, except those of lists received meanwhile."""
         for first in range(0, len(unlisted), SLICE_ENTRIES):
-            # A list that came meanwhile may have named some of them.
-            removed = [n for n in unlisted[first : first + SLICE_ENTRIES] if n not in superseded]
+            slice_ids = unlisted[first : first + SLICE_ENTRIES]
+            removed = [endpoint_id for endpoint_id in slice_ids if endpoint_id not in superseded]
             self._addresses.remove(removed)
             endpoints = [Endpoint(endpoint_id, EndpointStatus.REMOVED) for endpoint_id in removed]
             self._on_update(EndpointUpdate(EndpointUpdateKind.DELTA, endpoints))
             await asyncio.sleep(0)
 
     def _store(self, endpoint_list: EndpointList, first: int, end: int) -> Iterator[Endpoint]:
-        """Store the addresses of a part of a list, and give its endpoints for the policy."""
+        """Store the addresses of a part of a list, and yield its endpoints for the policy."""
         for index in range(first, end):
             endpoint_id = endpoint_list.ids[index]
             if endpoint_id in endpoint_list.superseded:
@@ -145,6 +166,6 @@
             yield Endpoint(endpoint_id, *attributes)
 
     def sweep_ids(self, segments: int = SWEEP_SEGMENTS) -> None:
-        """Free the ids of endpoints that are gone, unless a list that is not applied yet may name them."""
+        """Free the ids of removed endpoints, unless a list that is not applied yet may have them."""
         if self._reader.reads_in_progress == 0 and not self._pending:
             self._reader.id_registry.sweep(self._addresses.by_id, segments)
--- a/loadbalancer/proxy/endpoint_list_parser.py
+++ b/loadbalancer/proxy/endpoint_list_parser.py
@@ -1,4 +1,4 @@
-"""Builds an endpoint list from the events of a JSON parser."""
+"""Builds an endpoint list from the events of an incremental JSON parser."""
 
 from __future__ import annotations
 
@@ -9,7 +9,6 @@
 from enum import Enum, auto
 from functools import cache
 from sys import intern
-from typing import Any
 
 from loadbalancer.messages import EndpointStatus
 from loadbalancer.proxy.addresses import NO_ADDRESS, CompactAddress, parse_compact_address
@@ -31,26 +30,33 @@
 )
 from loadbalancer.state.endpoint_ids import EndpointIdRegistry, host_fingerprint, preferred_id
 from loadbalancer.state.endpoint_table import EndpointAttributes
+from loadbalancer.units import NANOSECONDS_PER_MILLISECOND
 
 log = logging.getLogger(__name__)
-NS_PER_MS = 1_000_000
+
 # Kinds of the JSON parser's events, beside "map_key" and the kinds of scalars.
 STARTS = frozenset({"start_map", "start_array"})
 ENDS = frozenset({"end_map", "end_array"})
-# Depths of nesting, outside the rows.
+
+# Depths of nesting, up to the entries.
 OUTSIDE_DEPTH = 0
 MEMBER_DEPTH = 1
-HOSTS_DEPTH = 2
+ENTRIES_DEPTH = 2
+
+DEFAULT_WEIGHT = 1.0
 
-JsonEvent = tuple[str, object]  # kind and value
-Row = dict[object, object]
+JsonEvent = tuple[str, object]
+"""The kind and the value."""
+
+Entry = dict[object, object]
+"""The members of an entry that are scalars."""
 
 
 @cache
 def unix_offset_ns() -> int:
     """Return what to add to the monotonic clock for Unix time.
 
-    There is one for the process, so that equal start times stay equal from list to list.
+    It is read once for the process, so that equal start times stay equal from list to list.
     """
     return time.time_ns() - time.monotonic_ns()
 
@@ -61,40 +67,52 @@
     NOT_STARTED = auto()
     ABSENT = auto()  # there is a value such as null in place of the object
     MEMBERS = auto()
-    HOSTS = auto()  # the array of rows, between two of them
+    ENTRIES = auto()  # the array of entries, between two of them
     FINISHED = auto()
 
 
 class EndpointListParser:
-    """Takes a JSON parser's events, as many at a time as there are, up to the end of the list's object."""
+    """Is fed a JSON parser's events, in any number of pieces, up to the end of the list's object."""
 
     def __init__(self, offset_ns: int, id_registry: EndpointIdRegistry | None = None) -> None:
+        """Start before the list's object.
+
+        Args:
+            offset_ns: What to add to the monotonic clock for Unix time.
+            id_registry: Assigns the ids; a new one if it is None.
+        """
         self._id_registry = EndpointIdRegistry() if id_registry is None else id_registry
         self._list = EndpointList(self._id_registry)
-        self._offset_ns = offset_ns  # from the monotonic clock to Unix time
+        self._offset_ns = offset_ns
         self._section = _Section.NOT_STARTED
         self._depth = OUTSIDE_DEPTH
         self._member: object = ""  # the last key at MEMBER_DEPTH
-        self._has_hosts = False
+        self._has_entries = False
         self._version: object = None
         self._complete: object = None
-        # The row that is being parsed, the values nested in it (skipped), and its last key.
-        self._row: Row | None = None
-        self._row_nesting = 0
-        self._row_key: object = None
-        self._interned: dict[Any, Any] = {}  # weights and attributes: one object for all that are equal
+        self._entry: Entry | None = None  # that is being parsed
+        self._entry_nesting = 0  # of values inside it, which are skipped
+        self._entry_key: object = None
+        self._weights: dict[float, float] = {}  # one object for all that are equal
+        self._attributes: dict[EndpointAttributes, EndpointAttributes] = {}  # likewise
 
     @property
     def started(self) -> bool:
         """Whether there is an object."""
         return self._section not in (_Section.NOT_STARTED, _Section.ABSENT)
 
-    def take(self, events: Iterator[JsonEvent]) -> bool:
-        """Take events until the list is over, and say if it is; what comes behind it is left."""
-        row, nesting, key = self._row, self._row_nesting, self._row_key
+    def feed(self, events: Iterator[JsonEvent]) -> bool:
+        """Consume events up to the end of the list.
+
+        Returns:
+            Whether the list has ended; the events after its end are left in the iterator.
+        """
+        entry = self._entry
+        nesting = self._entry_nesting
+        key = self._entry_key
         for kind, value in events:
-            if row is None:
-                row = self._take_outside_row(kind, value)
+            if entry is None:
+                entry = self._feed_outside_entry(kind, value)
                 if self._depth == OUTSIDE_DEPTH:
                     return True
             elif kind == "map_key":
@@ -104,29 +122,31 @@
                 nesting += 1
             elif kind not in ENDS:
                 if not nesting:
-                    row[key] = value
+                    entry[key] = value
             elif nesting:
                 nesting -= 1
             else:
-                self._add_row(row)
-                row = None
-        self._row, self._row_nesting, self._row_key = row, nesting, key
+                self._add_entry(entry)
+                entry = None
+        self._entry = entry
+        self._entry_nesting = nesting
+        self._entry_key = key
         return False
 
-    def _take_outside_row(self, kind: str, value: object) -> Row | None:
-        """Take an event between two rows or in the members; gives an empty row where one starts."""
+    def _feed_outside_entry(self, kind: str, value: object) -> Entry | None:
+        """Handle an event between two entries or in the members; return an empty entry where one starts."""
         if kind == "map_key":
             if self._depth == MEMBER_DEPTH:
                 self._member = value
         elif kind in STARTS:
-            in_hosts = self._section is _Section.HOSTS and self._depth == HOSTS_DEPTH
-            if in_hosts and kind == "start_map":
+            in_entries = self._section is _Section.ENTRIES and self._depth == ENTRIES_DEPTH
+            if in_entries and kind == "start_map":
                 return {}
             self._enter(kind)
         elif kind in ENDS:
             self._leave()
         elif self._depth == MEMBER_DEPTH:
-            self._take_member(value)
+            self._set_member(value)
         elif self._depth == OUTSIDE_DEPTH:
             self._section = _Section.ABSENT
         return None
@@ -135,9 +155,9 @@
         self._depth += 1
         if self._depth == MEMBER_DEPTH:
             self._section = _Section.MEMBERS
-        elif self._depth == HOSTS_DEPTH and kind == "start_array" and self._member == LIST_ENDPOINTS:
-            self._section = _Section.HOSTS
-            self._has_hosts = True
+        elif self._depth == ENTRIES_DEPTH and kind == "start_array" and self._member == LIST_ENDPOINTS:
+            self._section = _Section.ENTRIES
+            self._has_entries = True
 
     def _leave(self) -> None:
         self._depth -= 1
@@ -146,7 +166,7 @@
         elif self._depth == OUTSIDE_DEPTH:
             self._section = _Section.FINISHED
 
-    def _take_member(self, value: object) -> None:
+    def _set_member(self, value: object) -> None:
         if self._member == LIST_VERSION:
             self._version = value
         elif self._member == LIST_COMPLETE:
@@ -156,24 +176,26 @@
         """Return the list.
 
         Raises:
-            EndpointListError: if there was none, or a member that it needs is missing.
+            EndpointListError: There was no list, or it has no valid version or completeness.
         """
-        if not self._has_hosts:
-            raise EndpointListError("no object with hosts")
-        if not isinstance(self._version, int) or not isinstance(self._complete, bool):
-            raise EndpointListError("no seq or whole")
+        if not self._has_entries:
+            raise EndpointListError(f"not an object with an array {LIST_ENDPOINTS!r}")
+        if not isinstance(self._version, int):
+            raise EndpointListError(f"{LIST_VERSION} is not a whole number: {self._version!r}")
+        if not isinstance(self._complete, bool):
+            raise EndpointListError(f"{LIST_COMPLETE} is not true or false: {self._complete!r}")
         self._list.version = self._version
         self._list.complete = self._complete
         return self._list
 
-    def _add_row(self, row: Row) -> None:
-        host = row.get(ENTRY_HOST)
+    def _add_entry(self, entry: Entry) -> None:
+        host = entry.get(ENTRY_HOST)
         if not isinstance(host, str):
             return
         try:
-            attributes, address = self._read_row(row)
-        except (KeyError, ValueError, OverflowError, ArithmeticError) as error:
-            # One bad row must not hide the others, nor remove an endpoint that is there.
+            attributes, address = self._read_entry(entry)
+        except (ValueError, OverflowError, ArithmeticError) as error:
+            # An invalid entry neither hides the others nor removes a listed endpoint.
             log.warning("discovery: entry %.80s can't be read: %r", host, error)
             endpoint_id = self._id_registry.find(preferred_id(host), host_fingerprint(host))
             if endpoint_id is not None:
@@ -181,45 +203,54 @@
             return
         endpoint_id = self._endpoint_id(host, attributes.status)
         if endpoint_id is not None:
-            attributes = self._interned.setdefault(attributes, attributes)
+            attributes = self._attributes.setdefault(attributes, attributes)
             self._list.append(endpoint_id, attributes, address)
 
-    def _read_row(self, row: Row) -> tuple[EndpointAttributes, CompactAddress]:
-        status = STATUS_BY_NAME[str(row.get(ENTRY_STATUS))]
-        started_ms = row.get(ENTRY_STARTED_MS) or 0
-        cell = row.get(ENTRY_CELL) or 0
-        weight = row.get(ENTRY_WEIGHT) or 1.0
-        if not isinstance(started_ms, int) or not isinstance(cell, int):
-            raise EndpointListError("an entry's figures are no numbers")
+    def _read_entry(self, entry: Entry) -> tuple[EndpointAttributes, CompactAddress]:
+        """Return the attributes and the address of an entry.
+
+        Raises:
+            EndpointListError: A member is not of its type.
+            AddressError: The address is invalid.
+            OverflowError, ArithmeticError: The weight is out of range.
+        """
+        status = STATUS_BY_NAME.get(str(entry.get(ENTRY_STATUS)))
+        if status is None:
+            raise EndpointListError(f"{ENTRY_STATUS} is unknown: {entry.get(ENTRY_STATUS)!r:.40}")
+        started_ms = entry.get(ENTRY_STARTED_MS) or 0
+        if not isinstance(started_ms, int):
+            raise EndpointListError(f"{ENTRY_STARTED_MS} is not a whole number: {started_ms!r:.40}")
+        cell = entry.get(ENTRY_CELL) or 0
+        if not isinstance(cell, int):
+            raise EndpointListError(f"{ENTRY_CELL} is not a whole number: {cell!r:.40}")
+        weight = entry.get(ENTRY_WEIGHT) or DEFAULT_WEIGHT
         if not isinstance(weight, int | float | Decimal):
-            raise EndpointListError("an entry's figures are no numbers")
+            raise EndpointListError(f"{ENTRY_WEIGHT} is not a number: {weight!r:.40}")
         started_ns = self._started_ns(started_ms)
-        address = (
-            NO_ADDRESS
-            if status is EndpointStatus.REMOVED
-            else parse_compact_address(str(row.get(ENTRY_ADDRESS)))
-        )
+        removed = status is EndpointStatus.REMOVED
+        address = NO_ADDRESS if removed else parse_compact_address(str(entry.get(ENTRY_ADDRESS)))
         weight = float(weight)
-        weight = self._interned.setdefault(weight, weight)
-        zone = intern(str(row.get(ENTRY_ZONE) or ""))
-        machine_type = intern(str(row.get(ENTRY_MACHINE_TYPE) or ""))
+        weight = self._weights.setdefault(weight, weight)
+        zone = intern(str(entry.get(ENTRY_ZONE) or ""))
+        machine_type = intern(str(entry.get(ENTRY_MACHINE_TYPE) or ""))
         return EndpointAttributes(status, zone, cell, weight, started_ns, machine_type), address
 
     def _started_ns(self, started_ms: int) -> int:
         """Convert a start time from Unix time to the monotonic clock; 0: long ago.
 
-        No start lies in the future: clocks differ a little, and slow start knows nothing younger than new.
+        A start time in the future, from a clock that differs a little, counts as now.
         """
         if started_ms <= 0:
             return 0
-        return min(started_ms * NS_PER_MS - self._offset_ns, time.monotonic_ns())
+        return min(started_ms * NANOSECONDS_PER_MILLISECOND - self._offset_ns, time.monotonic_ns())
 
     def _endpoint_id(self, host: str, status: EndpointStatus) -> int | None:
-        """Return a host's id; None for the removal of an unknown host whose preferred id another host holds.
+        """Return a host's id; None for a removal of a host that is not listed.
 
-        The other host must stay.
+        Another host may hold the preferred id of the removed one, and must stay.
         """
-        preferred, fingerprint = preferred_id(host), host_fingerprint(host)
+        preferred = preferred_id(host)
+        fingerprint = host_fingerprint(host)
         if status is EndpointStatus.REMOVED:
             return self._id_registry.find(preferred, fingerprint)
         return self._id_registry.assign(preferred, fingerprint)
--- a/loadbalancer/proxy/endpoint_list_reader.py
+++ b/loadbalancer/proxy/endpoint_list_reader.py
@@ -13,28 +13,43 @@
 
 from loadbalancer.proxy.cooperative import CooperativeWork, run_to_completion
 from loadbalancer.proxy.endpoint_list import EndpointList
-from loadbalancer.proxy.endpoint_list_parser import ENDS, STARTS, EndpointListParser, JsonEvent
+from loadbalancer.proxy.endpoint_list_parser import (
+    ENDS,
+    MEMBER_DEPTH,
+    STARTS,
+    EndpointListParser,
+    JsonEvent,
+)
 from loadbalancer.proxy.errors import EndpointListError
 from loadbalancer.state.endpoint_ids import EndpointIdRegistry
 
 log = logging.getLogger(__name__)
-YIELD_BYTES = 4096  # some thirty rows, which take less than a millisecond
+
+# Some thirty entries, which take less than a millisecond.
+YIELD_BYTES = 4096
 
 
 class EndpointListReader:
-    """Reads discovery's answers, and takes none that is older than the last."""
+    """Reads the responses of discovery, and drops lists that are older than the newest one."""
 
     def __init__(self, offset_ns: int, id_registry: EndpointIdRegistry | None = None) -> None:
+        """Start with no list read.
+
+        Args:
+            offset_ns: What to add to the monotonic clock for Unix time.
+            id_registry: Assigns the ids of endpoints; a new one if it is None.
+        """
         self.id_registry = EndpointIdRegistry() if id_registry is None else id_registry
-        self.reads_in_progress = 0  # the ids that they assign may be in use nowhere else yet
-        self._offset_ns = offset_ns  # from the monotonic clock to Unix time
+        self.reads_in_progress = 0
+        """Lists that are being read; the ids assigned to their endpoints may be in use nowhere else yet."""
+        self._offset_ns = offset_ns
         self._newest_version: int | None = None
 
     def read(self, text: bytes) -> EndpointList:
-        """Read a list in one go.
+        """Read a list at once.
 
         Raises:
-            EndpointListError: if the text is no list.
+            EndpointListError: The text is not an endpoint list.
         """
         return run_to_completion(self.read_cooperatively(bytearray(text)))
 
@@ -42,16 +57,16 @@
         """Read a list, yielding every `YIELD_BYTES`; the text is empty afterwards.
 
         Raises:
-            EndpointListError: if the text is no list.
+            EndpointListError: The text is not an endpoint list.
         """
         list_parser = EndpointListParser(self._offset_ns, self.id_registry)
         finished = False
         with self._count_read(), _json_parser() as (json_parser, events):
             while text:
                 json_parser.send(bytes(text[:YIELD_BYTES]))
-                del text[:YIELD_BYTES]  # what has been read takes no more memory
+                del text[:YIELD_BYTES]  # frees the memory of what has been read
                 if not finished:
-                    finished = list_parser.take(iter(events))
+                    finished = list_parser.feed(iter(events))
                 events.clear()
                 if text:
                     yield
@@ -69,7 +84,7 @@
     def accept(self, endpoint_list: EndpointList) -> EndpointList:
         """Return the list or, if a newer one has been read, an empty one in its place.
 
-        Two calls may cross, or a new address of discovery lag behind the old one: that must undo nothing.
+        Two calls may cross, and another address of discovery may lag behind; neither may undo a change.
         """
         newest = self._newest_version
         if newest is not None and endpoint_list.version < newest:
@@ -81,7 +96,11 @@
 
 @contextmanager
 def _json_parser() -> Iterator[tuple[Any, list[JsonEvent]]]:
-    """A JSON parser and the list to which it adds its events; numbers keep their size."""
+    """An incremental JSON parser and the list to which it adds its events; numbers are not rounded.
+
+    Raises:
+        EndpointListError: The text is not JSON.
+    """
     events = ijson.sendable_list()
     try:
         yield basic_parse_coro(events), events
@@ -92,33 +111,52 @@
 def parse_object_around_list(
     chunks: Iterable[bytes], key: str, list_parser: EndpointListParser
 ) -> CooperativeWork[Any]:
-    """Parse a JSON object, yielding after each chunk; `list_parser` takes the endpoint list under `key`.
+    """Parse a JSON object, yielding after each chunk; `list_parser` is fed the endpoint list under `key`.
+
+    Returns:
+        The object without that member.
 
     Raises:
-        EndpointListError: if the text is not JSON.
+        EndpointListError: The text is not JSON.
     """
-    builder = ijson.ObjectBuilder()
-    depth = 0
+    builder = _ObjectBuilder(key)
     in_list = False
     with _json_parser() as (json_parser, events):
         for chunk in chunks:
             json_parser.send(chunk)
-            found = iter(events)
-            # A chunk may end in the list, or hold its end and more of the object.
-            while not (in_list and not list_parser.take(found)):
-                in_list = False
-                for kind, value in found:
-                    if kind == "map_key" and depth == 1 and value == key:
-                        in_list = True
-                        break
-                    if kind in STARTS:
-                        depth += 1
-                    elif kind in ENDS:
-                        depth -= 1
-                    builder.event(kind, float(value) if isinstance(value, Decimal) else value)
-                else:
+            remaining = iter(events)
+            # A chunk may end inside the list, or hold its end and more of the object.
+            while not in_list or list_parser.feed(remaining):
+                in_list = builder.feed_until_key(remaining)
+                if not in_list:
                     break
             events.clear()
             yield
         json_parser.close()
     return builder.value
+
+
+class _ObjectBuilder:
+    """Builds a JSON object from parser events, without the member of one key."""
+
+    def __init__(self, skipped_key: str) -> None:
+        self._skipped_key = skipped_key
+        self._builder = ijson.ObjectBuilder()
+        self._depth = 0
+
+    @property
+    def value(self) -> Any:  # noqa: ANN401 - any JSON value
+        """What the events so far make up."""
+        return self._builder.value
+
+    def feed_until_key(self, events: Iterator[JsonEvent]) -> bool:
+        """Consume events; return True at the skipped key, whose value comes next, and False at their end."""
+        for kind, value in events:
+            if kind == "map_key" and self._depth == MEMBER_DEPTH and value == self._skipped_key:
+                return True
+            if kind in STARTS:
+                self._depth += 1
+            elif kind in ENDS:
+                self._depth -= 1
+            self._builder.event(kind, float(value) if isinstance(value, Decimal) else value)
+        return False
--- a/loadbalancer/proxy/shutdown.py
+++ b/loadbalancer/proxy/shutdown.py
@@ -1,6 +1,6 @@
-"""Graceful shutdown: how long a proxy goes on after SIGTERM, and the wait until all is answered.
+"""Graceful shutdown: how long a proxy continues after SIGTERM, and the wait until it is drained.
 
-A proxy that drains still accepts connections and requests; each answer closes its connection.
+A proxy that drains still accepts connections and requests; each response closes its connection.
 """
 
 from __future__ import annotations
@@ -11,38 +11,42 @@
 from loadbalancer.settings import RequestClass
 from loadbalancer.units import NANOSECONDS_PER_SECOND
 
-LATE_CONNECTIONS_S = 0.5  # after SIGTERM, new connections go on coming for so long
-POLL_INTERVAL_S = 0.01
-# SIGKILL comes no sooner than the longest client timeout (MAX_CLIENT_TIMEOUT_S at most) and this grace period
-# after SIGTERM.
+# After SIGTERM, clients still open new connections for this time.
+LATE_CONNECTIONS_S = 0.5
+
+DRAINED_CHECK_INTERVAL_S = 0.01
+
+# SIGKILL follows SIGTERM after the longest client timeout, which is this at most, and the grace period.
 MAX_CLIENT_TIMEOUT_S = 3.0
-KILL_GRACE_S = 0.7
-FINAL_RESPONSES_S = 0.2  # before SIGKILL, so that the responses to what is still pending can go out
+KILL_GRACE_PERIOD_S = 0.7
+
+# Before SIGKILL, for the responses to pending requests to be sent.
+FINAL_RESPONSES_S = 0.2
 
 
 def shutdown_timeout_s(request_classes: Iterable[RequestClass]) -> float:
-    """Tell how long after SIGTERM a proxy may go on: what is open at SIGKILL gets no answer."""
+    """Return how long after SIGTERM a proxy may continue, in time for its last responses before SIGKILL."""
     longest_s = max(
         (c.client_timeout_ns / NANOSECONDS_PER_SECOND or MAX_CLIENT_TIMEOUT_S for c in request_classes),
         default=MAX_CLIENT_TIMEOUT_S,
     )
-    return min(longest_s, MAX_CLIENT_TIMEOUT_S) + KILL_GRACE_S - FINAL_RESPONSES_S
+    return min(longest_s, MAX_CLIENT_TIMEOUT_S) + KILL_GRACE_PERIOD_S - FINAL_RESPONSES_S
 
 
-async def wait_until_drained(is_drained: Callable[[], bool], end_s: float) -> bool:
-    """Wait until nothing is open any more.
+async def wait_until_drained(is_drained: Callable[[], bool], deadline_s: float) -> bool:
+    """Wait until all requests have their responses.
 
     Args:
-        is_drained: Whether that is so; asked again and again once late connections have had their time.
-        end_s: The time of the event loop's clock at which to give up.
+        is_drained: Whether that is so; called repeatedly after the time for late connections.
+        deadline_s: When to stop waiting, by the event loop's clock.
 
     Returns:
-        Whether all was answered in time.
+        Whether the proxy was drained in time.
     """
     loop = asyncio.get_running_loop()
     await asyncio.sleep(LATE_CONNECTIONS_S)
     while not is_drained():
-        if loop.time() >= end_s:
+        if loop.time() >= deadline_s:
             return False
-        await asyncio.sleep(POLL_INTERVAL_S)
+        await asyncio.sleep(DRAINED_CHECK_INTERVAL_S)
     return True
--- a/tests/proxy/test_discovery_handover.py
+++ b/tests/proxy/test_discovery_handover.py
@@ -56,7 +56,7 @@
         async with node(script, registry=old, known_list=known(5)) as client:
             await until(lambda: old.calls)
             left = client.node.discovery_client._target
-            client.node.discovery_client.move_to((HOST, new.server.port))
+            client.node.discovery_client.hand_over_to((HOST, new.server.port))
             await until(lambda: len(new.calls) == 2)
             assert new.calls[0][1] == "/registry/instances"
             assert new.calls[1][1].startswith("/registry/instances?after=3&")
@@ -76,7 +76,7 @@
         new = await start_discovery("s9", broken=written(503))
         async with node(script, registry=old, known_list=known(5)) as client:
             await until(lambda: old.calls)
-            client.node.discovery_client.move_to((HOST, new.server.port))
+            client.node.discovery_client.hand_over_to((HOST, new.server.port))
             await until(lambda: len(new.calls) == 2)
             old.change("s1")
             await until(lambda: len(client.node.addresses.ready()) == 2)
@@ -93,7 +93,7 @@
         new = await start_discovery("s9", broken=written(503))
         async with node(script, registry=old, known_list=known(5)) as client:
             await until(lambda: old.calls)
-            client.node.discovery_client.move_to((HOST, new.server.port))
+            client.node.discovery_client.hand_over_to((HOST, new.server.port))
             old.broken = written(503)
             old.change("s1")  # the watch ends
             await until(lambda: client.node.discovery_client._watch_call is None)
@@ -113,11 +113,11 @@
             await until(lambda: old.calls)
             addresses = [(HOST, r.server.port) for r in (*new, old)]
             for address in addresses:
-                client.node.discovery_client.move_to(address)
+                client.node.discovery_client.hand_over_to(address)
             old.change("s1")
             await until(lambda: len(client.node.addresses.ready()) == 2)
             for address in addresses[:2]:
-                client.node.discovery_client.move_to(address)
+                client.node.discovery_client.hand_over_to(address)
             await until(lambda: len(new[1].calls) == 2)
             assert not new[0].calls
             assert client.node.discovery_client._handover is None
@@ -149,11 +149,11 @@
         answer_in_turn(new, 1.3)
         async with node(script, registry=old, known_list=known(5)) as client:
             await until(lambda: old.calls)
-            client.node.discovery_client.move_to((HOST, new.server.port))
+            client.node.discovery_client.hand_over_to((HOST, new.server.port))
             await until(lambda: new.server.got)
             handover = client.node.discovery_client._handover
             assert handover is not None
-            client.node.discovery_client.move_to((HOST, new.server.port))
+            client.node.discovery_client.hand_over_to((HOST, new.server.port))
             assert client.node.discovery_client._handover is handover
             await until(lambda: client.node.discovery_client._handover is None)
             assert last_full_list(script) == [preferred_id("s9")]
@@ -181,7 +181,7 @@
     """Move the proxy to a new address while the old one ends its watch and listens no more."""
     client.node.dispatch(TimerExpired("watch"))
     await until(lambda: old.calls)
-    client.node.discovery_client.move_to((HOST, new.server.port))
+    client.node.discovery_client.hand_over_to((HOST, new.server.port))
     await until(lambda: new.server.got)
     old.broken = written(503)
     old.server.stop()
@@ -253,7 +253,7 @@
             await close_old_address_in_handover(old, new, client, script)
             client.node.dispatch(TimerExpired(asked))
             await until(lambda: client.node.discovery_client._target.refuses_connections)
-            client.node.discovery_client.move_to((HOST, old.server.port))
+            client.node.discovery_client.hand_over_to((HOST, old.server.port))
             await until(lambda: failed_updates(script) >= 2)  # it is still closed, and is asked
         new.server.stop()
 
@@ -270,7 +270,7 @@
         release = hold_first_list(new)
         async with node(script, registry=old, known_list=known(5)) as client:
             await until(lambda: old.calls)
-            client.node.discovery_client.move_to((HOST, new.server.port))
+            client.node.discovery_client.hand_over_to((HOST, new.server.port))
             await until(lambda: new.calls)
             old.change("s0", health="draining")
             await until(lambda: reported_statuses(script)[-1] is EndpointStatus.DRAINING)
--- a/tests/proxy/test_discovery_outage.py
+++ b/tests/proxy/test_discovery_outage.py
@@ -128,7 +128,7 @@
 def shorten(monkeypatch: pytest.MonkeyPatch) -> None:
     """All waits but the one of a watch where the list is asked for: what hides behind that is not seen."""
     for name, value in (
-        ("discovery_client.AGENT_WAIT_MS", 40),
+        ("discovery_client.PUSH_WAIT_MS", 40),
         ("discovery_client.RECOVERY_WAIT_MS", 20),
         ("discovery_call.TIMEOUT_MARGIN_S", 0.1),
         ("discovery_handover.HANDOVER_WAIT_S", 0.0),
@@ -238,7 +238,7 @@
         await new.server.start()
         async with node(ScriptedPolicy(), registry=old, known_list=known(5)) as client:
             await until(lambda: old.calls)
-            client.node.discovery_client.move_to((HOST, new.server.port))
+            client.node.discovery_client.hand_over_to((HOST, new.server.port))
             handover = client.node.discovery_client._handover
             assert handover is not None
             await until(lambda: handover.backoff.failures >= 2)
--- a/tests/proxy/test_endpoint_list_reader.py
+++ b/tests/proxy/test_endpoint_list_reader.py
@@ -294,5 +294,5 @@
         assert read_configuration(str(path)).known_endpoints is None
     for bad in ({"seq": 1}, {"seq": 1, "whole": True, "hosts": {}}):
         path.write_text(json.dumps(CONFIG | {"known": bad}))
-        with pytest.raises(ConfigurationError, match="known: no "):
+        with pytest.raises(ConfigurationError, match="known: not an object with an array 'hosts'"):
             read_configuration(str(path))
