--- /dev/null
+++ b/loadbalancer/proxy/client_eviction.py
@@ -0,0 +1,38 @@
+"""Which client connection is evicted for a new one when the limit of connections is reached."""
+
+from __future__ import annotations
+
+from loadbalancer.proxy.client_connection import ClientConnection
+from loadbalancer.proxy.client_timeouts import REQUEST_RECEIVE_TIMEOUT_S
+from loadbalancer.proxy.connection_table import ConnectionTable
+
+# A younger connection without a request is not evicted: its first request may be on the way.
+MIN_EVICTION_AGE_S = 0.05
+
+# While clients connect and send no request, a younger idle connection is not evicted: they time out first.
+MIN_IDLE_EVICTION_AGE_S = REQUEST_RECEIVE_TIMEOUT_S
+
+
+def eviction_candidate(
+    closing: ConnectionTable, awaiting_request: ConnectionTable, idle: ConnectionTable
+) -> ClientConnection | None:
+    """Return the connection to abort for a new one, if any may be aborted.
+
+    The oldest one that is closing comes first, then one whose request is due, then an idle one.
+
+    Args:
+        closing: Connections that are closed or rejected.
+        awaiting_request: Connections whose first request is due or half received.
+        idle: Connections between requests.
+    """
+    closing_client = closing.oldest()
+    if closing_client is not None:
+        return closing_client
+    awaiting_client = next(awaiting_request.closeable(MIN_EVICTION_AGE_S), None)
+    if awaiting_client is not None:
+        return awaiting_client
+    min_idle_age_s = MIN_IDLE_EVICTION_AGE_S if awaiting_request else 0.0
+    idle_client = next(idle.closeable(min_idle_age_s), None)
+    if idle_client is None or idle_client.has_unsent_data:
+        return None
+    return idle_client
--- a/loadbalancer/proxy/discovery_call.py
+++ b/loadbalancer/proxy/discovery_call.py
@@ -6,7 +6,6 @@
 import logging
 from collections.abc import Callable
 from enum import Enum
-from http import HTTPStatus
 
 from loadbalancer.messages import AttemptResult
 from loadbalancer.proxy.addresses import Address
@@ -17,6 +16,7 @@
 from loadbalancer.proxy.errors import EndpointListError
 from loadbalancer.proxy.exchange import start_exchange
 from loadbalancer.proxy.http import Message, write_request
+from loadbalancer.proxy.http_status import OK
 from loadbalancer.proxy.wire_names import ENDPOINT_LIST_PATH
 
 log = logging.getLogger(__name__)
@@ -114,7 +114,7 @@
 
     def _on_exchange_ended(self, result: AttemptResult, response: Message | None) -> None:
         self._target.refuses_connections = result is AttemptResult.CONNECT_FAILED
-        if result is not AttemptResult.OK or response is None or response.status != HTTPStatus.OK:
+        if result is not AttemptResult.OK or response is None or response.status != OK:
             self._log_failure(result, response)
             timed_out = result is AttemptResult.TIMEOUT
             self._on_result(WatchFailure.TIMED_OUT if timed_out else WatchFailure.CALL_FAILED)
--- a/loadbalancer/proxy/downstream.py
+++ b/loadbalancer/proxy/downstream.py
@@ -1,4 +1,4 @@
-"""The listener for clients: admission and eviction of connections, their time-outs and graceful close."""
+"""The listener for clients: admission and eviction of connections, their timeouts and graceful close."""
 
 from __future__ import annotations
 
@@ -6,57 +6,52 @@
 import logging
 import socket
 
+from loadbalancer.proxy import client_eviction
 from loadbalancer.proxy.client_connection import ClientConnection, RequestHandler
+from loadbalancer.proxy.client_timeouts import (
+    FLUSH_TIMEOUT_S,
+    KEEP_ALIVE_TIMEOUT_S,
+    LINGERING_CLOSE_TIMEOUT_S,
+    REQUEST_RECEIVE_TIMEOUT_S,
+    TIMEOUT_CHECK_INTERVAL_S,
+)
 from loadbalancer.proxy.connection_table import ConnectionTable
+from loadbalancer.proxy.http_status import REQUEST_TIMEOUT
 
 log = logging.getLogger(__name__)
 
 LISTEN_BACKLOG = 1024
 
-# Connections accepted before other work gets its turn.
+# Connections accepted in one turn of the event loop.
 MAX_ACCEPTS_PER_TURN = 16
 
-# Pause of accepting after the system had no file descriptor to give.
+# Pause of accepting after the system had no file descriptor left.
 ACCEPT_BACKOFF_S = 0.05
 
-# From connecting, or from a request's first byte, to its last byte.
-REQUEST_RECEIVE_TIMEOUT_S = 2.25
-
-# Between requests. It is the least that clients are promised: some keep idle connections for good.
-KEEP_ALIVE_TIMEOUT_S = 2.0
-
-# For a client that was rejected to read the answer.
-LINGERING_CLOSE_TIMEOUT_S = 0.5
-
-# For the last bytes of a large answer to go out after a close.
-FLUSH_TIMEOUT_S = 3.0
-
-# How often the time-outs above are looked at.
-TIMEOUT_CHECK_INTERVAL_S = 0.1
-
-# Part of the capacity; with more connections open, answers end their connections.
+# Part of the limit; with more connections open, responses close their connections.
 KEEP_ALIVE_MAX_OCCUPANCY = 0.6
 
-# A younger connection without a request is not evicted: its first request may be on the way.
-MIN_EVICTION_AGE_S = 0.05
-
 
 class DownstreamServer:
-    """Listens for clients, and bounds their connections' number and the time they take to send and to read.
+    """Listens for clients, and limits the number of connections and the time in each of their states.
 
-    Its tables hold the connections by what they wait for: a request of the client, the next request after an
-    answer, the end of a lingering close, or the last bytes of an answer. A connection whose request is being
-    handled is in none of them.
+    Its tables hold the connections by state. A connection whose request is being handled is in none of them.
     """
 
-    def __init__(self, handler: RequestHandler, capacity: int) -> None:
+    def __init__(self, handler: RequestHandler, max_connections: int) -> None:
+        """Set up the server; `listen` opens its port.
+
+        Args:
+            handler: Responds to the requests.
+            max_connections: How many may be open at once.
+        """
         self._handler = handler
-        self._capacity = capacity
+        self._max_connections = max_connections
         self._connections: set[ClientConnection] = set()
         self._idle = ConnectionTable()  # kept alive between requests
         self._awaiting_request = ConnectionTable()  # the first request is due, or one has started
-        self._closing = ConnectionTable()  # closed or rejected, the last bytes still on their way
-        self._flushing = ConnectionTable()  # closed, but a good part of an answer is still to be written
+        self._closing = ConnectionTable()  # closed or rejected, until the connection is lost
+        self._flushing = ConnectionTable()  # closed, and part of a response is still to be written
         self._accept_tasks: set[asyncio.Task[object]] = set()
         self._socket: socket.socket | None = None
         self._accepting = False
@@ -68,6 +63,9 @@
 
         Returns:
             The port, chosen by the system if `port` is 0.
+
+        Raises:
+            OSError: The port can't be opened.
         """
         family = socket.AF_INET6 if ":" in host else socket.AF_INET
         self._socket = socket.socket(family, socket.SOCK_STREAM)
@@ -81,12 +79,12 @@
 
     @property
     def nearly_full(self) -> bool:
-        """Whether so many connections are open that clients without one may find no room."""
-        return len(self._connections) > KEEP_ALIVE_MAX_OCCUPANCY * self._capacity
+        """Whether so many connections are open that they are no longer kept alive."""
+        return len(self._connections) > KEEP_ALIVE_MAX_OCCUPANCY * self._max_connections
 
     @property
     def flushing(self) -> bool:
-        """Whether part of any answer is still to be written."""
+        """Whether part of any response is still to be written."""
         return bool(self._flushing) or any(client.has_unsent_data for client in self._connections)
 
     # -- admission --
@@ -96,16 +94,16 @@
             self._accepting = True
             asyncio.get_running_loop().add_reader(self._socket, self._accept)
 
-    def _pause_accepting(self, for_s: float | None = None) -> None:
-        """Leave new connections in the listen queue, until something resumes or the time is over."""
+    def _pause_accepting(self, duration_s: float | None = None) -> None:
+        """Leave new connections in the listen queue, for a time or until one ends or becomes idle."""
         if self._socket is not None and self._accepting:
             self._accepting = False
             asyncio.get_running_loop().remove_reader(self._socket)
-            if for_s is not None:
-                asyncio.get_running_loop().call_later(for_s, self._resume_accepting)
+            if duration_s is not None:
+                asyncio.get_running_loop().call_later(duration_s, self._resume_accepting)
 
     def _accept(self) -> bool:
-        """Accept connections from the listen queue as far as there is room.
+        """Accept connections from the listen queue as far as the limit allows.
 
         Returns:
             Whether the listen queue was found empty.
@@ -113,8 +111,7 @@
         assert self._socket is not None
         for _ in range(MAX_ACCEPTS_PER_TURN):
             if self._full and self._eviction_candidate() is None:
-                # Where all are busy, the first to end lets the next one in.
-                self._pause_accepting(MIN_EVICTION_AGE_S if self._awaiting_request else None)
+                self._pause_until_eviction()
                 return False
             try:
                 accepted, _ = self._socket.accept()
@@ -128,13 +125,17 @@
                 self._pause_accepting(ACCEPT_BACKOFF_S)
                 return False
             if self._full:
-                self._evict_one()  # only now that one has come: it might have been the last that came
+                self._evict_one()  # only now: the listen queue might have been empty
             self._start_connection(accepted)
         return False
 
+    def _pause_until_eviction(self) -> None:
+        """Pause until a connection may be evicted, or until one ends if all have requests."""
+        self._pause_accepting(client_eviction.MIN_EVICTION_AGE_S if self._awaiting_request else None)
+
     @property
     def _full(self) -> bool:
-        return len(self._connections) >= self._capacity
+        return len(self._connections) >= self._max_connections
 
     def _start_connection(self, accepted: socket.socket) -> None:
         accepted.setblocking(False)
@@ -151,31 +152,17 @@
     async def _attach_transport(self, client: ClientConnection, accepted: socket.socket) -> None:
         try:
             await asyncio.get_running_loop().connect_accepted_socket(lambda: client, accepted)
-        except OSError:  # the client has gone in the meantime
+        except OSError:  # the client has disconnected
             accepted.close()
             self.remove(client)
 
     # -- eviction --
 
     def _eviction_candidate(self) -> ClientConnection | None:
-        """Return the connection that makes room for a new one, if any may be aborted.
-
-        Closing ones go first, then those that owe a request, then idle ones.
-        """
-        closing = self._closing.oldest()
-        if closing is not None:
-            return closing
-        owing = next(self._awaiting_request.closeable(MIN_EVICTION_AGE_S), None)
-        if owing is not None:
-            return owing
-        idle_age_s = REQUEST_RECEIVE_TIMEOUT_S if self._awaiting_request else 0.0
-        idle = next(self._idle.closeable(idle_age_s), None)
-        if idle is None or idle.has_unsent_data:
-            return None
-        return idle
+        return client_eviction.eviction_candidate(self._closing, self._awaiting_request, self._idle)
 
     def _evict_one(self) -> bool:
-        """Abort one connection to make room at once.
+        """Abort one connection at once, for a new one.
 
         Returns:
             Whether there was one that could be aborted.
@@ -190,43 +177,43 @@
     # -- states of the connections --
 
     def mark_busy(self, client: ClientConnection) -> None:
-        """Note that a request of the client is being handled."""
+        """Record that a request of the client is being handled."""
         self._awaiting_request.discard(client)
         self._idle.discard(client)
 
     def mark_idle(self, client: ClientConnection) -> None:
-        """Note that the connection is kept alive for the client's next request."""
+        """Record that the connection is kept alive for the client's next request."""
         self._awaiting_request.discard(client)
         self._idle.add(client)
         self._resume_accepting()
 
     def expect_request(self, client: ClientConnection) -> None:
-        """Note that a request has started, and that the rest is due."""
+        """Record that a request has started, and that the rest is due."""
         if client in self._idle:  # for the first request, the time runs from connecting
             self._idle.discard(client)
             self._awaiting_request.add(client)
 
     def start_closing(self, client: ClientConnection, flushing: bool = False) -> None:
-        """Note that the connection is ending; `flushing` if part of an answer is still to be written."""
+        """Record that the connection is closing; `flushing` if part of a response is still to be written."""
         self._awaiting_request.discard(client)
         self._idle.discard(client)
         if client in self._connections:
             (self._flushing if flushing else self._closing).add(client)
 
     def remove(self, client: ClientConnection) -> None:
-        """Forget a connection that has ended, and accept others in its place."""
+        """Remove a connection that has ended, and accept others in its place."""
         self._connections.discard(client)
         for table in (self._idle, self._awaiting_request, self._closing, self._flushing):
             table.discard(client)
         self._resume_accepting()
 
-    # -- time-outs --
+    # -- timeouts --
 
     def _enforce_timeouts(self) -> None:
-        """End the connections whose time is over, now and at intervals."""
+        """End the connections that have timed out, now and at intervals."""
         for client in self._awaiting_request.closeable(REQUEST_RECEIVE_TIMEOUT_S):
             if client.request_started:
-                client.reject(408)
+                client.reject(REQUEST_TIMEOUT)
             else:
                 client.close()
         for client in self._idle.closeable(KEEP_ALIVE_TIMEOUT_S):
@@ -237,8 +224,8 @@
             TIMEOUT_CHECK_INTERVAL_S, self._enforce_timeouts
         )
 
-    def _abort_older_than(self, table: ConnectionTable, limit_s: float) -> None:
-        while (client := table.oldest(limit_s)) is not None:
+    def _abort_older_than(self, table: ConnectionTable, max_age_s: float) -> None:
+        while (client := table.oldest(max_age_s)) is not None:
             self.remove(client)
             client.abort()
 
@@ -249,17 +236,18 @@
         self.draining = True
 
     def continue_shutdown(self) -> bool:
-        """Take the next step of the graceful shutdown.
+        """Take the next step of the graceful shutdown; called repeatedly.
 
-        New clients are refused once all connections that the system has accepted are taken in; connections on
-        which no request has started are closed.
+        The listening socket is closed once the listen queue is empty, and connections on which no request has
+        started are closed.
 
         Returns:
-            Whether the listener is closed and no connection is left that may still bring a request.
+            Whether the listener is closed and no connection is left that may still send a request.
         """
         if self._socket is not None and self._accept():
             self.stop_listening()
-        for client in [*self._idle.closeable(), *self._awaiting_request.closeable(MIN_EVICTION_AGE_S)]:
+        awaiting = self._awaiting_request.closeable(client_eviction.MIN_EVICTION_AGE_S)
+        for client in [*self._idle.closeable(), *awaiting]:
             if not client.request_started:
                 client.close()
         return self._socket is None and not (self._idle or self._awaiting_request)
@@ -272,7 +260,7 @@
             self._socket = None
 
     def abort(self) -> None:
-        """Give up what is left, at the end of the process."""
+        """Stop listening and close all connections, at the end of the process."""
         self.stop_listening()
         if self._timeout_timer is not None:
             self._timeout_timer.cancel()
--- a/loadbalancer/proxy/endpoint_connection.py
+++ b/loadbalancer/proxy/endpoint_connection.py
@@ -8,7 +8,8 @@
 from typing import Protocol, cast
 
 from loadbalancer.messages import AttemptResult
-from loadbalancer.proxy.http import CONTENT_TOO_LARGE, Message, MessageReader
+from loadbalancer.proxy.http import Message, MessageReader
+from loadbalancer.proxy.http_status import CONTENT_TOO_LARGE
 from loadbalancer.proxy.socket_state import has_unread_input
 
 
--- a/loadbalancer/proxy/gossip.py
+++ b/loadbalancer/proxy/gossip.py
@@ -1,4 +1,4 @@
-"""Gossip: datagrams between the proxies. They may be lost, and nothing waits for an answer."""
+"""Gossip: datagrams between the proxies. They may be lost, and are not acknowledged."""
 
 from __future__ import annotations
 
@@ -11,11 +11,13 @@
 
 log = logging.getLogger(__name__)
 MAX_MESSAGE_BYTES = 256
-ALL_PEERS = -1  # as a recipient
+
+# As a recipient.
+ALL_PEERS = -1
 
 
 class Gossip(asyncio.DatagramProtocol):
-    """Sends messages to peers by their index, and hands on those that come from their addresses."""
+    """Sends messages to peers by their index, and reports those received from their addresses."""
 
     def __init__(
         self,
@@ -29,7 +31,7 @@
         Args:
             peers: The addresses of all proxies, by their index.
             all_peers: The address that reaches all peers at once, None if there is none.
-            proxy_index: This proxy's own index; what comes from its address is dropped.
+            proxy_index: This proxy's own index; messages from its address are dropped.
             on_message: Is called with the sender's index and the message.
         """
         self._peers = peers
@@ -39,21 +41,21 @@
         self._transport: asyncio.DatagramTransport | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Take the socket."""
+        """Keep the transport of the socket."""
         self._transport = cast(asyncio.DatagramTransport, transport)
 
     def datagram_received(self, data: bytes, address: tuple[str | object, int]) -> None:
-        """Hand on a message of a peer; drop what comes from elsewhere or is too long."""
+        """Report a message of a peer; drop messages from elsewhere and those that are too long."""
         sender = self._indexes.get(cast(Address, address[:2]))
         if sender is not None and len(data) <= MAX_MESSAGE_BYTES:
             self._on_message(sender, data)
 
     def error_received(self, error: Exception) -> None:
-        """Log that the system could not deliver a message: the peer may be down."""
+        """Log that a message could not be delivered; the peer may be down."""
         log.info("gossip: message to a peer not delivered: %s", error)
 
     def send(self, data: bytes, recipient: int) -> None:
-        """Send a message to the peer of that index or to `ALL_PEERS`; drop it if that can't be done."""
+        """Send a message to the peer of that index or to `ALL_PEERS`; drop it if that is not possible."""
         address = self._address_of(recipient)
         if self._transport is not None and address is not None and len(data) <= MAX_MESSAGE_BYTES:
             self._transport.sendto(data, address)
--- a/loadbalancer/proxy/health_checks.py
+++ b/loadbalancer/proxy/health_checks.py
@@ -1,4 +1,4 @@
-"""Health checks: asks endpoints for their health or their load report and reports the answers."""
+"""Health checks: requests for the health or the load report of endpoints."""
 
 from __future__ import annotations
 
@@ -10,17 +10,19 @@
 from loadbalancer.proxy.connection_pool import ConnectionPool
 from loadbalancer.proxy.exchange import start_exchange
 from loadbalancer.proxy.http import Message, write_request
+from loadbalancer.proxy.http_status import OK
 from loadbalancer.proxy.load_report import parse_load_report
 from loadbalancer.proxy.wire_names import LIVENESS_PATH, LOAD_REPORT_PATH
 
 TIMEOUT_S = 0.05
 MAX_IN_FLIGHT = 256
-ATTEMPT_CONNECTIONS_DIVISOR = 8  # one in so many connections is reserved for attempts
-OK_STATUS = 200
+
+# One in so many connections is reserved for attempts.
+ATTEMPT_CONNECTIONS_DIVISOR = 8
 
 
 class HealthChecks:
-    """Carries out the health checks that the policy asks for."""
+    """Carries out the health checks that the policy requests."""
 
     def __init__(
         self,
@@ -31,35 +33,35 @@
         """Set up the health checks.
 
         Args:
-            connection_pool: Gives the connections to an endpoint, None where nothing new may be sent to it.
+            connection_pool: Returns the connections to an endpoint, None if it takes no new requests.
             on_ended: Is called once for each check.
-            with_load_reports: Whether endpoints give load reports, which then are the answers to the checks.
+            with_load_reports: Whether endpoints respond to health checks with load reports.
         """
-        self.in_flight = 0
+        self._in_flight = 0
         self._connection_pool = connection_pool
         self._on_ended = on_ended
         self._path = LOAD_REPORT_PATH if with_load_reports else LIVENESS_PATH
 
     def start(self, endpoint_id: int) -> None:
-        """Start a health check; it fails at once where it can't be sent."""
+        """Start a health check; it fails at once if it can't be sent or too many are in flight."""
         pool = self._connection_pool(endpoint_id)
         started_ns = time.monotonic_ns()
-        if pool is None or self.in_flight >= MAX_IN_FLIGHT:
-            self.report(HealthCheckEnded(endpoint_id, AttemptResult.CONNECT_FAILED, 0))
+        if pool is None or self._in_flight >= MAX_IN_FLIGHT:
+            self._on_ended(HealthCheckEnded(endpoint_id, AttemptResult.CONNECT_FAILED, elapsed_ns=0))
             return
-        self.in_flight += 1
-        check = HealthCheck(self, endpoint_id, started_ns)
+        self._in_flight += 1
+        check = HealthCheck(endpoint_id, started_ns, self._on_check_ended)
         host, port = pool.address
         start_exchange(
-            pool,
-            write_request(b"GET", self._path, [(b"Host", f"{host}:{port}".encode())]),
-            TIMEOUT_S,
-            check.on_ended,
-            pool.limits.max_connections // ATTEMPT_CONNECTIONS_DIVISOR,
+            pool=pool,
+            data=write_request(b"GET", self._path, [(b"Host", f"{host}:{port}".encode())]),
+            timeout_s=TIMEOUT_S,
+            on_ended=check.on_exchange_ended,
+            reserved_connections=pool.limits.max_connections // ATTEMPT_CONNECTIONS_DIVISOR,
         )
 
-    def report(self, ended: HealthCheckEnded) -> None:
-        """Hand on how a health check ended."""
+    def _on_check_ended(self, ended: HealthCheckEnded) -> None:
+        self._in_flight -= 1
         self._on_ended(ended)
 
 
@@ -67,16 +69,15 @@
 class HealthCheck:
     """One health check in flight."""
 
-    checks: HealthChecks
     endpoint_id: int
-    started_ns: int
+    started_ns: int  # on the monotonic clock
+    on_ended: Callable[[HealthCheckEnded], None]
 
-    def on_ended(self, result: AttemptResult, response: Message | None) -> None:
-        """Take the result, or the response whatever its status."""
-        self.checks.in_flight -= 1
-        report = None
+    def on_exchange_ended(self, result: AttemptResult, response: Message | None) -> None:
+        """Report the result, with the load report if the response has one."""
+        load_report = None
         if response is not None:
-            result = AttemptResult.OK if response.status == OK_STATUS else AttemptResult.REJECTED
-            report = parse_load_report(response.body)
+            result = AttemptResult.OK if response.status == OK else AttemptResult.REJECTED
+            load_report = parse_load_report(response.body)
         elapsed_ns = time.monotonic_ns() - self.started_ns
-        self.checks.report(HealthCheckEnded(self.endpoint_id, result, elapsed_ns, report))
+        self.on_ended(HealthCheckEnded(self.endpoint_id, result, elapsed_ns, load_report))
--- a/loadbalancer/proxy/http.py
+++ b/loadbalancer/proxy/http.py
@@ -7,16 +7,24 @@
 
 import httptools
 
+from loadbalancer.proxy.http_status import (
+    BAD_REQUEST,
+    CONTENT_TOO_LARGE,
+    FIRST_FINAL_STATUS,
+    REASON_PHRASES,
+    REQUEST_HEADER_FIELDS_TOO_LARGE,
+)
+
 # Of a request.
 MAX_REQUEST_BODY_BYTES = 64 * 1024
 
-# Of a response: endpoints send some of 400 KB, though 64 KB are agreed.
+# Of a response: some endpoints send 400 KB, though 64 KB are specified.
 MAX_RESPONSE_BODY_BYTES = 1024 * 1024
 
 # Of a message's start line and headers, or of the trailers together with them.
 MAX_HEADER_BYTES = 16 * 1024
 
-# Bytes that a chunked message may take for each byte that its body may have: a byte a chunk takes six.
+# Bytes of a chunked message for each byte that its body may have: one in a chunk of its own takes six.
 MAX_FRAMING_FACTOR = 8
 
 # 1xx responses ahead of a final one.
@@ -25,24 +33,7 @@
 # Digits of a number in a header.
 MAX_DECIMAL_DIGITS = 15
 
-FIRST_FINAL_STATUS = 200
-BAD_REQUEST = 400
-CONTENT_TOO_LARGE = 413
-REQUEST_HEADER_FIELDS_TOO_LARGE = 431
-
-REASON_PHRASES = {
-    200: "OK",
-    400: "Bad Request",
-    405: "Method Not Allowed",
-    408: "Request Timeout",
-    409: "Conflict",
-    413: "Content Too Large",
-    431: "Request Header Fields Too Large",
-    503: "Service Unavailable",
-    504: "Gateway Timeout",
-}
-
-# Headers of one connection, or of one message's framing: a proxy does not forward them.
+# Headers that apply to one connection, or to the framing of one message: a proxy does not forward them.
 HOP_BY_HOP_HEADERS = frozenset(
     {
         b"connection",
@@ -65,10 +56,10 @@
 
 @dataclass(slots=True, eq=False)
 class Message:
-    """A whole request (with `method` and `target`) or response (with `status`)."""
+    """A complete request (with `method` and `target`) or response (with `status`)."""
 
     headers: list[tuple[bytes, bytes]]
-    """Names in lower case and values, as they came."""
+    """Names in lower case and values, in the order received."""
     body: bytearray
     keep_alive: bool
     method: bytes = b""
@@ -95,18 +86,18 @@
 
 
 class MessageReader:
-    """Cuts the bytes of a connection into messages; `error_status` says when they can't be read on."""
+    """Splits the bytes of a connection into messages; `error_status` is set when that fails."""
 
     def __init__(self, responses: bool = False, max_body_bytes: int = MAX_REQUEST_BODY_BYTES) -> None:
         self._parser = httptools.HttpResponseParser(self) if responses else httptools.HttpRequestParser(self)
         self._max_body_bytes = max_body_bytes
         self._complete: list[Message] = []
-        self._bytes_fed = 0  # of a message that is not whole yet, with its framing
+        self._bytes_fed = 0  # of a message that is not complete yet, with its framing
         self._interim_responses = 0  # 1xx responses ahead of the final one
         self.message_started = False
-        """Part of a message has come that is not whole yet."""
+        """Part of a message has been received that is not complete yet."""
         self.error_status = 0
-        """What to answer to a peer that broke HTTP or a limit of ours; 0 if it did not."""
+        """The status for a peer that violated HTTP or exceeded a limit; 0 if it did not."""
         self._reset_message()
 
     def _reset_message(self) -> None:
@@ -117,27 +108,28 @@
         self._in_body = False
 
     def feed(self, data: bytes) -> list[Message]:
-        """Return the messages that are now whole; `error_status` is set if what came after can't be read."""
+        """Return the messages that are complete now; set `error_status` if invalid data follows them."""
         self._bytes_fed += len(data)
         try:
             self._parser.feed_data(data)
         except httptools.HttpParserUpgrade:
-            self._complete = self._complete[:-1]  # no other protocol is spoken here
+            self._complete = self._complete[:-1]  # no other protocol is supported
             self._set_error(BAD_REQUEST)
         except httptools.HttpParserError:
             self._set_error(BAD_REQUEST)
         self._check_message_size()
         if self.error_status:
             self._reset_message()
-        complete, self._complete = self._complete, []
+        complete = self._complete
+        self._complete = []
         return complete
 
     def _check_message_size(self) -> None:
-        """Bound what a message without end may take of the memory (its head) and of the parser's time."""
+        """Limit the memory for the head of an endless message, and the time for parsing it."""
         if not self._in_body and self._bytes_fed > MAX_HEADER_BYTES:
             self._set_error(REQUEST_HEADER_FIELDS_TOO_LARGE)
         elif self._bytes_fed > MAX_HEADER_BYTES + MAX_FRAMING_FACTOR * self._max_body_bytes:
-            self._set_error(CONTENT_TOO_LARGE)  # for example chunk extensions without end
+            self._set_error(CONTENT_TOO_LARGE)  # for example endless chunk extensions
 
     def _set_error(self, status: int) -> None:
         """Set the error, unless there was one before."""
@@ -150,14 +142,14 @@
         self.message_started = True
 
     def on_url(self, url: bytes) -> None:
-        """Part of the request's target has come."""
+        """Part of the request's target."""
         self._target += url
         self._count_header_bytes(len(url))
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """A header has come, or a trailer after a chunked body."""
+        """A header, or a trailer after a chunked body."""
         self._count_header_bytes(len(name) + len(value) + len(b": \r\n"))
-        # Trailers must not pass for headers that the head did not have.
+        # Trailers are dropped: they must not be taken for headers.
         if not self._in_body and not self.error_status:
             self._headers.append((name.lower(), value))
 
@@ -167,30 +159,31 @@
             self._set_error(REQUEST_HEADER_FIELDS_TOO_LARGE)
 
     def on_headers_complete(self) -> None:
-        """The head is whole: check what it announces."""
+        """Check the head of a message."""
         self._in_body = True
         if self._parser.get_http_version() not in ("1.0", "1.1"):
             self._set_error(BAD_REQUEST)
         for name, value in self._headers:
             if name == b"content-length" and int(value) > self._max_body_bytes:
-                self._set_error(CONTENT_TOO_LARGE)  # not only when that much has come
+                self._set_error(CONTENT_TOO_LARGE)  # before the body is received
             elif name == b"transfer-encoding" and value.strip().lower() != b"chunked":
-                self._set_error(BAD_REQUEST)  # a coding that would have to be undone
+                self._set_error(BAD_REQUEST)  # an encoding that is not supported
 
     def on_body(self, data: bytes) -> None:
-        """Part of the body has come."""
+        """Part of the body."""
         if len(self._body) + len(data) > self._max_body_bytes:
             self._set_error(CONTENT_TOO_LARGE)
         if not self.error_status:
             self._body += data
 
     def on_message_complete(self) -> None:
-        """A message is whole."""
+        """A message is complete."""
         if self.error_status:
             return
         message = Message(self._headers, self._body, self._parser.should_keep_alive())
         if isinstance(self._parser, httptools.HttpRequestParser):
-            message.method, message.target = self._parser.get_method(), self._target
+            message.method = self._parser.get_method()
+            message.target = self._target
         else:
             message.status = self._parser.get_status_code()
         self._bytes_fed = 0
@@ -203,7 +196,7 @@
             self._interim_responses = 0
 
     def _count_interim_response(self) -> None:
-        """Drop a 1xx response: it only announces the final one."""
+        """Drop a 1xx response, which precedes the final one."""
         self._interim_responses += 1
         if self._interim_responses > MAX_INTERIM_RESPONSES:
             self._set_error(BAD_REQUEST)
@@ -225,12 +218,12 @@
 
 
 def write_response(status: int, headers: Headers, body: bytes | bytearray, close: bool) -> bytes:
-    """Serialize a response with its Content-Length; `close` announces the end of the connection."""
+    """Serialize a response with its Content-Length; `close` adds `Connection: close`."""
     reason = REASON_PHRASES.get(status, "Unknown").encode()
     connection = [(b"Connection", b"close")] if close else []
     return _serialize_message(b"HTTP/1.1 %d %s" % (status, reason), [*headers, *connection], body, True)
 
 
 def parse_decimal(text: bytes) -> int | None:
-    """Return a header's plain decimal number; None for anything else, also a number of absurd length."""
+    """Return a header's decimal number; None for anything else, and for over `MAX_DECIMAL_DIGITS` digits."""
     return int(text) if text.isdigit() and len(text) <= MAX_DECIMAL_DIGITS else None
--- a/loadbalancer/proxy/load_report.py
+++ b/loadbalancer/proxy/load_report.py
@@ -1,20 +1,19 @@
-"""Load reports: the figures on its load that an endpoint sends with answers or health checks."""
+"""Load reports: the figures that an endpoint sends with responses or to health checks."""
 
 from __future__ import annotations
 
 import json
 
-# A larger figure in a load report has no meaning, and is ignored.
+# Larger figures are ignored.
 MAX_LOAD_FIGURE = 1e12
 
 
 def parse_load_report(text: bytes | bytearray) -> dict[str, float] | None:
-    """Return the numbers of a JSON object that a load can be, by their names.
-
-    Values of other types, booleans, negative numbers and numbers without meaning are left out.
+    """Parse a load report.
 
     Returns:
-        The figures, or None if the text is no JSON object.
+        The numbers from 0 to `MAX_LOAD_FIGURE` by name, other values left out; None if the text is not a JSON
+        object.
     """
     try:
         value = _parse_json(text)
@@ -26,18 +25,18 @@
 
 
 def _parse_json(text: bytes | bytearray) -> object:
-    """Return what a JSON text says.
+    """Parse JSON.
 
     Raises:
-        ValueError: It is no JSON, or nested too deep to be read.
+        ValueError: The text is not JSON, or nested too deeply.
     """
     try:
         return json.loads(text)
     except RecursionError:
-        raise ValueError("nested too deep") from None
+        raise ValueError("nested too deeply") from None
 
 
 def _is_load_figure(value: object) -> bool:
     if isinstance(value, bool) or not isinstance(value, int | float):
         return False
-    return 0 <= value <= MAX_LOAD_FIGURE  # which NaN is not, either
+    return 0 <= value <= MAX_LOAD_FIGURE  # NaN is not either
--- a/loadbalancer/proxy/pending_requests.py
+++ b/loadbalancer/proxy/pending_requests.py
@@ -1,6 +1,6 @@
-"""The pending requests: those that were admitted and have no final answer yet.
+"""The pending requests: those that were admitted and have no final response yet.
 
-Each gets exactly one final answer, at its deadline at the latest, unless its client disconnects first.
+Each gets exactly one final response, at its deadline at the latest, unless its client disconnects first.
 """
 
 from __future__ import annotations
@@ -13,6 +13,7 @@
 from loadbalancer.proxy.client_connection import ClientConnection
 from loadbalancer.proxy.exchange import Exchange
 from loadbalancer.proxy.http import Headers, Message, parse_decimal
+from loadbalancer.proxy.http_status import GATEWAY_TIMEOUT, SERVICE_UNAVAILABLE
 from loadbalancer.proxy.request_validation import (
     DUPLICATE_ID,
     TOO_MANY_PENDING,
@@ -28,31 +29,47 @@
     RETRY_AFTER_HEADER,
     TENANT_HEADER,
 )
-from loadbalancer.units import NANOSECONDS_PER_MILLISECOND, NANOSECONDS_PER_SECOND
+from loadbalancer.units import (
+    NANOSECONDS_PER_MICROSECOND,
+    NANOSECONDS_PER_MILLISECOND,
+    NANOSECONDS_PER_SECOND,
+)
 
-# The policy's deadline comes before the client's, so that its answer has time to reach the client.
+# The policy's deadline precedes the client's, so that the final response reaches the client in time.
 POLICY_DEADLINE_MARGIN_NS = 4 * NANOSECONDS_PER_MILLISECOND
+
 # The proxy's own deadline comes between the two, for requests that the policy has left open.
 PROXY_DEADLINE_MARGIN_NS = 3 * NANOSECONDS_PER_MILLISECOND // 2
-MICROSECOND_NS = 1000
-GATEWAY_TIMEOUT = 504
-SERVICE_UNAVAILABLE = 503
 
 
 @dataclass(slots=True, eq=False)
 class PendingRequest:
-    """A request that was admitted and has no final answer yet."""
+    """A request that was admitted and has no final response yet."""
 
     id: str
     client: ClientConnection
     request: Message
     client_request_id: bytes
     deadline_ns: int  # the proxy's own, on the monotonic clock
-    deadline_timer: asyncio.TimerHandle | None = None
+    deadline_timer: asyncio.TimerHandle
     attempt_count: int = 0
     exchange: Exchange | None = None  # that of the attempt in flight
     finished: bool = False
 
+    def count_attempt(self) -> int:
+        """Count one more attempt, and return its number."""
+        number = self.attempt_count
+        self.attempt_count += 1
+        return number
+
+    def set_exchange(self, exchange: Exchange) -> None:
+        """Record the exchange of the attempt that starts."""
+        self.exchange = exchange
+
+    def clear_exchange(self) -> None:
+        """Record that no attempt is in flight."""
+        self.exchange = None
+
 
 class PendingRequests:
     """All pending requests, by their ids and by their clients."""
@@ -61,7 +78,7 @@
         """Start with none pending.
 
         Args:
-            on_event: Is told of arrivals and of clients that wait no longer.
+            on_event: Is called for arrivals and for clients that no longer wait.
             max_pending: How many may be pending at once; 0 for any number.
         """
         self._on_event = on_event
@@ -79,11 +96,11 @@
         return request_id in self._by_id
 
     def get(self, request_id: str) -> PendingRequest | None:
-        """Give the request of that id while it is pending."""
+        """Return the request of that id while it is pending."""
         return self._by_id.get(request_id)
 
     def snapshot(self) -> list[PendingRequest]:
-        """Give all of them, in the order of their arrival; they may be finished while the list is read."""
+        """Return all of them, in the order of their arrival; they may be finished while the list is read."""
         return list(self._by_id.values())
 
     def admit(
@@ -91,31 +108,43 @@
     ) -> RejectedRequest | None:
         """Admit a request and report its arrival.
 
+        Args:
+            client: The connection on which it was received.
+            request: The request.
+            valid_request: The result of its validation.
+            received_ns: When its last byte was read, on the monotonic clock.
+
         Returns:
-            The answer to give where the request is not admitted, None where it is.
+            None, or the response if the request is not admitted.
         """
         if valid_request.client_request_id in self._client_request_ids:
             return DUPLICATE_ID
         if self._max_pending and len(self._by_id) >= self._max_pending:
             return TOO_MANY_PENDING
-        self._request_count += 1
         client_deadline_ns = received_ns + valid_request.timeout_ns
+        pending = self._add(client, request, valid_request.client_request_id, client_deadline_ns)
+        policy_deadline_ns = client_deadline_ns - POLICY_DEADLINE_MARGIN_NS
+        self._on_event(_arrival(pending.id, valid_request.class_name, policy_deadline_ns, request))
+        return None
+
+    def _add(
+        self, client: ClientConnection, request: Message, client_request_id: bytes, client_deadline_ns: int
+    ) -> PendingRequest:
+        self._request_count += 1
+        request_id = str(self._request_count)
+        deadline_ns = client_deadline_ns - PROXY_DEADLINE_MARGIN_NS
         pending = PendingRequest(
-            id=str(self._request_count),
+            id=request_id,
             client=client,
             request=request,
-            client_request_id=valid_request.client_request_id,
-            deadline_ns=client_deadline_ns - PROXY_DEADLINE_MARGIN_NS,
+            client_request_id=client_request_id,
+            deadline_ns=deadline_ns,
+            deadline_timer=self._loop.call_at(deadline_ns / NANOSECONDS_PER_SECOND, self._expire, request_id),
         )
-        self._by_id[pending.id] = pending
+        self._by_id[request_id] = pending
         self._by_client[client] = pending
-        self._client_request_ids.add(pending.client_request_id)
-        pending.deadline_timer = self._loop.call_at(
-            pending.deadline_ns / NANOSECONDS_PER_SECOND, self._expire, pending
-        )
-        policy_deadline_ns = client_deadline_ns - POLICY_DEADLINE_MARGIN_NS
-        self._on_event(_arrival(pending.id, valid_request.class_name, policy_deadline_ns, request))
-        return None
+        self._client_request_ids.add(client_request_id)
+        return pending
 
     def finish(
         self,
@@ -124,23 +153,24 @@
         headers: Headers = (),
         body: bytes | bytearray = b"",
     ) -> None:
-        """Give a request its final answer, unless it has had it."""
+        """Send the final response to a request, unless it has had one."""
         if not pending.finished:
             self._remove(pending)
             pending.client.respond(status, headers, body)
 
     def reject(self, action: Reject) -> None:
-        """Answer that the request was rejected and may be sent again, maybe after some time."""
+        """Respond that the request was rejected and may be sent again, with Retry-After if it is set."""
         pending = self._by_id.get(action.request_id)
         if pending is None:
             return
         headers = []
         if action.retry_after_ns > 0:
-            headers.append((RETRY_AFTER_HEADER, b"%.3f" % (action.retry_after_ns / NANOSECONDS_PER_SECOND)))
+            retry_after_s = action.retry_after_ns / NANOSECONDS_PER_SECOND
+            headers.append((RETRY_AFTER_HEADER, b"%.3f" % retry_after_s))
         self.finish(pending, SERVICE_UNAVAILABLE, headers)
 
     def fail(self, request_id: str) -> None:
-        """Answer that the request failed; it may have had an effect."""
+        """Respond that the request failed; it may have had an effect."""
         pending = self._by_id.get(request_id)
         if pending is not None:
             self.finish(pending, GATEWAY_TIMEOUT)
@@ -151,21 +181,20 @@
             self.finish(pending, GATEWAY_TIMEOUT)
 
     def on_disconnect(self, client: ClientConnection) -> None:
-        """Forget the request of a client that has closed its connection."""
+        """Drop the request of a client that has disconnected, if one is pending."""
         pending = self._by_client.get(client)
         if pending is not None:
             self._remove(pending)
             self._on_event(ClientDisconnected(pending.id))
 
-    def _expire(self, pending: PendingRequest) -> None:
-        self.finish(pending, GATEWAY_TIMEOUT)
-        self._on_event(ClientDisconnected(pending.id))
+    def _expire(self, request_id: str) -> None:
+        self.fail(request_id)
+        self._on_event(ClientDisconnected(request_id))
 
     def _remove(self, pending: PendingRequest) -> None:
-        """Forget a request and cancel its attempt in flight."""
+        """Remove a request and cancel its attempt in flight."""
         pending.finished = True
-        if pending.deadline_timer is not None:
-            pending.deadline_timer.cancel()
+        pending.deadline_timer.cancel()
         del self._by_id[pending.id]
         del self._by_client[pending.client]
         self._client_request_ids.discard(pending.client_request_id)
@@ -180,7 +209,7 @@
         class_name=class_name,
         tenant=request.header(TENANT_HEADER).decode("latin-1"),
         deadline_ns=deadline_ns,
-        cost_hint_ns=cost_us * MICROSECOND_NS,
+        cost_hint_ns=cost_us * NANOSECONDS_PER_MICROSECOND,
         affinity_key=_affinity_cookie(request),
         is_retry=request.header(IS_RETRY_HEADER) == FLAG_SET,
     )
--- a/loadbalancer/proxy/request_validation.py
+++ b/loadbalancer/proxy/request_validation.py
@@ -1,4 +1,4 @@
-"""Checks a client's request before it is admitted, and says with which answer a bad one is rejected."""
+"""Validation of a client's request before it is admitted, and the responses to invalid ones."""
 
 from __future__ import annotations
 
@@ -6,6 +6,7 @@
 from dataclasses import dataclass
 
 from loadbalancer.proxy.http import Headers, Message, parse_decimal
+from loadbalancer.proxy.http_status import BAD_REQUEST, CONFLICT, METHOD_NOT_ALLOWED, SERVICE_UNAVAILABLE
 from loadbalancer.proxy.wire_names import (
     ALLOW_HEADER,
     DEADLINE_MS_HEADER,
@@ -21,19 +22,23 @@
     Idempotency.NON_IDEMPOTENT: b"POST",
 }
 ALLOWED_METHODS = frozenset(METHOD_BY_IDEMPOTENCY.values())
-MAX_DEADLINE_MS = 600_000  # longer deadlines are cut to this one
-RETRY_AFTER_S = b"1"  # for a client that finds too many pending requests
+
+# Longer deadlines are reduced to this.
+MAX_DEADLINE_MS = 600_000
+
+# For a client whose request is rejected because too many are pending.
+TOO_MANY_PENDING_RETRY_AFTER_S = 1
 
 
 @dataclass(frozen=True, slots=True)
 class RejectedRequest:
-    """The answer to a request that is not admitted."""
+    """The response to a request that is not admitted."""
 
     status: int
     headers: Headers = ()
 
 
-@dataclass(slots=True)  # not frozen: one is made for each request, and that takes a multiple of the time
+@dataclass(slots=True)  # not frozen: one is made for each request, and that takes several times as long
 class ValidRequest:
     """What the proxy needs of a request that can be admitted."""
 
@@ -42,22 +47,27 @@
     timeout_ns: int  # from the time at which the request was received
 
 
-UNKNOWN_METHOD = RejectedRequest(405, ((ALLOW_HEADER, b"GET, POST"),))
-MALFORMED = RejectedRequest(400)
-# An endpoint reads no body behind a GET and would take it for the next request.
-BODY_NOT_ALLOWED = RejectedRequest(400)
-# Of two pending requests with one id, it could not be told to which of them a response belongs.
-DUPLICATE_ID = RejectedRequest(409)
-TOO_MANY_PENDING = RejectedRequest(503, ((RETRY_AFTER_HEADER, RETRY_AFTER_S),))
-# By the method that the request class allows.
-WRONG_METHOD = {method: RejectedRequest(405, ((ALLOW_HEADER, method),)) for method in ALLOWED_METHODS}
+UNKNOWN_METHOD = RejectedRequest(METHOD_NOT_ALLOWED, ((ALLOW_HEADER, b"GET, POST"),))
+WRONG_METHOD = {
+    allowed: RejectedRequest(METHOD_NOT_ALLOWED, ((ALLOW_HEADER, allowed),)) for allowed in ALLOWED_METHODS
+}
+MALFORMED = RejectedRequest(BAD_REQUEST)
+
+# An endpoint does not read the body of a GET, and would take it for the next request.
+BODY_NOT_ALLOWED = RejectedRequest(BAD_REQUEST)
+
+# With two pending requests of one id, their responses could not be told apart.
+DUPLICATE_ID = RejectedRequest(CONFLICT)
+TOO_MANY_PENDING = RejectedRequest(
+    SERVICE_UNAVAILABLE, ((RETRY_AFTER_HEADER, b"%d" % TOO_MANY_PENDING_RETRY_AFTER_S),)
+)
 
 
 def validate_request(request: Message, classes: Mapping[str, RequestClass]) -> ValidRequest | RejectedRequest:
     """Check a request by itself.
 
-    The first part of the path names the request class. `Req-Id` must be there once, `Req-Deadline-Ms` must
-    be a positive whole number, and the method must be that of the class.
+    The first segment of the path must name a request class, whose method is required. There must be exactly
+    one request id, and the deadline must be a positive whole number.
     """
     if request.method not in ALLOWED_METHODS:
         return UNKNOWN_METHOD
--- a/tests/proxy/test_backoff.py
+++ b/tests/proxy/test_backoff.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from loadbalancer.proxy.backoff import INITIAL_DELAY_S, JITTER, MAX_DELAY_S, Backoff
+from loadbalancer.proxy.backoff import INITIAL_DELAY_S, JITTER_FRACTION, MAX_DELAY_S, Backoff
 
 
 @pytest.mark.parametrize(
@@ -25,9 +25,9 @@
 
     delays = [backoff.delay_s() for _ in range(200)]
 
-    assert min(delays) >= delay_s * (1 - JITTER)
-    assert max(delays) <= delay_s * (1 + JITTER)
-    assert max(delays) - min(delays) > delay_s * JITTER
+    assert min(delays) >= delay_s * (1 - JITTER_FRACTION)
+    assert max(delays) <= delay_s * (1 + JITTER_FRACTION)
+    assert max(delays) - min(delays) > delay_s * JITTER_FRACTION
 
 
 def test_a_success_starts_anew() -> None:
--- a/tests/proxy/test_downstream.py
+++ b/tests/proxy/test_downstream.py
@@ -21,13 +21,13 @@
 
 
 def first(table: ConnectionTable) -> ClientConnection:
-    return next(iter(table._members))
+    return next(iter(table))
 
 
 def age(table: ConnectionTable, seconds: float) -> None:
     """Act as if all connections in the table had been there for so much longer."""
-    for member in table._members:
-        member.entered_at -= seconds
+    for client in table:
+        table._entered_at_s[client] -= seconds
 
 
 async def rest_of_stream(client: Client) -> bytes:
@@ -101,10 +101,11 @@
         await client.send(b"")
         await until(lambda: server._awaiting_request)
         age(server._awaiting_request, 2.0)
-        since = first(server._awaiting_request).entered_at
+        table = server._awaiting_request
+        since_s = table._entered_at_s[first(table)]
         await client.send(b"GET")
         await until(lambda: first(server._awaiting_request).request_started)
-        assert first(server._awaiting_request).entered_at == since
+        assert table._entered_at_s[first(table)] == since_s
 
 
 async def test_lingering_close_ends_after_its_timeout() -> None:
--- a/tests/proxy/test_shutdown.py
+++ b/tests/proxy/test_shutdown.py
@@ -139,7 +139,7 @@
 async def test_a_half_read_request_is_answered_in_a_shutdown(
     monkeypatch: pytest.MonkeyPatch, kept: bool
 ) -> None:
-    monkeypatch.setattr("loadbalancer.proxy.downstream.MIN_EVICTION_AGE_S", 0.0)
+    monkeypatch.setattr("loadbalancer.proxy.client_eviction.MIN_EVICTION_AGE_S", 0.0)
     endpoint = await FakeEndpoint(answers(200, b"it")).start()
     policy = forwarding_policy()
     async with node(policy, endpoint) as client:
