--- a/loadbalancer/policy/attempt_results.py
+++ b/loadbalancer/policy/attempt_results.py
@@ -4,7 +4,7 @@
 
 from loadbalancer.messages import AttemptEnded, AttemptResult
 from loadbalancer.policy.concurrency_limit import ConcurrencyLimit
-from loadbalancer.policy.outlier_detection import EJECTION_NS, OutlierDetection
+from loadbalancer.policy.outlier_detection import BASE_EJECTION_NS, OutlierDetection
 from loadbalancer.policy.rate_control import RateController
 from loadbalancer.state.endpoint_state import EndpointState
 from loadbalancer.state.request import Attempt, Request
@@ -39,10 +39,10 @@
                 self.outlier_detection.eject_slow(attempt, now_ns)
             case AttemptResult.CONNECT_FAILED:
                 self.rate_controller.failures[state.id] += 1
-                self.outlier_detection.eject(state, now_ns, EJECTION_NS)
+                self.outlier_detection.eject(state, now_ns, BASE_EJECTION_NS)
             case AttemptResult.RESET if is_outlier:
                 self.rate_controller.failures[state.id] += 1
-                self.outlier_detection.eject(state, now_ns, EJECTION_NS)
+                self.outlier_detection.eject(state, now_ns, BASE_EJECTION_NS)
             case AttemptResult.RESET:
                 # Fewer requests cure no connection that broke by chance: the rate is not judged by it.
                 self.rate_controller.successes += 1
--- a/loadbalancer/policy/balancer.py
+++ b/loadbalancer/policy/balancer.py
@@ -8,6 +8,7 @@
 from loadbalancer.policy.attempt_results import AttemptResults
 from loadbalancer.policy.concurrency_limit import ConcurrencyLimit
 from loadbalancer.policy.discovery_retry import DiscoveryRetry
+from loadbalancer.policy.fleet_updates import FleetUpdater
 from loadbalancer.policy.latency_model import LatencyModel
 from loadbalancer.policy.live_weights import LiveWeights
 from loadbalancer.policy.load_probing import LoadProbing, probing_is_cheap
@@ -17,12 +18,11 @@
 from loadbalancer.policy.retry_eligibility import may_forward, may_have_run, may_reject
 from loadbalancer.policy.selection import Selection
 from loadbalancer.policy.slow_start import SlowStart
-from loadbalancer.policy.subsetting import choose_subset
+from loadbalancer.policy.subsetting import new_endpoint_table
 from loadbalancer.policy.throttle import Admission, Throttle
 from loadbalancer.settings import Idempotency, RequestClass, Settings
 from loadbalancer.state.endpoint_pool import EndpointPool
 from loadbalancer.state.endpoint_state import EndpointState
-from loadbalancer.state.endpoint_updates import EndpointUpdates
 from loadbalancer.state.fleet import Fleet
 from loadbalancer.state.request import Attempt, QueuePlace, Request, RequestTable
 from loadbalancer.state.tenant_throttles import TenantThrottles
@@ -52,14 +52,14 @@
         # Until something is seen to finish, as long as the slowest class is expected to take.
         self.latency_model.service_interval_ns = max(objectives) / 8
         self.timers = TimerQueue()
-        self.fleet = Fleet(settings)
+        self.fleet = Fleet(settings.request_classes, new_endpoint_table(settings))
         probes_load = probing_is_cheap(settings)
         live_weights = LiveWeights(settings)
-        self.endpoint_updates = EndpointUpdates(self.fleet, choose_subset, live_weights, probes_load)
+        self.fleet_updater = FleetUpdater(settings, self.fleet, live_weights, draws_from_reserve=probes_load)
         outliers = OutlierDetection(self.fleet, self.timers, self.rng, self.shortest_objective_ns)
         self.outlier_detection = outliers
         self.slow_start = SlowStart(settings, self.fleet, self.timers, self.latency_model)
-        self.selection = Selection(self.endpoint_updates, self.slow_start, limit, self.rng)
+        self.selection = Selection(self.fleet_updater, self.slow_start, limit, self.rng)
         self.load_probing = LoadProbing(probes_load, self.selection, self.timers)
         self.attempt_results = AttemptResults(outliers, limit, self.rate_controller)
         self.requests = RequestTable()
@@ -208,7 +208,7 @@
                 pool.blocked_since_ns = pool.blocked_since_ns or now_ns
                 if not self.concurrency_limit.increase(now_ns):
                     break
-            elif state is None or self.selection.would_answer_late(request, state, now_ns):
+            elif state is None or self.selection.would_respond_late(request, state, now_ns):
                 # All that it may go to are busy, or would answer late: it must not stop the queue.
                 self._reject_for_capacity(request)
             else:
@@ -229,7 +229,9 @@
         request.attempts.append(Attempt(state, now_ns, expected_ns, max(1.0, estimated_load(state, now_ns))))
         if self.slow_start.is_warming_up(state, now_ns):
             # The budget is in requests of mean cost: a costly one takes the place of several.
-            self.slow_start.pace(state, now_ns, max(1.0, latency.expected_ns(request) / latency.mean_ns))
+            self.slow_start.apply_pacing(
+                state, now_ns, max(1.0, latency.expected_ns(request) / latency.mean_ns)
+            )
         timeout_ns = 0
         if not request_class.late_weight_factor and not request_class.stream:
             # A late answer is worth nothing: the attempt ends then, and leaves its place to another.
@@ -327,17 +329,17 @@
             self.timers.schedule(now_ns + delay_ns, PollDiscovery())
             return
         self.discovery_retry.on_list(event.kind)
-        for state in self.endpoint_updates.apply(event, now_ns):
+        for state in self.fleet_updater.apply(event, now_ns):
             if self.slow_start.is_warming_up(state, now_ns):
                 # All proxies learn of a start at once: their first sends must not come at once too.
-                self.slow_start.pace(state, now_ns, self.rng.random())
+                self.slow_start.apply_pacing(state, now_ns, self.rng.random())
 
     def _feedback(self, now_ns: int) -> None:
         """Adjust the rate and the limits to what the last interval has shown."""
         self.feedback_ns = now_ns
         fleet, rate = self.fleet, self.rate_controller
         self.concurrency_limit.decay()
-        fleet.forget_unused()
+        self.fleet_updater.discard_unused_states()
         self.outlier_detection.decay()
         for pool in fleet.pools.values():  # one beyond the subset while the queue waits; more cost
             extra = 1 if pool.blocked_since_ns else 0
--- /dev/null
+++ b/loadbalancer/policy/fleet_updates.py
@@ -0,0 +1,131 @@
+"""How an endpoint list changes table, states and pools of the fleet.
+
+Types of the interface: loadbalancer/messages.py.
+"""
+
+from collections.abc import Iterable
+
+from loadbalancer.messages import Endpoint, EndpointUpdate, EndpointUpdateKind
+from loadbalancer.policy.live_weights import LiveWeights
+from loadbalancer.policy.subsetting import choose_subset, reserve_rank
+from loadbalancer.settings import Settings
+from loadbalancer.state.endpoint_pool import EndpointPool
+from loadbalancer.state.endpoint_state import EndpointState
+from loadbalancer.state.fleet import Fleet
+from loadbalancer.state.hash_ring import RingKey, unmix64
+from loadbalancer.state.subset import Subset
+
+
+class FleetUpdater:
+    """Applies endpoint lists to the fleet, and decides which endpoint states are stored."""
+
+    def __init__(
+        self, settings: Settings, fleet: Fleet, live_weights: LiveWeights, draws_from_reserve: bool
+    ) -> None:
+        self.settings = settings
+        self.fleet = fleet
+        self.live_weights = live_weights
+        self.draws_from_reserve = draws_from_reserve
+
+    def apply(self, update: EndpointUpdate, now_ns: int) -> list[EndpointState]:
+        """Apply a list; return the endpoints that are new in a subset of this proxy or have restarted."""
+        fleet = self.fleet
+        previous_subset = {state for state in fleet.endpoints.values() if state.in_subset}
+        unlisted = self._ids_to_confirm(update.kind)
+        restarted = self._record_entries(update.endpoints, unlisted, now_ns)
+        self._remove_unlisted(unlisted)
+        ready_endpoints_changed = fleet.table.apply_changes()
+        if ready_endpoints_changed:
+            self._rebuild_pools(now_ns)
+        elif not restarted:
+            return []
+        unchanged = previous_subset - restarted
+        return [state for state in fleet.endpoints.values() if state.in_subset and state not in unchanged]
+
+    def states(self, endpoint_ids: Iterable[int], now_ns: int) -> list[EndpointState]:
+        """Return the states of listed endpoints, which are stored from now on."""
+        return [self._state(endpoint_id, now_ns) for endpoint_id in endpoint_ids]
+
+    def discard_unused_states(self) -> None:
+        """Discard the states of endpoints that are in no pool and have no attempt of this proxy."""
+        for state in [state for state in self.fleet.endpoints.values() if self._is_unused(state)]:
+            self.fleet.discard(state)
+
+    def _is_unused(self, state: EndpointState) -> bool:
+        """Tell whether an endpoint is in no pool and has no attempt of this proxy."""
+        return not (state.id in self.fleet.pooled_ids or state.in_flight or state.overdue)
+
+    def _ids_to_confirm(self, kind: EndpointUpdateKind) -> set[int]:
+        """Return the ids which a list must name to stay listed: all for a complete list, else none."""
+        return set() if kind is EndpointUpdateKind.DELTA else set(self.fleet.table.attributes)
+
+    def _record_entries(
+        self, entries: Iterable[Endpoint], unlisted: set[int], now_ns: int
+    ) -> set[EndpointState]:
+        """Record the entries of a list, take their ids off `unlisted`, return the restarted endpoints."""
+        table, states = self.fleet.table, self.fleet.endpoints
+        has_live_weights = self.live_weights.enabled
+        restarted = set()
+        for endpoint in entries:
+            unlisted.discard(endpoint.id)
+            table.upsert(endpoint)
+            if has_live_weights:
+                self.live_weights.observe(endpoint)
+            state = states.get(endpoint.id)
+            if state is not None:
+                if endpoint.started_ns != state.endpoint.started_ns:
+                    state.clear_failures()  # they were those of the process before
+                    restarted.add(state)
+                state.update_entry(endpoint)
+                self.live_weights.record(state, now_ns)
+        return restarted
+
+    def _remove_unlisted(self, endpoint_ids: Iterable[int]) -> None:
+        """Remove endpoints that a complete list no longer names."""
+        for endpoint_id in endpoint_ids:
+            self.fleet.table.remove(endpoint_id)
+            if endpoint_id in self.fleet.endpoints:
+                self.fleet.endpoints[endpoint_id].mark_removed()
+
+    def _rebuild_pools(self, now_ns: int) -> None:
+        """Choose all pools' subsets anew; they depend on the ready endpoints alone, not on their history."""
+        fleet, pools = self.fleet, self.fleet.pools.values()
+        subsets = [choose_subset(self.settings, pool.placement) for pool in pools]
+        if subsets == [pool.current_subset for pool in pools]:
+            return
+        for state in fleet.endpoints.values():
+            state.leave_subset()
+        for pool, subset in zip(pools, subsets, strict=True):
+            self._rebuild_pool(pool, subset, now_ns)
+        fleet.index_pools()
+        self.discard_unused_states()
+
+    def _rebuild_pool(self, pool: EndpointPool, subset: Subset, now_ns: int) -> None:
+        """Fill a pool: the subset first, then the reserve of the zone, then that of all zones."""
+        assigned = self._states_of_keys(subset.assigned, now_ns)
+        zone_reserve = self._states_of_keys(subset.zone_reserve, now_ns)
+        remote_reserve = self._states_of_keys(subset.remote_reserve, now_ns)
+        zone_reserve.sort(key=_reserve_rank)
+        remote_reserve.sort(key=_reserve_rank)
+        endpoints = assigned + zone_reserve + remote_reserve
+        subset_size = len(endpoints) if self.draws_from_reserve else len(assigned)
+        pool.rebuild(subset, endpoints, subset_size)
+        for state in endpoints[:subset_size]:
+            state.join_subset()
+
+    def _states_of_keys(self, keys: Iterable[RingKey], now_ns: int) -> list[EndpointState]:
+        return [self._state(unmix64(key), now_ns) for key in keys]
+
+    def _state(self, endpoint_id: int, now_ns: int) -> EndpointState:
+        """Return the state of a listed endpoint, which is stored from now on."""
+        state = self.fleet.endpoints.get(endpoint_id)
+        if state is None:
+            rank = reserve_rank(self.settings, endpoint_id)
+            state = EndpointState(endpoint_id, self.fleet.table.endpoint(endpoint_id), rank)
+            self.fleet.add(state)
+            self.live_weights.record(state, now_ns)
+        return state
+
+
+def _reserve_rank(state: EndpointState) -> int:
+    return state.reserve_rank
--- a/loadbalancer/policy/outlier_detection.py
+++ b/loadbalancer/policy/outlier_detection.py
@@ -1,4 +1,12 @@
-"""When an endpoint that fails is ejected, and for how long (interface types: loadbalancer/messages.py)."""
+"""When an endpoint that fails is ejected, and for how long (interface types: loadbalancer/messages.py).
+
+`OutlierDetection.eject` is the only place that ejects an endpoint. The first failure ejects it for a base
+time, each further failure in a row for twice as long as the one before, up to EJECTION_MAX_NS. The base time
+is BASE_EJECTION_NS after a refused or reset connection. It is what the attempt was expected to take, or the
+shortest latency objective if that is less, after an attempt that was too slow or rejected (`eject_slow`).
+An endpoint is not ejected if that would leave one of its pools with too few. Its next successful response
+clears its failures.
+"""
 
 import random
 
@@ -9,77 +17,97 @@
 from loadbalancer.state.timer_queue import ServeQueue, TimerQueue
 from loadbalancer.units import NANOSECONDS_PER_SECOND
 
-EJECTION_NS = NANOSECONDS_PER_SECOND / 4  # after a first failure that says nothing of how long it may last
-EJECTION_MAX = 3 * NANOSECONDS_PER_SECOND
-DOUBLINGS_MAX = 5
-EJECTED_PART_MAX = 0.7  # of the endpoints that a pool draws from; one beyond that is not ejected
-CHANCE = 1e-3  # resets in a row less likely than this by chance are the endpoint's own fault
-COMMON_RESETS_MAX = 0.3  # share of reset connections beyond which none is put down to the network
-RESETS_KEPT = 0.8  # of the evidence on resets, a feedback interval
+BASE_EJECTION_NS = NANOSECONDS_PER_SECOND / 4
+EJECTION_MAX_NS = 3 * NANOSECONDS_PER_SECOND
+EJECTION_DOUBLINGS_MAX = 5
+EJECTION_JITTER_MIN = 0.75
+EJECTION_JITTER_MAX = 1.25
+EJECTED_FRACTION_MAX = 0.7  # of the endpoints that a pool draws from
+RESET_PROBABILITY_MAX = 1e-3  # resets in a row less likely than this are attributed to the endpoint
+COMMON_RESET_FRACTION_MAX = 0.3  # beyond it, enough resets in a row eject an endpoint
+RESET_COUNTS_DECAY = 0.8  # per feedback interval
 
 
 class OutlierDetection:
     """Ejects endpoints that fail, and tells resets of an endpoint from those of the network."""
 
-    def __init__(self, fleet: Fleet, timers: TimerQueue, rng: random.Random, objective_ns: int) -> None:
-        self.fleet, self.timers, self.rng = fleet, timers, rng
-        self.shortest_objective_ns = objective_ns
-        self.recent_attempts = self.recent_resets = 0.0  # over the endpoints in use
+    def __init__(
+        self, fleet: Fleet, timers: TimerQueue, rng: random.Random, shortest_objective_ns: int
+    ) -> None:
+        self.fleet = fleet
+        self.timers = timers
+        self.rng = rng
+        self.shortest_objective_ns = shortest_objective_ns
+        self.recent_attempts = 0.0  # over the endpoints in use, decayed over time
+        self.recent_resets = 0.0
 
     def eject_slow(self, attempt: Attempt, now_ns: int) -> None:
         """Eject an endpoint that did not finish an attempt in time, or had no capacity for it.
 
-        Guards against one hopelessly heavy request taking its endpoint from all others for as long as it
-        would have run: it is cut off, and its client asks again, at the next endpoint and the next. Harm:
-        where it runs on all the same, the next one there finds out, and the ejection doubles.
+        One very costly request must not eject its endpoint for as long as it would have run: it is cut off,
+        and its client sends it again, to the next endpoint and the next.
         """
-        self.eject(attempt.endpoint_state, now_ns, min(attempt.expected_ns, self.shortest_objective_ns))
+        base_ns = min(attempt.expected_ns, self.shortest_objective_ns)
+        self.eject(attempt.endpoint_state, now_ns, base_ns)
 
     def eject(self, state: EndpointState, now_ns: int, base_ns: float) -> None:
-        """Leave a failing endpoint alone, longer each time, unless that would leave hardly any.
+        """Eject a failing endpoint, unless too many are ejected already.
 
-        What was in flight there when it stood still fails together, and counts as one failure.
+        The ejection time is `base_ns`, doubled for each failure in a row before this one. While an endpoint
+        is ejected further failures are ignored: attempts in flight at a hung endpoint fail together.
         """
         if state.ejected_until_ns <= now_ns:
-            state.consecutive_failures += 1
-            pools = self.fleet.pools.values()
-            if all(self._may_eject_from(p, now_ns) for p in pools if state in p.endpoints[: p.draw_width]):
-                doublings = min(state.consecutive_failures - 1, DOUBLINGS_MAX)
-                length = min(base_ns * 2**doublings, EJECTION_MAX)
-                state.ejected_until_ns = now_ns + int(length * self.rng.uniform(0.75, 1.25))
+            state.record_failure()
+            if self._may_eject(state, now_ns):
+                ejection_ns = self._ejection_ns(state.consecutive_failures, base_ns)
+                state.eject_until(now_ns + ejection_ns)
         self.timers.schedule(state.ejected_until_ns, ServeQueue())
 
-    def _may_eject_from(self, pool: EndpointPool, now_ns: int) -> bool:
+    def _ejection_ns(self, consecutive_failures: int, base_ns: float) -> int:
+        """Return for how long an endpoint is ejected, given its failures in a row with the newest one."""
+        doublings = min(consecutive_failures - 1, EJECTION_DOUBLINGS_MAX)
+        ejection_ns = min(base_ns * 2**doublings, EJECTION_MAX_NS)
+        return int(ejection_ns * self.rng.uniform(EJECTION_JITTER_MIN, EJECTION_JITTER_MAX))
+
+    def _may_eject(self, state: EndpointState, now_ns: int) -> bool:
+        """Tell whether each pool that draws from an endpoint has enough others that are not ejected."""
+        pools = self.fleet.pools.values()
+        return all(
+            self._has_few_ejected(pool, now_ns)
+            for pool in pools
+            if state in pool.endpoints[: pool.draw_width]
+        )
+
+    def _has_few_ejected(self, pool: EndpointPool, now_ns: int) -> bool:
         ejected = sum(state.ejected_until_ns > now_ns for state in pool.endpoints[: pool.draw_width])
-        return ejected < EJECTED_PART_MAX * pool.draw_width
+        return ejected < EJECTED_FRACTION_MAX * pool.draw_width
 
     def record_attempt_end(self, state: EndpointState, was_reset: bool) -> bool:
-        """Note that an attempt ended; tell whether its reset sets its endpoint apart from the others.
-
-        Where connections break at all endpoints alike (a bad network, a box between, a close that crosses a
-        request) a reset says nothing of the endpoint, and to eject on it leaves most of a sound fleet alone
-        by chance. Guards as well against deploys that reset what they hold, and against any reset that
-        another attempt would not meet. Harm: while much breaks everywhere, an endpoint that accepts and then
-        resets all it is sent is ejected only after a few attempts; one that is dead refuses connections, and
-        is ejected at once.
-        """
-        state.recent_attempts += 1
+        """Count an attempt that has ended; tell whether it is a reset that is attributed to its endpoint."""
+        state.record_ended_attempt(was_reset)
         self.recent_attempts += 1
         if not was_reset:
-            state.consecutive_resets = 0
             return False
-        state.consecutive_resets += 1
-        state.recent_resets += 1
         self.recent_resets += 1
+        return self._are_resets_unlikely_by_chance(state)
+
+    def _are_resets_unlikely_by_chance(self, state: EndpointState) -> bool:
+        """Tell whether an endpoint's resets in a row set it apart from the other endpoints.
+
+        Where connections break at all endpoints alike (a bad network, a device on the way, connections closed
+        as a request is sent) a reset is not attributed to the endpoint: by chance this would eject most of a
+        sound fleet.
+        """
         other_attempts = max(1.0, self.recent_attempts - state.recent_attempts)
-        reset_share = (self.recent_resets - state.recent_resets) / other_attempts
-        return min(reset_share, COMMON_RESETS_MAX) ** state.consecutive_resets <= CHANCE
+        reset_fraction = (self.recent_resets - state.recent_resets) / other_attempts
+        probability = min(reset_fraction, COMMON_RESET_FRACTION_MAX) ** state.consecutive_resets
+        return probability <= RESET_PROBABILITY_MAX
 
     def decay(self) -> None:
-        """Let old evidence on resets count less."""
-        self.recent_attempts = self.recent_resets = 0.0
+        """Reduce the counts of attempts and resets, so that recent ones count more."""
+        self.recent_attempts = 0.0
+        self.recent_resets = 0.0
         for state in self.fleet.endpoints.values():
-            state.recent_attempts *= RESETS_KEPT
-            state.recent_resets *= RESETS_KEPT
+            state.decay_ended_attempts(RESET_COUNTS_DECAY)
             self.recent_attempts += state.recent_attempts
             self.recent_resets += state.recent_resets
--- a/loadbalancer/policy/selection.py
+++ b/loadbalancer/policy/selection.py
@@ -3,38 +3,57 @@
 import random
 from collections.abc import Iterable
 
-from loadbalancer.messages import EndpointStatus
+from loadbalancer.messages import Endpoint, EndpointStatus
 from loadbalancer.policy.concurrency_limit import ConcurrencyLimit
+from loadbalancer.policy.fleet_updates import FleetUpdater
 from loadbalancer.policy.load_reports import estimated_load, has_fresh_load
 from loadbalancer.policy.retry_eligibility import same_deduplication_group
 from loadbalancer.policy.slow_start import SlowStart
 from loadbalancer.settings import DeduplicationScope, Idempotency
 from loadbalancer.state.endpoint_pool import EndpointPool
 from loadbalancer.state.endpoint_state import EndpointState
-from loadbalancer.state.endpoint_updates import EndpointUpdates
-from loadbalancer.state.request import Request
+from loadbalancer.state.request import Attempt, Request
 
-DRAWS = 2  # random draws beside the last choice
-LOAD_MARGIN = 1.5  # requests that an endpoint may have got since its report, the new one included
-SCAN = 16  # most endpoints looked at for one send: work on a request must not grow with the fleet
+RANDOM_CHOICES = 2
+SCANNED_ENDPOINTS_MAX = 16  # of a pool, for one request: the work must not grow with the pool
+UNUSED_STATES_MAX = 64  # endpoint states outside the pools, for retries with an idempotency key
+RESERVE_LIMIT = 1  # requests in flight at an endpoint outside the subset
+FAILING_ENDPOINT_LIMIT = 1  # requests in flight at an endpoint whose last attempt has failed
+WARMING_UP_LIMIT_DIVISOR = 2
+REQUESTS_SINCE_REPORT = 1.5  # that an endpoint may have got since its load report, the new one included
 
 
 class Selection:
     """Picks available endpoints."""
 
     def __init__(
-        self, updates: EndpointUpdates, slow_start: SlowStart, limit: ConcurrencyLimit, rng: random.Random
+        self,
+        fleet_updater: FleetUpdater,
+        slow_start: SlowStart,
+        concurrency_limit: ConcurrencyLimit,
+        rng: random.Random,
     ) -> None:
-        self.updates, self.slow_start, self.concurrency_limit, self.rng = updates, slow_start, limit, rng
+        self.fleet_updater = fleet_updater
+        self.slow_start = slow_start
+        self.concurrency_limit = concurrency_limit
+        self.rng = rng
 
     def concurrency_limit_of(self, state: EndpointState, now_ns: int) -> int:
         """Return how many requests of this proxy may be in flight at an endpoint."""
-        if not state.in_subset:  # other proxies fill it, and own counts say little of it
-            return 0 if state.consecutive_failures or self.slow_start.is_warming_up(state, now_ns) else 1
+        if not state.in_subset:
+            return self._reserve_limit(state, now_ns)
         if state.consecutive_failures:
-            return 1
+            return FAILING_ENDPOINT_LIMIT
         limit = self.concurrency_limit.limit
-        return max(1, limit // 2) if self.slow_start.is_warming_up(state, now_ns) else limit
+        if self.slow_start.is_warming_up(state, now_ns):
+            return max(1, limit // WARMING_UP_LIMIT_DIVISOR)
+        return limit
+
+    def _reserve_limit(self, state: EndpointState, now_ns: int) -> int:
+        """Return the limit outside the subset, where requests of unknown number come from other proxies."""
+        if state.consecutive_failures or self.slow_start.is_warming_up(state, now_ns):
+            return 0
+        return RESERVE_LIMIT
 
     def is_available(self, state: EndpointState, now_ns: int) -> bool:
         """Tell whether an endpoint may be sent a request now."""
@@ -45,55 +64,109 @@
         )
 
     def draw(self, pool: EndpointPool, count: int, now_ns: int) -> list[EndpointState]:
-        """Return so many random draws from the available endpoints of a pool, and its last choice."""
-        width, chance = pool.draw_width, self.rng.random
-        if width <= SCAN:
-            scanned = pool.endpoints[:width]
-        else:
-            scanned = [pool.endpoints[int(chance() * width)] for _ in range(SCAN)]
-        drawn = [scanned[int(chance() * len(scanned))] for _ in range(count)] if scanned else []
-        # Seldom: most are available, and looking at all takes time.
+        """Return `count` random draws from the available endpoints of a pool, and its last choice."""
+        scanned = self._scan(pool)
+        drawn = self._random_choices(scanned, count)
         if not all(self.is_available(state, now_ns) for state in drawn):
-            available = [state for state in scanned if self.is_available(state, now_ns)]
-            drawn = [available[int(chance() * len(available))] for _ in range(count)] if available else []
+            # Rare: most endpoints are available, and it takes time to look at all that are scanned.
+            drawn = self._random_choices(self._available(scanned, now_ns), count)
         last = pool.last_choice
-        if last is not None and self.is_available(last, now_ns) and last in pool.endpoints[:width]:
+        if last is not None and self.is_available(last, now_ns) and last in pool.endpoints[: pool.draw_width]:
             drawn.append(last)
         return drawn
 
+    def _scan(self, pool: EndpointPool) -> list[EndpointState]:
+        """Return the endpoints that a pool draws from; a random sample where they are many."""
+        width = pool.draw_width
+        if width <= SCANNED_ENDPOINTS_MAX:
+            return pool.endpoints[:width]
+        random_unit = self.rng.random
+        return [pool.endpoints[int(random_unit() * width)] for _ in range(SCANNED_ENDPOINTS_MAX)]
+
+    def _random_choices(self, endpoints: list[EndpointState], count: int) -> list[EndpointState]:
+        if not endpoints:
+            return []
+        random_unit = self.rng.random
+        return [endpoints[int(random_unit() * len(endpoints))] for _ in range(count)]
+
+    def _available(self, endpoints: Iterable[EndpointState], now_ns: int) -> list[EndpointState]:
+        return [state for state in endpoints if self.is_available(state, now_ns)]
+
     def pick(
         self, pool: EndpointPool, now_ns: int, candidates: Iterable[EndpointState] | None = None
     ) -> EndpointState | None:
-        """Return the least loaded of two draws and the last choice, or of the candidates.
+        """Return the least loaded of two random draws and the last choice, or of the available candidates.
 
-        The load is that in flight, weighted by how long the endpoint takes for a request.
+        None: no endpoint is available.
         """
         if candidates is None:
-            drawn = self.draw(pool, DRAWS, now_ns)
+            available = self.draw(pool, RANDOM_CHOICES, now_ns)
         else:
-            drawn = [state for state in candidates if self.is_available(state, now_ns)]
-        if not drawn:
+            available = self._available(candidates, now_ns)
+        if not available:
             return None
-        choice = min(drawn, key=lambda state: (estimated_load(state, now_ns) + 1) * state.relative_latency)
-        pool.last_choice = choice
+        choice = _least_loaded(available, now_ns)
+        pool.record_choice(choice)
         return choice
 
-    def would_answer_late(self, request: Request, state: EndpointState, now_ns: int) -> bool:
-        """Tell whether an endpoint that reports a load would answer too late; an idle one never does."""
+    def would_respond_late(self, request: Request, state: EndpointState, now_ns: int) -> bool:
+        """Tell whether an endpoint, by its load report, would respond after the latency objective.
+
+        An endpoint without a recent report, or that reports no load, is never considered late.
+        """
         if state.reported_load < 1 or not has_fresh_load(state, now_ns):
             return False
-        latency_ns = self.concurrency_limit.latency_model.latency_at(state.reported_load + LOAD_MARGIN)
+        load = state.reported_load + REQUESTS_SINCE_REPORT
+        latency_ns = self.concurrency_limit.latency_model.latency_at(load)
         return latency_ns * state.relative_latency > request.objective_ns - now_ns
 
     def retry_candidates(self, request: Request, now_ns: int) -> list[EndpointState] | None:
-        """Return where a request that may have run may go again; None: anywhere."""
+        """Return the endpoints to which a request may be sent again; None: all of its pool.
+
+        A request with an idempotency key that may have run stays among the endpoints which recognise the key.
+        """
         request_class = request.request_class
-        scope = request_class.deduplication_scope
-        first = next((attempt for attempt in request.attempts if attempt.may_have_run), None)
-        if first is None or request_class.idempotency is Idempotency.IDEMPOTENT:
+        if request_class.idempotency is Idempotency.IDEMPOTENT:
             return None
-        if scope is DeduplicationScope.ALL:
+        if request_class.deduplication_scope is DeduplicationScope.ALL:
             return None
-        pool, like = request.pool, first.endpoint_state.endpoint
-        group = [s for s in pool.endpoints if same_deduplication_group(request_class, s.endpoint, like)]
-        return group + self.updates.unused_group(pool, like, scope, self.rng.random, SCAN, now_ns)
+        first = _first_that_may_have_run(request)
+        if first is None:
+            return None
+        pool = request.pool
+        reference = first.endpoint_state.endpoint
+        in_pool = [
+            state
+            for state in pool.endpoints
+            if same_deduplication_group(request_class, state.endpoint, reference)
+        ]
+        return in_pool + self._group_outside_pool(request, reference, now_ns)
+
+    def _group_outside_pool(self, request: Request, reference: Endpoint, now_ns: int) -> list[EndpointState]:
+        """Return some endpoints of a reference endpoint's zone or cell that are in no pool of this proxy."""
+        pool, fleet = request.pool, self.fleet_updater.fleet
+        if len(pool.endpoints) == len(pool.placement.ring):
+            return []
+        if len(fleet.endpoints) > len(fleet.pooled_ids) + UNUSED_STATES_MAX:
+            self.fleet_updater.discard_unused_states()
+        endpoint_ids = fleet.table.ready_in_group(
+            pool.placement,
+            reference=reference,
+            scope=request.request_class.deduplication_scope,
+            position=self.rng.random(),
+            count=SCANNED_ENDPOINTS_MAX,
+        )
+        return self.fleet_updater.states((i for i in endpoint_ids if i not in fleet.pooled_ids), now_ns)
+
+
+def _least_loaded(endpoints: Iterable[EndpointState], now_ns: int) -> EndpointState:
+    """Return the endpoint with the least load, weighted by how long it takes for a request."""
+
+    def weighted_load(state: EndpointState) -> float:
+        return (estimated_load(state, now_ns) + 1) * state.relative_latency
+
+    return min(endpoints, key=weighted_load)
+
+
+def _first_that_may_have_run(request: Request) -> Attempt | None:
+    return next((attempt for attempt in request.attempts if attempt.may_have_run), None)
--- a/loadbalancer/policy/slow_start.py
+++ b/loadbalancer/policy/slow_start.py
@@ -1,4 +1,4 @@
-"""Slow start: pacing of endpoints that warm up, rule 4 (types: loadbalancer/messages.py)."""
+"""Slow start: pacing of endpoints that are warming up, rule 4 (types: loadbalancer/messages.py)."""
 
 from loadbalancer.policy.latency_model import LatencyModel
 from loadbalancer.settings import Settings
@@ -7,48 +7,69 @@
 from loadbalancer.state.timer_queue import ServeQueue, TimerQueue
 from loadbalancer.units import NANOSECONDS_PER_SECOND
 
-BUDGET_PART = 0.7  # of what an endpoint that is warming up may be sent
-THROUGHPUT_GAIN = 0.2  # weight of the newest feedback interval
+OVERLOAD_BUDGET_FRACTION = 0.7  # of the rate that overloads an endpoint which is warming up
+THROUGHPUT_SMOOTHING = 0.2  # weight of the newest feedback interval
 
 
 class SlowStart:
-    """Paces what endpoints that are warming up are sent."""
+    """Limits the rate at which endpoints that are warming up are sent requests."""
 
-    def __init__(self, settings: Settings, fleet: Fleet, timers: TimerQueue, latency: LatencyModel) -> None:
-        self.rules, self.proxy_count = settings.rules, settings.proxy_count
-        self.fleet, self.timers, self.latency_model = fleet, timers, latency
-        self.sustained_throughput = 0.0  # own attempts a second that a warm endpoint is seen to carry
+    def __init__(
+        self, settings: Settings, fleet: Fleet, timers: TimerQueue, latency_model: LatencyModel
+    ) -> None:
+        self.rules = settings.rules
+        self.proxy_count = settings.proxy_count
+        self.fleet = fleet
+        self.timers = timers
+        self.latency_model = latency_model
+        self.sustained_throughput = 0.0  # this proxy's attempts per second at one warm endpoint
 
     def is_warming_up(self, state: EndpointState, now_ns: int) -> bool:
-        """Tell whether an endpoint has started so lately that it cannot carry full load yet."""
+        """Tell whether an endpoint has started so recently that it cannot carry full load yet."""
         started_ns = state.endpoint.started_ns
         return bool(started_ns) and now_ns - started_ns < self.rules.slow_start_ns
 
     def pacing_interval_ns(self, state: EndpointState, now_ns: int) -> int:
         """Return the least time between two sends of this proxy to an endpoint that is warming up.
 
-        All proxies that have it in their subset must stay, together, inside what it can carry now. A warm one
-        carries what it is seen to carry, or what endpoints finish: the time that a request adds, as it is
-        learned, is flattened by late reports, and promises several times that.
+        All sharing proxies together must stay within what the endpoint can carry now.
         """
+        capacity = self._capacity_fraction(state, now_ns)
+        throughput = self._warm_throughput(state)
+        sends_per_s = OVERLOAD_BUDGET_FRACTION * self.rules.overload_factor * capacity * throughput
+        return int(NANOSECONDS_PER_SECOND / sends_per_s)
+
+    def _capacity_fraction(self, state: EndpointState, now_ns: int) -> float:
+        """Return the fraction of its full capacity that an endpoint has while it warms up."""
         rules = self.rules
         initial = rules.slow_start_initial_capacity
-        capacity = initial + (1 - initial) * (now_ns - state.endpoint.started_ns) / rules.slow_start_ns
-        # Other proxies may have it in the subset of another pool: all pools that admit it count.
+        return initial + (1 - initial) * (now_ns - state.endpoint.started_ns) / rules.slow_start_ns
+
+    def _warm_throughput(self, state: EndpointState) -> float:
+        """Return how many requests a second this proxy may expect a warm endpoint to carry for it.
+
+        That is what endpoints are seen to carry, or this proxy's part of what they finish. The latency that
+        a request adds isn't used: late load reports make it several times too small.
+        """
+        finished = NANOSECONDS_PER_SECOND / self.latency_model.service_interval_ns
+        return max(self.sustained_throughput, finished / self._sharing_proxies(state))
+
+    def _sharing_proxies(self, state: EndpointState) -> float:
+        """Return how many proxies may send to an endpoint, over all pools that admit it.
+
+        Other proxies may have it in the subset of another pool than this one.
+        """
         pools = self.fleet.pools.values()
-        sharers = sum(pool.proxies_sharing for pool in pools if pool.admits(state.endpoint))
-        sharers = max(1.0, min(self.proxy_count, sharers))
-        finished = NANOSECONDS_PER_SECOND / self.latency_model.service_interval_ns / sharers
-        throughput = max(self.sustained_throughput, finished)
-        return int(NANOSECONDS_PER_SECOND / (BUDGET_PART * rules.overload_factor * capacity * throughput))
-
-    def pace(self, state: EndpointState, now_ns: int, intervals: float) -> None:
-        """Leave an endpoint that is warming up alone for so many of its pacing intervals."""
+        sharing_proxies = sum(pool.proxies_sharing for pool in pools if pool.admits(state.endpoint))
+        return max(1.0, min(self.proxy_count, sharing_proxies))
+
+    def apply_pacing(self, state: EndpointState, now_ns: int, intervals: float) -> None:
+        """Send nothing to an endpoint that is warming up for this many of its pacing intervals."""
         pause_ns = int(intervals * self.pacing_interval_ns(state, now_ns))
-        state.ejected_until_ns = max(state.ejected_until_ns, now_ns + pause_ns)
+        state.extend_ejection(now_ns + pause_ns)
         self.timers.schedule(state.ejected_until_ns, ServeQueue())
 
     def record_throughput(self, attempts_per_second: float) -> None:
-        """Learn from the attempts a second that the subset carried in the last feedback interval."""
+        """Learn from the attempts per second that the subset carried in the last feedback interval."""
         throughput = attempts_per_second / max(1, self.fleet.subset_size)
-        self.sustained_throughput += THROUGHPUT_GAIN * (throughput - self.sustained_throughput)
+        self.sustained_throughput += THROUGHPUT_SMOOTHING * (throughput - self.sustained_throughput)
--- a/loadbalancer/policy/subsetting.py
+++ b/loadbalancer/policy/subsetting.py
@@ -1,100 +1,158 @@
-"""Which endpoints this proxy uses: deterministic subsetting, an extension to the paper.
+"""Which endpoints this proxy uses: deterministic subsetting.
 
 Types of the interface: loadbalancer/messages.py.
 
 A subset is a run of consecutive keys of a hash ring that all proxies compute alike, so that a proxy's own
-requests in flight say something of each endpoint's load; beside it there is a reserve. Where open connections
-have a price subsets are small, and lie in the proxy's own zone if crossing zones costs too. Many proxies cut
-the ring into segments by key. A subset begins by rank in its segment: subsets spread evenly whatever the keys
-are, and a change moves those of one segment alone, by one endpoint.
+requests in flight are a measure of each endpoint's load; beside it there is a reserve. Where open connections
+have a price subsets are small, and lie in the proxy's own zone if crossing zones has a price too. In a large
+deployment the ring is cut into segments by key. A subset begins by rank in its segment: subsets are spread
+evenly whatever the keys are, and a change of the endpoint list moves only those of one segment, by one
+endpoint.
 """
 
 from sortedcontainers import SortedList
 
-from loadbalancer.settings import Settings
-from loadbalancer.state.endpoint_table import RESERVE_SIZE, EndpointTable, Placement
-from loadbalancer.state.hash_ring import RingKey, ring_slice, segment_ranks, unit_hash
+from loadbalancer.policy.subset_size import FULL_SUBSET_SIZE, is_large_deployment, proxy_offset, subset_size
+from loadbalancer.settings import DeduplicationScope, Settings
+from loadbalancer.state.endpoint_table import EndpointTable, Placement
+from loadbalancer.state.hash_ring import RingKey, mix64, ring_slice, segment_ranks
 from loadbalancer.state.subset import Subset
 
-MIN_SUBSET = 4
-MIN_SUBSET_PRICED = 1  # where each open connection has a price, or is work at the endpoint: they add up
-FULL_SUBSET = 10  # large enough that pauses of single endpoints don't matter
-MAX_SHARING = 6  # proxies that may share an endpoint for the sake of larger subsets
-MANY_PROXIES = 512  # from here on there are segments, and subsets so wide that each endpoint is shared by a
-WIDE_SUBSET = 64  # few proxies: one that ends or has little traffic leaves no endpoint without any
-MIN_PROXIES_PER_ENDPOINT = 2  # golden-ratio steps are up to 1.9 times their mean apart
-SEGMENT_PROXIES = 256  # least of a segment, so that its endpoints are evenly used to some hundredths
-SEGMENT_ENDPOINTS = 2048  # the same
-GOLDEN_RATIO, SILVER_RATIO = 0.618033988749895, 0.414213562373095  # their fractional parts
+SEGMENT_PROXIES_MIN = 256  # with fewer the endpoints of a segment are not evenly used
+SEGMENT_ENDPOINTS_MIN = 2048
+RESERVE_SIZE = 256  # endpoints beside the subset that replace its losses and serve keyed retries
+ZONE_RESERVE_SIZE = 128  # the part of the reserve that follows the subset on its ring
+REMOTE_RESERVE_SIZE = 128  # the part from the ring of all zones
+GOLDEN_RATIO_FRACTION = 0.618033988749895
+SILVER_RATIO_FRACTION = 0.414213562373095
 
 
-def choose_subset(table: EndpointTable, placement: Placement) -> Subset:
+def choose_subset(settings: Settings, placement: Placement) -> Subset:
     """Return this proxy's subset and reserve among the ready endpoints that a placement admits."""
-    settings, full_ring = table.settings, placement.ring
-    ring = table.local_ring(placement)
-    if len(ring) < FULL_SUBSET:
-        ring = full_ring  # so few may be failing or draining together, and a busy zone would find no help
-    # Which proxies share the zone isn't known: golden-ratio steps are even over most parts of them.
-    partial = len(ring) < len(full_ring) or placement.allowed_zones is not None
-    proxies, zones = max(1, settings.proxy_count), max(1, len(settings.zones))
-    sharing = max(1, proxies // zones) if partial else proxies
-    position = _ring_position(settings, partial, zones)
-    size = _subset_size(settings, len(ring), sharing)
-    if proxies >= MANY_PROXIES:
-        first = _first_rank(settings, ring, position, sharing)
-    elif partial:
-        first = int(position * len(ring))
-    else:
-        first = settings.proxy_index * len(ring) // sharing
+    ring = _subset_ring(settings, placement)
+    # A part of the ready endpoints: which proxies use the same part isn't known.
+    is_partial = len(ring) < len(placement.ring) or placement.allowed_zones is not None
+    sharing_proxies = _sharing_proxies(settings, is_partial)
+    position = _ring_position(settings, is_partial)
+    size = subset_size(settings, len(ring), sharing_proxies)
+    first = _first_rank(settings, ring, position, sharing_proxies, is_partial)
     assigned = ring_slice(ring, first, size)
-    near, far = _reserves(ring, full_ring, assigned, first + size, position)
-    return Subset(assigned, near, far, sharing * size / max(1, len(ring)))
+    zone_reserve = _zone_reserve(ring, placement.ring, first + size, size)
+    remote_reserve = _remote_reserve(ring, placement.ring, position, size)
+    in_use = {*assigned, *zone_reserve}
+    return Subset(
+        assigned=assigned,
+        zone_reserve=zone_reserve,
+        remote_reserve=[key for key in remote_reserve if key not in in_use],
+        proxies_sharing=sharing_proxies * size / max(1, len(ring)),
+    )
 
 
-def _ring_position(settings: Settings, partial: bool, zones: int) -> float:
+def reserve_rank(settings: Settings, endpoint_id: int) -> int:
+    """Return the rank of an endpoint in this proxy's reserve; each proxy orders its reserve differently."""
+    return mix64(endpoint_id, settings.proxy_index + 1)
+
+
+def new_endpoint_table(settings: Settings) -> EndpointTable:
+    """Return an empty table, with the rings by zone and by cell that subsets and keyed retries need."""
+    scopes = {request_class.deduplication_scope for request_class in settings.request_classes.values()}
+    return EndpointTable(
+        index_zones=_keeps_to_own_zone(settings) or DeduplicationScope.ZONE in scopes,
+        index_cells=DeduplicationScope.CELL in scopes,
+    )
+
+
+def _keeps_to_own_zone(settings: Settings) -> bool:
+    """Tell whether proxies use the endpoints of their own zones: where both connections and zones cost.
+
+    With fewer proxies than zones the endpoints of zones without a proxy would be idle.
+    """
+    all_zones_have_proxies = settings.proxy_count >= len(settings.zones)
+    return settings.prices.connection > 0 < settings.prices.cross_zone and all_zones_have_proxies
+
+
+def _subset_ring(settings: Settings, placement: Placement) -> SortedList[RingKey]:
+    """Return the ring on which this proxy's subset lies: that of its zone, or that of all zones.
+
+    Few endpoints of one zone may be failing or draining together, and a busy zone could use no other one.
+    """
+    if not _keeps_to_own_zone(settings):
+        return placement.ring
+    zone_ring = placement.by_zone.get(settings.zone, placement.ring)
+    return zone_ring if len(zone_ring) >= FULL_SUBSET_SIZE else placement.ring
+
+
+def _sharing_proxies(settings: Settings, is_partial: bool) -> int:
+    """Return how many proxies have their subsets on the same ring; those of a zone, if it is partial."""
+    proxies = max(1, settings.proxy_count)
+    return max(1, proxies // _zone_count(settings)) if is_partial else proxies
+
+
+def _zone_count(settings: Settings) -> int:
+    return max(1, len(settings.zones))
+
+
+def _ring_position(settings: Settings, is_partial: bool) -> float:
+    """Return where on its ring this proxy's subset begins (0 to 1).
+
+    Golden-ratio steps are even over most sets of proxies. Those of one zone may be every n-th proxy, for
+    which a second ratio is needed.
+    """
     index = settings.proxy_index
-    if partial and settings.proxy_count >= MANY_PROXIES:  # even as well if a zone has every n-th proxy
-        return (index // zones * GOLDEN_RATIO + index % zones * SILVER_RATIO) % 1
-    return index * GOLDEN_RATIO % 1
-
-
-def _subset_size(settings: Settings, endpoints: int, proxies: int) -> int:
-    shared = MAX_SHARING * endpoints / proxies
-    if settings.proxy_count >= MANY_PROXIES:
-        # Each proxy takes one more at a list length of its own, so that no change of the list moves all.
-        rounding = unit_hash(settings.proxy_index, 1)
-        covering = int(MIN_PROXIES_PER_ENDPOINT * endpoints / proxies + rounding)
-        size = max(min(WIDE_SUBSET, int(shared + rounding)), covering)
-    else:
-        size = max(min(FULL_SUBSET, int(shared)), -(-endpoints // proxies))
-    least = MIN_SUBSET_PRICED if settings.prices.connection > 0 else MIN_SUBSET
-    return min(endpoints, max(least, size))
-
-
-def _first_rank(settings: Settings, ring: SortedList[RingKey], position: float, proxies: int) -> int:
-    # Each proxy goes over to more segments at a list length of its own, so that no change moves many at once.
-    scaled_length = int(len(ring) * 2 ** unit_hash(settings.proxy_index, 1))
-    most = min(proxies // SEGMENT_PROXIES, scaled_length // SEGMENT_ENDPOINTS)
-    segments = 1 << max(0, most.bit_length() - 1)  # the power of two below
+    if is_partial and is_large_deployment(settings):
+        round_number, number_in_round = divmod(index, _zone_count(settings))
+        return (round_number * GOLDEN_RATIO_FRACTION + number_in_round * SILVER_RATIO_FRACTION) % 1
+    return index * GOLDEN_RATIO_FRACTION % 1
+
+
+def _first_rank(
+    settings: Settings, ring: SortedList[RingKey], position: float, proxies: int, is_partial: bool
+) -> int:
+    """Return the rank on its ring at which this proxy's subset begins."""
+    if is_large_deployment(settings):
+        return _first_rank_in_segment(settings, ring, position, proxies)
+    if is_partial:
+        return int(position * len(ring))
+    return settings.proxy_index * len(ring) // proxies
+
+
+def _first_rank_in_segment(
+    settings: Settings, ring: SortedList[RingKey], position: float, proxies: int
+) -> int:
+    """Return the rank at which a subset begins, counted from the start of its segment of the key space."""
+    segments = _segment_count(settings, len(ring), proxies)
     segment = int(position * segments)
     low, high = segment_ranks(ring, segment, segments)
     return low + int((position * segments - segment) * (high - low))
 
 
-def _reserves(
-    ring: SortedList[RingKey],
-    full_ring: SortedList[RingKey],
-    assigned: list[RingKey],
-    end: int,
-    position: float,
-) -> tuple[list[RingKey], list[RingKey]]:
-    """Return the keys that follow the subset on its ring, and others from the ring of all zones."""
-    if len(full_ring) - len(assigned) <= RESERVE_SIZE:
-        near = ring_slice(ring, end, len(ring) - len(assigned))
-        elsewhere = list(full_ring) if len(ring) < len(full_ring) else []
-    else:
-        near = ring_slice(ring, end, min(len(ring) - len(assigned), RESERVE_SIZE // 2))
-        start = int((position + GOLDEN_RATIO) % 1 * len(full_ring))
-        elsewhere = ring_slice(full_ring, start, RESERVE_SIZE // 2)
-    known = {*assigned, *near}
-    return near, [key for key in elsewhere if key not in known]
+def _segment_count(settings: Settings, endpoints: int, proxies: int) -> int:
+    """Return into how many segments this proxy divides the ring, a power of two."""
+    scaled_endpoints = int(endpoints * 2 ** proxy_offset(settings))
+    segments_max = min(proxies // SEGMENT_PROXIES_MIN, scaled_endpoints // SEGMENT_ENDPOINTS_MIN)
+    return 1 << max(0, segments_max.bit_length() - 1)
+
+
+def _fits_into_reserve(full_ring: SortedList[RingKey], assigned_count: int) -> bool:
+    """Tell whether the reserve holds all endpoints beside the subset."""
+    return len(full_ring) - assigned_count <= RESERVE_SIZE
+
+
+def _zone_reserve(
+    ring: SortedList[RingKey], full_ring: SortedList[RingKey], first: int, assigned_count: int
+) -> list[RingKey]:
+    """Return the keys that follow the subset on its ring, from the rank `first` on."""
+    count = len(ring) - assigned_count
+    if not _fits_into_reserve(full_ring, assigned_count):
+        count = min(count, ZONE_RESERVE_SIZE)
+    return ring_slice(ring, first, count)
+
+
+def _remote_reserve(
+    ring: SortedList[RingKey], full_ring: SortedList[RingKey], position: float, assigned_count: int
+) -> list[RingKey]:
+    """Return keys from the ring of all zones; some may be in the subset or the zone reserve too."""
+    if _fits_into_reserve(full_ring, assigned_count):
+        return list(full_ring) if len(ring) < len(full_ring) else []
+    remote_position = (position + GOLDEN_RATIO_FRACTION) % 1
+    return ring_slice(full_ring, int(remote_position * len(full_ring)), REMOTE_RESERVE_SIZE)
--- a/loadbalancer/state/endpoint_pool.py
+++ b/loadbalancer/state/endpoint_pool.py
@@ -29,3 +29,18 @@
     def admits(self, endpoint: Endpoint) -> bool:
         """Tell whether the placement allows an endpoint."""
         return self.placement.admits(endpoint.zone, endpoint.machine_type)
+
+    def rebuild(self, subset: Subset, endpoints: list[EndpointState], subset_size: int) -> None:
+        """Replace the endpoints by those of a subset and its reserve; the first `subset_size` are drawn from.
+
+        `subset_size` is larger than the subset's assigned part where the reserve is drawn from as well.
+        """
+        self.current_subset = subset
+        self.endpoints = endpoints
+        self.subset_size = subset_size
+        self.draw_width = subset_size
+        self.proxies_sharing = subset.proxies_sharing * subset_size / max(1, len(subset.assigned))
+
+    def record_choice(self, state: EndpointState) -> None:
+        """Store the endpoint that was chosen last."""
+        self.last_choice = state
--- a/scale_test/subset_balance.py
+++ b/scale_test/subset_balance.py
@@ -7,7 +7,7 @@
 import click
 
 from loadbalancer.messages import Endpoint
-from loadbalancer.policy.subsetting import choose_subset
+from loadbalancer.policy.subsetting import choose_subset, new_endpoint_table
 from loadbalancer.settings import Prices, Settings
 from loadbalancer.state.endpoint_ids import preferred_id
 from loadbalancer.state.endpoint_table import EndpointTable, Placement
@@ -23,14 +23,14 @@
     """The subset of each of so many balancers, spread over the zones in turn."""
     subsets = []
     for index in range(balancers):
-        table.settings = Settings(
+        settings = Settings(
             proxy_index=index,
             proxy_count=balancers,
             zones=zones,
             prices=ZONED_PRICES if zones else Prices(),
             zone=zones[index % len(zones)] if zones else "",
         )
-        subsets.append(frozenset(choose_subset(table, table.placements[0]).assigned))
+        subsets.append(frozenset(choose_subset(settings, table.placements[0]).assigned))
     return subsets
 
 
@@ -70,7 +70,7 @@
 def endpoint_table(plan: Plan, ids: list[int], balancers: int, zones: list[str]) -> EndpointTable:
     """A table of the plan's upstreams with these ids."""
     prices = ZONED_PRICES if zones else Prices()
-    table = EndpointTable(Settings(proxy_count=balancers, zones=zones, prices=prices))
+    table = new_endpoint_table(Settings(proxy_count=balancers, zones=zones, prices=prices))
     table.add_placement(Placement(None, None))
     for number, endpoint_id in enumerate(ids):
         zone = zone_name(plan.zone_of(number))
--- a/tests/policy/test_selection.py
+++ b/tests/policy/test_selection.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from loadbalancer.policy.selection import DRAWS, Selection
+from loadbalancer.policy.selection import RANDOM_CHOICES, Selection
 from loadbalancer.state.endpoint_state import EndpointState
 from tests.support.policy_harness import NANOSECONDS_PER_SECOND, PolicyHarness, arrival
 
@@ -27,12 +27,12 @@
     monkeypatch.setattr(Selection, "is_available", fit)
     for _ in range(20):
         looked = 0
-        drawn = selection.draw(pool, DRAWS, harness.now_ns + NANOSECONDS_PER_SECOND)
-        assert len(drawn) >= DRAWS
+        drawn = selection.draw(pool, RANDOM_CHOICES, harness.now_ns + NANOSECONDS_PER_SECOND)
+        assert len(drawn) >= RANDOM_CHOICES
         assert all(fits(selection, s, harness.now_ns + NANOSECONDS_PER_SECOND) for s in drawn)
-        assert looked <= DRAWS + 1  # with the previous winner
+        assert looked <= RANDOM_CHOICES + 1  # with the previous winner
     for state in pool.endpoints[1:]:
         state.ejected_until_ns = harness.now_ns + 2 * NANOSECONDS_PER_SECOND
-    assert set(selection.draw(pool, DRAWS, harness.now_ns + NANOSECONDS_PER_SECOND)) <= set(
+    assert set(selection.draw(pool, RANDOM_CHOICES, harness.now_ns + NANOSECONDS_PER_SECOND)) <= set(
         pool.endpoints[:1]
     )
--- a/tests/policy/test_subsetting.py
+++ b/tests/policy/test_subsetting.py
@@ -15,11 +15,12 @@
 from loadbalancer.messages import AttemptResult, Endpoint, EndpointStatus, EndpointUpdate, EndpointUpdateKind
 from loadbalancer.policy import subsetting
 from loadbalancer.policy.balancer import Balancer
-from loadbalancer.policy.selection import SCAN
-from loadbalancer.policy.subsetting import MANY_PROXIES, WIDE_SUBSET, choose_subset
+from loadbalancer.policy.selection import SCANNED_ENDPOINTS_MAX
+from loadbalancer.policy.subset_size import LARGE_DEPLOYMENT_PROXIES, LARGE_DEPLOYMENT_SUBSET_SIZE
+from loadbalancer.policy.subsetting import RESERVE_SIZE, choose_subset, new_endpoint_table
 from loadbalancer.settings import DeduplicationScope, Idempotency, Prices, RequestClass, Settings
 from loadbalancer.state import endpoint_table, hash_ring
-from loadbalancer.state.endpoint_table import RESERVE_SIZE, EndpointTable, Placement
+from loadbalancer.state.endpoint_table import EndpointTable, Placement
 from loadbalancer.state.hash_ring import mix64, unmix64
 from loadbalancer.state.subset import Subset
 from tests.support.policy_harness import (
@@ -81,7 +82,7 @@
 
 
 def table_of(config: Settings, endpoints: Iterable[Endpoint]) -> EndpointTable:
-    table = EndpointTable(config)
+    table = new_endpoint_table(config)
     table.add_placement(Placement(None, None))
     table.add_placement(Placement(*NARROW_PLACEMENT))
     for endpoint in endpoints:
@@ -90,15 +91,15 @@
     return table
 
 
-def contents(table: EndpointTable) -> object:
-    """Return all that a table holds, and the subsets that it gives."""
+def contents(config: Settings, table: EndpointTable) -> object:
+    """Return all that a table holds, and the subsets that a proxy chooses from it."""
     return (
         table.attributes,
         [
             (list(p.ring), {z: list(ring) for z, ring in p.by_zone.items() if ring}, dict(p.by_cell))
             for p in table.placements
         ],
-        [choose_subset(table, p) for p in table.placements],
+        [choose_subset(config, p) for p in table.placements],
     )
 
 
@@ -106,8 +107,8 @@
     """Return the subset of each of so many proxies, as ring keys, given the same list."""
     subsets = []
     for index in range(proxies):
-        table.settings = proxy_settings(proxies, zone_aware, index)
-        subsets.append(set(choose_subset(table, table.placements[0]).assigned))
+        config = proxy_settings(proxies, zone_aware, index)
+        subsets.append(set(choose_subset(config, table.placements[0]).assigned))
     return subsets
 
 
@@ -145,7 +146,7 @@
     known = [e for e in last.values() if e.status is not EndpointStatus.REMOVED]
     fresh = Balancer(config, 2, START)
     fresh.handle(START, [EndpointUpdate(EndpointUpdateKind.FULL, sorted(known, reverse=True))])
-    assert contents(balancer.fleet.table) == contents(fresh.fleet.table)
+    assert contents(config, balancer.fleet.table) == contents(config, fresh.fleet.table)
     orders = [[[s.id for s in pool.endpoints] for pool in b.fleet.pools.values()] for b in (balancer, fresh)]
     assert orders[0] == orders[1]
     assert set(orders[0][0]) == {e.id for e in known if e.status is EndpointStatus.READY}
@@ -158,13 +159,14 @@
 
 
 @pytest.mark.parametrize(
-    ("proxies", "zone_aware"), [(1650, False), (1650, True), (MANY_PROXIES, False), (MANY_PROXIES, True)]
+    ("proxies", "zone_aware"),
+    [(1650, False), (1650, True), (LARGE_DEPLOYMENT_PROXIES, False), (LARGE_DEPLOYMENT_PROXIES, True)],
 )
 def test_subsets_of_many_proxies_are_even_and_leave_no_endpoint_out(proxies: int, zone_aware: bool) -> None:
     subsets = subsets_of_all(
         table_of(proxy_settings(proxies, zone_aware), endpoints_in_all_zones(30_000)), proxies, zone_aware
     )
-    assert min(map(len, subsets)) >= WIDE_SUBSET
+    assert min(map(len, subsets)) >= LARGE_DEPLOYMENT_SUBSET_SIZE
     assert max(map(len, subsets)) <= min(map(len, subsets)) + 1
     shares = Counter(key for subset in subsets for key in subset)
     mean = sum(shares.values()) / 30_000
@@ -250,8 +252,8 @@
     large, balancer = cost_of_updates(monkeypatch, 30_000)
     assert large["mix64"] <= 1.2 * small["mix64"]
     assert large["mix64"] <= 40 * 8
-    assert large["ring_slice"] <= 40 * 3 * (WIDE_SUBSET + RESERVE_SIZE)
-    assert large["known in full"] <= WIDE_SUBSET + RESERVE_SIZE + 1
+    assert large["ring_slice"] <= 40 * 3 * (LARGE_DEPLOYMENT_SUBSET_SIZE + RESERVE_SIZE)
+    assert large["known in full"] <= LARGE_DEPLOYMENT_SUBSET_SIZE + RESERVE_SIZE + 1
     assert len(balancer.fleet.table.attributes) == 30_000
     # Endpoints with equal attributes share one object.
     assert len({id(attributes) for attributes in balancer.fleet.table.attributes.values()}) < 1000
@@ -289,11 +291,11 @@
     assert len(cell) == 100
     assert len(zone) == 3750
     for index in range(0, 1650, 8):  # the proxies of zone z0
-        table.settings = proxy_settings(1650, zone_aware, index)
-        subset = choose_subset(table, table.placements[0])
+        config = proxy_settings(1650, zone_aware, index)
+        subset = choose_subset(config, table.placements[0])
         own, known = remaining(subset, cell)
         assert own >= 0.8 * len(subset.assigned)
-        assert known >= 0.9 * (WIDE_SUBSET + RESERVE_SIZE) * 0.8
+        assert known >= 0.9 * (LARGE_DEPLOYMENT_SUBSET_SIZE + RESERVE_SIZE) * 0.8
         if zone_aware:  # it stays in its zone while there is one, and knows endpoints of others
             assert {table.endpoint(unmix64(k)).zone for k in subset.assigned} == {"z0"}
             assert remaining(subset, zone)[1] >= RESERVE_SIZE // 4
@@ -302,7 +304,9 @@
     for number in zone:
         table.remove(number)
     table.apply_changes()
-    assert len(choose_subset(table, table.placements[0]).assigned) >= WIDE_SUBSET  # in other zones now
+    assert (
+        len(choose_subset(config, table.placements[0]).assigned) >= LARGE_DEPLOYMENT_SUBSET_SIZE
+    )  # in other zones now
 
 
 @pytest.mark.parametrize("request_class", [ZONE_CLASS, CELL_CLASS])
@@ -320,10 +324,13 @@
         if f"r{i}" not in harness.answers:
             harness.finish(f"r{i}")
     assert retried >= 55
-    assert len(harness.balancer.fleet.endpoints) <= WIDE_SUBSET + RESERVE_SIZE + 5 * SCAN
+    assert (
+        len(harness.balancer.fleet.endpoints)
+        <= LARGE_DEPLOYMENT_SUBSET_SIZE + RESERVE_SIZE + 5 * SCANNED_ENDPOINTS_MAX
+    )
     harness.advance(NANOSECONDS_PER_SECOND)
     harness.give()
-    assert len(harness.balancer.fleet.endpoints) <= WIDE_SUBSET + RESERVE_SIZE
+    assert len(harness.balancer.fleet.endpoints) <= LARGE_DEPLOYMENT_SUBSET_SIZE + RESERVE_SIZE
 
 
 def test_an_endpoint_that_left_the_subset_gets_no_request_that_checked_its_load() -> None:
@@ -334,7 +341,7 @@
     checked = fleet.default_pool.endpoints[0]
     others = [u for u in endpoints_in_all_zones(2000, seed=9) if u.id != checked.id]
     harness.give(EndpointUpdate(EndpointUpdateKind.FULL, [*others, checked.endpoint._replace(zone="z7")]))
-    if checked.id not in fleet.used_ids:
+    if checked.id not in fleet.pooled_ids:
         assert not harness.balancer.selection.is_available(checked, harness.now_ns)
         assert checked.id not in fleet.endpoints
     harness.give(EndpointUpdate(EndpointUpdateKind.FULL, others))
--- a/tests/proxy/test_endpoint_list_reader.py
+++ b/tests/proxy/test_endpoint_list_reader.py
@@ -270,7 +270,7 @@
     assert done["preferred_id"] == count
     assert done["pack_address"] <= count + 2
     assert done["mix64"] <= count + 10
-    assert len(balancer.fleet.endpoints) == len(balancer.fleet.used_ids)
+    assert len(balancer.fleet.endpoints) == len(balancer.fleet.pooled_ids)
     assert config.known_endpoints is not None
     assert not len(config.known_endpoints)
 
