--- a/loadbalancer/messages.py
+++ b/loadbalancer/messages.py
@@ -1,15 +1,15 @@
-"""The interface of the decisions: events that they take and actions that they return.
+"""The interface of the policy: the events that it handles and the actions that it returns.
 
-One `Balancer` (`loadbalancer/policy/balancer.py`) decides for one proxy. It is handed the clock and a seed;
-it opens no socket, reads no clock and keeps no thread. All times are whole nanoseconds on the caller's clock,
-and all durations whole nanoseconds. Nothing here decides.
+One `Balancer` (`loadbalancer/policy/balancer.py`) decides for one proxy. Time and random seed are passed to
+it: it opens no socket, reads no clock and starts no thread. All times are whole nanoseconds on the caller's
+clock, and all durations whole nanoseconds.
 
-Messages are named tuples, not dataclasses: several are made for each request, and tuples are made fastest.
+Messages are named tuples, not dataclasses: several are created for each request, and tuples are fastest.
 
-Some messages are never sent or read by the decisions, and exist because the simulator's wire and the proxy
-have them: `FetchEndpoints` (`WatchEndpoints` brings the list as well), `SendGossip` and `GossipReceived`
-(each proxy decides by what it sees itself), `CloseIdleConnections` (idle connections time out in the proxy)
-and `LogMessage`. Removing one would change the wire.
+The policy never uses some messages, which exist because the simulator's wire and the proxy have them:
+`FetchEndpoints` (`WatchEndpoints` brings the complete list as well), `SendGossip` and `GossipReceived` (each
+proxy decides by its own observations), `CloseIdleConnections` (idle connections time out in the proxy) and
+`LogMessage`.
 """
 
 from __future__ import annotations
@@ -20,11 +20,11 @@
 
 
 class EndpointStatus(Enum):
-    """What discovery says of an endpoint."""
+    """The status of an endpoint in the endpoint list."""
 
     REMOVED = 0  # no longer listed
     READY = 1
-    DRAINING = 2  # takes no new requests; it is about to shut down
+    DRAINING = 2  # accepts no new requests; it is about to shut down
 
 
 class EndpointUpdateKind(Enum):
@@ -32,22 +32,22 @@
 
     DELTA = 0  # only the entries that changed
     FULL = 1  # the complete list
-    CACHED = 2  # the complete list as last known before a restart, perhaps out of date
-    FAILED = 3  # a call to discovery failed or the watch broke; no entries
-    WATCH_TIMED_OUT = 4  # the watch fell silent and its events are lost; no entries. Never on the wire
+    CACHED = 2  # the complete list as stored before a restart, possibly out of date
+    FAILED = 3  # a discovery call failed or the watch broke; no entries
+    WATCH_TIMED_OUT = 4  # the watch went silent and its events are lost; no entries. Never on the wire
 
 
 class AttemptResult(Enum):
     """How an attempt or a health check ended, and whether the request may have run at the endpoint."""
 
     OK = "ok"
-    ERROR = "error"  # answered with an error; may have run
-    REJECTED = "rejected"  # the endpoint rejected it before working on it; never ran
-    TIMEOUT = "timeout"  # may have run, may still run
+    ERROR = "error"  # an error response; may have run
+    REJECTED = "rejected"  # the endpoint rejected it before running it; never ran
+    TIMEOUT = "timeout"  # may have run, may still be running
     CONNECT_FAILED = "connect_failed"  # no connection; never ran
     RESET = "reset"  # the connection broke; may have run
     CANCELLED = "cancelled"  # by `CancelAttempt`; may have run
-    NOT_SENT = "not_sent"  # the proxy did not send it at all; never ran
+    NOT_SENT = "not_sent"  # the proxy did not send it; never ran
 
 
 # Results after which a request may be sent again even if it is not idempotent.
@@ -55,13 +55,13 @@
 
 
 class Endpoint(NamedTuple):
-    """An entry of the endpoint list: one upstream server."""
+    """An entry of the endpoint list."""
 
     id: int  # below 2^64
     status: EndpointStatus = EndpointStatus.READY
     zone: str = ""
-    cell: int = 0  # the group of machines in the zone that share a fate; keyed requests may stay in one
-    weight: float = 1.0  # its capacity beside that of others; `WeightSource` says what it is made of
+    cell: int = 0  # the failure domain in its zone; requests with an idempotency key may have to stay in one
+    weight: float = 1.0  # its relative capacity; see `WeightSource`
     started_ns: int = 0  # time of its last start; 0: long ago
     machine_type: str = ""
 
@@ -70,38 +70,38 @@
 
 
 class EndpointUpdate(NamedTuple):
-    """Discovery gave a list or changes of it, or failed."""
+    """Discovery sent the endpoint list or changes of it, or failed."""
 
     kind: EndpointUpdateKind
     endpoints: Iterable[Endpoint] = ()  # iterated over once
 
 
 class RequestArrived(NamedTuple):
-    """A client's request; the proxy now owes it one final answer."""
+    """A client has sent a request, which must get exactly one final response."""
 
     request_id: str
     class_name: str  # of its `RequestClass`
     tenant: str  # empty: none
-    deadline_ns: int  # time after which the answer is worth nothing
-    cost_hint_ns: int = 0  # work that the client expects it to take; 0: no hint
+    deadline_ns: int  # a response after this time has no value
+    cost_hint_ns: int = 0  # work that the client expects; 0: no hint
     affinity_key: str = ""  # empty: none
-    is_retry: bool = False  # the client says that it has sent the same before
+    is_retry: bool = False  # marked by the client as a retry
 
 
 class AttemptEnded(NamedTuple):
-    """How one attempt ended; every `Forward` gets exactly one."""
+    """An attempt has ended; every `Forward` results in exactly one."""
 
     request_id: str
     attempt: int
     endpoint_id: int
     result: AttemptResult
     elapsed_ns: int  # since the attempt started
-    request_complete: bool = False  # the client has its final answer
-    load_report: Mapping[str, float] | None = None  # that came with the response, by column name
+    request_complete: bool = False  # the client has its final response
+    load_report: Mapping[str, float] | None = None  # sent with the response; by column name
 
 
 class ResponseStarted(NamedTuple):
-    """A streamed response has begun; the request's deadline no longer runs."""
+    """A streamed response has begun; the request's deadline no longer applies."""
 
     request_id: str
     attempt: int
@@ -110,13 +110,13 @@
 
 
 class ClientDisconnected(NamedTuple):
-    """The client has gone; its request needs no answer any more."""
+    """The client has disconnected; its request needs no final response any more."""
 
     request_id: str
 
 
 class HealthCheckEnded(NamedTuple):
-    """How a `CheckHealth` ended; each gets exactly one."""
+    """A health check has ended; every `CheckHealth` results in exactly one."""
 
     endpoint_id: int
     result: AttemptResult
@@ -125,7 +125,7 @@
 
 
 class GossipReceived(NamedTuple):
-    """A message of another proxy came in. The decisions ignore it."""
+    """Another proxy has sent a message. The policy ignores it."""
 
     sender: int  # proxy index
     data: bytes
@@ -153,71 +153,71 @@
 
 
 class Forward(NamedTuple):
-    """Start an attempt. A request's attempts are numbered from 0 in the order of their sends."""
+    """Start an attempt. A request's attempts are numbered from 0 in the order in which they are sent."""
 
     request_id: str
     endpoint_id: int
-    timeout_ns: int = 0  # the attempt is ended after this; 0: when the client gives up
+    timeout_ns: int = 0  # 0: the request's deadline applies
 
 
 class Reject(NamedTuple):
-    """Final answer: rejected; the request never ran, and trying again is harmless."""
+    """Send the final response "rejected": the client may retry without a second effect."""
 
     request_id: str
-    retry_after_ns: int = 0  # the client is asked to wait this long; 0: it is told nothing
+    retry_after_ns: int = 0  # sent as Retry-After; 0: none
 
 
 class Fail(NamedTuple):
-    """Final answer: failed, with no promise about its effect."""
+    """Send the final response "failed": the request may have had its effect."""
 
     request_id: str
 
 
 class CancelAttempt(NamedTuple):
-    """End an attempt whose response is not wanted any more, as that of a hedged request."""
+    """Cancel an attempt whose response is no longer needed, such as that of a hedged request."""
 
     request_id: str
     attempt: int
 
 
 class CheckHealth(NamedTuple):
-    """Send a health check, which also asks for the endpoint's load report."""
+    """Send a health check; its response may carry a load report."""
 
     endpoint_id: int
 
 
 class SendGossip(NamedTuple):
-    """Send a message to other proxies. The decisions never do."""
+    """Send a message to other proxies. Never returned by the policy."""
 
     data: bytes
-    recipient: int = -1  # proxy index; -1: all peers
+    recipient: int = -1  # proxy index; -1: all other proxies
 
 
 class CloseIdleConnections(NamedTuple):
-    """Close this proxy's idle connections to an endpoint. The decisions never ask for it."""
+    """Close this proxy's idle connections to an endpoint. Never returned by the policy."""
 
     endpoint_id: int
 
 
 class WatchEndpoints(NamedTuple):
-    """Begin to watch discovery for changes of the endpoint list, or end it."""
+    """Start to watch discovery for changes of the endpoint list, or stop."""
 
-    watch: bool = True
+    watch: bool = True  # False: stop
 
 
 class FetchEndpoints(NamedTuple):
-    """Ask discovery for the endpoint list once. The decisions never do."""
+    """Fetch the endpoint list from discovery once. Never returned by the policy."""
 
 
 class SetTimer(NamedTuple):
-    """Set a timer, which gives one `TimerExpired` with its name."""
+    """Set a timer, which results in one `TimerExpired` with its name."""
 
     delay_ns: int
     name: str
 
 
 class LogMessage(NamedTuple):
-    """Write a log line. The decisions never do."""
+    """Write a log line. Never returned by the policy."""
 
     text: str
 
--- a/loadbalancer/policy/subsetting.py
+++ b/loadbalancer/policy/subsetting.py
@@ -44,7 +44,7 @@
         assigned=assigned,
         zone_reserve=zone_reserve,
         remote_reserve=[key for key in remote_reserve if key not in in_use],
-        proxies_sharing=sharing_proxies * size / max(1, len(ring)),
+        sharing_proxies=sharing_proxies * size / max(1, len(ring)),
     )
 
 
--- a/loadbalancer/state/endpoint_ids.py
+++ b/loadbalancer/state/endpoint_ids.py
@@ -1,7 +1,7 @@
 """The ids of endpoints inside the process, unique also where the hashes of two host names collide.
 
-An id is a hash of the host name, so that all proxies give an endpoint the same one, in whatever order their
-lists came. Where another host holds that id, the next free one is taken.
+An id is a hash of the host name, so that all proxies give an endpoint the same one, in whatever order they
+read their lists. If another host holds that id, the next free one is assigned.
 """
 
 from __future__ import annotations
@@ -12,29 +12,29 @@
 from collections.abc import Container
 
 ID_BITS = 64
-ID_BYTES = ID_BITS // 8
+ID_SPACE = 1 << ID_BITS
+ID_BYTES = 8
 SEGMENT_BITS = 8
-SEGMENTS = 1 << SEGMENT_BITS  # some 600 hosts in each at 160,000: cheap to insert into and to sweep
+SEGMENTS = 1 << SEGMENT_BITS  # so many that inserting into one and sweeping one are cheap
 FINGERPRINT_PERSON = b"fingerprint"  # makes the second hash of a name independent of the first
 
 
 def preferred_id(host: str) -> int:
     """Return the id below 2^64 that a host prefers, the same in every process.
 
-    That two of 160,000 hosts prefer the same one has a chance of one in a thousand millions;
-    `EndpointIdRegistry` gives one of them another id then.
+    Two hosts hardly ever prefer the same one; `EndpointIdRegistry` gives one of them another id then.
     """
     return int.from_bytes(hashlib.blake2b(host.encode(), digest_size=ID_BYTES).digest(), "big")
 
 
 def host_fingerprint(host: str) -> int:
-    """Return a second, independent hash of the name: it tells apart hosts that prefer the same id."""
+    """Return a second hash of a host name, which tells apart hosts that prefer the same id."""
     digest = hashlib.blake2b(host.encode(), digest_size=ID_BYTES, person=FINGERPRINT_PERSON).digest()
     return int.from_bytes(digest, "big")
 
 
 class Segment:
-    """The ids of one part of the range, sorted, each with the fingerprint of the host that holds it."""
+    """The ids of one part of the id space, sorted, each with the fingerprint of the host that holds it."""
 
     __slots__ = ("fingerprints", "ids")
 
@@ -50,7 +50,7 @@
         return None
 
     def claim(self, endpoint_id: int, fingerprint: int) -> int:
-        """Return the fingerprint of the id's holder: from now on the given one, if the id was free."""
+        """Assign an id to a host by its fingerprint, if the id is free; return the holder's fingerprint."""
         index = bisect_left(self.ids, endpoint_id)
         if index < len(self.ids) and self.ids[index] == endpoint_id:
             return self.fingerprints[index]
@@ -67,14 +67,14 @@
 class EndpointIdRegistry:
     """Assigns each host its id: the one it prefers or, if another host holds that, the next free one.
 
-    A host is known by two independent hashes of its name: the id that it prefers and its fingerprint. It
-    keeps its id until `sweep` finds that the id is no longer in use.
+    A host is identified by two independent hashes of its name: the id that it prefers and its fingerprint.
+    It holds its id until `sweep` finds that the id is no longer in use.
     """
 
     def __init__(self) -> None:
         self._segments = [Segment() for _ in range(SEGMENTS)]
-        self._displaced: dict[int, int] = {}  # fingerprint to id, of hosts without their preferred id
-        self._next_segment = 0  # the one that is swept next
+        self._displaced: dict[int, int] = {}  # ids by fingerprint, of hosts without their preferred id
+        self._next_swept_segment = 0
 
     def __len__(self) -> int:
         return sum(len(segment.ids) for segment in self._segments)
@@ -85,23 +85,23 @@
             return self._displaced[fingerprint]
         endpoint_id = preferred
         while self._segment(endpoint_id).claim(endpoint_id, fingerprint) != fingerprint:
-            endpoint_id = (endpoint_id + 1) % (1 << ID_BITS)
+            endpoint_id = (endpoint_id + 1) % ID_SPACE
         if endpoint_id != preferred:
             self._displaced[fingerprint] = endpoint_id
         return endpoint_id
 
     def find(self, preferred: int, fingerprint: int) -> int | None:
-        """Return the id of a host, which is not made its holder; None where another host holds it."""
+        """Return the id of a host without assigning it; None if another host holds the preferred id."""
         if fingerprint in self._displaced:
             return self._displaced[fingerprint]
         holder = self._segment(preferred).holder(preferred)
         return preferred if holder in (None, fingerprint) else None
 
     def sweep(self, in_use: Container[int], segments: int = SEGMENTS) -> None:
-        """Free the ids that are not in use in the next so many segments."""
+        """Free the ids that are not in use in this many segments, starting after the last one swept."""
         for _ in range(segments):
-            self._sweep_segment(self._segments[self._next_segment], in_use)
-            self._next_segment = (self._next_segment + 1) % SEGMENTS
+            self._sweep_segment(self._segments[self._next_swept_segment], in_use)
+            self._next_swept_segment = (self._next_swept_segment + 1) % SEGMENTS
 
     def _segment(self, endpoint_id: int) -> Segment:
         return self._segments[endpoint_id >> (ID_BITS - SEGMENT_BITS)]
--- a/loadbalancer/state/endpoint_pool.py
+++ b/loadbalancer/state/endpoint_pool.py
@@ -19,7 +19,7 @@
     placement: Placement
     endpoints: list[EndpointState] = field(default_factory=list)  # ready ones, this proxy's subset first
     subset_size: int = 0  # how many of `endpoints` are its subset
-    proxies_sharing: float = 0.0  # proxies that have one of these in their subset
+    sharing_proxies: float = 0.0  # proxies that have one of these in their subset
     draw_width: int = 0  # how many of `endpoints` it draws from
     current_subset: Subset | None = None  # what `endpoints` was made of
     last_choice: EndpointState | None = None
@@ -39,7 +39,7 @@
         self.endpoints = endpoints
         self.subset_size = subset_size
         self.draw_width = subset_size
-        self.proxies_sharing = subset.proxies_sharing * subset_size / max(1, len(subset.assigned))
+        self.sharing_proxies = subset.sharing_proxies * subset_size / max(1, len(subset.assigned))
 
     def record_choice(self, state: EndpointState) -> None:
         """Store the endpoint that was chosen last."""
--- a/loadbalancer/state/subset.py
+++ b/loadbalancer/state/subset.py
@@ -1,4 +1,4 @@
-"""The subset of endpoints that a proxy uses, as chosen by `loadbalancer/policy/subsetting.py`."""
+"""The subset of the ready endpoints that a proxy uses, and its reserve."""
 
 from __future__ import annotations
 
@@ -14,9 +14,9 @@
     """The endpoints that a proxy uses, as ring keys in the order of the ring."""
 
     assigned: list[RingKey]
-    zone_reserve: list[RingKey]  # the next ones on the ring of the subset
+    zone_reserve: list[RingKey]  # the keys that follow the assigned ones on their ring
     remote_reserve: list[RingKey]  # others, from the ring of all zones
-    proxies_sharing: float  # proxies that have an assigned endpoint in their subset, about
+    sharing_proxies: float  # mean number of proxies whose subsets contain one of the assigned endpoints
 
     def __iter__(self) -> Iterator[RingKey]:
         return chain(self.assigned, self.zone_reserve, self.remote_reserve)
