--- a/loadbalancer/policy/fleet_updates.py
+++ b/loadbalancer/policy/fleet_updates.py
@@ -72,12 +72,13 @@
             if has_live_weights:
                 self.live_weights.observe(endpoint)
             state = states.get(endpoint.id)
-            if state is not None:
-                if endpoint.started_ns != state.endpoint.started_ns:
-                    state.clear_failures()  # they were those of the process before
-                    restarted.add(state)
-                state.update_entry(endpoint)
-                self.live_weights.record(state, now_ns)
+            if state is None:
+                continue
+            if endpoint.started_ns != state.endpoint.started_ns:
+                state.clear_failures()  # those of the process before the restart
+                restarted.add(state)
+            state.update_entry(endpoint)
+            self.live_weights.record(state, now_ns)
         return restarted
 
     def _remove_unlisted(self, endpoint_ids: Iterable[int]) -> None:
@@ -109,7 +110,12 @@
         remote_reserve.sort(key=_reserve_rank)
         endpoints = assigned + zone_reserve + remote_reserve
         subset_size = len(endpoints) if self.draws_from_reserve else len(assigned)
-        pool.rebuild(subset, endpoints, subset_size)
+        pool.replace_endpoints(
+            endpoints=endpoints,
+            subset=subset,
+            subset_size=subset_size,
+            sharing_proxies=subset.sharing_proxies * subset_size / max(1, len(assigned)),
+        )
         for state in endpoints[:subset_size]:
             state.join_subset()
 
@@ -128,4 +134,5 @@
 
 
 def _reserve_rank(state: EndpointState) -> int:
+    """Return the key by which a reserve is sorted."""
     return state.reserve_rank
--- a/loadbalancer/policy/subset_size.py
+++ b/loadbalancer/policy/subset_size.py
@@ -32,7 +32,9 @@
     """
     size_if_shared = SHARING_PROXIES_MAX * endpoints / proxies
     if is_large_deployment(settings):
-        size = _large_deployment_subset_size(settings, endpoints, proxies, size_if_shared)
+        size = _large_deployment_subset_size(
+            settings=settings, endpoints=endpoints, proxies=proxies, size_if_shared=size_if_shared
+        )
     else:
         size_to_cover_all = -(-endpoints // proxies)
         size = max(min(FULL_SUBSET_SIZE, int(size_if_shared)), size_to_cover_all)
--- a/loadbalancer/policy/subsetting.py
+++ b/loadbalancer/policy/subsetting.py
@@ -20,9 +20,10 @@
 
 SEGMENT_PROXIES_MIN = 256  # with fewer the endpoints of a segment are not evenly used
 SEGMENT_ENDPOINTS_MIN = 2048
-RESERVE_SIZE = 256  # endpoints beside the subset that replace its losses and serve keyed retries
-ZONE_RESERVE_SIZE = 128  # the part of the reserve that follows the subset on its ring
-REMOTE_RESERVE_SIZE = 128  # the part from the ring of all zones
+# The reserve: endpoints beside the subset, which replace its losses and serve keyed retries.
+ZONE_RESERVE_SIZE = 128  # those that follow the subset on its ring
+REMOTE_RESERVE_SIZE = 128  # those from the ring of all zones
+RESERVE_SIZE = ZONE_RESERVE_SIZE + REMOTE_RESERVE_SIZE
 GOLDEN_RATIO_FRACTION = 0.618033988749895
 SILVER_RATIO_FRACTION = 0.414213562373095
 
@@ -30,15 +31,18 @@
 def choose_subset(settings: Settings, placement: Placement) -> Subset:
     """Return this proxy's subset and reserve among the ready endpoints that a placement admits."""
     ring = _subset_ring(settings, placement)
-    # A part of the ready endpoints: which proxies use the same part isn't known.
     is_partial = len(ring) < len(placement.ring) or placement.allowed_zones is not None
     sharing_proxies = _sharing_proxies(settings, is_partial)
     position = _ring_position(settings, is_partial)
     size = subset_size(settings, len(ring), sharing_proxies)
-    first = _first_rank(settings, ring, position, sharing_proxies, is_partial)
+    first = _first_rank(
+        settings=settings, ring=ring, position=position, proxies=sharing_proxies, is_partial=is_partial
+    )
     assigned = ring_slice(ring, first, size)
-    zone_reserve = _zone_reserve(ring, placement.ring, first + size, size)
-    remote_reserve = _remote_reserve(ring, placement.ring, position, size)
+    zone_reserve = _zone_reserve(ring=ring, full_ring=placement.ring, first=first + size, assigned_count=size)
+    remote_reserve = _remote_reserve(
+        ring=ring, full_ring=placement.ring, position=position, assigned_count=size
+    )
     in_use = {*assigned, *zone_reserve}
     return Subset(
         assigned=assigned,
@@ -83,7 +87,10 @@
 
 
 def _sharing_proxies(settings: Settings, is_partial: bool) -> int:
-    """Return how many proxies have their subsets on the same ring; those of a zone, if it is partial."""
+    """Return how many proxies have their subsets on the same ring.
+
+    Which proxies use a part of the ready endpoints isn't known: they count as evenly spread over the zones.
+    """
     proxies = max(1, settings.proxy_count)
     return max(1, proxies // _zone_count(settings)) if is_partial else proxies
 
--- a/loadbalancer/state/endpoint_pool.py
+++ b/loadbalancer/state/endpoint_pool.py
@@ -30,16 +30,19 @@
         """Tell whether the placement allows an endpoint."""
         return self.placement.admits(endpoint.zone, endpoint.machine_type)
 
-    def rebuild(self, subset: Subset, endpoints: list[EndpointState], subset_size: int) -> None:
-        """Replace the endpoints by those of a subset and its reserve; the first `subset_size` are drawn from.
-
-        `subset_size` is larger than the subset's assigned part where the reserve is drawn from as well.
-        """
-        self.current_subset = subset
+    def replace_endpoints(
+        self,
+        endpoints: list[EndpointState],
+        subset: Subset,
+        subset_size: int,
+        sharing_proxies: float,
+    ) -> None:
+        """Use these endpoints, the first `subset_size` of which random choices are drawn from."""
         self.endpoints = endpoints
+        self.current_subset = subset
         self.subset_size = subset_size
         self.draw_width = subset_size
-        self.sharing_proxies = subset.sharing_proxies * subset_size / max(1, len(subset.assigned))
+        self.sharing_proxies = sharing_proxies
 
     def record_choice(self, state: EndpointState) -> None:
         """Store the endpoint that was chosen last."""
