--- a/tests/policy/test_endpoint_updates.py
+++ b/tests/policy/test_fleet_updates.py
@@ -17,7 +17,7 @@
     harness.give(
         EndpointUpdate(
             EndpointUpdateKind.DELTA,
-            [u._replace(status=EndpointStatus.DRAINING) for u in make_endpoints(5)],
+            [e._replace(status=EndpointStatus.DRAINING) for e in make_endpoints(5)],
         )
     )
     for i in range(20):
@@ -25,7 +25,7 @@
         harness.advance(20 * NANOSECONDS_PER_MILLISECOND)
         for request, number in harness.attempts_in_flight():
             harness.finish(request, number=number)
-    assert {u.id for sent in harness.attempts.values() for u, _ in sent} == {6}
+    assert {endpoint.id for sent in harness.attempts.values() for endpoint, _ in sent} == {6}
 
 
 def test_endpoint_missing_from_a_full_list_is_removed() -> None:
@@ -34,7 +34,7 @@
     for i in range(5):
         harness.give(arrival(i, harness.now_ns))
         harness.finish(f"r{i}")
-    assert {u.id for sent in harness.attempts.values() for u, _ in sent} == {1}
+    assert {endpoint.id for sent in harness.attempts.values() for endpoint, _ in sent} == {1}
 
 
 def test_states_of_removed_endpoints_are_dropped() -> None:
--- a/tests/policy/test_selection.py
+++ b/tests/policy/test_selection.py
@@ -12,27 +12,28 @@
 def test_all_endpoints_are_scanned_only_where_a_drawn_one_is_unavailable(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    # Guards against work on each send that grows with the subset: processor time ran out (event8052).
+    # The work for a request must not grow with the subset (event8052: CPU time was exhausted).
     harness = PolicyHarness(endpoint_count=10)
     harness.give(arrival("warm", harness.now_ns))
-    harness.balancer.concurrency_limit.limit = 5  # all are fit
-    selection, pool, looked = harness.balancer.selection, harness.balancer.fleet.default_pool, 0
-    fits = Selection.is_available
+    harness.balancer.concurrency_limit.limit = 5  # all are available
+    selection = harness.balancer.selection
+    pool = harness.balancer.fleet.default_pool
+    is_available = Selection.is_available
+    checks = 0
 
-    def fit(self: Selection, state: EndpointState, now_ns: int) -> bool:
-        nonlocal looked
-        looked += 1
-        return fits(self, state, now_ns)
+    def counted_is_available(self: Selection, state: EndpointState, now_ns: int) -> bool:
+        nonlocal checks
+        checks += 1
+        return is_available(self, state, now_ns)
 
-    monkeypatch.setattr(Selection, "is_available", fit)
+    monkeypatch.setattr(Selection, "is_available", counted_is_available)
+    later_ns = harness.now_ns + NANOSECONDS_PER_SECOND
     for _ in range(20):
-        looked = 0
-        drawn = selection.draw(pool, RANDOM_CHOICES, harness.now_ns + NANOSECONDS_PER_SECOND)
+        checks = 0
+        drawn = selection.draw(pool, RANDOM_CHOICES, later_ns)
         assert len(drawn) >= RANDOM_CHOICES
-        assert all(fits(selection, s, harness.now_ns + NANOSECONDS_PER_SECOND) for s in drawn)
-        assert looked <= RANDOM_CHOICES + 1  # with the previous winner
+        assert all(is_available(selection, state, later_ns) for state in drawn)
+        assert checks <= RANDOM_CHOICES + 1  # with the last choice
     for state in pool.endpoints[1:]:
-        state.ejected_until_ns = harness.now_ns + 2 * NANOSECONDS_PER_SECOND
-    assert set(selection.draw(pool, RANDOM_CHOICES, harness.now_ns + NANOSECONDS_PER_SECOND)) <= set(
-        pool.endpoints[:1]
-    )
+        state.eject_until(later_ns + NANOSECONDS_PER_SECOND)
+    assert set(selection.draw(pool, RANDOM_CHOICES, later_ns)) <= set(pool.endpoints[:1])
