--- a/loadbalancer/policy/outlier_detection.py
+++ b/loadbalancer/policy/outlier_detection.py
@@ -1,11 +1,15 @@
 """When an endpoint that fails is ejected, and for how long (interface types: loadbalancer/messages.py).
 
-`OutlierDetection.eject` is the only place that ejects an endpoint. The first failure ejects it for a base
-time, each further failure in a row for twice as long as the one before, up to EJECTION_MAX_NS. The base time
-is BASE_EJECTION_NS after a refused or reset connection. It is what the attempt was expected to take, or the
-shortest latency objective if that is less, after an attempt that was too slow or rejected (`eject_slow`).
-An endpoint is not ejected if that would leave one of its pools with too few. Its next successful response
-clears its failures.
+`OutlierDetection.eject` ejects an endpoint: after its first failure for a base time, after each further one
+in a row for twice as long as before, and at most for EJECTION_MAX_NS. This time is multiplied by a random
+factor from EJECTION_JITTER_MIN to EJECTION_JITTER_MAX. The base time depends on the failure:
+
+- no connection, or a reset that is attributed to the endpoint: BASE_EJECTION_NS;
+- an attempt that took too long or was rejected (`eject_slow`): the time that it was expected to take, at most
+  the shortest latency objective.
+
+No endpoint is ejected while EJECTED_FRACTION_MAX of those that one of its pools draws from are. The next
+successful response clears its failures. Pacing (`SlowStart.apply_pacing`) uses the same `ejected_until_ns`.
 """
 
 import random
