--- a/loadbalancer/state/endpoint_pool.py
+++ b/loadbalancer/state/endpoint_pool.py
@@ -19,7 +19,7 @@
     placement: Placement
     endpoints: list[EndpointState] = field(default_factory=list)  # ready ones, this proxy's subset first
     subset_size: int = 0  # how many of `endpoints` are its subset
-    proxies_sharing: float = 0.0  # proxies that have one of these in their subset
+    sharing_proxies: float = 0.0  # proxies that have one of these in their subset
     draw_width: int = 0  # how many of `endpoints` it draws from
     current_subset: Subset | None = None  # what `endpoints` was made of
     last_choice: EndpointState | None = None
@@ -29,3 +29,21 @@
     def admits(self, endpoint: Endpoint) -> bool:
         """Tell whether the placement allows an endpoint."""
         return self.placement.admits(endpoint.zone, endpoint.machine_type)
+
+    def replace_endpoints(
+        self,
+        endpoints: list[EndpointState],
+        subset: Subset,
+        subset_size: int,
+        sharing_proxies: float,
+    ) -> None:
+        """Use these endpoints, the first `subset_size` of which random choices are drawn from."""
+        self.endpoints = endpoints
+        self.current_subset = subset
+        self.subset_size = subset_size
+        self.draw_width = subset_size
+        self.sharing_proxies = sharing_proxies
+
+    def record_choice(self, state: EndpointState) -> None:
+        """Store the endpoint that was chosen last."""
+        self.last_choice = state
