--- a/loadbalancer/proxy/endpoint_connection.py
+++ b/loadbalancer/proxy/endpoint_connection.py
@@ -32,7 +32,7 @@
         """Return the request as it is to be written now."""
 
     def extend_timeout(self, size_bytes: int) -> None:
-        """Part of the response has come."""
+        """Part of the response has been received."""
 
     def on_response_too_large(self) -> None:
         """The response is larger than allowed; `finish` follows."""
--- a/loadbalancer/proxy/endpoint_list_parser.py
+++ b/loadbalancer/proxy/endpoint_list_parser.py
@@ -45,6 +45,10 @@
 
 DEFAULT_WEIGHT = 1.0
 
+# Of an invalid entry, in errors and log lines.
+MAX_QUOTED_CHARACTERS = 40
+MAX_LOGGED_HOST_CHARACTERS = 80
+
 JsonEvent = tuple[str, object]
 """The kind and the value."""
 
@@ -196,7 +200,7 @@
             attributes, address = self._read_entry(entry)
         except (ValueError, OverflowError, ArithmeticError) as error:
             # An invalid entry neither hides the others nor removes a listed endpoint.
-            log.warning("discovery: entry %.80s can't be read: %r", host, error)
+            log.warning("discovery: entry %.*s can't be read: %r", MAX_LOGGED_HOST_CHARACTERS, host, error)
             endpoint_id = self._id_registry.find(preferred_id(host), host_fingerprint(host))
             if endpoint_id is not None:
                 self._list.unreadable.append(endpoint_id)
@@ -216,16 +220,20 @@
         """
         status = STATUS_BY_NAME.get(str(entry.get(ENTRY_STATUS)))
         if status is None:
-            raise EndpointListError(f"{ENTRY_STATUS} is unknown: {entry.get(ENTRY_STATUS)!r:.40}")
+            raise EndpointListError(
+                f"{ENTRY_STATUS} is unknown: {entry.get(ENTRY_STATUS)!r:.{MAX_QUOTED_CHARACTERS}}"
+            )
         started_ms = entry.get(ENTRY_STARTED_MS) or 0
         if not isinstance(started_ms, int):
-            raise EndpointListError(f"{ENTRY_STARTED_MS} is not a whole number: {started_ms!r:.40}")
+            raise EndpointListError(
+                f"{ENTRY_STARTED_MS} is not a whole number: {started_ms!r:.{MAX_QUOTED_CHARACTERS}}"
+            )
         cell = entry.get(ENTRY_CELL) or 0
         if not isinstance(cell, int):
-            raise EndpointListError(f"{ENTRY_CELL} is not a whole number: {cell!r:.40}")
+            raise EndpointListError(f"{ENTRY_CELL} is not a whole number: {cell!r:.{MAX_QUOTED_CHARACTERS}}")
         weight = entry.get(ENTRY_WEIGHT) or DEFAULT_WEIGHT
         if not isinstance(weight, int | float | Decimal):
-            raise EndpointListError(f"{ENTRY_WEIGHT} is not a number: {weight!r:.40}")
+            raise EndpointListError(f"{ENTRY_WEIGHT} is not a number: {weight!r:.{MAX_QUOTED_CHARACTERS}}")
         started_ns = self._started_ns(started_ms)
         removed = status is EndpointStatus.REMOVED
         address = NO_ADDRESS if removed else parse_compact_address(str(entry.get(ENTRY_ADDRESS)))
--- a/loadbalancer/proxy/endpoint_list_reader.py
+++ b/loadbalancer/proxy/endpoint_list_reader.py
@@ -88,7 +88,11 @@
         """
         newest = self._newest_version
         if newest is not None and endpoint_list.version < newest:
-            log.info("discovery: version %d after %d", endpoint_list.version, newest)
+            log.info(
+                "discovery: list of version %d ignored, version %d was read before",
+                endpoint_list.version,
+                newest,
+            )
             return EndpointList(self.id_registry, newest)
         self._newest_version = endpoint_list.version
         return endpoint_list
--- a/loadbalancer/proxy/exchange.py
+++ b/loadbalancer/proxy/exchange.py
@@ -111,7 +111,7 @@
         connection.send(self)
 
     def extend_timeout(self, size_bytes: int) -> None:
-        """Extend the timeout by what so many bytes of the response take at the least rate, if one is set."""
+        """Extend the timeout by what `size_bytes` of the response take at the least rate, if one is set."""
         min_bytes_per_s = self.pool.limits.min_response_bytes_per_s
         if min_bytes_per_s and self._timeout_timer is not None:
             deadline_s = self._timeout_timer.when() + size_bytes / min_bytes_per_s
--- a/loadbalancer/proxy/proxy.py
+++ b/loadbalancer/proxy/proxy.py
@@ -1,4 +1,4 @@
-"""The proxy: hands events to the policy and carries out its actions.
+"""The proxy: passes events to the policy and carries out its actions.
 
 The parts that carry them out each have a module: `pending_requests`, `attempts`, `health_checks`, `gossip`,
 `discovery_client`, `endpoint_list_applier` and `downstream`.
@@ -48,6 +48,8 @@
 # Of idle connections, empty pools and the ids of removed hosts.
 SWEEP_INTERVAL_S = 1.0
 
+MAX_LOGGED_EVENTS_CHARACTERS = 200
+
 
 class Policy(Protocol):
     """The decisions: the `Balancer` of `loadbalancer/policy/balancer.py`."""
@@ -183,7 +185,7 @@
     # -- events and actions --
 
     def dispatch(self, *events: Event) -> None:
-        """Hand events to the policy; those raised while actions are carried out are queued."""
+        """Pass events to the policy; those raised while actions are carried out are queued."""
         self._queued_events += events
         if self._dispatching:
             return
@@ -202,7 +204,12 @@
         try:
             return self._policy.handle(self._decision_time_ns, batch)
         except Exception:  # a fault in the policy costs these requests their time, not the process
-            log.exception("%s: policy: error, events dropped: %.200r", self.config.name, batch)
+            log.exception(
+                "%s: policy: error, events dropped: %.*r",
+                self.config.name,
+                MAX_LOGGED_EVENTS_CHARACTERS,
+                batch,
+            )
             return []
 
     def _execute(self, action: Action) -> None:
