--- a/tests/support/sockets.py
+++ b/tests/support/sockets.py
@@ -5,6 +5,7 @@
 import asyncio
 import itertools
 import json
+import re
 import time
 from collections.abc import AsyncIterator, Awaitable, Callable, Coroutine, Iterable
 from contextlib import asynccontextmanager
@@ -132,13 +133,14 @@
         self.calls: list[tuple[float, str]] = []
         self.broken = b""  # what it answers instead, while it is broken
         self._changed = asyncio.Event()
-        self._news: list[str] = []
+        self._last_changes: dict[str, int] = {}  # version of a host's last change, the latest one last
         self.upstream = FakeUpstream(self._answer)
 
     def change(self, host: str, **row: object) -> None:
         self.rows[host] = {**entry(host), **self.rows.get(host, {}), **row}
         self.version += 1
-        self._news.append(host)
+        self._last_changes.pop(host, None)
+        self._last_changes[host] = self.version
         self._changed.set()
 
     async def _answer(self, got: ReceivedRequest, writer: Writer) -> None:
@@ -147,15 +149,21 @@
             writer.write(self.broken)
             writer.close()
             return
-        watch = "after=" in got.first
-        if watch:
-            await self._changed.wait()
-        self._changed.clear()
-        hosts = [self.rows[h] for h in self._news] if watch else list(self.rows.values())
-        self._news.clear()
-        body = json.dumps({"seq": self.version, "whole": not watch, "hosts": hosts}).encode()
+        after = re.search(r"after=(\d+)", got.first)
+        if after is None:
+            hosts = list(self.rows.values())
+        else:
+            hosts = await self._changes_after(int(after[1]))
+        body = json.dumps({"seq": self.version, "whole": after is None, "hosts": hosts}).encode()
         writer.write(written(200, body))
 
+    async def _changes_after(self, version: int) -> list[Json]:
+        """Wait for a newer version; return what changed since, also if an earlier response told it."""
+        while self.version <= version:
+            self._changed.clear()
+            await self._changed.wait()
+        return [self.rows[host] for host, last_change in self._last_changes.items() if last_change > version]
+
 
 def entry(host: str, port: int = 1, **more: object) -> Json:
     return {
