--- a/tests/proxy/test_faults.py
+++ b/tests/proxy/test_faults.py
@@ -52,10 +52,12 @@
     return sum(endpoint.ejected_until_ns > now_ns for endpoint in balancer.fleet.endpoints.values())
 
 
-async def test_resets_at_all_endpoints_eject_no_more_than_one() -> None:
+async def test_resets_at_all_endpoints_eject_no_more_than_one(monkeypatch: pytest.MonkeyPatch) -> None:
     # Guards against a bad network, whose resets strike all alike, taking most of a healthy fleet out of use.
     upstreams = [await FakeUpstream(reset_every(4)).start() for _ in range(ENDPOINTS)]
     balancer = Balancer(settings(), 1, time.monotonic_ns())
+    # Resets alone count: on a busy machine a response may be overdue, which ejects its endpoint as well.
+    monkeypatch.setattr(balancer.outlier_detection, "eject_slow", lambda _attempt, _now_ns: None)
     most_ejected = 0
     async with node(balancer, *upstreams) as client:
         for _ in range(60):
