--- a/loadbalancer/policy/attempt_results.py
+++ b/loadbalancer/policy/attempt_results.py
@@ -4,6 +4,7 @@
 
 from loadbalancer.messages import AttemptEnded, AttemptResult
 from loadbalancer.policy.concurrency_limit import ConcurrencyLimit
+from loadbalancer.policy.latency_model import LatencyModel
 from loadbalancer.policy.outlier_detection import EJECTION_NS, OutlierDetection
 from loadbalancer.policy.rate_control import RateController
 from loadbalancer.state.endpoint_state import EndpointState
@@ -16,9 +17,17 @@
 class AttemptResults:
     """Passes results on to what learns from them."""
 
-    def __init__(self, outliers: OutlierDetection, limit: ConcurrencyLimit, rate: RateController) -> None:
-        self.outlier_detection, self.concurrency_limit, self.rate_controller = outliers, limit, rate
-        self.latency_model = limit.latency_model
+    def __init__(
+        self,
+        outliers: OutlierDetection,
+        limit: ConcurrencyLimit,
+        rate: RateController,
+        latency_model: LatencyModel,
+    ) -> None:
+        self.outlier_detection = outliers
+        self.concurrency_limit = limit
+        self.rate_controller = rate
+        self.latency_model = latency_model
 
     def record(self, request: Request, attempt: Attempt, event: AttemptEnded, now_ns: int) -> None:
         """Learn from one attempt that has ended."""
@@ -30,22 +39,22 @@
             case AttemptResult.OK:
                 self._record_success(request, attempt, event.elapsed_ns, now_ns)
             case AttemptResult.ERROR:
-                self.rate_controller.successes += 1
+                self.rate_controller.record_success()
             case AttemptResult.TIMEOUT:
                 if not request.stalled:
                     self._record_timeout(request, attempt, event.elapsed_ns, now_ns)
             case AttemptResult.REJECTED:
-                self.rate_controller.failures[state.id] += 1
+                self.rate_controller.record_failure(state.id)
                 self.outlier_detection.eject_slow(attempt, now_ns)
             case AttemptResult.CONNECT_FAILED:
-                self.rate_controller.failures[state.id] += 1
+                self.rate_controller.record_failure(state.id)
                 self.outlier_detection.eject(state, now_ns, EJECTION_NS)
             case AttemptResult.RESET if is_outlier:
-                self.rate_controller.failures[state.id] += 1
+                self.rate_controller.record_failure(state.id)
                 self.outlier_detection.eject(state, now_ns, EJECTION_NS)
             case AttemptResult.RESET:
                 # Fewer requests cure no connection that broke by chance: the rate is not judged by it.
-                self.rate_controller.successes += 1
+                self.rate_controller.record_success()
 
     def _record_success(self, request: Request, attempt: Attempt, elapsed_ns: int, now_ns: int) -> None:
         state = attempt.endpoint_state
@@ -54,7 +63,7 @@
             self.latency_model.record_success(request, attempt, elapsed_ns)
         self.concurrency_limit.record_completion(state)
         if now_ns <= request.objective_ns:
-            self.rate_controller.successes += 1
+            self.rate_controller.record_success()
         else:
             self._record_late(request, state.id)  # overload shows in it first
         if state.consecutive_failures:
@@ -69,8 +78,10 @@
 
     def _record_late(self, request: Request, endpoint_id: int) -> None:
         """Note a late end: the interval has begun, but the end counts only if its endpoint is to blame."""
-        failures = self.rate_controller.failures
-        failures[endpoint_id] += 0 if request.delayed_by_throttle else 1
+        if request.delayed_by_throttle:
+            self.rate_controller.record_late_not_attributed()
+        else:
+            self.rate_controller.record_failure(endpoint_id)
 
     def record_overdue(self, attempt: Attempt, now_ns: int) -> None:
         """Eject the endpoint of an attempt that is out longer than it should take."""
--- a/loadbalancer/policy/balancer.py
+++ b/loadbalancer/policy/balancer.py
@@ -13,19 +13,19 @@
 from loadbalancer.policy.load_probing import LoadProbing, probing_is_cheap
 from loadbalancer.policy.load_reports import estimated_load, is_loaded
 from loadbalancer.policy.outlier_detection import OutlierDetection
-from loadbalancer.policy.rate_control import FEEDBACK_NS
+from loadbalancer.policy.rate_control import FEEDBACK_INTERVAL_NS
 from loadbalancer.policy.retry_eligibility import may_forward, may_have_run, may_reject
 from loadbalancer.policy.selection import Selection
 from loadbalancer.policy.slow_start import SlowStart
 from loadbalancer.policy.subsetting import choose_subset
-from loadbalancer.policy.throttle import Admission, Throttle
+from loadbalancer.policy.tenant_throttles import TenantThrottles
+from loadbalancer.policy.throttle import Admission, Throttle, take_retry_token
 from loadbalancer.settings import Idempotency, RequestClass, Settings
 from loadbalancer.state.endpoint_pool import EndpointPool
 from loadbalancer.state.endpoint_state import EndpointState
 from loadbalancer.state.endpoint_updates import EndpointUpdates
 from loadbalancer.state.fleet import Fleet
 from loadbalancer.state.request import Attempt, QueuePlace, Request, RequestTable
-from loadbalancer.state.tenant_throttles import TenantThrottles
 from loadbalancer.state.timer_queue import AttemptOverdue, GiveUp, PollDiscovery, Timer, TimerQueue, TokenDue
 from loadbalancer.units import NANOSECONDS_PER_SECOND
 
@@ -47,10 +47,8 @@
         self.shortest_objective_ns = min(objectives)
         self.throttles = TenantThrottles(settings, self.rng, now_ns, self.shortest_objective_ns)
         self.rate_controller = self.throttles.rate_controller
-        self.latency_model = LatencyModel()
+        self.latency_model = LatencyModel(max(objectives))
         self.concurrency_limit = limit = ConcurrencyLimit(self.latency_model)
-        # Until something is seen to finish, as long as the slowest class is expected to take.
-        self.latency_model.service_interval_ns = max(objectives) / 8
         self.timers = TimerQueue()
         self.fleet = Fleet(settings)
         probes_load = probing_is_cheap(settings)
@@ -59,9 +57,20 @@
         outliers = OutlierDetection(self.fleet, self.timers, self.rng, self.shortest_objective_ns)
         self.outlier_detection = outliers
         self.slow_start = SlowStart(settings, self.fleet, self.timers, self.latency_model)
-        self.selection = Selection(self.endpoint_updates, self.slow_start, limit, self.rng)
+        self.selection = Selection(
+            updates=self.endpoint_updates,
+            slow_start=self.slow_start,
+            limit=limit,
+            latency_model=self.latency_model,
+            rng=self.rng,
+        )
         self.load_probing = LoadProbing(probes_load, self.selection, self.timers)
-        self.attempt_results = AttemptResults(outliers, limit, self.rate_controller)
+        self.attempt_results = AttemptResults(
+            outliers=outliers,
+            limit=limit,
+            rate=self.rate_controller,
+            latency_model=self.latency_model,
+        )
         self.requests = RequestTable()
         self._handlers: dict[type[messages.Event], Callable[[Any, int], None]] = {
             messages.RequestArrived: self._on_request,
@@ -81,7 +90,6 @@
     def handle(self, now_ns: int, events: Iterable[messages.Event]) -> list[messages.Action]:
         """Take what has happened since the last call, in order; return what is to be done."""
         self.actions = []
-        self.throttles.now_ns = now_ns
         timers = self.timers
         if now_ns - timers.first_due_ns > STALL_NS:
             self.attempt_results.exclude_stalled(
@@ -95,7 +103,7 @@
             self._on_timer(timers.pop(), now_ns)
         for pool in self.fleet.pools.values():
             self._serve_queue(pool, now_ns)
-        if now_ns - self.feedback_ns >= FEEDBACK_NS:
+        if now_ns - self.feedback_ns >= FEEDBACK_INTERVAL_NS:
             self._feedback(now_ns)
         wake_up = timers.next_wake_up(now_ns)
         if wake_up is not None:
@@ -125,8 +133,9 @@
             case AttemptOverdue():
                 self._on_overdue(timer.request, timer.request.attempts[timer.attempt_number], now_ns)
             case TokenDue():
-                timer.throttle.wake_scheduled = False
-                self._release_buffered(timer.throttle, now_ns)
+                throttle = self.throttles.existing(timer.tenant)
+                throttle.on_token_due()
+                self._release_buffered(throttle, now_ns)
             case PollDiscovery():
                 if self.discovery_retry.start_call(now_ns):
                     self.actions.append(messages.WatchEndpoints(True))
@@ -134,14 +143,14 @@
     def _on_request(self, event: messages.RequestArrived, now_ns: int) -> None:
         if event.request_id in self.requests:
             return  # an id is never reused: the first one stands
-        throttle = self.throttles[event.tenant]
+        throttle = self.throttles.of(event.tenant, now_ns)
         request = self._new_request(event, throttle, now_ns)
         self.requests[request.id] = request
         # Whatever comes, a request that waits is looked at then.
         self.timers.schedule(request.give_up_ns, GiveUp(request))
-        self.rate_controller.on_arrival(now_ns)
+        self.rate_controller.record_arrival(now_ns)
         if event.is_retry:  # marked retries take spare tokens only: they must not starve fresh work
-            admission = Admission.FORWARD if throttle.take_retry_token(now_ns) else Admission.REJECT
+            admission = Admission.FORWARD if take_retry_token(throttle.bank, now_ns) else Admission.REJECT
         else:
             admission = throttle.admit(request, now_ns)
         if admission is Admission.REJECT:
@@ -150,7 +159,7 @@
             request.place = QueuePlace.THROTTLE_BUFFER
             self._release_buffered(throttle, now_ns)
         else:
-            self._enqueue(request, now_ns)
+            self._enqueue(request, throttle, now_ns)
 
     def _new_request(self, event: messages.RequestArrived, throttle: Throttle, now_ns: int) -> Request:
         request_class = self.settings.request_classes.get(event.class_name)
@@ -158,7 +167,16 @@
             request_class = RequestClass(event.class_name, Idempotency.NON_IDEMPOTENT)
         pool, deadline_ns, hint_ns = self.fleet.pool(request_class), event.deadline_ns, event.cost_hint_ns
         objective_ns = min(now_ns + request_class.latency_objective_ns, deadline_ns)
-        request = Request(event.request_id, request_class, pool, throttle, deadline_ns, objective_ns, hint_ns)
+        request = Request(
+            id=event.request_id,
+            request_class=request_class,
+            pool=pool,
+            tenant=throttle.tenant,
+            token_bank=throttle.bank,
+            deadline_ns=deadline_ns,
+            objective_ns=objective_ns,
+            cost_hint_ns=hint_ns,
+        )
         needed_ns = self.latency_model.expected_ns(request) * (1 + self.latency_model.deviation)
         latest_start_ns = objective_ns - int(needed_ns)
         request.give_up_ns = max(latest_start_ns, now_ns + (deadline_ns - now_ns) // 4)
@@ -166,20 +184,19 @@
 
     def _release_buffered(self, throttle: Throttle, now_ns: int) -> None:
         for request in throttle.release(now_ns):
-            self._enqueue(request, now_ns)
-        if throttle.buffer and not throttle.wake_scheduled:
-            throttle.wake_scheduled = True
-            wait_ns = int((1 - throttle.tick_credit) / throttle.rate * NANOSECONDS_PER_SECOND) + 1
-            self.timers.schedule(now_ns + wait_ns, TokenDue(throttle))
+            self._enqueue(request, throttle, now_ns)
+        token_due_ns = throttle.schedule_wake_up(now_ns)
+        if token_due_ns is not None:
+            self.timers.schedule(token_due_ns, TokenDue(throttle.tenant))
 
-    def _enqueue(self, request: Request, now_ns: int) -> None:
+    def _enqueue(self, request: Request, throttle: Throttle, now_ns: int) -> None:
         """Let a request that has its token wait for an endpoint, unless the queue is too long already."""
         request.place = QueuePlace.NOT_WAITING
         remaining_ns = request.objective_ns - now_ns
         late = 2 * remaining_ns < request.request_class.latency_objective_ns
         request.delayed_by_throttle = request.stalled or late
         # Traffic over its share is rejected first.
-        part = OVER_SHARE_QUEUE_PART if request.throttle.over_share else QUEUE_PART
+        part = OVER_SHARE_QUEUE_PART if throttle.is_over_quota else QUEUE_PART
         # A class with much time must not make the queue too long for those with little.
         spare_ns = min(request.give_up_ns - now_ns, self.shortest_objective_ns)
         pool = request.pool
@@ -285,7 +302,7 @@
         other = self.selection.pick(request.pool, now_ns, candidates)
         if other is None or not may_forward(request, other.endpoint, now_ns, limits):
             return
-        if request.throttle.take_retry_token(now_ns):
+        if take_retry_token(request.token_bank, now_ns):
             self._forward(request, other, now_ns)
 
     def _on_give_up(self, request: Request) -> None:
@@ -297,7 +314,7 @@
     def _reject_for_capacity(self, request: Request) -> None:
         """Reject a request for which no endpoint has capacity in time."""
         if not request.delayed_by_throttle:
-            self.rate_controller.expired_in_queue += 1
+            self.rate_controller.record_queue_expiry()
         self._reject(request)
 
     def _reject(self, request: Request) -> None:
@@ -313,6 +330,8 @@
         self._finish(request)
 
     def _finish(self, request: Request) -> None:
+        if request.place is QueuePlace.THROTTLE_BUFFER:
+            self.throttles.existing(request.tenant).remove_buffered(request)
         request.leave_queue()
         request.finished = True
         if self.settings.limits.cancellation:
@@ -342,9 +361,14 @@
         for pool in fleet.pools.values():  # one beyond the subset while the queue waits; more cost
             extra = 1 if pool.blocked_since_ns else 0
             pool.draw_width = min(len(pool.endpoints), pool.subset_size + extra)
-        rate.adjust(now_ns, fleet.default_pool.draw_width, is_loaded(fleet.endpoints.values(), now_ns))
+        rate.adjust(
+            throttles=self.throttles.values(),
+            now_ns=now_ns,
+            draw_width=fleet.default_pool.draw_width,
+            is_loaded=is_loaded(fleet.endpoints.values(), now_ns),
+        )
         # What was rejected is no load that endpoints can carry.
         self.slow_start.record_throughput(min(rate.attempt_rate, rate.success_rate))
         for throttle in self.throttles.values():
             self._release_buffered(throttle, now_ns)
-        self.throttles.forget_idle(now_ns)
+        self.throttles.drop_idle(now_ns)
--- a/loadbalancer/policy/concurrency_limit.py
+++ b/loadbalancer/policy/concurrency_limit.py
@@ -1,7 +1,7 @@
 """How many requests in flight an endpoint gains from (interface types: loadbalancer/messages.py)."""
 
 from loadbalancer.policy.latency_model import LatencyModel
-from loadbalancer.policy.rate_control import MIN_OUTCOMES
+from loadbalancer.policy.rate_control import OUTCOMES_MIN
 from loadbalancer.state.endpoint_state import EndpointState
 from loadbalancer.state.throughput_samples import ThroughputSamples
 from loadbalancer.units import NANOSECONDS_PER_SECOND
@@ -22,7 +22,7 @@
         self.latency_model = latency_model
         self.limit = 1
         self.increased_ns = 0  # when the limit last rose
-        self.samples = ThroughputSamples(LIMIT_MAX + 1, MIN_OUTCOMES)
+        self.samples = ThroughputSamples(LIMIT_MAX + 1, OUTCOMES_MIN)
 
     def record_occupancy(self, endpoint: EndpointState, now_ns: int) -> None:
         """Book the time for which an endpoint held what it holds; call before that changes."""
@@ -40,9 +40,9 @@
     def has_enough_samples(self, level: int) -> bool:
         """Were endpoints at a level for so long that a good number of requests should have finished?"""
         completions, busy = self.samples.completions, self.samples.busy_seconds
-        if completions[1] < MIN_OUTCOMES:
+        if completions[1] < OUTCOMES_MIN:
             return False
-        return level == 1 or busy[level] * completions[level - 1] >= 4 * MIN_OUTCOMES * busy[level - 1]
+        return level == 1 or busy[level] * completions[level - 1] >= 4 * OUTCOMES_MIN * busy[level - 1]
 
     def increase(self, now_ns: int) -> bool:
         """Raise the limit by one, as the queue waits, unless that is known not to help."""
--- a/loadbalancer/policy/latency_model.py
+++ b/loadbalancer/policy/latency_model.py
@@ -7,19 +7,19 @@
 SAMPLE_DECAY = 0.98  # of the weight of earlier samples, a sample
 SMOOTHING = 0.05  # weight of a new sample in a mean
 ENDPOINT_SMOOTHING = 0.2  # the same for one endpoint
+OBJECTIVE_TO_INITIAL_LATENCY_RATIO = 8
 OUTLIER_FACTOR = 8  # a sample counts as this many times the mean at most
 
 
 class LatencyModel:
     """Learns latencies from the attempts that end; over load it fits a line, base + per_request * load."""
 
-    def __init__(self) -> None:
+    def __init__(self, slowest_objective_ns: int) -> None:
         self.regression = RunningRegression(SAMPLE_DECAY)  # of latency over load
         self.base_ns = 0.0  # of a request that waits for no other
         self.per_request_ns = NANOSECONDS_PER_SECOND / 50  # for each request at the endpoint
-        self.service_interval_ns = (
-            NANOSECONDS_PER_SECOND / 8
-        )  # from one request that an endpoint finishes to the next
+        # From one request that an endpoint finishes to the next; at first, as for the slowest class.
+        self.service_interval_ns = slowest_objective_ns / OBJECTIVE_TO_INITIAL_LATENCY_RATIO
         self.mean_ns = NANOSECONDS_PER_SECOND / 20  # of a request, over all classes
         self.mean_by_class: dict[str, float] = {}  # in ns; under "" a multiple of the cost hint
         self.deviation = 0.5  # mean relative deviation from what was expected
@@ -29,7 +29,7 @@
         if request.cost_hint_ns:
             return self.mean_by_class.get("", 1.0) * request.cost_hint_ns
         cls = request.request_class
-        return self.mean_by_class.get(cls.name, cls.latency_objective_ns / 8)
+        return self.mean_by_class.get(cls.name, cls.latency_objective_ns / OBJECTIVE_TO_INITIAL_LATENCY_RATIO)
 
     def latency_at(self, load: float) -> float:
         """Return what a request takes, in ns, at an endpoint that holds so many, this one included."""
--- a/loadbalancer/policy/selection.py
+++ b/loadbalancer/policy/selection.py
@@ -5,6 +5,7 @@
 
 from loadbalancer.messages import EndpointStatus
 from loadbalancer.policy.concurrency_limit import ConcurrencyLimit
+from loadbalancer.policy.latency_model import LatencyModel
 from loadbalancer.policy.load_reports import estimated_load, has_fresh_load
 from loadbalancer.policy.retry_eligibility import same_deduplication_group
 from loadbalancer.policy.slow_start import SlowStart
@@ -23,9 +24,18 @@
     """Picks available endpoints."""
 
     def __init__(
-        self, updates: EndpointUpdates, slow_start: SlowStart, limit: ConcurrencyLimit, rng: random.Random
+        self,
+        updates: EndpointUpdates,
+        slow_start: SlowStart,
+        limit: ConcurrencyLimit,
+        latency_model: LatencyModel,
+        rng: random.Random,
     ) -> None:
-        self.updates, self.slow_start, self.concurrency_limit, self.rng = updates, slow_start, limit, rng
+        self.updates = updates
+        self.slow_start = slow_start
+        self.concurrency_limit = limit
+        self.latency_model = latency_model
+        self.rng = rng
 
     def concurrency_limit_of(self, state: EndpointState, now_ns: int) -> int:
         """Return how many requests of this proxy may be in flight at an endpoint."""
@@ -82,7 +92,7 @@
         """Tell whether an endpoint that reports a load would answer too late; an idle one never does."""
         if state.reported_load < 1 or not has_fresh_load(state, now_ns):
             return False
-        latency_ns = self.concurrency_limit.latency_model.latency_at(state.reported_load + LOAD_MARGIN)
+        latency_ns = self.latency_model.latency_at(state.reported_load + LOAD_MARGIN)
         return latency_ns * state.relative_latency > request.objective_ns - now_ns
 
     def retry_candidates(self, request: Request, now_ns: int) -> list[EndpointState] | None:
--- a/loadbalancer/policy/throttle.py
+++ b/loadbalancer/policy/throttle.py
@@ -1,4 +1,11 @@
-"""The token bank and request buffer that throttle one tenant (interface types: loadbalancer/messages.py)."""
+"""Admission of one tenant's requests at the rate allotted to it (types: loadbalancer/messages.py).
+
+What bounds a tenant's rate: its throttle forwards a request for each token in the tenant's bank. Tokens come
+at the rate that `rate_control` sets after each feedback interval: the tenant's max-min fair share of the
+proxy's rate, or more. A full bank allows a burst of half a second's tokens. With the bank empty, a request
+waits in the buffer for a token, for a quarter of the shortest latency objective at most. With the buffer
+full, it is rejected.
+"""
 
 import random
 from collections import deque
@@ -6,13 +13,18 @@
 from enum import Enum, auto
 
 from loadbalancer.state.request import Request
+from loadbalancer.state.token_bank import TokenBank
 from loadbalancer.units import NANOSECONDS_PER_SECOND
 
-BANK_S = 0.5  # C_T, in seconds of tokens
-BANK_MIN = 4  # tokens
-BUFFER_SHARE = 0.25  # C_J, in shortest latency objectives: who waits longer for a token is answered too late
-INITIAL_RATE = 10_000.0  # requests a second, above anything a proxy carries: the highest rate as well
-IDLE_DEMAND = 0.01  # requests a second: a tenant that asks for less counts as silent
+RATE_MAX_PER_S = 10_000.0  # above anything that a proxy carries
+INITIAL_RATE_PER_S = RATE_MAX_PER_S
+BANK_CAPACITY_S = 0.5  # of tokens at the current rate
+BANK_CAPACITY_MIN_TOKENS = 4
+BUFFER_WAIT_MAX_OBJECTIVE_FRACTION = 0.25
+RETRY_RESERVE_BANK_FRACTION = 0.25
+DEMAND_SMOOTHING = 0.5
+OVER_QUOTA_DEMAND_FACTOR = 1.1
+IDLE_DEMAND_MAX_PER_S = 0.01
 
 
 class Admission(Enum):
@@ -23,86 +35,120 @@
     REJECT = auto()  # the buffer is full
 
 
-class Throttle:
-    """The token bank and the request buffer of one tenant, as one counter.
+def take_retry_token(bank: TokenBank, now_ns: int) -> bool:
+    """Take a token for a hedged request or a client's retry, if enough are left for fresh requests."""
+    bank.accrue(now_ns)
+    if bank.balance <= RETRY_RESERVE_BANK_FRACTION * bank.bank_capacity:
+        return False
+    bank.take_token()
+    return True
+
 
-    With T tokens in the bank and J requests in the buffer, U = T - J + C_J (2.1). A token adds one to U and
-    an arrival takes one away, within [0, C_J + C_T] (2.8).
-    """
+def _bank_capacity(rate_per_s: float) -> int:
+    return max(BANK_CAPACITY_MIN_TOKENS, round(rate_per_s * BANK_CAPACITY_S))
+
+
+class Throttle:
+    """Admits, buffers or rejects the requests of one tenant, and measures how many it sends."""
 
     def __init__(
-        self, weight: float, rng: random.Random, now_ns: int, objective_ns: int = NANOSECONDS_PER_SECOND
+        self,
+        tenant: str,
+        weight: float,
+        rng: random.Random,
+        now_ns: int,
+        shortest_objective_ns: int = NANOSECONDS_PER_SECOND,
     ) -> None:
+        """Make a throttle with a full bank.
+
+        Args:
+            tenant: The tenant's name.
+            weight: Its part of the proxy's rate, beside the weights of the other tenants.
+            rng: Draws when the first token comes, so that the proxies don't release requests in step.
+            now_ns: The time of the call.
+            shortest_objective_ns: The shortest latency objective of all request classes.
+        """
+        self.tenant = tenant
         self.weight = weight
-        self.buffer_s = min(
-            BANK_S, BUFFER_SHARE * objective_ns / NANOSECONDS_PER_SECOND
-        )  # C_J, in seconds of tokens
-        self.bank_capacity = round(INITIAL_RATE * BANK_S)  # C_T
-        self.buffer_capacity = round(INITIAL_RATE * self.buffer_s)  # C_J
-        self.counter = self.bank_capacity + self.buffer_capacity  # U; the bank starts full
-        self.rate = INITIAL_RATE  # tokens a second
-        self.tick_credit = rng.random()  # part of the next token; at random, or proxies would release in step
-        self.updated_ns = now_ns
-        self.arrivals = 0  # in this feedback interval
+        objective_s = BUFFER_WAIT_MAX_OBJECTIVE_FRACTION * shortest_objective_ns / NANOSECONDS_PER_SECOND
+        self.buffer_wait_max_s = min(BANK_CAPACITY_S, objective_s)
         self.buffer: deque[Request] = deque()
-        self.demand = 0.0  # requests a second, smoothed
-        self.over_share = False  # it asks for more than its share
-        self.wake_scheduled = False  # a timer is set for the next token
-        self.token_missed = False  # an arrival found no token in this feedback interval
+        self.bank = TokenBank(
+            rate=INITIAL_RATE_PER_S,
+            bank_capacity=_bank_capacity(INITIAL_RATE_PER_S),
+            buffer_capacity=self._buffer_capacity(INITIAL_RATE_PER_S),
+            tick_credit=rng.random(),
+            now_ns=now_ns,
+        )
+        self.demand_per_s = 0.0
+        self.is_over_quota = False  # it sends more than its fair share
+        self.has_missed_token = False  # a request found no token in this feedback interval
+        self.arrivals = 0  # in this feedback interval
+        self._wake_up_scheduled = False
+
+    def _buffer_capacity(self, rate_per_s: float) -> int:
+        return max(1, round(rate_per_s * self.buffer_wait_max_s), len(self.buffer))
 
-    def set_rate(self, rate: float, now_ns: int) -> None:
+    def set_rate(self, rate_per_s: float, now_ns: int) -> None:
         """Change the rate and with it the capacities; tokens in the bank and buffered requests stay."""
-        self.accrue(now_ns)
-        balance = self.counter - self.buffer_capacity  # T - J
-        self.rate = rate
-        self.bank_capacity = max(BANK_MIN, round(rate * BANK_S))
-        self.buffer_capacity = max(1, round(rate * self.buffer_s), len(self.buffer))
-        self.counter = max(0, min(self.bank_capacity + self.buffer_capacity, balance + self.buffer_capacity))
-
-    def accrue(self, now_ns: int) -> None:
-        """Add the tokens of the time since the last call to the counter."""
-        self.tick_credit += self.rate * (now_ns - self.updated_ns) / NANOSECONDS_PER_SECOND
-        tokens = int(self.tick_credit)
-        self.tick_credit -= tokens
-        self.updated_ns = now_ns
-        self.counter = min(self.bank_capacity + self.buffer_capacity, self.counter + tokens)
+        self.bank.set_rate(
+            rate=rate_per_s,
+            bank_capacity=_bank_capacity(rate_per_s),
+            buffer_capacity=self._buffer_capacity(rate_per_s),
+            now_ns=now_ns,
+        )
+
+    def set_fair_share(self, rate_per_s: float) -> None:
+        """Compare the tenant's demand with its fair share: traffic over quota is shed first."""
+        self.is_over_quota = self.demand_per_s > OVER_QUOTA_DEMAND_FACTOR * rate_per_s
 
     def admit(self, request: Request, now_ns: int) -> Admission:
-        """Take a token for an arrival, buffer it, or reject it where U is 0."""
-        self.accrue(now_ns)
+        """Take a token for an arrival, buffer it, or reject it where the buffer is full."""
+        bank = self.bank
+        bank.accrue(now_ns)
         self.arrivals += 1
-        if self.counter <= self.buffer_capacity:
-            self.token_missed = True
-        if self.counter < 1:
+        if bank.balance <= 0:
+            self.has_missed_token = True
+        if bank.counter < 1:
             return Admission.REJECT
-        self.counter -= 1
-        if self.counter >= self.buffer_capacity:
+        bank.take_token()
+        if bank.balance >= 0:
             return Admission.FORWARD
         self.buffer.append(request)
         return Admission.BUFFER
 
-    def take_retry_token(self, now_ns: int) -> bool:
-        """Take a token for a hedged request or a client's retry, if fresh work leaves part of the bank."""
-        self.accrue(now_ns)
-        if self.counter - self.buffer_capacity <= self.bank_capacity // 4:
-            return False
-        self.counter -= 1
-        return True
-
     def release(self, now_ns: int) -> Iterable[Request]:
-        """Give the buffered requests that have a token by now, the oldest first: J = max(0, C_J - U) stay."""
-        self.accrue(now_ns)
-        while len(self.buffer) > max(0, self.buffer_capacity - self.counter):
+        """Give the buffered requests that have a token by now, the oldest first."""
+        self.bank.accrue(now_ns)
+        while len(self.buffer) > self.bank.waiting_requests:
             yield self.buffer.popleft()
 
     def remove_buffered(self, request: Request) -> None:
         """Drop a buffered request that has ended, and return the token that it waited for."""
         self.buffer.remove(request)
-        self.counter += 1
+        self.bank.return_token()
+
+    def schedule_wake_up(self, now_ns: int) -> int | None:
+        """Return when the caller must call `on_token_due`; None: no request waits, or it was scheduled."""
+        if not self.buffer or self._wake_up_scheduled:
+            return None
+        self._wake_up_scheduled = True
+        return now_ns + self.bank.time_to_next_token_ns()
+
+    def on_token_due(self) -> None:
+        """Record that the scheduled wake-up has come."""
+        self._wake_up_scheduled = False
+
+    def end_feedback_interval(self, elapsed_ns: int) -> None:
+        """Update the demand, and count the arrivals of the next interval."""
+        arrivals_per_s = self.arrivals * NANOSECONDS_PER_SECOND / elapsed_ns
+        self.demand_per_s += DEMAND_SMOOTHING * (arrivals_per_s - self.demand_per_s)
+        self.arrivals = 0
+        self.has_missed_token = False
 
     def is_idle(self, now_ns: int) -> bool:
         """Tell whether a new throttle would do the same: empty buffer, full bank, next to no demand."""
-        self.accrue(now_ns)
-        if self.buffer or self.wake_scheduled or self.arrivals or self.demand > IDLE_DEMAND:
+        self.bank.accrue(now_ns)
+        if self.buffer or self._wake_up_scheduled or self.arrivals:
             return False
-        return self.counter >= self.bank_capacity + self.buffer_capacity
+        return self.demand_per_s <= IDLE_DEMAND_MAX_PER_S and self.bank.is_full
--- a/loadbalancer/state/request.py
+++ b/loadbalancer/state/request.py
@@ -10,9 +10,9 @@
 from loadbalancer.settings import RequestClass
 
 if TYPE_CHECKING:
-    from loadbalancer.policy.throttle import Throttle
     from loadbalancer.state.endpoint_pool import EndpointPool
     from loadbalancer.state.endpoint_state import EndpointState
+    from loadbalancer.state.token_bank import TokenBank
 
 
 class QueuePlace(Enum):
@@ -43,7 +43,8 @@
     id: str
     request_class: RequestClass
     pool: EndpointPool  # the endpoints that its class may use
-    throttle: Throttle
+    tenant: str  # whose throttle admits it
+    token_bank: TokenBank  # of that throttle, which may have been dropped since
     deadline_ns: int
     objective_ns: int  # an answer by this time earns the full priority weight
     cost_hint_ns: int
@@ -58,10 +59,8 @@
     probed_ns: int = 0
 
     def leave_queue(self) -> None:
-        """Wait no longer, wherever it waits."""
-        if self.place is QueuePlace.THROTTLE_BUFFER:
-            self.throttle.remove_buffered(self)
-        elif self.place is QueuePlace.POOL_QUEUE:
+        """Leave the pool's queue; the throttle's buffer is left by `Throttle.remove_buffered`."""
+        if self.place is QueuePlace.POOL_QUEUE:
             self.pool.queue.remove(self)
         self.place = QueuePlace.NOT_WAITING
 
--- a/loadbalancer/state/timer_queue.py
+++ b/loadbalancer/state/timer_queue.py
@@ -11,7 +11,6 @@
 from loadbalancer.messages import SetTimer
 
 if TYPE_CHECKING:
-    from loadbalancer.policy.throttle import Throttle
     from loadbalancer.state.request import Request
 
 
@@ -32,9 +31,9 @@
 
 @dataclass(slots=True, eq=False)
 class TokenDue:
-    """A throttle has its next token then."""
+    """The throttle of a tenant has its next token then."""
 
-    throttle: Throttle
+    tenant: str
 
 
 @dataclass(slots=True, eq=False)
--- a/tests/policy/test_attempt_results.py
+++ b/tests/policy/test_attempt_results.py
@@ -27,7 +27,7 @@
         harness.finish(f"r{i}", AttemptResult.RESET)
         harness.finish(f"r{i}")
     # The first reset of all counts as the endpoint's own fault.
-    assert sum(harness.balancer.rate_controller.failures.values()) <= 1
+    assert sum(harness.balancer.rate_controller.interval.failures.values()) <= 1
 
 
 def test_late_and_unknown_results_are_ignored() -> None:
@@ -42,11 +42,12 @@
 
 def test_overload_of_a_small_subset_lowers_the_rate() -> None:
     # Incident i430663: of a subset of four, three and more could fail all day and the rate never fell.
-    throttle = Throttle(1.0, random.Random(1), 0)
+    throttle = Throttle("ash", 1.0, random.Random(1), 0)
     for failing, falls in ((2, False), (4, True)):
-        rate = RateController([throttle], 0)
-        rate.successes, rate.failures = 4, Counter(dict.fromkeys(range(failing), 6))
-        rate.adjust(NANOSECONDS_PER_SECOND, 4)
+        rate = RateController(throttle.weight, 0)
+        rate.interval.successes = 4
+        rate.interval.failures = Counter(dict.fromkeys(range(failing), 6))
+        rate.adjust([throttle], NANOSECONDS_PER_SECOND, 4)
         assert (rate.rate < 100) is falls
 
 
--- a/tests/policy/test_rate_control.py
+++ b/tests/policy/test_rate_control.py
@@ -20,7 +20,7 @@
     TimerExpired,
 )
 from loadbalancer.policy.balancer import Balancer
-from loadbalancer.policy.rate_control import FEEDBACK_NS, RateController
+from loadbalancer.policy.rate_control import FEEDBACK_INTERVAL_NS, RateController
 from loadbalancer.policy.throttle import Throttle
 from loadbalancer.settings import Limits, Settings, Tenant
 from tests.support.policy_harness import (
@@ -41,17 +41,19 @@
 
     def __init__(self) -> None:
         self.now_ns = 0
-        self.throttle = Throttle(1.0, random.Random(1), 0)
-        self.controller = RateController([self.throttle], 0)
+        self.throttle = Throttle("ash", 1.0, random.Random(1), 0)
+        self.controller = RateController(self.throttle.weight, 0)
 
     def interval(self, successes: int, failures_by_endpoint: int) -> None:
         """Let a feedback interval end with so many successes, and so many failures at each endpoint."""
-        self.now_ns += FEEDBACK_NS
-        self.throttle.arrivals, self.throttle.token_missed = successes, True
-        self.controller.successes = successes
+        self.now_ns += FEEDBACK_INTERVAL_NS
+        self.throttle.arrivals = successes
+        self.throttle.has_missed_token = True
+        outcomes = self.controller.interval
+        outcomes.successes = successes
         if failures_by_endpoint:
-            self.controller.failures.update(dict.fromkeys(range(DRAW_WIDTH), failures_by_endpoint))
-        self.controller.adjust(self.now_ns, DRAW_WIDTH)
+            outcomes.failures.update(dict.fromkeys(range(DRAW_WIDTH), failures_by_endpoint))
+        self.controller.adjust([self.throttle], self.now_ns, DRAW_WIDTH)
 
 
 def test_the_rate_recovers_quickly_from_a_short_fault() -> None:
@@ -78,7 +80,7 @@
         harness.finish(f"r{i}")
         harness.advance(5 * NANOSECONDS_PER_MILLISECOND)
         if i % 4 == 0:
-            controller.expired_in_queue += 1  # a fifth of the outcomes: more than is tolerated
+            controller.record_queue_expiry()  # a fifth of the outcomes: more than is tolerated
     harness.give(arrival("last", harness.now_ns))
 
     sent = 200.0  # a second, one each 5 ms
@@ -88,14 +90,16 @@
 
 def test_one_failure_of_few_outcomes_does_not_hold_the_rate_down() -> None:
     # Guards against a proxy that rejects for 20 s because it sends too little to be judged.
-    throttle = Throttle(1.0, random.Random(1), 0)
-    controller = RateController([throttle], 0)
+    throttle = Throttle("ash", 1.0, random.Random(1), 0)
+    controller = RateController(throttle.weight, 0)
     controller.rate = controller.failed_rate = 10.0
 
     for i in range(1, 6):
-        controller.successes, controller.expired_in_queue = 4, 1
-        throttle.arrivals, throttle.token_missed = 100, True
-        controller.adjust(4 * i * FEEDBACK_NS, DRAW_WIDTH)
+        controller.interval.successes = 4
+        controller.interval.expired_in_queue = 1
+        throttle.arrivals = 100
+        throttle.has_missed_token = True
+        controller.adjust([throttle], 4 * i * FEEDBACK_INTERVAL_NS, DRAW_WIDTH)
 
     assert controller.rate > 12
 
@@ -110,9 +114,10 @@
 def failures_after_timeout(tokens_a_second: float) -> int:
     """Return what counts against the rate when a request waits for a token and its one attempt times out."""
     balancer = listed_balancer(settings(tenants={"ash": Tenant("ash")}, limits=Limits(max_attempts=1)))
-    throttle = balancer.throttles["ash"]
+    throttle = balancer.throttles.of("ash", START)
     throttle.set_rate(tokens_a_second, START)
-    throttle.counter, throttle.tick_credit = throttle.buffer_capacity, 0.0
+    throttle.bank.counter = throttle.bank.buffer_capacity
+    throttle.bank.tick_credit = 0.0
     due: list[tuple[int, Event]] = [(START, arrival(1, START))]
     for _ in range(40):
         due.sort(key=lambda item: item[0])
@@ -124,7 +129,7 @@
             elif isinstance(action, SetTimer):
                 due.append((now_ns + action.delay_ns, TimerExpired(action.name)))
         if isinstance(event, AttemptEnded):
-            return balancer.rate_controller.failures.total()
+            return balancer.rate_controller.interval.failures.total()
     raise AssertionError("the attempt never ended")
 
 
@@ -139,10 +144,10 @@
     for endpoint in balancer.fleet.endpoints.values():
         endpoint.record_load(load, START)
     controller = balancer.rate_controller
-    controller.successes = 100
-    controller.failures.update(dict.fromkeys(balancer.fleet.endpoints, 20))
+    controller.interval.successes = 100
+    controller.interval.failures.update(dict.fromkeys(balancer.fleet.endpoints, 20))
 
-    balancer.handle(START + FEEDBACK_NS, [])
+    balancer.handle(START + FEEDBACK_INTERVAL_NS, [])
 
     return controller.rate < 1000
 
@@ -164,20 +169,20 @@
     senders: list[tuple[int, int]], silent_count: int, rate: float, success_rate: float
 ) -> None:
     weights = [float(weight) for _, weight in senders] + [1.0 + i % 3 for i in range(silent_count)]
-    every = [Throttle(weight, random.Random(i), 0) for i, weight in enumerate(weights)]
-    sending = [Throttle(float(weight), random.Random(i), 0) for i, (_, weight) in enumerate(senders)]
-    full = RateController(every, 0)
-    sparse = RateController(sending, 0, sum(weights))
+    every = [Throttle(f"t{i}", weight, random.Random(i), 0) for i, weight in enumerate(weights)]
+    sending = [Throttle(f"t{i}", float(weight), random.Random(i), 0) for i, (_, weight) in enumerate(senders)]
+    full = RateController(sum(weights), 0)
+    sparse = RateController(sum(weights), 0)
 
     for controller, throttles in ((full, every), (sparse, sending)):
         controller.rate, controller.success_rate = rate, success_rate
         for throttle, (demand, _) in zip(throttles, senders, strict=False):
-            throttle.demand = float(demand)
-        controller._share_rate(0)
+            throttle.demand_per_s = float(demand)
+        controller._set_tenant_rates(throttles, 0)
 
     same, silent = every[: len(sending)], every[len(sending) :]
-    assert [t.rate for t in sending] == pytest.approx([t.rate for t in same], rel=1e-9)
-    assert [t.over_share for t in sending] == [t.over_share for t in same]
+    assert [t.bank.rate for t in sending] == pytest.approx([t.bank.rate for t in same], rel=1e-9)
+    assert [t.is_over_quota for t in sending] == [t.is_over_quota for t in same]
     # One that comes anew has the rate of one that was there all the time.
     new_rates = [sparse.rate_of_idle_tenant(t.weight) for t in silent]
-    assert new_rates == pytest.approx([t.rate for t in silent], rel=1e-9)
+    assert new_rates == pytest.approx([t.bank.rate for t in silent], rel=1e-9)
--- a/tests/policy/test_tenant_throttles.py
+++ b/tests/policy/test_tenant_throttles.py
@@ -8,9 +8,9 @@
 
 from loadbalancer.messages import AttemptEnded, AttemptResult, EndpointUpdate, EndpointUpdateKind, Forward
 from loadbalancer.policy.balancer import Balancer
-from loadbalancer.policy.rate_control import FEEDBACK_NS
-from loadbalancer.policy.throttle import Throttle
+from loadbalancer.policy.rate_control import FEEDBACK_INTERVAL_NS
 from loadbalancer.settings import Tenant
+from loadbalancer.state.token_bank import TokenBank
 from tests.support.policy_harness import START, PolicyHarness, arrival, make_endpoints, settings
 
 
@@ -30,17 +30,17 @@
 def cost_of_tenants(count: int, monkeypatch: pytest.MonkeyPatch) -> Cost:
     """Serve 20 seconds of requests from twenty tenants, where so many are configured."""
     balancer, now_ns, accruals = Balancer(settings(tenants=make_tenants(count)), 1, START), START, 0
-    accrue = Throttle.accrue
+    accrue = TokenBank.accrue
 
-    def counted(throttle: Throttle, now_ns: int) -> None:
+    def counted(bank: TokenBank, now_ns: int) -> None:
         nonlocal accruals
         accruals += 1
-        accrue(throttle, now_ns)
+        accrue(bank, now_ns)
 
-    monkeypatch.setattr(Throttle, "accrue", counted)
+    monkeypatch.setattr(TokenBank, "accrue", counted)
     balancer.handle(now_ns, [EndpointUpdate(EndpointUpdateKind.FULL, make_endpoints(6))])
     for i in range(200):
-        now_ns += FEEDBACK_NS // 10
+        now_ns += FEEDBACK_INTERVAL_NS // 10
         for action in balancer.handle(now_ns, [arrival(i, now_ns, tenant=f"t{i % 20}")]):
             if isinstance(action, Forward):
                 served = AttemptEnded(action.request_id, 0, action.endpoint_id, AttemptResult.OK, 1, True)
@@ -62,29 +62,29 @@
         tenant = "t1" if i < 10 else "t0"
         harness.give(arrival(i, harness.now_ns, tenant=tenant))
         harness.finish(f"r{i}")
-        harness.now_ns += FEEDBACK_NS
+        harness.now_ns += FEEDBACK_INTERVAL_NS
     throttles = harness.balancer.throttles
-    assert set(throttles) == {"t0"}
+    assert {throttle.tenant for throttle in throttles.values()} == {"t0"}
 
-    returned = throttles["t1"]
+    returned = throttles.of("t1", harness.now_ns)
 
-    assert returned.counter == returned.bank_capacity + returned.buffer_capacity
-    assert returned.rate == harness.balancer.rate_controller.rate_of_idle_tenant(returned.weight)
+    assert returned.bank.counter == returned.bank.bank_capacity + returned.bank.buffer_capacity
+    assert returned.bank.rate == harness.balancer.rate_controller.rate_of_idle_tenant(returned.weight)
 
 
 def test_an_unknown_tenant_passes_for_the_first() -> None:
     throttles = PolicyHarness(settings(tenants=make_tenants(3))).balancer.throttles
-    assert throttles["nobody"] is throttles["t0"]
+    assert throttles.of("nobody", START) is throttles.of("t0", START)
 
 
 def test_a_tenant_with_a_buffered_request_or_a_token_due_is_not_forgotten() -> None:
     harness = PolicyHarness(settings(tenants=make_tenants(2)))
-    throttle = harness.balancer.throttles["t1"]
+    throttle = harness.balancer.throttles.of("t1", harness.now_ns)
     throttle.set_rate(0.5, harness.now_ns)
-    throttle.counter = throttle.buffer_capacity
+    throttle.bank.counter = throttle.bank.buffer_capacity
     harness.give(arrival("buffered", harness.now_ns, tenant="t1"))
     assert throttle.buffer
 
-    harness.balancer.throttles.forget_idle(harness.now_ns)
+    harness.balancer.throttles.drop_idle(harness.now_ns)
 
-    assert harness.balancer.throttles["t1"] is throttle
+    assert harness.balancer.throttles.existing("t1") is throttle
--- a/tests/policy/test_throttle.py
+++ b/tests/policy/test_throttle.py
@@ -27,19 +27,28 @@
 
 def make_throttle(bank_capacity: int, buffer_capacity: int, counter: int) -> Throttle:
     """Return a throttle that gets one token a second."""
-    throttle = Throttle(1.0, random.Random(1), 0)
-    throttle.bank_capacity = bank_capacity
-    throttle.buffer_capacity = buffer_capacity
-    throttle.counter = counter
-    throttle.rate = 1.0
-    throttle.tick_credit = 0.0
+    throttle = Throttle("ash", 1.0, random.Random(1), 0)
+    throttle.bank.bank_capacity = bank_capacity
+    throttle.bank.buffer_capacity = buffer_capacity
+    throttle.bank.counter = counter
+    throttle.bank.rate = 1.0
+    throttle.bank.tick_credit = 0.0
     return throttle
 
 
 def make_request(number: int, throttle: Throttle) -> Request:
     """Return a request whose id ends in a number."""
     pool = EndpointPool(Placement(None, None))
-    return Request(f"r{number}", READ, pool, throttle, FAR_OFF_NS, FAR_OFF_NS, 0)
+    return Request(
+        id=f"r{number}",
+        request_class=READ,
+        pool=pool,
+        tenant=throttle.tenant,
+        token_bank=throttle.bank,
+        deadline_ns=FAR_OFF_NS,
+        objective_ns=FAR_OFF_NS,
+        cost_hint_ns=0,
+    )
 
 
 @dataclass
@@ -65,7 +74,7 @@
                 overflow += 1
             elif admission is Admission.FORWARD:
                 trace.forwarded.append(count)
-        trace.counters.append(throttle.counter)
+        trace.counters.append(throttle.bank.counter)
         trace.overflows.append(overflow)
     return trace
 
@@ -98,7 +107,7 @@
 
     expected = recursion(bank + buffer, bank + buffer, arrivals)
     assert (trace.counters, trace.overflows) == (expected.counters, expected.overflows)
-    assert len(throttle.buffer) == max(0, buffer - throttle.counter)  # (2.3)
+    assert len(throttle.buffer) == max(0, buffer - throttle.bank.counter)  # (2.3)
 
 
 @settings(derandomize=True, deadline=None)
@@ -131,7 +140,7 @@
     throttle.remove_buffered(first)
 
     assert list(throttle.release(NANOSECONDS_PER_SECOND)) == [second]
-    assert throttle.counter == 2
+    assert throttle.bank.counter == 2
 
 
 def test_a_change_of_rate_keeps_tokens_and_buffered_requests() -> None:
@@ -141,16 +150,16 @@
 
     throttle.set_rate(100.0, 0)
 
-    assert throttle.buffer_capacity - throttle.counter == 1
+    assert throttle.bank.buffer_capacity - throttle.bank.counter == 1
     assert list(throttle.buffer) == [request]
     assert list(throttle.release(20 * NANOSECONDS_PER_MILLISECOND)) == [request]
 
 
 def test_throttles_start_with_a_full_bank_and_tick_out_of_step() -> None:
-    throttles = [Throttle(1.0, random.Random(seed), 0) for seed in range(20)]
-    for throttle in throttles:
-        assert throttle.counter == throttle.bank_capacity + throttle.buffer_capacity
-    assert len({round(throttle.tick_credit, 3) for throttle in throttles}) > 10
+    banks = [Throttle("ash", 1.0, random.Random(seed), 0).bank for seed in range(20)]
+    for bank in banks:
+        assert bank.counter == bank.bank_capacity + bank.buffer_capacity
+    assert len({round(bank.tick_credit, 3) for bank in banks}) > 10
 
 
 @pytest.mark.parametrize("objective_ms", [100, 150, 400])
@@ -161,10 +170,11 @@
         "slow": RequestClass("slow"),
     }
     harness = PolicyHarness(policy_settings(request_classes=classes, tenants={"ash": Tenant("ash")}))
-    throttle = harness.balancer.throttles["ash"]
+    throttle = harness.balancer.throttles.of("ash", harness.now_ns)
 
     throttle.set_rate(400.0, harness.now_ns)
 
-    longest_wait_s = throttle.buffer_capacity / throttle.rate
-    assert 0 < longest_wait_s <= 0.25 * objective_ms / 1000 + 1 / throttle.rate
-    assert throttle.buffer_capacity < throttle.bank_capacity / 2
+    bank = throttle.bank
+    longest_wait_s = bank.buffer_capacity / bank.rate
+    assert 0 < longest_wait_s <= 0.25 * objective_ms / 1000 + 1 / bank.rate
+    assert bank.buffer_capacity < bank.bank_capacity / 2
--- a/tests/proxy/test_faults.py
+++ b/tests/proxy/test_faults.py
@@ -133,7 +133,7 @@
             assert (await other.read()).status in (503, 504)
             other.close()
         assert ejected_count(balancer) == 0
-        assert not sum(balancer.rate_controller.failures.values())
+        assert not sum(balancer.rate_controller.interval.failures.values())
         assert balancer.latency_model.per_request_ns == per_request_ns
 
 
--- a/tests/proxy/test_unread_disconnect.py
+++ b/tests/proxy/test_unread_disconnect.py
@@ -212,17 +212,17 @@
     upstream = await FakeUpstream(answers(200)).start()
     balancer = Balancer(settings(), 1, time.monotonic_ns())
     async with node(balancer, upstream) as client, plain_socket(client) as sock:
-        throttle = balancer.throttles[""]
+        throttle = balancer.throttles.of("", time.monotonic_ns())
         # No token left, and none comes however long this takes: the next request waits for one.
         throttle.set_rate(0.001, time.monotonic_ns())
-        throttle.counter = throttle.buffer_capacity
+        throttle.bank.counter = throttle.bank.buffer_capacity
         sock.send(request("/read/abandoned"))
         await until(lambda: throttle.buffer)
 
         disconnect(sock)
 
         await until(lambda: not throttle.buffer)
-        throttle.wake_scheduled = False  # what was scheduled for the token then is far away
+        throttle.on_token_due()  # what was scheduled for the token then is far away
         throttle.set_rate(4.0, time.monotonic_ns())
         await client.send(request("/read/stays"))
         assert (await client.read()).status == 200  # the next token is its own
