--- a/loadbalancer/policy/attempt_results.py
+++ b/loadbalancer/policy/attempt_results.py
@@ -5,7 +5,7 @@
 from loadbalancer.messages import AttemptEnded, AttemptResult
 from loadbalancer.policy.concurrency_limit import ConcurrencyLimit
 from loadbalancer.policy.latency_model import LatencyModel
-from loadbalancer.policy.outlier_detection import EJECTION_NS, OutlierDetection
+from loadbalancer.policy.outlier_detection import BASE_EJECTION_NS, OutlierDetection
 from loadbalancer.policy.rate_control import RateController
 from loadbalancer.state.endpoint_state import EndpointState
 from loadbalancer.state.request import Attempt, Request
@@ -48,10 +48,10 @@
                 self.outlier_detection.eject_slow(attempt, now_ns)
             case AttemptResult.CONNECT_FAILED:
                 self.rate_controller.record_failure(state.id)
-                self.outlier_detection.eject(state, now_ns, EJECTION_NS)
+                self.outlier_detection.eject(state, now_ns, BASE_EJECTION_NS)
             case AttemptResult.RESET if is_outlier:
                 self.rate_controller.record_failure(state.id)
-                self.outlier_detection.eject(state, now_ns, EJECTION_NS)
+                self.outlier_detection.eject(state, now_ns, BASE_EJECTION_NS)
             case AttemptResult.RESET:
                 # Fewer requests cure no connection that broke by chance: the rate is not judged by it.
                 self.rate_controller.record_success()
