--- a/loadbalancer/policy/balancer.py
+++ b/loadbalancer/policy/balancer.py
@@ -11,8 +11,8 @@
 from loadbalancer.policy.fleet_updates import FleetUpdater
 from loadbalancer.policy.latency_model import LatencyModel
 from loadbalancer.policy.live_weights import LiveWeights
-from loadbalancer.policy.load_probing import LoadProbing, probing_is_cheap
-from loadbalancer.policy.load_reports import estimated_load, is_loaded
+from loadbalancer.policy.load_estimate import IN_FLIGHT_COLUMN, estimated_load, is_loaded
+from loadbalancer.policy.load_probing import LoadProbing, is_probing_enabled
 from loadbalancer.policy.outlier_detection import OutlierDetection
 from loadbalancer.policy.rate_control import FEEDBACK_INTERVAL_NS
 from loadbalancer.policy.retry_eligibility import may_forward, may_have_run, may_reject
@@ -51,7 +51,7 @@
         self.concurrency_limit = limit = ConcurrencyLimit(self.latency_model)
         self.timers = TimerQueue()
         self.fleet = Fleet(settings.request_classes, new_endpoint_table(settings))
-        probes_load = probing_is_cheap(settings)
+        probes_load = is_probing_enabled(settings)
         live_weights = LiveWeights(settings)
         self.fleet_updater = FleetUpdater(settings, self.fleet, live_weights, draws_from_reserve=probes_load)
         outliers = OutlierDetection(self.fleet, self.timers, self.rng, self.shortest_objective_ns)
@@ -219,7 +219,7 @@
             if request.probed_endpoints and self.load_probing.is_waiting(request, now_ns):
                 break
             candidates = self.selection.retry_candidates(request, now_ns) if request.attempts else None
-            probed = self.load_probing.take_answered(request, now_ns) if request.probed_endpoints else None
+            probed = self.load_probing.end(request, now_ns) if request.probed_endpoints else None
             state = self.selection.pick(pool, now_ns, probed or candidates)
             if state is None and candidates is None:
                 pool.blocked_since_ns = pool.blocked_since_ns or now_ns
@@ -265,8 +265,8 @@
         attempt.result = event.result
         attempt.may_have_run = may_have_run(event.result, self.settings.rules)
         self.concurrency_limit.record_occupancy(state, now_ns)
-        if event.load_report and "inflight" in event.load_report:
-            state.record_load(event.load_report["inflight"] + 1, now_ns)  # this one leaves it below
+        if event.load_report and IN_FLIGHT_COLUMN in event.load_report:
+            state.record_load(event.load_report[IN_FLIGHT_COLUMN] + 1, now_ns)  # this one leaves it below
         self.attempt_results.record(request, attempt, event, now_ns)
         state.remove_attempt(attempt.overdue)
         if event.request_complete:
--- a/loadbalancer/policy/concurrency_limit.py
+++ b/loadbalancer/policy/concurrency_limit.py
@@ -1,4 +1,9 @@
-"""How many requests in flight an endpoint gains from (interface types: loadbalancer/messages.py)."""
+"""How many requests this proxy may have in flight at one endpoint (types: loadbalancer/messages.py).
+
+The limit rises while requests wait in the queue, as long as one more in flight raises the throughput of
+endpoints: one that finishes no more with k requests in flight than with k - 1 is saturated, and further
+requests are better left in the queue. Levels are requests in flight; throughput is in requests a second.
+"""
 
 from loadbalancer.policy.latency_model import LatencyModel
 from loadbalancer.policy.rate_control import OUTCOMES_MIN
@@ -6,71 +11,96 @@
 from loadbalancer.state.throughput_samples import ThroughputSamples
 from loadbalancer.units import NANOSECONDS_PER_SECOND
 
-LIMIT_MAX = 64
-SAMPLE_DECAY = 0.95  # a feedback interval
-MIN_GAIN = 1.05  # a request more in flight must raise an endpoint's throughput by this factor
+CONCURRENCY_LIMIT_MAX = 64
+THROUGHPUT_GAIN_MIN_FACTOR = 1.05
+SAMPLE_DECAY_PER_FEEDBACK_INTERVAL = 0.95
+EXPECTED_COMPLETIONS_MIN = 4 * OUTCOMES_MIN
+SETTLING_MEAN_LATENCIES = 3
+STANDARD_ERROR_EXPONENT = -0.5
 
 
-class ConcurrencyLimit:
-    """The adaptive limit of this proxy's requests in flight at one endpoint.
+def _relative_standard_error(count: float) -> float:
+    error: float = max(1.0, count) ** STANDARD_ERROR_EXPONENT
+    return error
 
-    Extension: an endpoint that finishes no more with k of them than with k - 1 is saturated, and the queue is
-    the better place to wait (6.1).
-    """
+
+class ConcurrencyLimit:
+    """Learns the limit from what endpoints finish at each level of requests in flight."""
 
     def __init__(self, latency_model: LatencyModel) -> None:
-        self.latency_model = latency_model
         self.limit = 1
-        self.increased_ns = 0  # when the limit last rose
-        self.samples = ThroughputSamples(LIMIT_MAX + 1, OUTCOMES_MIN)
+        self._latency_model = latency_model
+        self._last_increase_ns = 0
+        self._samples = ThroughputSamples(CONCURRENCY_LIMIT_MAX + 1, OUTCOMES_MIN)
 
     def record_occupancy(self, endpoint: EndpointState, now_ns: int) -> None:
-        """Book the time for which an endpoint held what it holds; call before that changes."""
+        """Record for how long an endpoint held its requests in flight; call before their number changes."""
         if endpoint.in_flight and endpoint.in_subset:
-            self.samples.add_time(
-                endpoint.in_flight, (now_ns - endpoint.in_flight_since_ns) / NANOSECONDS_PER_SECOND
-            )
-        endpoint.in_flight_since_ns = now_ns
+            seconds = (now_ns - endpoint.in_flight_since_ns) / NANOSECONDS_PER_SECOND
+            self._samples.add_time(endpoint.in_flight, seconds)
+        endpoint.restart_occupancy(now_ns)
 
     def record_completion(self, endpoint: EndpointState) -> None:
-        """Book a request that an endpoint finished; call before it leaves the requests in flight."""
+        """Record a request that an endpoint finished; call before it leaves the requests in flight."""
         if endpoint.in_subset:
-            self.samples.add_completion(endpoint.in_flight)
+            self._samples.add_completion(endpoint.in_flight)
 
     def has_enough_samples(self, level: int) -> bool:
-        """Were endpoints at a level for so long that a good number of requests should have finished?"""
-        completions, busy = self.samples.completions, self.samples.busy_seconds
+        """Tell whether a good number of requests should have finished at a level, as fast as one lower."""
+        completions = self._samples.completions
+        busy_seconds = self._samples.busy_seconds
         if completions[1] < OUTCOMES_MIN:
             return False
-        return level == 1 or busy[level] * completions[level - 1] >= 4 * OUTCOMES_MIN * busy[level - 1]
+        if level == 1:
+            return True
+        lower = level - 1
+        return busy_seconds[level] * completions[lower] >= EXPECTED_COMPLETIONS_MIN * busy_seconds[lower]
 
     def increase(self, now_ns: int) -> bool:
-        """Raise the limit by one, as the queue waits, unless that is known not to help."""
+        """Raise the limit by one while requests are queued, unless samples say that it brings no gain."""
         level = self.limit
-        # Requests just sent finish less often than older ones: guards against a limit that runs away at the
-        # start, before the first ones are done (incident i4eb9e9).
-        settled = now_ns - self.increased_ns >= 3 * self.latency_model.mean_ns
-        if level >= LIMIT_MAX or not settled or not self.has_enough_samples(level):
+        if (
+            level >= CONCURRENCY_LIMIT_MAX
+            or not self._is_settled(now_ns)
+            or not self.has_enough_samples(level)
+        ):
             return False
-        best_below = max((self.samples.throughput(lower) for lower in range(1, level)), default=0.0)
-        if self.samples.throughput(level) < MIN_GAIN * best_below or self._is_saturated(level):
+        if not self._is_gain_over_lower_levels(level) or self._is_saturated(level):
             return False
-        self.limit, self.increased_ns = level + 1, now_ns
+        self.limit = level + 1
+        self._last_increase_ns = now_ns
         return True
 
+    def _is_settled(self, now_ns: int) -> bool:
+        """Tell whether attempts started after the last increase have had time to finish.
+
+        Until they have, few finish, and the limit would run away.
+        """
+        return now_ns - self._last_increase_ns >= SETTLING_MEAN_LATENCIES * self._latency_model.mean_ns
+
+    def _is_gain_over_lower_levels(self, level: int) -> bool:
+        """Tell whether a level has a higher throughput than all lower ones."""
+        best_lower = max((self._samples.throughput(lower) for lower in range(1, level)), default=0.0)
+        return self._samples.throughput(level) >= THROUGHPUT_GAIN_MIN_FACTOR * best_lower
+
     def _is_saturated(self, level: int) -> bool:
         """Tell whether the next level is known to bring no gain over this one."""
         if not self.has_enough_samples(level + 1):
             return False
-        return self.samples.throughput(level + 1) < MIN_GAIN * self.samples.throughput(level)
+        throughput = self._samples.throughput(level)
+        return self._samples.throughput(level + 1) < THROUGHPUT_GAIN_MIN_FACTOR * throughput
 
     def decay(self) -> None:
-        """Fade old samples, and go back to the lowest limit that serves as well."""
-        self.samples.decay(SAMPLE_DECAY)
+        """Decay the samples, and return to the lowest level with a throughput as high as the limit's.
+
+        The throughput at the limit counts as one standard error higher, as it may be known from few samples.
+        """
+        self._samples.decay(SAMPLE_DECAY_PER_FEEDBACK_INTERVAL)
         if not self.has_enough_samples(self.limit):
             return
-        # The little that was seen at the limit may be chance: it gets the benefit of one deviation.
-        deviation = max(1.0, self.samples.completions[self.limit]) ** -0.5
-        optimistic = self.samples.throughput(self.limit) * (1 + deviation)
-        better = (level for level in range(1, self.limit) if self.samples.throughput(level) > optimistic)
-        self.limit = next(better, self.limit)
+        error = _relative_standard_error(self._samples.completions[self.limit])
+        optimistic_throughput = self._samples.throughput(self.limit) * (1 + error)
+        for level in range(1, self.limit):
+            if self._samples.throughput(level) > optimistic_throughput:
+                self.limit = level
+                return
--- a/loadbalancer/policy/latency_model.py
+++ b/loadbalancer/policy/latency_model.py
@@ -1,65 +1,98 @@
-"""How long requests take, by class and load of the endpoint (interface types: loadbalancer/messages.py)."""
+"""How long requests take, by request class and by load of the endpoint (types: loadbalancer/messages.py).
+
+The latencies of successful attempts give the mean of each class, the relative latency of each endpoint, and a
+line over the load: base_ns + per_request_ns * load. All durations are in nanoseconds; a load is the requests
+in flight at an endpoint.
+"""
 
 from loadbalancer.state.request import Attempt, Request
 from loadbalancer.state.running_regression import RunningRegression
 from loadbalancer.units import NANOSECONDS_PER_SECOND
 
-SAMPLE_DECAY = 0.98  # of the weight of earlier samples, a sample
-SMOOTHING = 0.05  # weight of a new sample in a mean
-ENDPOINT_SMOOTHING = 0.2  # the same for one endpoint
 OBJECTIVE_TO_INITIAL_LATENCY_RATIO = 8
-OUTLIER_FACTOR = 8  # a sample counts as this many times the mean at most
+INITIAL_PER_REQUEST_NS = NANOSECONDS_PER_SECOND / 50
+INITIAL_MEAN_NS = NANOSECONDS_PER_SECOND / 20
+INITIAL_DEVIATION = 0.5
+INITIAL_COST_HINT_FACTOR = 1.0
+
+REGRESSION_SAMPLE_DECAY = 0.98
+MEAN_SMOOTHING = 0.05
+SAMPLE_MAX_TO_MEAN_RATIO = 8
+DEVIATION_SAMPLE_MAX = 3.0
+RELATIVE_LATENCY_SMOOTHING = 0.2
+RELATIVE_LATENCY_SAMPLE_MIN = 0.1
+RELATIVE_LATENCY_SAMPLE_MAX = 10.0
+PER_REQUEST_MAX_TO_MIN_RATIO = 10
+
+
+def _updated_mean(mean: float, sample: float) -> float:
+    """Move a running mean towards a sample, an outlier counting as a multiple of the mean."""
+    clipped = min(sample, SAMPLE_MAX_TO_MEAN_RATIO * mean)
+    return mean + MEAN_SMOOTHING * (clipped - mean)
 
 
 class LatencyModel:
-    """Learns latencies from the attempts that end; over load it fits a line, base + per_request * load."""
+    """Learns from the latencies of attempts how long a request takes, alone and behind others."""
 
     def __init__(self, slowest_objective_ns: int) -> None:
-        self.regression = RunningRegression(SAMPLE_DECAY)  # of latency over load
         self.base_ns = 0.0  # of a request that waits for no other
-        self.per_request_ns = NANOSECONDS_PER_SECOND / 50  # for each request at the endpoint
-        # From one request that an endpoint finishes to the next; at first, as for the slowest class.
+        self.per_request_ns = INITIAL_PER_REQUEST_NS  # for each request in flight at the endpoint
         self.service_interval_ns = slowest_objective_ns / OBJECTIVE_TO_INITIAL_LATENCY_RATIO
-        self.mean_ns = NANOSECONDS_PER_SECOND / 20  # of a request, over all classes
-        self.mean_by_class: dict[str, float] = {}  # in ns; under "" a multiple of the cost hint
-        self.deviation = 0.5  # mean relative deviation from what was expected
+        self.mean_ns = INITIAL_MEAN_NS  # over all classes
+        self.deviation = INITIAL_DEVIATION  # mean relative deviation from the expected latency
+        self._latency_over_load = RunningRegression(REGRESSION_SAMPLE_DECAY)
+        self._mean_ns_by_class: dict[str, float] = {}  # of requests without a cost hint
+        self._cost_hint_factor: float | None = None  # mean latency as a multiple of the cost hint
 
     def expected_ns(self, request: Request) -> float:
         """Return what a request should take at an average endpoint, from its cost hint or its class."""
         if request.cost_hint_ns:
-            return self.mean_by_class.get("", 1.0) * request.cost_hint_ns
-        cls = request.request_class
-        return self.mean_by_class.get(cls.name, cls.latency_objective_ns / OBJECTIVE_TO_INITIAL_LATENCY_RATIO)
+            factor = INITIAL_COST_HINT_FACTOR if self._cost_hint_factor is None else self._cost_hint_factor
+            return factor * request.cost_hint_ns
+        request_class = request.request_class
+        initial_ns = request_class.latency_objective_ns / OBJECTIVE_TO_INITIAL_LATENCY_RATIO
+        return self._mean_ns_by_class.get(request_class.name, initial_ns)
 
     def latency_at(self, load: float) -> float:
-        """Return what a request takes, in ns, at an endpoint that holds so many, this one included."""
+        """Return what a request takes at an endpoint with so many in flight, this one included."""
         return self.base_ns + self.per_request_ns * load
 
     def record_success(self, request: Request, attempt: Attempt, latency_ns: int) -> None:
-        """Learn from an attempt that was answered."""
-        endpoint = attempt.endpoint_state
-        self._record_class(request, latency_ns)
+        """Learn from an attempt that succeeded."""
+        if request.cost_hint_ns:
+            self._record_cost_hint_factor(latency_ns / request.cost_hint_ns)
+        else:
+            self._record_class_latency(request.request_class.name, latency_ns)
         self.record_latency(attempt.load, latency_ns)
-        self.mean_ns += SMOOTHING * (min(latency_ns, OUTLIER_FACTOR * self.mean_ns) - self.mean_ns)
-        ratio = latency_ns / max(1.0, self.expected_ns(request))
-        deviation = min(3.0, abs(ratio / endpoint.relative_latency - 1))
-        self.deviation += SMOOTHING * (deviation - self.deviation)
-        clipped = min(10.0, max(0.1, ratio))
-        endpoint.relative_latency += ENDPOINT_SMOOTHING * (clipped - endpoint.relative_latency)
-
-    def _record_class(self, request: Request, latency_ns: int) -> None:
-        name = "" if request.cost_hint_ns else request.request_class.name
-        latency = latency_ns / (request.cost_hint_ns or 1)
-        mean = self.mean_by_class.get(name)
-        if mean is not None:
-            latency = mean + SMOOTHING * (min(latency, OUTLIER_FACTOR * mean) - mean)
-        self.mean_by_class[name] = latency
+        self.mean_ns = _updated_mean(self.mean_ns, latency_ns)
+        self._record_relative_latency(attempt, latency_ns / max(1.0, self.expected_ns(request)))
+
+    def _record_cost_hint_factor(self, factor: float) -> None:
+        mean = self._cost_hint_factor
+        self._cost_hint_factor = factor if mean is None else _updated_mean(mean, factor)
+
+    def _record_class_latency(self, class_name: str, latency_ns: float) -> None:
+        mean_ns = self._mean_ns_by_class.get(class_name)
+        updated_ns = latency_ns if mean_ns is None else _updated_mean(mean_ns, latency_ns)
+        self._mean_ns_by_class[class_name] = updated_ns
+
+    def _record_relative_latency(self, attempt: Attempt, ratio: float) -> None:
+        """Learn from the ratio of a latency to the expected one: its deviation, and the endpoint's mean."""
+        endpoint = attempt.endpoint_state
+        deviation = min(DEVIATION_SAMPLE_MAX, abs(ratio / endpoint.relative_latency - 1))
+        self.deviation += MEAN_SMOOTHING * (deviation - self.deviation)
+        clipped_ratio = min(RELATIVE_LATENCY_SAMPLE_MAX, max(RELATIVE_LATENCY_SAMPLE_MIN, ratio))
+        endpoint.adjust_relative_latency(clipped_ratio, RELATIVE_LATENCY_SMOOTHING)
 
     def record_latency(self, load: float, latency_ns: float) -> None:
-        """Fit the line anew; with little variance in the load, all is laid on what each request adds."""
-        self.regression.add(load, latency_ns)
-        mean_load, mean_latency_ns, variance, covariance = self.regression.moments()
-        slope_max = self.service_interval_ns = max(1.0, mean_latency_ns / mean_load)
-        slope = (covariance + slope_max) / (variance + 1)
-        self.per_request_ns = min(slope_max, max(slope_max / 10, slope))
+        """Fit the line to one more sample.
+
+        With little variance in the load, all of the latency is attributed to the requests in flight.
+        """
+        self._latency_over_load.add(load, latency_ns)
+        mean_load, mean_latency_ns, variance, covariance = self._latency_over_load.moments()
+        slope_max_ns = max(1.0, mean_latency_ns / mean_load)
+        slope_ns = (covariance + slope_max_ns) / (variance + 1)
+        self.service_interval_ns = slope_max_ns
+        self.per_request_ns = min(slope_max_ns, max(slope_max_ns / PER_REQUEST_MAX_TO_MIN_RATIO, slope_ns))
         self.base_ns = max(0.0, mean_latency_ns - self.per_request_ns * mean_load)
--- a/loadbalancer/policy/live_weights.py
+++ b/loadbalancer/policy/live_weights.py
@@ -1,28 +1,36 @@
-"""The load that the live weights of the endpoint list imply (types: loadbalancer/messages.py)."""
+"""The load that the live weights of the endpoint list imply (types: loadbalancer/messages.py).
+
+A live weight is the endpoint's size divided by (1 + requests in flight from all proxies, for each core).
+"""
 
 from loadbalancer.messages import Endpoint
 from loadbalancer.settings import Settings, WeightSource
 from loadbalancer.state.endpoint_state import LOAD_MAX, EndpointState
 
 
+def _is_valid(weight: float) -> bool:
+    return 0 < weight < LOAD_MAX
+
+
 class LiveWeights:
-    """Turns weights into loads, where a weight is size / (1 + requests in flight a core).
+    """Learns the weight of an idle endpoint of each machine type: the largest that was seen.
 
-    Such a weight shows what all proxies together have in flight at an endpoint.
+    From that and an endpoint's current weight follows its load.
     """
 
     def __init__(self, settings: Settings) -> None:
         self.enabled = settings.weight_source is WeightSource.LIVE
-        self.largest: dict[str, float] = {}  # machine type -> largest weight seen, that of an idle endpoint
+        self._idle_weights: dict[str, float] = {}  # by machine type
 
     def observe(self, endpoint: Endpoint) -> None:
-        """Note the weight of a listed endpoint."""
-        if 0 < endpoint.weight < LOAD_MAX:
-            largest = self.largest.get(endpoint.machine_type, 0.0)
-            self.largest[endpoint.machine_type] = max(largest, endpoint.weight)
+        """Learn from the weight of a listed endpoint."""
+        if _is_valid(endpoint.weight):
+            largest = self._idle_weights.get(endpoint.machine_type, 0.0)
+            self._idle_weights[endpoint.machine_type] = max(largest, endpoint.weight)
 
     def record(self, state: EndpointState, now_ns: int) -> None:
-        """Take the load that an endpoint's weight implies as if it had been reported."""
+        """Record the load that an endpoint's weight implies as if it had been reported."""
         endpoint = state.endpoint
-        if self.enabled and 0 < endpoint.weight < LOAD_MAX:
-            state.record_load(self.largest[endpoint.machine_type] / endpoint.weight - 1, now_ns)
+        if self.enabled and _is_valid(endpoint.weight):
+            idle_weight = self._idle_weights[endpoint.machine_type]
+            state.record_load(idle_weight / endpoint.weight - 1, now_ns)
--- /dev/null
+++ b/loadbalancer/policy/load_estimate.py
@@ -0,0 +1,40 @@
+"""The load of an endpoint, estimated from its last load report (types: loadbalancer/messages.py).
+
+Loads are requests in flight, from all proxies. A report shows the others' requests; once it is too old, only
+the requests of this proxy are known.
+"""
+
+from collections.abc import Iterable
+
+from loadbalancer.messages import EndpointStatus
+from loadbalancer.state.endpoint_state import EndpointState
+from loadbalancer.units import NANOSECONDS_PER_SECOND
+
+IN_FLIGHT_COLUMN = "inflight"  # of a load report, on the wire
+LOAD_REPORT_MAX_AGE_NS = 3 * NANOSECONDS_PER_SECOND
+LOADED_MEAN_IN_FLIGHT_MIN = 1.0
+
+
+def has_fresh_load(state: EndpointState, now_ns: int) -> bool:
+    """Tell whether the last load report is recent enough to be used."""
+    return now_ns - state.reported_ns < LOAD_REPORT_MAX_AGE_NS
+
+
+def estimated_load(state: EndpointState, now_ns: int) -> float:
+    """Return the load of an endpoint: as reported, but never below this proxy's requests in flight."""
+    if has_fresh_load(state, now_ns):
+        return max(state.in_flight, state.reported_load)
+    return state.in_flight + state.overdue
+
+
+def is_loaded(states: Iterable[EndpointState], now_ns: int) -> bool:
+    """Tell whether ready endpoints report a request each on average; where none reports, assume so.
+
+    Endpoints with fewer requests in flight are not overloaded, and would gain nothing from less traffic.
+    """
+    loads = [
+        state.reported_load
+        for state in states
+        if state.endpoint.status is EndpointStatus.READY and has_fresh_load(state, now_ns)
+    ]
+    return not loads or sum(loads) >= LOADED_MEAN_IN_FLIGHT_MIN * len(loads)
--- a/loadbalancer/policy/load_probing.py
+++ b/loadbalancer/policy/load_probing.py
@@ -1,6 +1,11 @@
-"""Load probing before a send, where proxies are many (interface types: loadbalancer/messages.py)."""
+"""Load probing before an attempt, by health checks (types: loadbalancer/messages.py).
+
+Where proxies are many, a proxy's own requests in flight say little of an endpoint's load. A request draws a
+few endpoints, waits in its queue for their load reports, for 10 ms at most, and goes to the least loaded one.
+"""
 
 from loadbalancer.messages import AttemptResult, CheckHealth, HealthCheckEnded
+from loadbalancer.policy.load_estimate import IN_FLIGHT_COLUMN
 from loadbalancer.policy.selection import Selection
 from loadbalancer.settings import Settings
 from loadbalancer.state.endpoint_state import EndpointState
@@ -8,59 +13,68 @@
 from loadbalancer.state.timer_queue import ServeQueue, TimerQueue
 from loadbalancer.units import NANOSECONDS_PER_SECOND
 
-PROBES = 3  # endpoints asked before a send
-PROBE_PRICE_MAX = 0.01  # of the probes of one request, one that is repeated included
-PROBE_TIMEOUT_NS = NANOSECONDS_PER_SECOND // 100  # an answer that takes longer is not waited for
-PROBE_FRESH_NS = PROBE_TIMEOUT_NS // 2  # one so new is not repeated: a busy proxy would ask more than changes
+PROBED_ENDPOINTS = 3
+REPEATED_PROBES = 1
+PROBING_PRICE_MAX_PER_REQUEST = 0.01
+PROBE_TIMEOUT_NS = NANOSECONDS_PER_SECOND // 100
+PROBED_LOAD_MAX_AGE_NS = PROBE_TIMEOUT_NS // 2
 
 
-def probing_is_cheap(settings: Settings) -> bool:
-    """Tell whether loads are probed: where health checks give them at little cost."""
-    price = settings.prices.health_check * (PROBES + 1)
-    reported = "inflight" in settings.load_report_columns
-    return settings.limits.health_checks and reported and price <= PROBE_PRICE_MAX
+def is_probing_enabled(settings: Settings) -> bool:
+    """Tell whether loads are probed: where health checks report them at little cost."""
+    price = settings.prices.health_check * (PROBED_ENDPOINTS + REPEATED_PROBES)
+    is_load_reported = IN_FLIGHT_COLUMN in settings.load_report_columns
+    return settings.limits.health_checks and is_load_reported and price <= PROBING_PRICE_MAX_PER_REQUEST
 
 
 class LoadProbing:
-    """Asks endpoints for their load on behalf of requests, which wait in their queue meanwhile."""
+    """Sends health checks on behalf of queued requests, and records the loads that they report."""
 
     def __init__(self, enabled: bool, selection: Selection, timers: TimerQueue) -> None:
-        self.enabled, self.selection, self.timers = enabled, selection, timers
+        self.enabled = enabled
+        self._selection = selection
+        self._timers = timers
 
     def start(self, request: Request, now_ns: int) -> list[CheckHealth]:
-        """Draw endpoints for a request, and return the health checks that ask them for their load."""
-        request.probed_endpoints = list(dict.fromkeys(self.selection.draw(request.pool, PROBES, now_ns)))
-        request.probed_ns = now_ns
+        """Draw endpoints for a request, and return the health checks of those whose load is not fresh."""
+        drawn = self._selection.draw(request.pool, PROBED_ENDPOINTS, now_ns)
+        request.start_probing(list(dict.fromkeys(drawn)), now_ns)
         checks = []
         for state in request.probed_endpoints:
-            if now_ns - max(state.reported_ns, state.checked_ns) >= PROBE_FRESH_NS:
-                state.checked_ns = now_ns
+            if now_ns - max(state.reported_ns, state.checked_ns) >= PROBED_LOAD_MAX_AGE_NS:
+                state.record_check_sent(now_ns)
                 checks.append(CheckHealth(state.id))
-        self.timers.schedule(now_ns + PROBE_TIMEOUT_NS, ServeQueue())
+        self._timers.schedule(now_ns + PROBE_TIMEOUT_NS, ServeQueue())
         return checks
 
     def record_result(self, state: EndpointState, event: HealthCheckEnded, now_ns: int) -> list[CheckHealth]:
-        """Take the load, and return the health check that is made once more if the connection broke.
+        """Record the load, and return one more health check if the connection of the first one broke.
 
-        Any connection may break, and the request would wait for nothing. Harm: one more health check for each
-        endpoint that resets all it is sent.
+        Any connection may break by chance, and the request would wait for nothing.
         """
         if event.load_report is not None:
-            state.record_load(event.load_report.get("inflight"), now_ns)
+            state.record_load(event.load_report.get(IN_FLIGHT_COLUMN), now_ns)
         elif event.result is AttemptResult.RESET and state.failed_check_ns < state.checked_ns:
-            state.failed_check_ns = now_ns
+            state.record_check_reset(now_ns)
             return [CheckHealth(state.id)]
         return []
 
     def is_waiting(self, request: Request, now_ns: int) -> bool:
-        """Tell whether a request still waits for a load that was asked for on its behalf."""
+        """Tell whether a request still waits for the load of an endpoint."""
         if now_ns >= request.probed_ns + PROBE_TIMEOUT_NS:
             return False
-        oldest_ns = request.probed_ns - PROBE_FRESH_NS
-        return any(state.reported_ns <= oldest_ns for state in request.probed_endpoints)
+        return not all(self._is_load_known(state, request) for state in request.probed_endpoints)
 
-    def take_answered(self, request: Request, now_ns: int) -> list[EndpointState]:
+    def end(self, request: Request, now_ns: int) -> list[EndpointState]:
         """End a request's probing, and return the available endpoints whose load is known."""
-        oldest_ns, probed = request.probed_ns - PROBE_FRESH_NS, request.probed_endpoints
-        request.probed_endpoints = []
-        return [s for s in probed if s.reported_ns > oldest_ns and self.selection.is_available(s, now_ns)]
+        probed_endpoints = request.probed_endpoints
+        request.end_probing()
+        return [
+            state
+            for state in probed_endpoints
+            if self._is_load_known(state, request) and self._selection.is_available(state, now_ns)
+        ]
+
+    def _is_load_known(self, state: EndpointState, request: Request) -> bool:
+        """Tell whether an endpoint's load was reported for a request, or so shortly before that it counts."""
+        return state.reported_ns > request.probed_ns - PROBED_LOAD_MAX_AGE_NS
--- a/loadbalancer/policy/selection.py
+++ b/loadbalancer/policy/selection.py
@@ -7,7 +7,7 @@
 from loadbalancer.policy.concurrency_limit import ConcurrencyLimit
 from loadbalancer.policy.fleet_updates import FleetUpdater
 from loadbalancer.policy.latency_model import LatencyModel
-from loadbalancer.policy.load_reports import estimated_load, has_fresh_load
+from loadbalancer.policy.load_estimate import estimated_load, has_fresh_load
 from loadbalancer.policy.retry_eligibility import same_deduplication_group
 from loadbalancer.policy.slow_start import SlowStart
 from loadbalancer.settings import DeduplicationScope, Idempotency
--- a/loadbalancer/state/request.py
+++ b/loadbalancer/state/request.py
@@ -64,6 +64,15 @@
             self.pool.queue.remove(self)
         self.place = QueuePlace.NOT_WAITING
 
+    def start_probing(self, endpoints: list[EndpointState], now_ns: int) -> None:
+        """Wait for the loads of these endpoints."""
+        self.probed_endpoints = endpoints
+        self.probed_ns = now_ns
+
+    def end_probing(self) -> None:
+        """Wait for no loads any more."""
+        self.probed_endpoints = []
+
     @property
     def attempts_in_flight(self) -> int:
         """How many of its attempts have not ended."""
--- a/loadbalancer/state/throughput_samples.py
+++ b/loadbalancer/state/throughput_samples.py
@@ -1,15 +1,15 @@
-"""What endpoints finished at each level of concurrency."""
+"""Throughput of endpoints at each level of concurrency."""
 
 from __future__ import annotations
 
-SECONDS_MIN = 1e-3  # a clock that stands still between batches books no time: no division by it
+BUSY_SECONDS_MIN = 1e-3  # the clock may stand still between batches of events: no division by zero
 
 
 class ThroughputSamples:
-    """Seconds spent with so many requests in flight, and requests that finished meanwhile.
+    """The seconds that endpoints spent with so many requests in flight, and the requests finished meanwhile.
 
-    Levels run from 1 to `top_level`; what is higher counts as the top one. Fewer completions than
-    `min_completions` give no throughput.
+    A level is a number of requests in flight at one endpoint, from 1 to `top_level`; higher ones count as the
+    top one. Fewer completions than `min_completions` give no throughput.
     """
 
     def __init__(self, top_level: int, min_completions: float) -> None:
@@ -19,11 +19,11 @@
         self.completions = [0.0] * (top_level + 1)
 
     def add_time(self, level: int, seconds: float) -> None:
-        """Book the time that one endpoint spent at a level."""
+        """Add the time that one endpoint spent at a level."""
         self.busy_seconds[min(level, self.top_level)] += seconds
 
     def add_completion(self, level: int) -> None:
-        """Book a request that finished at a level."""
+        """Add a request that finished at a level."""
         self.completions[min(level, self.top_level)] += 1
 
     def decay(self, factor: float) -> None:
@@ -33,7 +33,7 @@
             self.completions[level] *= factor
 
     def throughput(self, level: int) -> float:
-        """Return the requests that an endpoint finishes a second at a level, 0 where too few did."""
+        """Return the requests that an endpoint finishes a second at a level, 0 with too few completions."""
         if self.completions[level] < self.min_completions:
             return 0.0
-        return self.completions[level] / max(SECONDS_MIN, self.busy_seconds[level])
+        return self.completions[level] / max(BUSY_SECONDS_MIN, self.busy_seconds[level])
