--- a/loadbalancer/policy/balancer.py
+++ b/loadbalancer/policy/balancer.py
@@ -19,6 +19,7 @@
 from loadbalancer.policy.slow_start import SlowStart
 from loadbalancer.policy.subsetting import choose_subset
 from loadbalancer.policy.throttle import Admission, Throttle
+from loadbalancer.policy.timers import AttemptOverdue, PollDiscovery, QueueDeadline, Timer, TokenDue
 from loadbalancer.settings import Idempotency, RequestClass, Settings
 from loadbalancer.state.endpoint_pool import EndpointPool
 from loadbalancer.state.endpoint_state import EndpointState
@@ -26,7 +27,7 @@
 from loadbalancer.state.fleet import Fleet
 from loadbalancer.state.request import Attempt, QueuePlace, Request, RequestTable
 from loadbalancer.state.tenant_throttles import TenantThrottles
-from loadbalancer.state.timer_queue import AttemptOverdue, GiveUp, PollDiscovery, Timer, TimerQueue, TokenDue
+from loadbalancer.state.timer_queue import TimerQueue
 from loadbalancer.units import NANOSECONDS_PER_SECOND
 
 STALL_NS = NANOSECONDS_PER_SECOND // 50  # a timer so late: the proxy itself stood still meanwhile
@@ -51,7 +52,7 @@
         self.concurrency_limit = limit = ConcurrencyLimit(self.latency_model)
         # Until something is seen to finish, as long as the slowest class is expected to take.
         self.latency_model.service_interval_ns = max(objectives) / 8
-        self.timers = TimerQueue()
+        self.timers = TimerQueue[Timer]()
         self.fleet = Fleet(settings)
         probes_load = probing_is_cheap(settings)
         live_weights = LiveWeights(settings)
@@ -120,7 +121,7 @@
 
     def _on_timer(self, timer: Timer, now_ns: int) -> None:
         match timer:  # nothing for ServeQueue: the queues are served after each batch
-            case GiveUp():
+            case QueueDeadline():
                 self._on_give_up(timer.request)
             case AttemptOverdue():
                 self._on_overdue(timer.request, timer.request.attempts[timer.attempt_number], now_ns)
@@ -138,7 +139,7 @@
         request = self._new_request(event, throttle, now_ns)
         self.requests[request.id] = request
         # Whatever comes, a request that waits is looked at then.
-        self.timers.schedule(request.give_up_ns, GiveUp(request))
+        self.timers.schedule(request.queue_deadline_ns, QueueDeadline(request))
         self.rate_controller.on_arrival(now_ns)
         if event.is_retry:  # marked retries take spare tokens only: they must not starve fresh work
             admission = Admission.FORWARD if throttle.take_retry_token(now_ns) else Admission.REJECT
@@ -161,7 +162,7 @@
         request = Request(event.request_id, request_class, pool, throttle, deadline_ns, objective_ns, hint_ns)
         needed_ns = self.latency_model.expected_ns(request) * (1 + self.latency_model.deviation)
         latest_start_ns = objective_ns - int(needed_ns)
-        request.give_up_ns = max(latest_start_ns, now_ns + (deadline_ns - now_ns) // 4)
+        request.queue_deadline_ns = max(latest_start_ns, now_ns + (deadline_ns - now_ns) // 4)
         return request
 
     def _release_buffered(self, throttle: Throttle, now_ns: int) -> None:
@@ -181,7 +182,7 @@
         # Traffic over its share is rejected first.
         part = OVER_SHARE_QUEUE_PART if request.throttle.over_share else QUEUE_PART
         # A class with much time must not make the queue too long for those with little.
-        spare_ns = min(request.give_up_ns - now_ns, self.shortest_objective_ns)
+        spare_ns = min(request.queue_deadline_ns - now_ns, self.shortest_objective_ns)
         pool = request.pool
         served = self.rate_controller.success_rate * spare_ns * part
         if pool.blocked_since_ns and len(pool.queue) * NANOSECONDS_PER_SECOND > served:
@@ -260,7 +261,7 @@
         """Nothing is in flight and nothing was served: another attempt, or the final answer."""
         candidates = self.selection.retry_candidates(request, now_ns) or request.pool.endpoints[:1]
         limits = self.settings.limits
-        if now_ns < request.give_up_ns and any(
+        if now_ns < request.queue_deadline_ns and any(
             may_forward(request, s.endpoint, now_ns, limits) for s in candidates
         ):
             request.pool.queue.appendleft(request)
--- a/loadbalancer/policy/load_probing.py
+++ b/loadbalancer/policy/load_probing.py
@@ -2,10 +2,11 @@
 
 from loadbalancer.messages import AttemptResult, CheckHealth, HealthCheckEnded
 from loadbalancer.policy.selection import Selection
+from loadbalancer.policy.timers import ServeQueue, Timer
 from loadbalancer.settings import Settings
 from loadbalancer.state.endpoint_state import EndpointState
 from loadbalancer.state.request import Request
-from loadbalancer.state.timer_queue import ServeQueue, TimerQueue
+from loadbalancer.state.timer_queue import TimerQueue
 from loadbalancer.units import NANOSECONDS_PER_SECOND
 
 PROBES = 3  # endpoints asked before a send
@@ -24,7 +25,7 @@
 class LoadProbing:
     """Asks endpoints for their load on behalf of requests, which wait in their queue meanwhile."""
 
-    def __init__(self, enabled: bool, selection: Selection, timers: TimerQueue) -> None:
+    def __init__(self, enabled: bool, selection: Selection, timers: TimerQueue[Timer]) -> None:
         self.enabled, self.selection, self.timers = enabled, selection, timers
 
     def start(self, request: Request, now_ns: int) -> list[CheckHealth]:
--- a/loadbalancer/policy/outlier_detection.py
+++ b/loadbalancer/policy/outlier_detection.py
@@ -2,11 +2,12 @@
 
 import random
 
+from loadbalancer.policy.timers import ServeQueue, Timer
 from loadbalancer.state.endpoint_pool import EndpointPool
 from loadbalancer.state.endpoint_state import EndpointState
 from loadbalancer.state.fleet import Fleet
 from loadbalancer.state.request import Attempt
-from loadbalancer.state.timer_queue import ServeQueue, TimerQueue
+from loadbalancer.state.timer_queue import TimerQueue
 from loadbalancer.units import NANOSECONDS_PER_SECOND
 
 EJECTION_NS = NANOSECONDS_PER_SECOND / 4  # after a first failure that says nothing of how long it may last
@@ -21,7 +22,9 @@
 class OutlierDetection:
     """Ejects endpoints that fail, and tells resets of an endpoint from those of the network."""
 
-    def __init__(self, fleet: Fleet, timers: TimerQueue, rng: random.Random, objective_ns: int) -> None:
+    def __init__(
+        self, fleet: Fleet, timers: TimerQueue[Timer], rng: random.Random, objective_ns: int
+    ) -> None:
         self.fleet, self.timers, self.rng = fleet, timers, rng
         self.shortest_objective_ns = objective_ns
         self.recent_attempts = self.recent_resets = 0.0  # over the endpoints in use
--- a/loadbalancer/policy/slow_start.py
+++ b/loadbalancer/policy/slow_start.py
@@ -1,10 +1,11 @@
 """Slow start: pacing of endpoints that warm up, rule 4 (types: loadbalancer/messages.py)."""
 
 from loadbalancer.policy.latency_model import LatencyModel
+from loadbalancer.policy.timers import ServeQueue, Timer
 from loadbalancer.settings import Settings
 from loadbalancer.state.endpoint_state import EndpointState
 from loadbalancer.state.fleet import Fleet
-from loadbalancer.state.timer_queue import ServeQueue, TimerQueue
+from loadbalancer.state.timer_queue import TimerQueue
 from loadbalancer.units import NANOSECONDS_PER_SECOND
 
 BUDGET_PART = 0.7  # of what an endpoint that is warming up may be sent
@@ -14,7 +15,9 @@
 class SlowStart:
     """Paces what endpoints that are warming up are sent."""
 
-    def __init__(self, settings: Settings, fleet: Fleet, timers: TimerQueue, latency: LatencyModel) -> None:
+    def __init__(
+        self, settings: Settings, fleet: Fleet, timers: TimerQueue[Timer], latency: LatencyModel
+    ) -> None:
         self.rules, self.proxy_count = settings.rules, settings.proxy_count
         self.fleet, self.timers, self.latency_model = fleet, timers, latency
         self.sustained_throughput = 0.0  # own attempts a second that a warm endpoint is seen to carry
--- a/loadbalancer/state/request.py
+++ b/loadbalancer/state/request.py
@@ -53,7 +53,7 @@
     delayed_by_throttle: bool = False  # half its time went by there: a late end says nothing of the endpoints
     stalled: bool = False  # the proxy stood still while it was open: none of its times says anything
     place: QueuePlace = QueuePlace.NOT_WAITING
-    give_up_ns: int = 0  # waiting longer than this is of no use
+    queue_deadline_ns: int = 0  # waiting longer than this is of no use
     probed_endpoints: list[EndpointState] = field(default_factory=list)  # asked for their load on its behalf
     probed_ns: int = 0
 
--- a/loadbalancer/state/timer_queue.py
+++ b/loadbalancer/state/timer_queue.py
@@ -5,95 +5,61 @@
 import heapq
 import sys
 from collections.abc import Iterator
-from dataclasses import dataclass
-from typing import TYPE_CHECKING
+from typing import Generic, TypeVar
 
 from loadbalancer.messages import SetTimer
 
-if TYPE_CHECKING:
-    from loadbalancer.policy.throttle import Throttle
-    from loadbalancer.state.request import Request
-
-
-@dataclass(slots=True, eq=False)
-class GiveUp:
-    """A request that still waits then is rejected."""
-
-    request: Request
-
-
-@dataclass(slots=True, eq=False)
-class AttemptOverdue:
-    """An attempt should have ended by then."""
-
-    request: Request
-    attempt_number: int
-
-
-@dataclass(slots=True, eq=False)
-class TokenDue:
-    """A throttle has its next token then."""
-
-    throttle: Throttle
-
-
-@dataclass(slots=True, eq=False)
-class ServeQueue:
-    """The queues are served then, as after each batch of events: an endpoint may be available again."""
-
-
-@dataclass(slots=True, eq=False)
-class PollDiscovery:
-    """Discovery is asked for the endpoint list then."""
-
-
-Timer = GiveUp | AttemptOverdue | TokenDue | ServeQueue | PollDiscovery
-
+TimerT = TypeVar("TimerT")
 
 NEVER_NS = sys.maxsize  # later than any clock
+WAKE_UP_DELAY_MIN_NS = 1
+
 
+class TimerQueue(Generic[TimerT]):
+    """A heap of timers. Those due at the same time come in the order in which they were scheduled.
 
-class TimerQueue:
-    """A heap of timers. Those due at the same time come in the order in which they were scheduled."""
+    The caller keeps one wake-up for all of them: it is named by a number that rises with each one set, and
+    only the last one set counts.
+    """
 
     def __init__(self) -> None:
-        self._heap: list[tuple[int, int, Timer]] = []  # due time, sequence number, timer
+        self._heap: list[tuple[int, int, TimerT]] = []  # due time, sequence number, timer
         self._last_sequence_number = 0
         self.first_due_ns = NEVER_NS  # when the first timer is due
-        self._wake_up_ns = 0  # when the wake-up that counts is due; 0: none is set
+        self._wake_up_due_ns = 0  # when the last wake-up is due; 0: none is set
         self._wake_up_number = 0
-        self.wake_up_name = "0"  # of the wake-up that counts; earlier ones are out of date
+        self.wake_up_name = "0"  # of the last wake-up
 
     def __len__(self) -> int:
         return len(self._heap)
 
-    def __iter__(self) -> Iterator[tuple[int, Timer]]:
-        """Go through all timers with their due times, in no particular order."""
+    def __iter__(self) -> Iterator[tuple[int, TimerT]]:
+        """Iterate over all timers with their due times, in no particular order."""
         return ((due_ns, timer) for due_ns, _, timer in self._heap)
 
-    def schedule(self, due_ns: int, timer: Timer) -> None:
+    def schedule(self, due_ns: int, timer: TimerT) -> None:
         """Add a timer."""
         self._last_sequence_number += 1
         heapq.heappush(self._heap, (due_ns, self._last_sequence_number, timer))
         self.first_due_ns = self._heap[0][0]
 
-    def pop(self) -> Timer:
+    def pop(self) -> TimerT:
         """Remove and return the first timer; IndexError if there is none."""
         timer = heapq.heappop(self._heap)[2]
         self.first_due_ns = self._heap[0][0] if self._heap else NEVER_NS
         return timer
 
     def on_wake_up(self, name: str) -> None:
-        """Note that a wake-up has come: by its name, not the clock, for it may come a little early."""
+        """Record that a wake-up has come. Its name decides, not the clock: it may come a little early."""
         if name == self.wake_up_name:
-            self._wake_up_ns = 0
+            self._wake_up_due_ns = 0
 
     def next_wake_up(self, now_ns: int) -> SetTimer | None:
         """Return the wake-up to set, if the first timer is due before the one that is set."""
         first_due_ns = self.first_due_ns
-        if first_due_ns >= (self._wake_up_ns or NEVER_NS):
+        if first_due_ns >= (self._wake_up_due_ns or NEVER_NS):
             return None
-        self._wake_up_ns = first_due_ns
+        self._wake_up_due_ns = first_due_ns
         self._wake_up_number += 1
         self.wake_up_name = str(self._wake_up_number)
-        return SetTimer(max(1, first_due_ns - now_ns), self.wake_up_name)
+        return SetTimer(max(WAKE_UP_DELAY_MIN_NS, first_due_ns - now_ns), self.wake_up_name)
--- a/tests/policy/test_disconnect.py
+++ b/tests/policy/test_disconnect.py
@@ -5,8 +5,8 @@
 import pytest
 
 from loadbalancer.messages import AttemptResult, CancelAttempt, ClientDisconnected, Event, TimerExpired
+from loadbalancer.policy.timers import AttemptOverdue
 from loadbalancer.settings import Limits
-from loadbalancer.state.timer_queue import AttemptOverdue
 from tests.support import policy_harness as bench
 from tests.support.sockets import NANOSECONDS_PER_MILLISECOND
 
--- a/tests/policy/test_timer_queue.py
+++ b/tests/policy/test_timer_queue.py
@@ -3,11 +3,12 @@
 from __future__ import annotations
 
 from loadbalancer.messages import SetTimer
-from loadbalancer.state.timer_queue import NEVER_NS, PollDiscovery, ServeQueue, TimerQueue
+from loadbalancer.policy.timers import PollDiscovery, ServeQueue, Timer
+from loadbalancer.state.timer_queue import NEVER_NS, TimerQueue
 
 
 def test_timers_come_by_due_time_and_then_in_the_order_of_scheduling() -> None:
-    queue = TimerQueue()
+    queue = TimerQueue[Timer]()
     later, first, second = ServeQueue(), ServeQueue(), PollDiscovery()
     queue.schedule(20, later)
     queue.schedule(10, first)
@@ -19,7 +20,7 @@
 
 
 def test_a_timer_that_is_due_when_scheduled_comes_in_the_same_walk() -> None:
-    queue = TimerQueue()
+    queue = TimerQueue[Timer]()
     first, second = ServeQueue(), ServeQueue()
     queue.schedule(10, first)
     popped = []
@@ -31,7 +32,7 @@
 
 
 def test_a_wake_up_is_set_anew_only_for_an_earlier_timer() -> None:
-    queue = TimerQueue()
+    queue = TimerQueue[Timer]()
     assert queue.next_wake_up(0) is None
     queue.schedule(20, ServeQueue())
     assert queue.next_wake_up(0) == SetTimer(20, "1")
@@ -42,7 +43,7 @@
 
 
 def test_a_wake_up_that_was_replaced_is_ignored() -> None:
-    queue = TimerQueue()
+    queue = TimerQueue[Timer]()
     queue.schedule(20, ServeQueue())
     queue.next_wake_up(0)
     queue.schedule(10, ServeQueue())
