--- a/loadbalancer/policy/load_probing.py
+++ b/loadbalancer/policy/load_probing.py
@@ -7,10 +7,11 @@
 from loadbalancer.messages import AttemptResult, CheckHealth, HealthCheckEnded
 from loadbalancer.policy.load_estimate import IN_FLIGHT_COLUMN
 from loadbalancer.policy.selection import Selection
+from loadbalancer.policy.timers import ServeQueue, Timer
 from loadbalancer.settings import Settings
 from loadbalancer.state.endpoint_state import EndpointState
 from loadbalancer.state.request import Request
-from loadbalancer.state.timer_queue import ServeQueue, TimerQueue
+from loadbalancer.state.timer_queue import TimerQueue
 from loadbalancer.units import NANOSECONDS_PER_SECOND
 
 PROBED_ENDPOINTS = 3
@@ -30,7 +31,7 @@
 class LoadProbing:
     """Sends health checks on behalf of queued requests, and records the loads that they report."""
 
-    def __init__(self, enabled: bool, selection: Selection, timers: TimerQueue) -> None:
+    def __init__(self, enabled: bool, selection: Selection, timers: TimerQueue[Timer]) -> None:
         self.enabled = enabled
         self._selection = selection
         self._timers = timers
--- a/loadbalancer/policy/outlier_detection.py
+++ b/loadbalancer/policy/outlier_detection.py
@@ -10,11 +10,12 @@
 
 import random
 
+from loadbalancer.policy.timers import ServeQueue, Timer
 from loadbalancer.state.endpoint_pool import EndpointPool
 from loadbalancer.state.endpoint_state import EndpointState
 from loadbalancer.state.fleet import Fleet
 from loadbalancer.state.request import Attempt
-from loadbalancer.state.timer_queue import ServeQueue, TimerQueue
+from loadbalancer.state.timer_queue import TimerQueue
 from loadbalancer.units import NANOSECONDS_PER_SECOND
 
 BASE_EJECTION_NS = NANOSECONDS_PER_SECOND / 4
@@ -32,7 +33,7 @@
     """Ejects endpoints that fail, and tells resets of an endpoint from those of the network."""
 
     def __init__(
-        self, fleet: Fleet, timers: TimerQueue, rng: random.Random, shortest_objective_ns: int
+        self, fleet: Fleet, timers: TimerQueue[Timer], rng: random.Random, shortest_objective_ns: int
     ) -> None:
         self.fleet = fleet
         self.timers = timers
