--- a/loadbalancer/policy/balancer.py
+++ b/loadbalancer/policy/balancer.py
@@ -123,8 +123,7 @@
                 handler(event, now_ns)
         while timers.first_due_ns <= now_ns:
             self._on_timer(timers.pop(), now_ns)
-        for queue in self.queues.values():
-            self.request_lifecycle.serve_queue(queue, now_ns)
+        self.request_lifecycle.serve_queues(now_ns)
         if now_ns - self.feedback_ns >= FEEDBACK_NS:
             self._feedback(now_ns)
         wake_up = timers.next_wake_up(now_ns)
--- a/loadbalancer/policy/request_admission.py
+++ b/loadbalancer/policy/request_admission.py
@@ -40,14 +40,14 @@
         self.lifecycle.requests.add(request)
         self.timers.schedule(request.queue_deadline_ns, QueueDeadline(request))
         self.rate_controller.on_arrival(now_ns)
-        match self._admit(request, event.is_retry, now_ns):
-            case Admission.REJECT:
-                self.lifecycle.reject(request)
-            case Admission.BUFFER:
-                request.queued_in = Queue.THROTTLE_BUFFER
-                self.release_buffered(throttle, now_ns)
-            case Admission.FORWARD:
-                self._enqueue(request, now_ns)
+        admission = self._admit(request, event.is_retry, now_ns)
+        if admission is Admission.FORWARD:
+            self._enqueue(request, now_ns)
+        elif admission is Admission.BUFFER:
+            request.queued_in = Queue.THROTTLE_BUFFER
+            self.release_buffered(throttle, now_ns)
+        else:
+            self.lifecycle.reject(request)
 
     def _new_request(self, event: RequestArrived, throttle: Throttle, now_ns: int) -> Request:
         request_class = self.settings.request_classes.get(event.class_name)
--- a/loadbalancer/policy/request_lifecycle.py
+++ b/loadbalancer/policy/request_lifecycle.py
@@ -56,8 +56,14 @@
         if self.load_probing.enabled:
             self.actions.extend(self.load_probing.start(request, now_ns))
 
-    def serve_queue(self, queue: RequestQueue, now_ns: int) -> None:
-        """Serve the queue in order while an endpoint is available."""
+    def serve_queues(self, now_ns: int) -> None:
+        """Serve all queues."""
+        for queue in self.queues.values():
+            if queue.waiting or queue.blocked_since_ns:
+                self._serve_queue(queue, now_ns)
+
+    def _serve_queue(self, queue: RequestQueue, now_ns: int) -> None:
+        """Serve a queue in order while an endpoint is available."""
         while queue.waiting:
             request = queue.waiting[0]
             if request.probed_endpoints and self.load_probing.is_waiting(request, now_ns):
@@ -75,18 +81,15 @@
             else:
                 queue.remove(request)
                 self._forward_or_reject(request, state, now_ns)
-        if queue.blocked_since_ns and not queue.waiting:
+        if not queue.waiting:
             queue.mark_unblocked()
 
     def _forward_or_reject(self, request: Request, state: EndpointState, now_ns: int) -> None:
         if may_forward(request, state.endpoint, now_ns, self.settings.limits):
-            self._forward(request, state, now_ns)
+            self.actions.append(self.forwarding.start_attempt(request, state, now_ns))
         else:
             self.reject(request)
 
-    def _forward(self, request: Request, state: EndpointState, now_ns: int) -> None:
-        self.actions.append(self.forwarding.start_attempt(request, state, now_ns))
-
     def on_attempt_ended(self, event: AttemptEnded, now_ns: int) -> None:
         """Record the end of an attempt, and finish, retry or reject its request."""
         request = self.requests.get(event.request_id)
@@ -99,9 +102,10 @@
         self.attempt_results.record(request, attempt, event, now_ns)
         if event.request_complete:
             self._finish(request)
-        elif not (request.finished or request.attempts_in_flight or request.streaming):
+        elif request.finished:
+            self.requests.remove_if_over(request)
+        elif not request.attempts_in_flight and not request.streaming:
             self._retry_or_reject(request, now_ns)
-        self.requests.remove_if_over(request)
 
     def _retry_or_reject(self, request: Request, now_ns: int) -> None:
         """Queue a request again whose attempts have all failed, or give its final response."""
@@ -128,15 +132,14 @@
         if state is None or not may_forward(request, state.endpoint, now_ns, self.settings.limits):
             return
         if request.throttle.take_retry_token(now_ns):
-            self._forward(request, state, now_ns)
+            self.actions.append(self.forwarding.start_attempt(request, state, now_ns))
 
     def on_queue_deadline(self, request: Request) -> None:
         """Reject a request that is still queued."""
-        match request.queued_in:
-            case Queue.POOL_QUEUE:
-                self.reject_for_capacity(request)
-            case Queue.THROTTLE_BUFFER:
-                self.reject(request)
+        if request.queued_in is Queue.POOL_QUEUE:
+            self.reject_for_capacity(request)
+        elif request.queued_in is Queue.THROTTLE_BUFFER:
+            self.reject(request)
 
     def reject_for_capacity(self, request: Request) -> None:
         """Reject a request for which no endpoint has capacity in time."""
@@ -159,9 +162,8 @@
         self.requests.remove_if_over(request)
 
     def _leave_queue(self, request: Request) -> None:
-        match request.queued_in:
-            case Queue.POOL_QUEUE:
-                self.queues[request.pool].remove(request)
-            case Queue.THROTTLE_BUFFER:
-                request.throttle.remove_buffered(request)
-                request.queued_in = None
+        if request.queued_in is Queue.POOL_QUEUE:
+            self.queues[request.pool].remove(request)
+        elif request.queued_in is Queue.THROTTLE_BUFFER:
+            request.throttle.remove_buffered(request)
+            request.queued_in = None
