--- a/loadbalancer/policy/balancer.py
+++ b/loadbalancer/policy/balancer.py
@@ -29,9 +29,9 @@
 from loadbalancer.state.request import RequestTable
 from loadbalancer.state.tenant_throttles import TenantThrottles
 from loadbalancer.state.timer_queue import TimerQueue
-from loadbalancer.units import NANOSECONDS_PER_SECOND
+from loadbalancer.units import NANOSECONDS_PER_MILLISECOND, NANOSECONDS_PER_SECOND
 
-EVENT_LOOP_STALL_NS = NANOSECONDS_PER_SECOND // 50
+EVENT_LOOP_STALL_NS = 20 * NANOSECONDS_PER_MILLISECOND
 DEFAULT_LATENCY_OBJECTIVE_NS = NANOSECONDS_PER_SECOND
 SERVICE_INTERVAL_OBJECTIVE_FRACTION = 1 / 8
 
