--- a/loadbalancer/configuration.py
+++ b/loadbalancer/configuration.py
@@ -6,20 +6,19 @@
 
 from __future__ import annotations
 
-from collections.abc import Generator
 from dataclasses import dataclass, field
 from pathlib import Path
 
-from loadbalancer.proxy.addresses import Address, read_address
+from loadbalancer.proxy.addresses import Address, parse_address
+from loadbalancer.proxy.cooperative import CooperativeWork, run_to_completion
 from loadbalancer.proxy.endpoint_list import EndpointList
 from loadbalancer.proxy.endpoint_list_parser import EndpointListParser, unix_offset_ns
-from loadbalancer.proxy.endpoint_list_reader import read_beside
+from loadbalancer.proxy.endpoint_list_reader import parse_object_around_list
 from loadbalancer.proxy.errors import EndpointListError
-from loadbalancer.proxy.steps import run_through
 from loadbalancer.settings import Settings
 from loadbalancer.settings_reader import Json, SettingsError, read_settings
 
-CHUNK_BYTES = 16 * 1024  # of the file that are parsed in one step
+CHUNK_BYTES = 16 * 1024  # of the file, parsed between two yields
 DEFAULT_MAX_SOCKETS = 1024
 MEGABYTE = 1024 * 1024
 
@@ -48,13 +47,13 @@
 
 def read_configuration(path: str) -> Configuration:
     """Read a configuration file; raise ConfigurationError if it can't be used."""
-    return run_through(read_configuration_in_steps(path))
+    return run_to_completion(read_configuration_cooperatively(path))
 
 
-def read_configuration_in_steps(
+def read_configuration_cooperatively(
     path: str, keep_known_endpoints: bool = True
-) -> Generator[None, None, Configuration]:
-    """Read a configuration file in steps of `CHUNK_BYTES` each; raise ConfigurationError if it can't be used.
+) -> CooperativeWork[Configuration]:
+    """Read a configuration file, yielding every `CHUNK_BYTES`; raise ConfigurationError if it can't be used.
 
     Without `keep_known_endpoints` the endpoint list of the file is parsed and left out.
     """
@@ -71,12 +70,12 @@
         raise ConfigurationError(f"{path}: {error}") from error
 
 
-def _parse(path: str, endpoints: EndpointListParser) -> Generator[None, None, Json]:
+def _parse(path: str, endpoints: EndpointListParser) -> CooperativeWork[Json]:
     """Parse the file but for its endpoint list, which `endpoints` takes."""
     try:
         with Path(path).open("rb") as file:
             chunks = iter(lambda: file.read(CHUNK_BYTES), b"")
-            raw: Json = yield from read_beside(chunks, "known", endpoints)
+            raw: Json = yield from parse_object_around_list(chunks, "known", endpoints)
     except OSError as error:
         raise ConfigurationError(f"{path}: {error.strerror}") from error
     except EndpointListError as error:
@@ -95,14 +94,14 @@
     limits = raw.get("limits") or {}
     return Configuration(
         name=str(raw["name"]),
-        listen=read_address(raw["listen"]),
-        discovery=read_address(raw["discovery"]),
+        listen=parse_address(raw["listen"]),
+        discovery=parse_address(raw["discovery"]),
         seed=int.from_bytes(str(raw["seed"]).encode(), "big"),
         max_sockets=int(limits.get("sockets") or DEFAULT_MAX_SOCKETS),
         settings=read_settings(raw["settings"]),
         known_endpoints=known_endpoints,
         gossip_listen=_optional_address(raw.get("peer_listen")),
-        gossip_peers=[read_address(text) for text in raw.get("peers") or ()],
+        gossip_peers=[parse_address(text) for text in raw.get("peers") or ()],
         gossip_broadcast=_optional_address(raw.get("peers_all")),
         cpu_cores=float(limits.get("cores") or 0.0),
         memory_bytes=int(float(limits.get("memory_mb") or 0) * MEGABYTE),
@@ -110,4 +109,4 @@
 
 
 def _optional_address(text: str | None) -> Address | None:
-    return read_address(text) if text else None
+    return parse_address(text) if text else None
--- a/loadbalancer/configuration_reload.py
+++ b/loadbalancer/configuration_reload.py
@@ -6,33 +6,35 @@
 
 from __future__ import annotations
 
-import asyncio
 import logging
-from typing import cast
+from collections.abc import Callable
 
-from loadbalancer.configuration import Configuration, ConfigurationError, read_configuration_in_steps
-from loadbalancer.proxy.proxy import Proxy
+from loadbalancer.configuration import Configuration, ConfigurationError, read_configuration_cooperatively
+from loadbalancer.proxy.addresses import Address
+from loadbalancer.proxy.cooperative import run_cooperatively
 
 log = logging.getLogger(__name__)
 
 
-async def reload_configuration(path: str, current: Configuration, proxy: Proxy) -> None:
+async def reload_configuration(
+    path: str, current: Configuration, move_discovery: Callable[[Address], None]
+) -> None:
     """Put in force what can be changed without a restart; a file that can't be used changes nothing.
 
     Args:
         path: the configuration file.
         current: the configuration that the proxy was started with.
-        proxy: the running proxy.
+        move_discovery: is called with the address of discovery.
     """
     try:
-        new = await _read_between_requests(path)
+        new = await run_cooperatively(read_configuration_cooperatively(path, keep_known_endpoints=False))
     except ConfigurationError as error:
         log.warning("%s: reload: %s; the old configuration stays", current.name, error)
         return
     log.info("%s: reload: discovery at %s:%d", current.name, *new.discovery)
     for name in changes_that_need_a_restart(current, new):
         log.warning("%s: reload: another %s needs a restart", current.name, name)
-    proxy.move_discovery(new.discovery)
+    move_discovery(new.discovery)
 
 
 def changes_that_need_a_restart(current: Configuration, new: Configuration) -> list[str]:
@@ -49,14 +51,3 @@
         "peers_all": new.gossip_broadcast != current.gossip_broadcast,
     }
     return [name for name, differs in changed.items() if differs]
-
-
-async def _read_between_requests(path: str) -> Configuration:
-    """Read the file in steps; its endpoint list may be long, and requests go on meanwhile."""
-    steps = read_configuration_in_steps(path, keep_known_endpoints=False)
-    while True:
-        try:
-            next(steps)
-        except StopIteration as end:
-            return cast(Configuration, end.value)
-        await asyncio.sleep(0)
