--- /dev/null
+++ b/loadbalancer/policy/request_admission.py
@@ -0,0 +1,108 @@
+"""A request from its arrival to its pool's queue (interface types: loadbalancer/messages.py)."""
+
+from dataclasses import dataclass
+
+from loadbalancer.messages import RequestArrived
+from loadbalancer.policy.latency_model import LatencyModel
+from loadbalancer.policy.queue_admission import has_queue_capacity, was_delayed_by_throttle
+from loadbalancer.policy.queue_deadline import queue_deadline_ns
+from loadbalancer.policy.rate_control import RateController
+from loadbalancer.policy.request_lifecycle import RequestLifecycle
+from loadbalancer.policy.tenant_throttles import TenantThrottles
+from loadbalancer.policy.throttle import Admission, Throttle, take_retry_token
+from loadbalancer.policy.timers import QueueDeadline, Timer, TokenDue
+from loadbalancer.settings import Idempotency, RequestClass, Settings
+from loadbalancer.state.fleet import Fleet
+from loadbalancer.state.request import Queue, Request
+from loadbalancer.state.timer_queue import TimerQueue
+
+
+@dataclass(slots=True, eq=False)
+class RequestAdmission:
+    """Admits, buffers or rejects requests as their tenant's throttle and their pool's queue say."""
+
+    settings: Settings
+    shortest_objective_ns: int  # of all classes
+    fleet: Fleet
+    timers: TimerQueue[Timer]
+    throttles: TenantThrottles
+    rate_controller: RateController
+    latency_model: LatencyModel
+    lifecycle: RequestLifecycle
+
+    def on_request_arrived(self, event: RequestArrived, now_ns: int) -> None:
+        """Admit, buffer or reject a new request; an id that is in use is ignored."""
+        if event.request_id in self.lifecycle.requests:
+            return
+        throttle = self.throttles.of(event.tenant, now_ns)
+        request = self._new_request(event, throttle, now_ns)
+        self.lifecycle.requests.add(request)
+        self.timers.schedule(request.queue_deadline_ns, QueueDeadline(request))
+        self.rate_controller.record_arrival(now_ns)
+        admission = self._admit(request, throttle, event.is_retry, now_ns)
+        if admission is Admission.FORWARD:
+            self._enqueue(request, throttle, now_ns)
+        elif admission is Admission.BUFFER:
+            request.queued_in = Queue.THROTTLE_BUFFER
+            self.release_buffered(throttle, now_ns)
+        else:
+            self.lifecycle.reject(request)
+
+    def _new_request(self, event: RequestArrived, throttle: Throttle, now_ns: int) -> Request:
+        request_class = self.settings.request_classes.get(event.class_name)
+        if request_class is None:
+            request_class = RequestClass(event.class_name, Idempotency.NON_IDEMPOTENT)
+        request = Request(
+            id=event.request_id,
+            request_class=request_class,
+            pool=self.fleet.pool(request_class),
+            tenant=throttle.tenant,
+            token_bank=throttle.bank,
+            deadline_ns=event.deadline_ns,
+            objective_ns=min(now_ns + request_class.latency_objective_ns, event.deadline_ns),
+            cost_hint_ns=event.cost_hint_ns,
+        )
+        request.queue_deadline_ns = queue_deadline_ns(request, self.latency_model, now_ns)
+        return request
+
+    def _admit(self, request: Request, throttle: Throttle, is_retry: bool, now_ns: int) -> Admission:
+        """Take a token; a client's retry gets only one that new requests leave, and is never buffered."""
+        if not is_retry:
+            return throttle.admit(request, now_ns)
+        has_token = take_retry_token(throttle.bank, now_ns)
+        return Admission.FORWARD if has_token else Admission.REJECT
+
+    def on_token_due(self, throttle: Throttle, now_ns: int) -> None:
+        """Release the buffered requests that have a token by now."""
+        throttle.on_token_due()
+        self.release_buffered(throttle, now_ns)
+
+    def release_buffered(self, throttle: Throttle, now_ns: int) -> None:
+        """Queue the buffered requests that have a token, and set a timer for the next token."""
+        for request in throttle.release(now_ns):
+            self._enqueue(request, throttle, now_ns)
+        token_due_ns = throttle.schedule_wake_up(now_ns)
+        if token_due_ns is not None:
+            self.timers.schedule(token_due_ns, TokenDue(throttle))
+
+    def _enqueue(self, request: Request, throttle: Throttle, now_ns: int) -> None:
+        """Queue a request that has its token, unless its queue is blocked and too long."""
+        request.queued_in = None
+        request.delayed_by_throttle = request.stalled or was_delayed_by_throttle(request, now_ns)
+        queue = self.lifecycle.queues[request.pool]
+        if queue.blocked_since_ns and not self._fits(request, throttle, len(queue.waiting), now_ns):
+            self.lifecycle.reject_for_capacity(request)
+            return
+        queue.append(request)
+        self.lifecycle.probe_loads(request, now_ns)
+
+    def _fits(self, request: Request, throttle: Throttle, queue_length: int, now_ns: int) -> bool:
+        """Tell whether a blocked queue takes a request."""
+        # A class with a long objective must not make the queue too long for those with a short one.
+        wait_max_ns = min(request.queue_deadline_ns - now_ns, self.shortest_objective_ns)
+        return has_queue_capacity(
+            queue_length=queue_length,
+            wait_max_ns=wait_max_ns,
+            success_rate=self.rate_controller.success_rate,
+            over_quota=throttle.is_over_quota,
+        )
--- a/loadbalancer/policy/selection.py
+++ b/loadbalancer/policy/selection.py
@@ -6,7 +6,8 @@
 from loadbalancer.messages import Endpoint, EndpointStatus
 from loadbalancer.policy.concurrency_limit import ConcurrencyLimit
 from loadbalancer.policy.fleet_updates import FleetUpdater
-from loadbalancer.policy.load_reports import estimated_load, has_fresh_load
+from loadbalancer.policy.latency_model import LatencyModel
+from loadbalancer.policy.load_estimate import estimated_load, has_fresh_load
 from loadbalancer.policy.retry_eligibility import same_deduplication_group
 from loadbalancer.policy.slow_start import SlowStart
 from loadbalancer.settings import DeduplicationScope, Idempotency
@@ -31,11 +32,13 @@
         fleet_updater: FleetUpdater,
         slow_start: SlowStart,
         concurrency_limit: ConcurrencyLimit,
+        latency_model: LatencyModel,
         rng: random.Random,
     ) -> None:
         self.fleet_updater = fleet_updater
         self.slow_start = slow_start
         self.concurrency_limit = concurrency_limit
+        self.latency_model = latency_model
         self.rng = rng
 
     def concurrency_limit_of(self, state: EndpointState, now_ns: int) -> int:
@@ -117,7 +120,7 @@
         if state.reported_load < 1 or not has_fresh_load(state, now_ns):
             return False
         load = state.reported_load + REQUESTS_SINCE_REPORT
-        latency_ns = self.concurrency_limit.latency_model.latency_at(load)
+        latency_ns = self.latency_model.latency_at(load)
         return latency_ns * state.relative_latency > request.objective_ns - now_ns
 
     def retry_candidates(self, request: Request, now_ns: int) -> list[EndpointState] | None:
--- a/loadbalancer/policy/slow_start.py
+++ b/loadbalancer/policy/slow_start.py
@@ -1,10 +1,11 @@
 """Slow start: pacing of endpoints that are warming up, rule 4 (types: loadbalancer/messages.py)."""
 
 from loadbalancer.policy.latency_model import LatencyModel
+from loadbalancer.policy.timers import ServeQueue, Timer
 from loadbalancer.settings import Settings
 from loadbalancer.state.endpoint_state import EndpointState
 from loadbalancer.state.fleet import Fleet
-from loadbalancer.state.timer_queue import ServeQueue, TimerQueue
+from loadbalancer.state.timer_queue import TimerQueue
 from loadbalancer.units import NANOSECONDS_PER_SECOND
 
 OVERLOAD_BUDGET_FRACTION = 0.7  # of the rate that overloads an endpoint which is warming up
@@ -15,7 +16,7 @@
     """Limits the rate at which endpoints that are warming up are sent requests."""
 
     def __init__(
-        self, settings: Settings, fleet: Fleet, timers: TimerQueue, latency_model: LatencyModel
+        self, settings: Settings, fleet: Fleet, timers: TimerQueue[Timer], latency_model: LatencyModel
     ) -> None:
         self.rules = settings.rules
         self.proxy_count = settings.proxy_count
