--- a/loadbalancer/proxy/client_connection.py
+++ b/loadbalancer/proxy/client_connection.py
@@ -160,7 +160,7 @@
             self._handler.handle_request(self, request, received_ns)
 
     def respond(self, status: int, headers: Headers = (), body: bytes | bytearray = b"") -> None:
-        """Send the final response to the current request, unless there is none any more."""
+        """Send the final response to the current request, if there still is one."""
         if self._current is None or self._transport is None:
             return
         close = not self._current.keep_alive or self._owner.draining or self._owner.nearly_full
