--- a/loadbalancer/configuration_reload.py
+++ b/loadbalancer/configuration_reload.py
@@ -1,7 +1,7 @@
-"""Taking up a changed configuration file while the proxy runs (SIGHUP).
+"""Reload of the configuration file while the proxy runs (SIGHUP).
 
-The address of discovery is put in force at once. Everything else needs a restart: what has changed of it is
-logged, and stays as it was at the start. The endpoint list of the file is for a start alone, and is ignored.
+The address of discovery is applied at once. All other changes need a restart: they are logged and not
+applied. The endpoint list of the file is only used at the start, and is ignored.
 """
 
 from __future__ import annotations
@@ -17,14 +17,14 @@
 
 
 async def reload_configuration(
-    path: str, current: Configuration, move_discovery: Callable[[Address], None]
+    path: str, current: Configuration, hand_over_discovery: Callable[[Address], None]
 ) -> None:
-    """Put in force what can be changed without a restart; a file that can't be used changes nothing.
+    """Apply the changes that need no restart; a file that can't be used changes nothing.
 
     Args:
         path: the configuration file.
         current: the configuration that the proxy was started with.
-        move_discovery: is called with the address of discovery.
+        hand_over_discovery: is called with the address of discovery.
     """
     try:
         new = await run_cooperatively(read_configuration_cooperatively(path, keep_known_endpoints=False))
@@ -34,11 +34,11 @@
     log.info("%s: reload: discovery at %s:%d", current.name, *new.discovery)
     for name in changes_that_need_a_restart(current, new):
         log.warning("%s: reload: another %s needs a restart", current.name, name)
-    move_discovery(new.discovery)
+    hand_over_discovery(new.discovery)
 
 
 def changes_that_need_a_restart(current: Configuration, new: Configuration) -> list[str]:
-    """Return the names, as operators know them, of what differs and can't be changed at run time."""
+    """Return the operators' names of the changed values that can't be applied while the proxy runs."""
     changed = {
         "name": new.name != current.name,
         "listen": new.listen != current.listen,
--- a/loadbalancer/proxy/discovery_call.py
+++ b/loadbalancer/proxy/discovery_call.py
@@ -72,7 +72,7 @@
         self.reader = reader
         self.host = f"{address[0]}:{address[1]}".encode()
         self.refuses_connections = False
-        """Whether the last call failed to connect."""
+        """Whether the last call failed to connect, as far as is known."""
         limits = ConnectionLimits(
             max_connections=MAX_CONNECTIONS_PER_ADDRESS,
             connect_timeout_s=CONNECT_TIMEOUT_S,
@@ -86,6 +86,10 @@
         """Start a call for a list, which discovery may hold for `wait_s`."""
         return DiscoveryCall(self, query, wait_s, on_result)
 
+    def record_connect_result(self, refused: bool) -> None:
+        """Record whether a call failed to connect."""
+        self.refuses_connections = refused
+
     def close(self) -> None:
         """Close the connections that are not in use."""
         self.pool.close_idle()
@@ -113,7 +117,7 @@
             self._read_task.cancel()
 
     def _on_exchange_ended(self, result: AttemptResult, response: Message | None) -> None:
-        self._target.refuses_connections = result is AttemptResult.CONNECT_FAILED
+        self._target.record_connect_result(refused=result is AttemptResult.CONNECT_FAILED)
         if result is not AttemptResult.OK or response is None or response.status != OK:
             self._log_failure(result, response)
             timed_out = result is AttemptResult.TIMEOUT
--- a/loadbalancer/proxy/discovery_client.py
+++ b/loadbalancer/proxy/discovery_client.py
@@ -182,7 +182,7 @@
         if handover is not None and handover.call_in_flight and handover.target.address == address:
             return  # a second call would wait behind the first one
         self._abandon_handover()
-        self._target.refuses_connections = False  # until a call shows that it still does
+        self._target.record_connect_result(refused=False)  # until a call shows that it still is
         if address == self._target.address:
             self._resume_calls()
             return
--- a/loadbalancer/proxy/endpoint_list.py
+++ b/loadbalancer/proxy/endpoint_list.py
@@ -47,6 +47,15 @@
         self.attributes.append(attributes)
         self.addresses.append(address)
 
+    def add_unreadable(self, endpoint_id: int) -> None:
+        """Record an endpoint whose entry is not valid."""
+        self.unreadable.append(endpoint_id)
+
+    def set_version(self, version: int, *, complete: bool) -> None:
+        """Set the version, which follows the entries in the text, and whether all endpoints are listed."""
+        self.version = version
+        self.complete = complete
+
     def supersede(self, endpoint_ids: array[int]) -> None:
         """Skip these endpoints when the list is applied, since a newer list with them was applied before."""
         self.superseded.update(endpoint_ids)
--- a/loadbalancer/proxy/endpoint_list_parser.py
+++ b/loadbalancer/proxy/endpoint_list_parser.py
@@ -188,8 +188,7 @@
             raise EndpointListError(f"{LIST_VERSION} is not a whole number: {self._version!r}")
         if not isinstance(self._complete, bool):
             raise EndpointListError(f"{LIST_COMPLETE} is not true or false: {self._complete!r}")
-        self._list.version = self._version
-        self._list.complete = self._complete
+        self._list.set_version(self._version, complete=self._complete)
         return self._list
 
     def _add_entry(self, entry: Entry) -> None:
@@ -203,7 +202,7 @@
             log.warning("discovery: entry %.*s can't be read: %r", MAX_LOGGED_HOST_CHARACTERS, host, error)
             endpoint_id = self._id_registry.find(preferred_id(host), host_fingerprint(host))
             if endpoint_id is not None:
-                self._list.unreadable.append(endpoint_id)
+                self._list.add_unreadable(endpoint_id)
             return
         endpoint_id = self._endpoint_id(host, attributes.status)
         if endpoint_id is not None:
--- a/loadbalancer/proxy/http.py
+++ b/loadbalancer/proxy/http.py
@@ -180,12 +180,7 @@
         """A message is complete."""
         if self.error_status:
             return
-        message = Message(self._headers, self._body, self._parser.should_keep_alive())
-        if isinstance(self._parser, httptools.HttpRequestParser):
-            message.method = self._parser.get_method()
-            message.target = self._target
-        else:
-            message.status = self._parser.get_status_code()
+        message = self._build_message()
         self._bytes_fed = 0
         self.message_started = False
         self._reset_message()
@@ -195,6 +190,13 @@
             self._complete.append(message)
             self._interim_responses = 0
 
+    def _build_message(self) -> Message:
+        keep_alive = self._parser.should_keep_alive()
+        if isinstance(self._parser, httptools.HttpRequestParser):
+            method = self._parser.get_method()
+            return Message(self._headers, self._body, keep_alive, method=method, target=self._target)
+        return Message(self._headers, self._body, keep_alive, status=self._parser.get_status_code())
+
     def _count_interim_response(self) -> None:
         """Drop a 1xx response, which precedes the final one."""
         self._interim_responses += 1
--- a/loadbalancer/proxy/pending_requests.py
+++ b/loadbalancer/proxy/pending_requests.py
@@ -66,6 +66,11 @@
         """Record the exchange of the attempt that starts."""
         self.exchange = exchange
 
+    def mark_finished(self) -> None:
+        """Record that it needs no response any more, and stop its deadline timer."""
+        self.finished = True
+        self.deadline_timer.cancel()
+
     def clear_exchange(self) -> None:
         """Record that no attempt is in flight."""
         self.exchange = None
@@ -193,8 +198,7 @@
 
     def _remove(self, pending: PendingRequest) -> None:
         """Remove a request and cancel its attempt in flight."""
-        pending.finished = True
-        pending.deadline_timer.cancel()
+        pending.mark_finished()
         del self._by_id[pending.id]
         del self._by_client[pending.client]
         self._client_request_ids.discard(pending.client_request_id)
