--- a/loadbalancer/policy/balancer.py
+++ b/loadbalancer/policy/balancer.py
@@ -8,12 +8,11 @@
 from loadbalancer.policy.attempt_results import AttemptResults
 from loadbalancer.policy.concurrency_limit import ConcurrencyLimit
 from loadbalancer.policy.discovery_retry import DiscoveryRetry
-from loadbalancer.policy.draw_width import draw_width
+from loadbalancer.policy.feedback import Feedback
 from loadbalancer.policy.fleet_updates import FleetUpdater
 from loadbalancer.policy.forwarding import Forwarding
 from loadbalancer.policy.latency_model import LatencyModel
 from loadbalancer.policy.live_weights import LiveWeights
-from loadbalancer.policy.load_estimate import is_loaded
 from loadbalancer.policy.load_probing import LoadProbing, is_probing_enabled
 from loadbalancer.policy.outlier_detection import OutlierDetection
 from loadbalancer.policy.rate_control import FEEDBACK_INTERVAL_NS
@@ -35,28 +34,34 @@
 DEFAULT_LATENCY_OBJECTIVE_NS = NANOSECONDS_PER_SECOND
 
 
+def _latency_objectives_ns(settings: Settings) -> list[int]:
+    objectives_ns = [
+        request_class.latency_objective_ns for request_class in settings.request_classes.values()
+    ]
+    return objectives_ns or [DEFAULT_LATENCY_OBJECTIVE_NS]
+
+
 class Balancer:
     """One proxy's decisions. Feed it events with `handle`; carry out the actions it returns, in order."""
 
     def __init__(self, settings: Settings, seed: int, now_ns: int) -> None:
         self.settings = settings
         self.rng = random.Random(seed)
-        objectives = [c.latency_objective_ns for c in settings.request_classes.values()] or [
-            DEFAULT_LATENCY_OBJECTIVE_NS
-        ]
-        shortest_objective_ns = min(objectives)
+        objectives_ns = _latency_objectives_ns(settings)
+        self.shortest_objective_ns = min(objectives_ns)
+        probes_load = is_probing_enabled(settings)
         self.timers = TimerQueue[Timer]()
-        self.throttles = TenantThrottles(settings, self.rng, now_ns, shortest_objective_ns)
+        self.throttles = TenantThrottles(settings, self.rng, now_ns, self.shortest_objective_ns)
         self.rate_controller = self.throttles.rate_controller
-        self.latency_model = LatencyModel(slowest_objective_ns=max(objectives))
+        self.latency_model = LatencyModel(slowest_objective_ns=max(objectives_ns))
         self.concurrency_limit = ConcurrencyLimit(self.latency_model)
         self.fleet = Fleet(settings.request_classes, new_endpoint_table(settings))
-        self.queues = {pool: RequestQueue(pool) for pool in self.fleet.pools.values()}
-        probes_load = is_probing_enabled(settings)
         self.fleet_updater = FleetUpdater(
             settings, self.fleet, LiveWeights(settings), draws_from_reserve=probes_load
         )
-        self.outlier_detection = OutlierDetection(self.fleet, self.timers, self.rng, shortest_objective_ns)
+        self.outlier_detection = OutlierDetection(
+            self.fleet, self.timers, self.rng, self.shortest_objective_ns
+        )
         self.slow_start = SlowStart(settings, self.fleet, self.timers, self.latency_model)
         self.selection = Selection(
             fleet_updater=self.fleet_updater,
@@ -74,8 +79,19 @@
         )
         self.actions: list[messages.Action] = []
         self.requests = RequestTable()
-        self.request_lifecycle = RequestLifecycle(
-            settings=settings,
+        self.queues = {pool: RequestQueue(pool) for pool in self.fleet.pools.values()}
+        self.request_lifecycle = self._request_lifecycle()
+        self.request_admission = self._request_admission()
+        self._handlers = self._event_handlers()
+        self.feedback = self._feedback()
+        self.feedback_ns = now_ns
+        self.discovery_retry = DiscoveryRetry(settings, self.rng)
+        if not settings.discovery_pushes:
+            self.timers.schedule(now_ns + self.discovery_retry.first_delay_ns(), PollDiscovery())
+
+    def _request_lifecycle(self) -> RequestLifecycle:
+        return RequestLifecycle(
+            settings=self.settings,
             rng=self.rng,
             actions=self.actions,
             requests=self.requests,
@@ -88,9 +104,11 @@
             forwarding=Forwarding(self.concurrency_limit, self.latency_model, self.slow_start, self.timers),
             attempt_results=self.attempt_results,
         )
-        self.request_admission = RequestAdmission(
-            settings=settings,
-            shortest_objective_ns=shortest_objective_ns,
+
+    def _request_admission(self) -> RequestAdmission:
+        return RequestAdmission(
+            settings=self.settings,
+            shortest_objective_ns=self.shortest_objective_ns,
             fleet=self.fleet,
             timers=self.timers,
             throttles=self.throttles,
@@ -98,7 +116,21 @@
             latency_model=self.latency_model,
             lifecycle=self.request_lifecycle,
         )
-        self._handlers: dict[type[messages.Event], Callable[[Any, int], None]] = {
+
+    def _feedback(self) -> Feedback:
+        return Feedback(
+            fleet=self.fleet,
+            fleet_updater=self.fleet_updater,
+            queues=self.queues,
+            throttles=self.throttles,
+            concurrency_limit=self.concurrency_limit,
+            outlier_detection=self.outlier_detection,
+            slow_start=self.slow_start,
+            request_admission=self.request_admission,
+        )
+
+    def _event_handlers(self) -> dict[type[messages.Event], Callable[[Any, int], None]]:
+        return {
             messages.RequestArrived: self.request_admission.on_request_arrived,
             messages.AttemptEnded: self.request_lifecycle.on_attempt_ended,
             messages.ResponseStarted: self.request_lifecycle.on_response_started,
@@ -107,10 +139,6 @@
             messages.HealthCheckEnded: self._on_health_check_ended,
             messages.EndpointUpdate: self._on_endpoint_update,
         }
-        self.feedback_ns = now_ns
-        self.discovery_retry = DiscoveryRetry(settings, self.rng)
-        if not settings.discovery_pushes:
-            self.timers.schedule(now_ns + self.discovery_retry.first_delay_ns(), PollDiscovery())
 
     def handle(self, now_ns: int, events: Iterable[messages.Event]) -> list[messages.Action]:
         """Apply what has happened since the last call, in order; return what is to be done."""
@@ -128,7 +156,8 @@
             self._on_timer(timers.pop(), now_ns)
         self.request_lifecycle.serve_queues(now_ns)
         if now_ns - self.feedback_ns >= FEEDBACK_INTERVAL_NS:
-            self._feedback(now_ns)
+            self.feedback_ns = now_ns
+            self.feedback.adjust(now_ns)
         wake_up = timers.next_wake_up(now_ns)
         if wake_up is not None:
             self.actions.append(wake_up)
@@ -165,25 +194,3 @@
             case PollDiscovery():
                 if self.discovery_retry.start_call(now_ns):
                     self.actions.append(messages.WatchEndpoints(True))
-
-    def _feedback(self, now_ns: int) -> None:
-        """Adjust rate, limits and draw widths to the results of the last feedback interval."""
-        self.feedback_ns = now_ns
-        fleet = self.fleet
-        rate_controller = self.rate_controller
-        self.concurrency_limit.decay()
-        self.fleet_updater.discard_unused_states()
-        self.outlier_detection.decay()
-        for pool, queue in self.queues.items():
-            pool.set_draw_width(draw_width(pool, queue_is_blocked=queue.blocked_since_ns > 0))
-        rate_controller.adjust(
-            throttles=self.throttles.values(),
-            now_ns=now_ns,
-            draw_width=fleet.default_pool.draw_width,
-            is_loaded=is_loaded(fleet.endpoints.values(), now_ns),
-        )
-        # Endpoints can't sustain the rate of attempts that they reject or finish late.
-        self.slow_start.record_throughput(min(rate_controller.attempt_rate, rate_controller.success_rate))
-        for throttle in self.throttles.values():
-            self.request_admission.release_buffered(throttle, now_ns)
-        self.throttles.drop_idle(now_ns)
--- /dev/null
+++ b/loadbalancer/policy/feedback.py
@@ -0,0 +1,56 @@
+"""What is adjusted after each feedback interval (interface types: loadbalancer/messages.py)."""
+
+from dataclasses import dataclass
+
+from loadbalancer.policy.concurrency_limit import ConcurrencyLimit
+from loadbalancer.policy.draw_width import draw_width
+from loadbalancer.policy.fleet_updates import FleetUpdater
+from loadbalancer.policy.load_estimate import is_loaded
+from loadbalancer.policy.outlier_detection import OutlierDetection
+from loadbalancer.policy.request_admission import RequestAdmission
+from loadbalancer.policy.request_queue import RequestQueue
+from loadbalancer.policy.slow_start import SlowStart
+from loadbalancer.policy.tenant_throttles import TenantThrottles
+from loadbalancer.state.endpoint_pool import EndpointPool
+from loadbalancer.state.fleet import Fleet
+
+
+@dataclass(slots=True, eq=False)
+class Feedback:
+    """Adjusts rates, limits and draw widths to the results of the last feedback interval."""
+
+    fleet: Fleet
+    fleet_updater: FleetUpdater
+    queues: dict[EndpointPool, RequestQueue]
+    throttles: TenantThrottles
+    concurrency_limit: ConcurrencyLimit
+    outlier_detection: OutlierDetection
+    slow_start: SlowStart
+    request_admission: RequestAdmission
+
+    def adjust(self, now_ns: int) -> None:
+        """End the interval; requests that have a token at the new rates are queued."""
+        self.concurrency_limit.decay()
+        self.fleet_updater.discard_unused_states()
+        self.outlier_detection.decay()
+        self._adjust_draw_widths()
+        self._adjust_rates(now_ns)
+        for throttle in self.throttles.values():
+            self.request_admission.release_buffered(throttle, now_ns)
+        self.throttles.drop_idle(now_ns)
+
+    def _adjust_draw_widths(self) -> None:
+        for pool, queue in self.queues.items():
+            pool.set_draw_width(draw_width(pool, queue_is_blocked=queue.blocked_since_ns > 0))
+
+    def _adjust_rates(self, now_ns: int) -> None:
+        """Adjust the proxy's and the tenants' rates, and the throughput that slow start counts on."""
+        rate_controller = self.throttles.rate_controller
+        rate_controller.adjust(
+            throttles=self.throttles.values(),
+            now_ns=now_ns,
+            draw_width=self.fleet.default_pool.draw_width,
+            is_loaded=is_loaded(self.fleet.endpoints.values(), now_ns),
+        )
+        # Endpoints can't sustain the rate of attempts that they reject or finish late.
+        self.slow_start.record_throughput(min(rate_controller.attempt_rate, rate_controller.success_rate))
--- a/loadbalancer/policy/request_admission.py
+++ b/loadbalancer/policy/request_admission.py
@@ -43,7 +43,7 @@
         if admission is Admission.FORWARD:
             self._enqueue(request, throttle, now_ns)
         elif admission is Admission.BUFFER:
-            request.queued_in = Queue.THROTTLE_BUFFER
+            request.join_queue(Queue.THROTTLE_BUFFER)
             self.release_buffered(throttle, now_ns)
         else:
             self.lifecycle.reject(request)
@@ -87,8 +87,8 @@
 
     def _enqueue(self, request: Request, throttle: Throttle, now_ns: int) -> None:
         """Queue a request that has its token, unless its queue is blocked and too long."""
-        request.queued_in = None
-        request.delayed_by_throttle = request.stalled or was_delayed_by_throttle(request, now_ns)
+        request.leave_queue()
+        request.record_throttle_delay(was_delayed_by_throttle(request, now_ns))
         queue = self.lifecycle.queues[request.pool]
         if queue.blocked_since_ns and not self._fits(request, throttle, len(queue.waiting), now_ns):
             self.lifecycle.reject_for_capacity(request)
--- a/loadbalancer/policy/request_lifecycle.py
+++ b/loadbalancer/policy/request_lifecycle.py
@@ -52,7 +52,7 @@
         """Record that a response is streamed: the request is not forwarded again."""
         request = self.requests.get(event.request_id)
         if request is not None:
-            request.streaming = True
+            request.start_streaming()
 
     def probe_loads(self, request: Request, now_ns: int) -> None:
         """Start load probing for a request that was queued, where loads are probed."""
@@ -157,7 +157,7 @@
 
     def _finish(self, request: Request) -> None:
         self._leave_queue(request)
-        request.finished = True
+        request.finish()
         if self.settings.limits.cancellation:
             for number, attempt in enumerate(request.attempts):
                 if attempt.result is None:
@@ -169,4 +169,4 @@
             self.queues[request.pool].remove(request)
         elif request.queued_in is Queue.THROTTLE_BUFFER:
             self.throttles.existing(request.tenant).remove_buffered(request)
-            request.queued_in = None
+            request.leave_queue()
--- a/loadbalancer/policy/request_queue.py
+++ b/loadbalancer/policy/request_queue.py
@@ -17,17 +17,17 @@
     def append(self, request: Request) -> None:
         """Put a request at the end."""
         self.waiting.append(request)
-        request.queued_in = Queue.POOL_QUEUE
+        request.join_queue(Queue.POOL_QUEUE)
 
     def append_first(self, request: Request) -> None:
         """Put a request that is retried at the head."""
         self.waiting.appendleft(request)
-        request.queued_in = Queue.POOL_QUEUE
+        request.join_queue(Queue.POOL_QUEUE)
 
     def remove(self, request: Request) -> None:
         """Take a request out, wherever it is."""
         self.waiting.remove(request)
-        request.queued_in = None
+        request.leave_queue()
 
     def mark_blocked(self, now_ns: int) -> None:
         """Record that no endpoint is available to the request at the head."""
--- a/loadbalancer/state/request.py
+++ b/loadbalancer/state/request.py
@@ -69,6 +69,26 @@
     probed_endpoints: list[EndpointState] = field(default_factory=list)  # load probed on its behalf
     probed_ns: int = 0
 
+    def join_queue(self, queue: Queue) -> None:
+        """Record where it waits from now on."""
+        self.queued_in = queue
+
+    def leave_queue(self) -> None:
+        """Record that it waits no longer."""
+        self.queued_in = None
+
+    def start_streaming(self) -> None:
+        """Record that its streamed response has begun."""
+        self.streaming = True
+
+    def finish(self) -> None:
+        """Record that it has its final response, or that its client has disconnected."""
+        self.finished = True
+
+    def record_throttle_delay(self, delayed: bool) -> None:
+        """Record whether its throttle delayed it so much that a late end proves nothing; a stall does too."""
+        self.delayed_by_throttle = self.stalled or delayed
+
     def attempt_in_flight(self, number: int, endpoint_id: int) -> Attempt | None:
         """Return an attempt in flight; None where it was never made, or elsewhere, or has ended."""
         if not 0 <= number < len(self.attempts):
--- /dev/null
+++ b/tests/policy/test_attempt_timing.py
@@ -0,0 +1,35 @@
+"""How long an attempt should take, and may take."""
+
+from __future__ import annotations
+
+import dataclasses
+
+from loadbalancer.policy.attempt_timing import attempt_timeout_ns, expected_duration_ns, overdue_after_ns
+from loadbalancer.policy.latency_model import LatencyModel
+from tests.support.policy_harness import NANOSECONDS_PER_MILLISECOND, READ, START
+from tests.support.requests import make_request, make_state
+
+
+def test_the_expected_duration_follows_the_endpoints_speed() -> None:
+    state = make_state()
+    state.relative_latency = 1.5
+    request = make_request(cost_hint_ns=40 * NANOSECONDS_PER_MILLISECOND)  # expected before any sample
+    expected_ns = expected_duration_ns(request, state, LatencyModel(READ.latency_objective_ns))
+    assert expected_ns == 60 * NANOSECONDS_PER_MILLISECOND
+
+
+def test_an_attempt_ends_with_the_objective_where_a_late_response_has_no_value() -> None:
+    now_ns = START + 100 * NANOSECONDS_PER_MILLISECOND
+    assert attempt_timeout_ns(make_request(), now_ns) == 200 * NANOSECONDS_PER_MILLISECOND
+    assert attempt_timeout_ns(make_request(), now_ns + READ.latency_objective_ns) == 1
+
+
+def test_an_attempt_has_no_timeout_where_a_late_response_has_a_value_or_is_streamed() -> None:
+    for changes in ({"late_weight_factor": 0.2}, {"stream": True}):
+        request_class = dataclasses.replace(READ, **changes)
+        assert attempt_timeout_ns(make_request(request_class), START) == 0
+
+
+def test_an_attempt_is_overdue_three_deviations_beyond_its_expected_duration() -> None:
+    assert overdue_after_ns(1000.0, deviation=0.0) == 1300
+    assert overdue_after_ns(1000.0, deviation=0.5) == 2800
--- /dev/null
+++ b/tests/policy/test_request_queue.py
@@ -0,0 +1,42 @@
+"""The order of the requests of a pool, and what they know of their queue."""
+
+from __future__ import annotations
+
+from loadbalancer.policy.request_queue import RequestQueue
+from loadbalancer.state.endpoint_pool import EndpointPool
+from loadbalancer.state.endpoint_table import Placement
+from loadbalancer.state.request import Queue
+from tests.support.requests import make_request
+
+
+def make_queue() -> RequestQueue:
+    return RequestQueue(EndpointPool(Placement(None, None)))
+
+
+def test_a_retried_request_comes_first() -> None:
+    queue = make_queue()
+    first, second, retried = (make_request(request_id=f"r{i}") for i in range(3))
+    queue.append(first)
+    queue.append(second)
+    queue.append_first(retried)
+    assert list(queue.waiting) == [retried, first, second]
+    assert {request.queued_in for request in queue.waiting} == {Queue.POOL_QUEUE}
+
+
+def test_a_request_that_is_removed_is_not_queued() -> None:
+    queue = make_queue()
+    first, second = make_request(request_id="r1"), make_request(request_id="r2")
+    queue.append(first)
+    queue.append(second)
+    queue.remove(second)
+    assert list(queue.waiting) == [first]
+    assert second.queued_in is None
+
+
+def test_a_queue_is_blocked_since_it_first_found_no_endpoint() -> None:
+    queue = make_queue()
+    queue.mark_blocked(5)
+    queue.mark_blocked(9)
+    assert queue.blocked_since_ns == 5
+    queue.mark_unblocked()
+    assert queue.blocked_since_ns == 0
