--- a/loadbalancer/policy/request_admission.py
+++ b/loadbalancer/policy/request_admission.py
@@ -49,6 +49,7 @@
             self.lifecycle.reject(request)
 
     def _new_request(self, event: RequestArrived, throttle: Throttle, now_ns: int) -> Request:
+        """Return the record of a request; one of an unknown class is not idempotent."""
         request_class = self.settings.request_classes.get(event.class_name)
         if request_class is None:
             request_class = RequestClass(event.class_name, Idempotency.NON_IDEMPOTENT)
--- a/loadbalancer/policy/request_lifecycle.py
+++ b/loadbalancer/policy/request_lifecycle.py
@@ -24,7 +24,7 @@
 
 @dataclass(slots=True, eq=False)
 class RequestLifecycle:
-    """Queues, forwards, retries and hedges requests, and gives each its final response.
+    """Forwards, retries and hedges queued requests, and gives each its final response.
 
     What is to be done is appended to `actions`.
     """
@@ -88,6 +88,7 @@
             queue.mark_unblocked()
 
     def _forward_or_reject(self, request: Request, state: EndpointState, now_ns: int) -> None:
+        """Start an attempt at the chosen endpoint, if that is still safe."""
         if may_forward(request, state.endpoint, now_ns, self.settings.limits):
             self.actions.append(self.forwarding.start_attempt(request, state, now_ns))
         else:
@@ -156,7 +157,9 @@
         self._finish(request)
 
     def _finish(self, request: Request) -> None:
-        self._leave_queue(request)
+        """End a request that needs no further response, and cancel its attempts in flight."""
+        if request.queued_in is not None:
+            self._leave_queue(request)
         request.finish()
         if self.settings.limits.cancellation:
             for number, attempt in enumerate(request.attempts):
@@ -165,6 +168,7 @@
         self.requests.remove_if_over(request)
 
     def _leave_queue(self, request: Request) -> None:
+        """Take a request out of its pool's queue, or its tenant's buffer, and return the token."""
         if request.queued_in is Queue.POOL_QUEUE:
             self.queues[request.pool].remove(request)
         elif request.queued_in is Queue.THROTTLE_BUFFER:
--- a/loadbalancer/state/request.py
+++ b/loadbalancer/state/request.py
@@ -110,7 +110,7 @@
     @property
     def attempts_in_flight(self) -> int:
         """How many of its attempts have not ended."""
-        return sum(attempt.result is None for attempt in self.attempts)
+        return [attempt.result for attempt in self.attempts].count(None)
 
     @property
     def is_over(self) -> bool:
--- a/tests/policy/test_retry_eligibility.py
+++ b/tests/policy/test_retry_eligibility.py
@@ -16,6 +16,7 @@
     RequestArrived,
 )
 from loadbalancer.policy.balancer import Balancer
+from loadbalancer.policy.retry_eligibility import should_retry
 from loadbalancer.settings import Limits, RequestClass, Rules, Settings
 from tests.support.policy_harness import (
     ANY,
@@ -34,6 +35,7 @@
     make_mixed_endpoints,
     settings,
 )
+from tests.support.requests import add_attempt, make_request, make_state
 from tests.support.rule_checker import FinalAnswer
 
 
@@ -212,3 +214,18 @@
     harness.give(arrival("slow", harness.now_ns))
     harness.advance(150 * NANOSECONDS_PER_MILLISECOND)
     assert len(harness.attempts["rslow"]) == (2 if may_cancel else 1)
+
+
+@pytest.mark.parametrize(
+    ("request_class", "after_ms", "retried"), [(READ, 99, True), (READ, 100, False), (PAY, 99, False)]
+)
+def test_a_request_is_queued_again_until_its_queue_deadline_where_an_attempt_is_safe(
+    request_class: RequestClass, after_ms: int, retried: bool
+) -> None:
+    request = make_request(request_class)
+    request.queue_deadline_ns = START + 100 * NANOSECONDS_PER_MILLISECOND
+    failed, other = (make_state(endpoint) for endpoint in make_endpoints(2))
+    add_attempt(request, failed, AttemptResult.RESET, may_have_run=True)
+    now_ns = START + after_ms * NANOSECONDS_PER_MILLISECOND
+    assert should_retry(request, [other], now_ns, Limits(max_attempts=2)) is retried
+    assert not should_retry(request, [], now_ns, Limits(max_attempts=2))
