--- a/loadbalancer/proxy/attempts.py
+++ b/loadbalancer/proxy/attempts.py
@@ -12,10 +12,17 @@
 
 from loadbalancer.messages import AttemptEnded, AttemptResult, CancelAttempt, Forward
 from loadbalancer.proxy.connection_pool import ConnectionPool
+from loadbalancer.proxy.exchange import Exchange
 from loadbalancer.proxy.http import Message, write_request
 from loadbalancer.proxy.load_report import parse_load_report
 from loadbalancer.proxy.pending_requests import PendingRequest, PendingRequests
-from loadbalancer.proxy.upstream import Exchange
+from loadbalancer.proxy.wire_names import (
+    DEADLINE_MS_HEADER,
+    DECLINED_HEADER,
+    FLAG_SET,
+    FORWARDED_DEADLINE_MS_HEADER,
+    LOAD_REPORT_HEADER,
+)
 from loadbalancer.units import NANOSECONDS_PER_MILLISECOND, NANOSECONDS_PER_SECOND
 
 # A second response to one request may come some milliseconds late, and must not pass for the response to the
@@ -23,9 +30,6 @@
 QUARANTINE_S = 0.01
 OK_STATUS = 200
 DECLINED_STATUSES = (503, 504)
-DEADLINE_HEADER = b"req-deadline-ms"
-DECLINED_HEADER = b"srv-declined"
-LOAD_REPORT_HEADER = b"srv-load"
 
 
 class Attempts:
@@ -77,7 +81,7 @@
         if not may_start or pool is None or not pool.accepts_requests:
             self._report_not_sent(action, number, request_complete=False)
             return
-        attempt = Attempt(self, pending, number, action.endpoint_id, now_ns, end_ns)
+        attempt = AttemptInFlight(self, pending, number, action.endpoint_id, now_ns, end_ns)
         pending.exchange = Exchange(
             pool, attempt.serialize, attempt.on_ended, is_wanted=attempt.is_wanted, quarantine_s=QUARANTINE_S
         )
@@ -102,7 +106,7 @@
                 exchange.finish(AttemptResult.NOT_SENT)
 
     def on_attempt_ended(
-        self, attempt: Attempt, result: AttemptResult, response: Message | None, elapsed_ns: int
+        self, attempt: AttemptInFlight, result: AttemptResult, response: Message | None, elapsed_ns: int
     ) -> None:
         """Answer the client if the attempt succeeded, and report the result."""
         pending = attempt.pending_request
@@ -130,7 +134,7 @@
 
 
 @dataclass(slots=True, eq=False)
-class Attempt:
+class AttemptInFlight:
     """One attempt, from its start to its result; times on the monotonic clock."""
 
     attempts: Attempts
@@ -144,8 +148,8 @@
         """Give the request's bytes; called when they are written, so that they tell the time left then."""
         request = self.pending_request.request
         left_ms = (self.end_ns - time.monotonic_ns()) // NANOSECONDS_PER_MILLISECOND
-        headers = [header for header in request.end_to_end() if header[0] != DEADLINE_HEADER]
-        headers.append((b"Req-Deadline-Ms", b"%d" % max(1, left_ms)))
+        headers = [header for header in request.end_to_end() if header[0] != DEADLINE_MS_HEADER]
+        headers.append((FORWARDED_DEADLINE_MS_HEADER, b"%d" % max(1, left_ms)))
         return write_request(request.method, request.target, headers, request.body)
 
     def is_wanted(self) -> bool:
@@ -168,6 +172,6 @@
     """Tell the result from a response: only a 503 or 504 marked as declined proves that nothing ran."""
     if response.status == OK_STATUS:
         return AttemptResult.OK
-    if response.status in DECLINED_STATUSES and response.header(DECLINED_HEADER) == b"1":
+    if response.status in DECLINED_STATUSES and response.header(DECLINED_HEADER) == FLAG_SET:
         return AttemptResult.REJECTED
     return AttemptResult.ERROR
--- a/tests/proxy/test_endpoint_list_reader.py
+++ b/tests/proxy/test_endpoint_list_reader.py
@@ -1,4 +1,4 @@
-"""Endpoint lists are read in steps and bounded, from discovery and from the configuration."""
+"""Endpoint lists are read cooperatively and bounded, from discovery and from the configuration."""
 
 from __future__ import annotations
 
@@ -20,11 +20,12 @@
 from loadbalancer.policy.balancer import Balancer
 from loadbalancer.proxy import addresses, endpoint_list_parser
 from loadbalancer.proxy.connection_pool import ConnectionLimits, ConnectionPool
+from loadbalancer.proxy.cooperative import run_to_completion
 from loadbalancer.proxy.endpoint_list import EndpointList
-from loadbalancer.proxy.endpoint_list_reader import STEP_BYTES, EndpointListReader
+from loadbalancer.proxy.endpoint_list_reader import YIELD_BYTES, EndpointListReader
 from loadbalancer.proxy.errors import EndpointListError
+from loadbalancer.proxy.exchange import start_exchange
 from loadbalancer.proxy.proxy import Proxy
-from loadbalancer.proxy.steps import run_through
 from loadbalancer.startup import freeze_heap
 from loadbalancer.state import endpoint_table, hash_ring
 from loadbalancer.state.endpoint_ids import preferred_id
@@ -33,7 +34,7 @@
     HOST,
     PATIENCE_S,
     FakeDiscovery,
-    FakeUpstream,
+    FakeEndpoint,
     Json,
     ReceivedRequest,
     ScriptedPolicy,
@@ -91,8 +92,8 @@
     body = json.dumps({key: text[key] for key in order}, indent=indent).encode()
     once = EndpointListReader(0).read(body)
     with pytest.MonkeyPatch.context() as patch:
-        patch.setattr("loadbalancer.proxy.endpoint_list_reader.STEP_BYTES", stride)
-        pieces = run_through(EndpointListReader(0).steps(bytearray(body)))
+        patch.setattr("loadbalancer.proxy.endpoint_list_reader.YIELD_BYTES", stride)
+        pieces = run_to_completion(EndpointListReader(0).read_cooperatively(bytearray(body)))
     assert contents(once) == contents(pieces)
     assert (once.version, once.complete) == (4, False)
     named = [row["host"] for row in rows if isinstance(row, dict) and isinstance(row.get("host"), str)]
@@ -122,14 +123,14 @@
     assert len(reader.read(json.dumps(complete_list(2)).encode())) == 2
 
 
-def test_a_long_list_is_read_in_steps() -> None:
+def test_a_long_list_is_read_cooperatively() -> None:
     body = bytearray(json.dumps(complete_list(2000)).encode())
-    size, steps = len(body), 0
-    reading = EndpointListReader(0).steps(body)
+    size, yields = len(body), 0
+    reading = EndpointListReader(0).read_cooperatively(body)
     for _ in reading:
-        steps += 1
-        assert len(body) == size - steps * STEP_BYTES  # no more at a stretch; what is read is let go
-    assert steps == (size - 1) // STEP_BYTES
+        yields += 1
+        assert len(body) == size - yields * YIELD_BYTES  # what has been read is freed
+    assert yields == (size - 1) // YIELD_BYTES
 
 
 def test_a_list_over_the_size_limit_is_rejected_with_one_log_line_and_the_old_one_stays(
@@ -139,13 +140,13 @@
 
     async def test() -> None:
         registry, script = FakeDiscovery(), ScriptedPolicy()
-        await registry.upstream.start()
+        await registry.server.start()
         long = json.dumps(complete_list(200, 2)).encode()
         registry.broken = written(200, long)
         config = Configuration(
             "n",
             (HOST, 0),
-            (HOST, registry.upstream.port),
+            (HOST, registry.server.port),
             1,
             1024,
             settings(),
@@ -159,14 +160,14 @@
             assert [r.getMessage() for r in caplog.records] == [
                 f"discovery: a list of over {len(long) - 1} bytes is rejected; the old list stays"
             ]
-            assert len(proxy.endpoint_addresses()) == 3
+            assert len(proxy.addresses.ready()) == 3
             assert len(script.of(EndpointUpdate)) == 1
             registry.broken = b""
             registry.change("s9", port=9)  # what is not too long is heard
-            await until(lambda: preferred_id("s9") in proxy.endpoint_addresses())
+            await until(lambda: preferred_id("s9") in proxy.addresses.ready())
         finally:
             proxy.close()
-            registry.upstream.stop()
+            registry.server.stop()
 
     run(test())
 
@@ -181,21 +182,22 @@
             await go.wait()
             writer.write(written(200, b"x" * 6000)[3000:])
 
-        upstream = await FakeUpstream(part).start()
+        endpoint = await FakeEndpoint(part).start()
         try:
             for rate, put_off in ((1000.0, 3.0), (0.0, 0.0)):
                 ended: list[AttemptResult] = []
                 pool = ConnectionPool(
-                    ConnectionLimits(2, 2.0, 0.0, min_response_rate=rate), (HOST, upstream.port)
+                    ConnectionLimits(2, 2.0, 0.0, min_response_bytes_per_s=rate), (HOST, endpoint.port)
                 )
-                exchange = pool.start_exchange(
+                exchange = start_exchange(
+                    pool,
                     b"GET / HTTP/1.1\r\n\r\n",
                     PATIENCE_S,
                     lambda result, _response, ended=ended: ended.append(result),  # type: ignore[misc]
                 )
                 before = exchange._timeout_timer.when()  # type: ignore[union-attr]
-                seen = len(upstream.got)
-                await until(lambda seen=seen: len(upstream.got) > seen)  # type: ignore[misc]
+                seen = len(endpoint.got)
+                await until(lambda seen=seen: len(endpoint.got) > seen)  # type: ignore[misc]
                 if rate:
                     await until(lambda e=exchange, b=before: e._timeout_timer.when() > b)  # type: ignore[misc]
                 assert exchange._timeout_timer.when() - before == pytest.approx(put_off)  # type: ignore[union-attr]
@@ -204,7 +206,7 @@
                 go.clear()
                 pool.close_idle()
         finally:
-            upstream.stop()
+            endpoint.stop()
 
     run(test())
 
@@ -250,8 +252,8 @@
 
     for module, name in (
         (endpoint_list_parser, "preferred_id"),
-        (endpoint_list_parser, "pack_address"),
-        (addresses, "pack_address"),
+        (endpoint_list_parser, "parse_compact_address"),
+        (addresses, "parse_compact_address"),
         (endpoint_table, "mix64"),
         (hash_ring, "mix64"),
     ):
@@ -263,12 +265,12 @@
         started = Proxy(config, balancer)
         await started.start()
         assert started.ready
-        assert len(started.endpoint_addresses()) == count
+        assert len(started.addresses.ready()) == count
         started.close()
 
     run(test())
     assert done["preferred_id"] == count
-    assert done["pack_address"] <= count + 2
+    assert done["parse_compact_address"] <= count + 2
     assert done["mix64"] <= count + 10
     assert len(balancer.fleet.endpoints) == len(balancer.fleet.pooled_ids)
     assert config.known_endpoints is not None
--- a/tests/support/scripted.py
+++ b/tests/support/scripted.py
@@ -92,13 +92,13 @@
 def end_quarantine(proxy: Proxy) -> None:
     """Go on as if all idle connections had been left alone for long enough."""
     for connection in proxy._connection_limits.idle_connections:
-        connection.quarantined_until -= QUARANTINE_S
+        connection.quarantined_until_s -= QUARANTINE_S
 
 
 def update_first_endpoint(proxy: Proxy, version: int, **row: object) -> None:
     """Apply a change of the first endpoint at once, as discovery would send it."""
     changed = {**known(1)["hosts"][0], **row}
-    proxy._on_watch_result(listing({"seq": version, "whole": False, "hosts": [changed]}))
+    proxy.list_applier.on_watch_result(listing({"seq": version, "whole": False, "hosts": [changed]}))
 
 
 def hold_connections(
