--- a/loadbalancer/policy/balancer.py
+++ b/loadbalancer/policy/balancer.py
@@ -20,6 +20,7 @@
 from loadbalancer.policy.request_admission import RequestAdmission
 from loadbalancer.policy.request_lifecycle import RequestLifecycle
 from loadbalancer.policy.request_queue import RequestQueue
+from loadbalancer.policy.retry_candidates import RetryCandidates
 from loadbalancer.policy.selection import Selection
 from loadbalancer.policy.slow_start import SlowStart
 from loadbalancer.policy.subsetting import new_endpoint_table
@@ -59,7 +60,6 @@
         self.outlier_detection = OutlierDetection(self.fleet, self.timers, self.rng, shortest_objective_ns)
         self.slow_start = SlowStart(settings, self.fleet, self.timers, self.latency_model)
         self.selection = Selection(
-            fleet_updater=self.fleet_updater,
             slow_start=self.slow_start,
             concurrency_limit=self.concurrency_limit,
             latency_model=self.latency_model,
@@ -84,6 +84,7 @@
             rate_controller=self.rate_controller,
             concurrency_limit=self.concurrency_limit,
             selection=self.selection,
+            retry_candidates=RetryCandidates(self.fleet_updater, self.rng),
             load_probing=self.load_probing,
             forwarding=Forwarding(self.concurrency_limit, self.latency_model, self.slow_start, self.timers),
             attempt_results=self.attempt_results,
--- a/loadbalancer/policy/request_lifecycle.py
+++ b/loadbalancer/policy/request_lifecycle.py
@@ -12,6 +12,7 @@
 from loadbalancer.policy.load_probing import LoadProbing
 from loadbalancer.policy.rate_control import RateController
 from loadbalancer.policy.request_queue import RequestQueue
+from loadbalancer.policy.retry_candidates import RetryCandidates
 from loadbalancer.policy.retry_eligibility import may_forward, may_have_run, should_retry
 from loadbalancer.policy.selection import Selection
 from loadbalancer.policy.tenant_throttles import TenantThrottles
@@ -38,6 +39,7 @@
     rate_controller: RateController
     concurrency_limit: ConcurrencyLimit
     selection: Selection
+    retry_candidates: RetryCandidates
     load_probing: LoadProbing
     forwarding: Forwarding
     attempt_results: AttemptResults
@@ -71,7 +73,7 @@
             request = queue.waiting[0]
             if request.probed_endpoints and self.load_probing.is_waiting(request, now_ns):
                 break
-            candidates = self.selection.retry_candidates(request, now_ns) if request.attempts else None
+            candidates = self.retry_candidates.find(request, now_ns) if request.attempts else None
             probed = self.load_probing.end(request, now_ns) if request.probed_endpoints else None
             state = self.selection.pick(queue.pool, now_ns, probed or candidates)
             if state is None and candidates is None:
@@ -112,7 +114,7 @@
 
     def _retry_or_reject(self, request: Request, now_ns: int) -> None:
         """Queue a request again whose attempts have all failed, or give its final response."""
-        candidates = self.selection.retry_candidates(request, now_ns) or request.pool.endpoints[:1]
+        candidates = self.retry_candidates.find(request, now_ns) or request.pool.endpoints[:1]
         if should_retry(request, candidates, now_ns, self.settings.limits):
             self.queues[request.pool].append_first(request)
             self.probe_loads(request, now_ns)
@@ -130,7 +132,7 @@
 
     def _hedge(self, request: Request, now_ns: int) -> None:
         """Forward a request a second time, if an endpoint is available and its tenant has a token left."""
-        candidates = self.selection.retry_candidates(request, now_ns)
+        candidates = self.retry_candidates.find(request, now_ns)
         state = self.selection.pick(request.pool, now_ns, candidates)
         if state is None or not may_forward(request, state.endpoint, now_ns, self.settings.limits):
             return
--- /dev/null
+++ b/loadbalancer/policy/retry_candidates.py
@@ -0,0 +1,65 @@
+"""The endpoints among which a request may be retried (interface types: loadbalancer/messages.py)."""
+
+import random
+
+from loadbalancer.messages import Endpoint
+from loadbalancer.policy.fleet_updates import FleetUpdater
+from loadbalancer.policy.retry_eligibility import same_deduplication_group
+from loadbalancer.settings import DeduplicationScope, Idempotency
+from loadbalancer.state.endpoint_state import EndpointState
+from loadbalancer.state.request import Attempt, Request
+
+ENDPOINTS_OUTSIDE_POOL_MAX = 16  # for one request: the work must not grow with the list
+UNUSED_STATES_MAX = 64  # stored states of endpoints outside the pools, before unused ones are discarded
+
+
+class RetryCandidates:
+    """Finds the endpoints that recognise the idempotency key of a request that may have run."""
+
+    def __init__(self, fleet_updater: FleetUpdater, rng: random.Random) -> None:
+        self.fleet_updater = fleet_updater
+        self.rng = rng
+
+    def find(self, request: Request, now_ns: int) -> list[EndpointState] | None:
+        """Return the endpoints to which a request may be forwarded again; None: all of its pool.
+
+        Once a request may have run, its retries must stay in the zone or cell of the endpoint where it did,
+        if its idempotency key is recognised only there.
+        """
+        request_class = request.request_class
+        if request_class.idempotency is Idempotency.IDEMPOTENT:
+            return None
+        if request_class.deduplication_scope is DeduplicationScope.ALL:
+            return None
+        first = _first_that_may_have_run(request)
+        if first is None:
+            return None
+        reference = first.endpoint_state.endpoint
+        in_pool = [
+            state
+            for state in request.pool.endpoints
+            if same_deduplication_group(request_class, state.endpoint, reference)
+        ]
+        return in_pool + self._group_outside_pool(request, reference, now_ns)
+
+    def _group_outside_pool(self, request: Request, reference: Endpoint, now_ns: int) -> list[EndpointState]:
+        """Return some endpoints of a reference endpoint's zone or cell that are in no pool of this proxy."""
+        pool = request.pool
+        fleet = self.fleet_updater.fleet
+        if len(pool.endpoints) == len(pool.placement.ring):
+            return []
+        if len(fleet.endpoints) > len(fleet.pooled_ids) + UNUSED_STATES_MAX:
+            self.fleet_updater.discard_unused_states()
+        group_ids = fleet.table.ready_in_group(
+            placement=pool.placement,
+            reference=reference,
+            scope=request.request_class.deduplication_scope,
+            position=self.rng.random(),
+            count=ENDPOINTS_OUTSIDE_POOL_MAX,
+        )
+        outside_ids = [endpoint_id for endpoint_id in group_ids if endpoint_id not in fleet.pooled_ids]
+        return self.fleet_updater.states(outside_ids, now_ns)
+
+
+def _first_that_may_have_run(request: Request) -> Attempt | None:
+    return next((attempt for attempt in request.attempts if attempt.may_have_run), None)
--- a/loadbalancer/policy/selection.py
+++ b/loadbalancer/policy/selection.py
@@ -3,21 +3,17 @@
 import random
 from collections.abc import Iterable
 
-from loadbalancer.messages import Endpoint, EndpointStatus
+from loadbalancer.messages import EndpointStatus
 from loadbalancer.policy.concurrency_limit import ConcurrencyLimit
-from loadbalancer.policy.fleet_updates import FleetUpdater
 from loadbalancer.policy.latency_model import LatencyModel
 from loadbalancer.policy.load_estimate import estimated_load, has_fresh_load
-from loadbalancer.policy.retry_eligibility import same_deduplication_group
 from loadbalancer.policy.slow_start import SlowStart
-from loadbalancer.settings import DeduplicationScope, Idempotency
 from loadbalancer.state.endpoint_pool import EndpointPool
 from loadbalancer.state.endpoint_state import EndpointState
-from loadbalancer.state.request import Attempt, Request
+from loadbalancer.state.request import Request
 
 RANDOM_CHOICES = 2
 SCANNED_ENDPOINTS_MAX = 16  # of a pool, for one request: the work must not grow with the pool
-UNUSED_STATES_MAX = 64  # endpoint states outside the pools, for retries with an idempotency key
 RESERVE_LIMIT = 1  # requests in flight at an endpoint outside the subset
 FAILING_ENDPOINT_LIMIT = 1  # requests in flight at an endpoint whose last attempt has failed
 WARMING_UP_LIMIT_DIVISOR = 2
@@ -29,13 +25,11 @@
 
     def __init__(
         self,
-        fleet_updater: FleetUpdater,
         slow_start: SlowStart,
         concurrency_limit: ConcurrencyLimit,
         latency_model: LatencyModel,
         rng: random.Random,
     ) -> None:
-        self.fleet_updater = fleet_updater
         self.slow_start = slow_start
         self.concurrency_limit = concurrency_limit
         self.latency_model = latency_model
@@ -123,44 +117,6 @@
         latency_ns = self.latency_model.latency_at(load)
         return latency_ns * state.relative_latency > request.objective_ns - now_ns
 
-    def retry_candidates(self, request: Request, now_ns: int) -> list[EndpointState] | None:
-        """Return the endpoints to which a request may be sent again; None: all of its pool.
-
-        A request with an idempotency key that may have run stays among the endpoints which recognise the key.
-        """
-        request_class = request.request_class
-        if request_class.idempotency is Idempotency.IDEMPOTENT:
-            return None
-        if request_class.deduplication_scope is DeduplicationScope.ALL:
-            return None
-        first = _first_that_may_have_run(request)
-        if first is None:
-            return None
-        pool = request.pool
-        reference = first.endpoint_state.endpoint
-        in_pool = [
-            state
-            for state in pool.endpoints
-            if same_deduplication_group(request_class, state.endpoint, reference)
-        ]
-        return in_pool + self._group_outside_pool(request, reference, now_ns)
-
-    def _group_outside_pool(self, request: Request, reference: Endpoint, now_ns: int) -> list[EndpointState]:
-        """Return some endpoints of a reference endpoint's zone or cell that are in no pool of this proxy."""
-        pool, fleet = request.pool, self.fleet_updater.fleet
-        if len(pool.endpoints) == len(pool.placement.ring):
-            return []
-        if len(fleet.endpoints) > len(fleet.pooled_ids) + UNUSED_STATES_MAX:
-            self.fleet_updater.discard_unused_states()
-        endpoint_ids = fleet.table.ready_in_group(
-            pool.placement,
-            reference=reference,
-            scope=request.request_class.deduplication_scope,
-            position=self.rng.random(),
-            count=SCANNED_ENDPOINTS_MAX,
-        )
-        return self.fleet_updater.states((i for i in endpoint_ids if i not in fleet.pooled_ids), now_ns)
-
 
 def _least_loaded(endpoints: Iterable[EndpointState], now_ns: int) -> EndpointState:
     """Return the endpoint with the least load, weighted by how long it takes for a request."""
@@ -169,7 +125,3 @@
         return (estimated_load(state, now_ns) + 1) * state.relative_latency
 
     return min(endpoints, key=weighted_load)
-
-
-def _first_that_may_have_run(request: Request) -> Attempt | None:
-    return next((attempt for attempt in request.attempts if attempt.may_have_run), None)
--- a/tests/policy/test_subsetting.py
+++ b/tests/policy/test_subsetting.py
@@ -15,7 +15,7 @@
 from loadbalancer.messages import AttemptResult, Endpoint, EndpointStatus, EndpointUpdate, EndpointUpdateKind
 from loadbalancer.policy import subsetting
 from loadbalancer.policy.balancer import Balancer
-from loadbalancer.policy.selection import SCANNED_ENDPOINTS_MAX
+from loadbalancer.policy.retry_candidates import ENDPOINTS_OUTSIDE_POOL_MAX
 from loadbalancer.policy.subset_size import LARGE_DEPLOYMENT_PROXIES, LARGE_DEPLOYMENT_SUBSET_SIZE
 from loadbalancer.policy.subsetting import RESERVE_SIZE, choose_subset, new_endpoint_table
 from loadbalancer.settings import DeduplicationScope, Prices, RequestClass, Settings
@@ -320,7 +320,7 @@
     assert retried >= 55
     assert (
         len(harness.balancer.fleet.endpoints)
-        <= LARGE_DEPLOYMENT_SUBSET_SIZE + RESERVE_SIZE + 5 * SCANNED_ENDPOINTS_MAX
+        <= LARGE_DEPLOYMENT_SUBSET_SIZE + RESERVE_SIZE + 5 * ENDPOINTS_OUTSIDE_POOL_MAX
     )
     harness.advance(NANOSECONDS_PER_SECOND)
     harness.give()
