--- a/loadbalancer/policy/request_lifecycle.py
+++ b/loadbalancer/policy/request_lifecycle.py
@@ -12,6 +12,7 @@
 from loadbalancer.policy.load_probing import LoadProbing
 from loadbalancer.policy.rate_control import RateController
 from loadbalancer.policy.request_queue import RequestQueue
+from loadbalancer.policy.retry_candidates import RetryCandidates
 from loadbalancer.policy.retry_eligibility import may_forward, may_have_run, should_retry
 from loadbalancer.policy.selection import Selection
 from loadbalancer.policy.tenant_throttles import TenantThrottles
@@ -24,7 +25,7 @@
 
 @dataclass(slots=True, eq=False)
 class RequestLifecycle:
-    """Queues, forwards, retries and hedges requests, and gives each its final response.
+    """Forwards, retries and hedges queued requests, and gives each its final response.
 
     What is to be done is appended to `actions`.
     """
@@ -38,6 +39,7 @@
     rate_controller: RateController
     concurrency_limit: ConcurrencyLimit
     selection: Selection
+    retry_candidates: RetryCandidates
     load_probing: LoadProbing
     forwarding: Forwarding
     attempt_results: AttemptResults
@@ -52,7 +54,7 @@
         """Record that a response is streamed: the request is not forwarded again."""
         request = self.requests.get(event.request_id)
         if request is not None:
-            request.streaming = True
+            request.start_streaming()
 
     def probe_loads(self, request: Request, now_ns: int) -> None:
         """Start load probing for a request that was queued, where loads are probed."""
@@ -71,7 +73,7 @@
             request = queue.waiting[0]
             if request.probed_endpoints and self.load_probing.is_waiting(request, now_ns):
                 break
-            candidates = self.selection.retry_candidates(request, now_ns) if request.attempts else None
+            candidates = self.retry_candidates.find(request, now_ns) if request.attempts else None
             probed = self.load_probing.end(request, now_ns) if request.probed_endpoints else None
             state = self.selection.pick(queue.pool, now_ns, probed or candidates)
             if state is None and candidates is None:
@@ -88,6 +90,7 @@
             queue.mark_unblocked()
 
     def _forward_or_reject(self, request: Request, state: EndpointState, now_ns: int) -> None:
+        """Start an attempt at the chosen endpoint, if that is still safe."""
         if may_forward(request, state.endpoint, now_ns, self.settings.limits):
             self.actions.append(self.forwarding.start_attempt(request, state, now_ns))
         else:
@@ -112,7 +115,7 @@
 
     def _retry_or_reject(self, request: Request, now_ns: int) -> None:
         """Queue a request again whose attempts have all failed, or give its final response."""
-        candidates = self.selection.retry_candidates(request, now_ns) or request.pool.endpoints[:1]
+        candidates = self.retry_candidates.find(request, now_ns) or request.pool.endpoints[:1]
         if should_retry(request, candidates, now_ns, self.settings.limits):
             self.queues[request.pool].append_first(request)
             self.probe_loads(request, now_ns)
@@ -130,7 +133,7 @@
 
     def _hedge(self, request: Request, now_ns: int) -> None:
         """Forward a request a second time, if an endpoint is available and its tenant has a token left."""
-        candidates = self.selection.retry_candidates(request, now_ns)
+        candidates = self.retry_candidates.find(request, now_ns)
         state = self.selection.pick(request.pool, now_ns, candidates)
         if state is None or not may_forward(request, state.endpoint, now_ns, self.settings.limits):
             return
@@ -156,8 +159,10 @@
         self._finish(request)
 
     def _finish(self, request: Request) -> None:
-        self._leave_queue(request)
-        request.finished = True
+        """End a request that needs no further response, and cancel its attempts in flight."""
+        if request.queued_in is not None:
+            self._leave_queue(request)
+        request.finish()
         if self.settings.limits.cancellation:
             for number, attempt in enumerate(request.attempts):
                 if attempt.result is None:
@@ -165,8 +170,9 @@
         self.requests.remove_if_over(request)
 
     def _leave_queue(self, request: Request) -> None:
+        """Take a request out of its pool's queue, or its tenant's buffer, and return the token."""
         if request.queued_in is Queue.POOL_QUEUE:
             self.queues[request.pool].remove(request)
         elif request.queued_in is Queue.THROTTLE_BUFFER:
             self.throttles.existing(request.tenant).remove_buffered(request)
-            request.queued_in = None
+            request.leave_queue()
