--- a/loadbalancer/policy/subsetting.py
+++ b/loadbalancer/policy/subsetting.py
@@ -14,8 +14,9 @@
 
 from loadbalancer.policy.subset_size import FULL_SUBSET_SIZE, is_large_deployment, proxy_offset, subset_size
 from loadbalancer.settings import DeduplicationScope, Settings
-from loadbalancer.state.endpoint_table import EndpointTable, Placement
+from loadbalancer.state.endpoint_table import EndpointTable
 from loadbalancer.state.hash_ring import RingKey, mix64, ring_slice, segment_ranks
+from loadbalancer.state.placement import Placement
 from loadbalancer.state.subset import Subset
 
 SEGMENT_PROXIES_MIN = 256  # with fewer the endpoints of a segment are not evenly used
--- a/loadbalancer/proxy/endpoint_list.py
+++ b/loadbalancer/proxy/endpoint_list.py
@@ -8,8 +8,8 @@
 
 from loadbalancer.messages import Endpoint
 from loadbalancer.proxy.addresses import Address, CompactAddress, expand_address
+from loadbalancer.state.endpoint_attributes import EndpointAttributes
 from loadbalancer.state.endpoint_ids import EndpointIdRegistry
-from loadbalancer.state.endpoint_table import EndpointAttributes
 
 
 class ListedEndpoint(NamedTuple):
--- a/loadbalancer/proxy/endpoint_list_parser.py
+++ b/loadbalancer/proxy/endpoint_list_parser.py
@@ -29,8 +29,8 @@
     LIST_VERSION,
     STATUS_BY_NAME,
 )
+from loadbalancer.state.endpoint_attributes import EndpointAttributes
 from loadbalancer.state.endpoint_ids import EndpointIdRegistry, host_fingerprint, preferred_id
-from loadbalancer.state.endpoint_table import EndpointAttributes
 
 log = logging.getLogger(__name__)
 NS_PER_MS = 1_000_000
--- a/loadbalancer/state/endpoint_pool.py
+++ b/loadbalancer/state/endpoint_pool.py
@@ -6,7 +6,7 @@
 
 from loadbalancer.messages import Endpoint
 from loadbalancer.state.endpoint_state import EndpointState
-from loadbalancer.state.endpoint_table import Placement
+from loadbalancer.state.placement import Placement
 from loadbalancer.state.subset import Subset
 
 
--- a/loadbalancer/state/endpoint_table.py
+++ b/loadbalancer/state/endpoint_table.py
@@ -7,105 +7,19 @@
 
 from __future__ import annotations
 
-from bisect import bisect_left, insort
-from collections import defaultdict
-from collections.abc import Iterable
-from dataclasses import dataclass, field
-from typing import NamedTuple
-
 from sortedcontainers import SortedList
 
 from loadbalancer.messages import Endpoint, EndpointStatus
 from loadbalancer.settings import DeduplicationScope
-from loadbalancer.state.hash_ring import RingKey, mix64, ring_slice, unmix64
+from loadbalancer.state.endpoint_attributes import EndpointAttributes, EndpointFields
+from loadbalancer.state.hash_ring import RingKey, ring_slice, unmix64
+from loadbalancer.state.placement import Placement
 
 REBUILD_CHANGES_MIN = 256  # with fewer changes the rings are never built anew
 REBUILD_CHANGED_FRACTION = 0.5  # of the endpoints, beyond REBUILD_CHANGES_MIN
 UNUSED_ATTRIBUTES_MIN = 256  # fewer are never dropped
 
 
-class EndpointAttributes(NamedTuple):
-    """The fields of an `Endpoint` without its id, in the same order.
-
-    Endpoints with equal attributes share one object: in a long list most differ by their id alone.
-    """
-
-    status: EndpointStatus
-    zone: str
-    cell: int
-    weight: float
-    started_ns: int
-    machine_type: str
-
-
-EndpointFields = tuple[EndpointStatus, str, int, float, int, str]  # as `EndpointAttributes`, and equal to it
-IdentifiedAttributes = tuple[int, EndpointAttributes]  # an endpoint's id and attributes
-
-
-@dataclass(slots=True, eq=False)
-class Placement:
-    """The ready endpoints that one placement admits, in ring order: all, by zone, and by cell.
-
-    A placement is the pair of zones and machine types that a request class is restricted to. The rings by
-    zone and by cell are filled only if `index_zones` and `index_cells` are set.
-    """
-
-    allowed_zones: frozenset[str] | None  # None: all zones
-    allowed_machine_types: frozenset[str] | None  # None: all machine types
-    index_zones: bool = False
-    index_cells: bool = False
-    ring: SortedList[RingKey] = field(default_factory=SortedList)
-    by_zone: dict[str, SortedList[RingKey]] = field(default_factory=lambda: defaultdict(SortedList))
-    by_cell: dict[tuple[str, int], list[RingKey]] = field(default_factory=lambda: defaultdict(list))
-
-    def admits(self, zone: str, machine_type: str) -> bool:
-        """Tell whether requests of this placement may go to an endpoint of a zone and machine type."""
-        return (self.allowed_zones is None or zone in self.allowed_zones) and (
-            self.allowed_machine_types is None or machine_type in self.allowed_machine_types
-        )
-
-    def remove(self, endpoints: Iterable[IdentifiedAttributes]) -> None:
-        """Take admitted endpoints off the rings, given the attributes with which they were added."""
-        for endpoint_id, attributes in endpoints:
-            if not self.admits(attributes.zone, attributes.machine_type):
-                continue
-            key = mix64(endpoint_id, 0)
-            self.ring.remove(key)
-            if self.index_zones:
-                self.by_zone[attributes.zone].remove(key)
-            if self.index_cells:
-                self._remove_from_cell((attributes.zone, attributes.cell), key)
-
-    def _remove_from_cell(self, cell: tuple[str, int], key: RingKey) -> None:
-        keys = self.by_cell[cell]
-        del keys[bisect_left(keys, key)]
-        if not keys:
-            del self.by_cell[cell]
-
-    def add(self, endpoints: Iterable[IdentifiedAttributes]) -> None:
-        """Put those of these ready endpoints on the rings that the placement admits."""
-        keys: list[RingKey] = []
-        zones: dict[str, list[RingKey]] = defaultdict(list)
-        for endpoint_id, attributes in endpoints:
-            if not self.admits(attributes.zone, attributes.machine_type):
-                continue
-            key = mix64(endpoint_id, 0)
-            keys.append(key)
-            if self.index_zones:
-                zones[attributes.zone].append(key)
-            if self.index_cells:
-                insort(self.by_cell[attributes.zone, attributes.cell], key)
-        self.ring.update(keys)
-        for zone, zone_keys in zones.items():
-            self.by_zone[zone].update(zone_keys)
-
-    def clear(self) -> None:
-        """Empty all rings."""
-        self.ring.clear()
-        self.by_zone.clear()
-        self.by_cell.clear()
-
-
 class EndpointTable:
     """The attributes of all listed endpoints, and the rings of the placements.
 
--- a/loadbalancer/state/fleet.py
+++ b/loadbalancer/state/fleet.py
@@ -7,7 +7,8 @@
 from loadbalancer.settings import RequestClass
 from loadbalancer.state.endpoint_pool import EndpointPool
 from loadbalancer.state.endpoint_state import EndpointState
-from loadbalancer.state.endpoint_table import EndpointTable, Placement
+from loadbalancer.state.endpoint_table import EndpointTable
+from loadbalancer.state.placement import Placement
 
 PlacementKey = tuple[frozenset[str] | None, frozenset[str] | None]  # allowed zones, allowed machine types
 
--- a/scale_test/subset_balance.py
+++ b/scale_test/subset_balance.py
@@ -10,7 +10,8 @@
 from loadbalancer.policy.subsetting import choose_subset, new_endpoint_table
 from loadbalancer.settings import Prices, Settings
 from loadbalancer.state.endpoint_ids import preferred_id
-from loadbalancer.state.endpoint_table import EndpointTable, Placement
+from loadbalancer.state.endpoint_table import EndpointTable
+from loadbalancer.state.placement import Placement
 from scale_test.plan import Plan, zone_name
 from scale_test.registry import UPSTREAMS_PER_BLOCK
 
--- a/tests/policy/test_subsetting.py
+++ b/tests/policy/test_subsetting.py
@@ -19,9 +19,10 @@
 from loadbalancer.policy.subset_size import LARGE_DEPLOYMENT_PROXIES, LARGE_DEPLOYMENT_SUBSET_SIZE
 from loadbalancer.policy.subsetting import RESERVE_SIZE, choose_subset, new_endpoint_table
 from loadbalancer.settings import DeduplicationScope, Prices, RequestClass, Settings
-from loadbalancer.state import endpoint_table, hash_ring
-from loadbalancer.state.endpoint_table import EndpointTable, Placement
+from loadbalancer.state import endpoint_table, hash_ring, placement
+from loadbalancer.state.endpoint_table import EndpointTable
 from loadbalancer.state.hash_ring import mix64, unmix64
+from loadbalancer.state.placement import Placement
 from loadbalancer.state.subset import Subset
 from tests.support.policy_harness import (
     CELL,
@@ -212,7 +213,7 @@
     balancer = Balancer(proxy_settings(8800, index=5), 1, now_ns)
     balancer.handle(now_ns, [EndpointUpdate(EndpointUpdateKind.FULL, endpoints)])
     counts: Counter[str] = Counter()
-    modules = (hash_ring, endpoint_table, subsetting)
+    modules = (hash_ring, endpoint_table, placement, subsetting)
     names = ("mix64", "unmix64", "ring_slice")
     functions = {name: getattr(hash_ring, name) for name in names}
 
@@ -260,7 +261,7 @@
     attributes = dict(balancer.fleet.table.attributes)
     states = dict(balancer.fleet.endpoints)
     # The hash is called for any change of a ring.
-    monkeypatch.setattr(endpoint_table, "mix64", None)
+    monkeypatch.setattr(placement, "mix64", None)
     monkeypatch.setattr(hash_ring, "mix64", None)
     update = EndpointUpdate(EndpointUpdateKind.FULL, list(reversed(endpoints)))
     balancer.handle(START + NANOSECONDS_PER_SECOND, [update])
--- a/tests/policy/test_throttle.py
+++ b/tests/policy/test_throttle.py
@@ -12,7 +12,7 @@
 from loadbalancer.policy.throttle import Admission, Throttle, take_retry_token
 from loadbalancer.settings import RequestClass, Tenant
 from loadbalancer.state.endpoint_pool import EndpointPool
-from loadbalancer.state.endpoint_table import Placement
+from loadbalancer.state.placement import Placement
 from loadbalancer.state.request import Request
 from tests.support.policy_harness import (
     NANOSECONDS_PER_MILLISECOND,
--- a/tests/proxy/test_endpoint_list_reader.py
+++ b/tests/proxy/test_endpoint_list_reader.py
@@ -27,7 +27,7 @@
 from loadbalancer.proxy.exchange import start_exchange
 from loadbalancer.proxy.proxy import Proxy
 from loadbalancer.startup import freeze_heap
-from loadbalancer.state import endpoint_table, hash_ring
+from loadbalancer.state import hash_ring, placement
 from loadbalancer.state.endpoint_ids import preferred_id
 from tests.support.discovery import complete_list
 from tests.support.sockets import (
@@ -254,7 +254,7 @@
         (endpoint_list_parser, "preferred_id"),
         (endpoint_list_parser, "parse_compact_address"),
         (addresses, "parse_compact_address"),
-        (endpoint_table, "mix64"),
+        (placement, "mix64"),
         (hash_ring, "mix64"),
     ):
         counted(module, name)
