--- a/loadbalancer/policy/request_lifecycle.py
+++ b/loadbalancer/policy/request_lifecycle.py
@@ -25,7 +25,7 @@
 
 @dataclass(slots=True, eq=False)
 class RequestLifecycle:
-    """Queues, forwards, retries and hedges requests, and gives each its final response.
+    """Forwards, retries and hedges queued requests, and gives each its final response.
 
     What is to be done is appended to `actions`.
     """
@@ -54,7 +54,7 @@
         """Record that a response is streamed: the request is not forwarded again."""
         request = self.requests.get(event.request_id)
         if request is not None:
-            request.streaming = True
+            request.start_streaming()
 
     def probe_loads(self, request: Request, now_ns: int) -> None:
         """Start load probing for a request that was queued, where loads are probed."""
@@ -90,6 +90,7 @@
             queue.mark_unblocked()
 
     def _forward_or_reject(self, request: Request, state: EndpointState, now_ns: int) -> None:
+        """Start an attempt at the chosen endpoint, if that is still safe."""
         if may_forward(request, state.endpoint, now_ns, self.settings.limits):
             self.actions.append(self.forwarding.start_attempt(request, state, now_ns))
         else:
@@ -158,8 +159,10 @@
         self._finish(request)
 
     def _finish(self, request: Request) -> None:
-        self._leave_queue(request)
-        request.finished = True
+        """End a request that needs no further response, and cancel its attempts in flight."""
+        if request.queued_in is not None:
+            self._leave_queue(request)
+        request.finish()
         if self.settings.limits.cancellation:
             for number, attempt in enumerate(request.attempts):
                 if attempt.result is None:
@@ -167,8 +170,9 @@
         self.requests.remove_if_over(request)
 
     def _leave_queue(self, request: Request) -> None:
+        """Take a request out of its pool's queue, or its tenant's buffer, and return the token."""
         if request.queued_in is Queue.POOL_QUEUE:
             self.queues[request.pool].remove(request)
         elif request.queued_in is Queue.THROTTLE_BUFFER:
             self.throttles.existing(request.tenant).remove_buffered(request)
-            request.queued_in = None
+            request.leave_queue()
--- a/loadbalancer/proxy/endpoint_connection.py
+++ b/loadbalancer/proxy/endpoint_connection.py
@@ -8,7 +8,8 @@
 from typing import Protocol, cast
 
 from loadbalancer.messages import AttemptResult
-from loadbalancer.proxy.http import CONTENT_TOO_LARGE, Message, MessageReader
+from loadbalancer.proxy.http import Message, MessageReader
+from loadbalancer.proxy.http_status import CONTENT_TOO_LARGE
 from loadbalancer.proxy.socket_state import has_unread_input
 
 
@@ -31,7 +32,7 @@
         """Return the request as it is to be written now."""
 
     def extend_timeout(self, size_bytes: int) -> None:
-        """Part of the response has come."""
+        """Part of the response has been received."""
 
     def on_response_too_large(self) -> None:
         """The response is larger than allowed; `finish` follows."""
