--- a/tests/policy/test_draw_width.py
+++ b/tests/policy/test_draw_width.py
@@ -4,7 +4,7 @@
 
 from loadbalancer.policy.draw_width import draw_width
 from loadbalancer.state.endpoint_pool import EndpointPool
-from loadbalancer.state.endpoint_table import Placement
+from loadbalancer.state.placement import Placement
 from tests.support.policy_harness import make_endpoints
 from tests.support.requests import make_state
 
