--- a/loadbalancer/policy/balancer.py
+++ b/loadbalancer/policy/balancer.py
@@ -16,14 +16,14 @@
 from loadbalancer.policy.load_estimate import is_loaded
 from loadbalancer.policy.load_probing import LoadProbing, is_probing_enabled
 from loadbalancer.policy.outlier_detection import OutlierDetection
-from loadbalancer.policy.rate_control import FEEDBACK_INTERVAL_NS
+from loadbalancer.policy.rate_control import FEEDBACK_INTERVAL_NS, RateController
 from loadbalancer.policy.request_admission import RequestAdmission
 from loadbalancer.policy.request_lifecycle import RequestLifecycle
 from loadbalancer.policy.request_queue import RequestQueue
 from loadbalancer.policy.selection import Selection
 from loadbalancer.policy.slow_start import SlowStart
 from loadbalancer.policy.subsetting import new_endpoint_table
-from loadbalancer.policy.tenant_throttles import TenantThrottles
+from loadbalancer.policy.tenant_throttles import TenantThrottles, total_tenant_weight
 from loadbalancer.policy.timers import AttemptOverdue, PollDiscovery, QueueDeadline, Timer, TokenDue
 from loadbalancer.settings import Settings
 from loadbalancer.state.fleet import Fleet
@@ -46,8 +46,8 @@
         ]
         shortest_objective_ns = min(objectives)
         self.timers = TimerQueue[Timer]()
-        self.throttles = TenantThrottles(settings, self.rng, now_ns, shortest_objective_ns)
-        self.rate_controller = self.throttles.rate_controller
+        self.rate_controller = RateController(total_tenant_weight(settings), now_ns)
+        self.throttles = TenantThrottles(settings, self.rate_controller, self.rng, shortest_objective_ns)
         self.latency_model = LatencyModel(slowest_objective_ns=max(objectives))
         self.concurrency_limit = ConcurrencyLimit(self.latency_model)
         self.fleet = Fleet(settings.request_classes, new_endpoint_table(settings))
--- a/loadbalancer/policy/tenant_throttles.py
+++ b/loadbalancer/policy/tenant_throttles.py
@@ -1,7 +1,7 @@
 """Which tenants have a throttle, and with what weight (types: loadbalancer/messages.py)."""
 
 import random
-from collections.abc import Collection
+from collections.abc import Collection, Mapping
 
 from loadbalancer.policy.rate_control import RateController
 from loadbalancer.policy.throttle import Throttle
@@ -10,6 +10,20 @@
 TENANT_WEIGHT_MIN = 1e-6  # the weight of a tenant without a quota
 
 
+def _tenants(settings: Settings) -> Mapping[str, Tenant]:
+    """Return the configured tenants by name; where there are none, one with an empty name sends it all."""
+    return settings.tenants or {"": Tenant("")}
+
+
+def _weight(tenant: Tenant) -> float:
+    return max(TENANT_WEIGHT_MIN, tenant.quota_share)
+
+
+def total_tenant_weight(settings: Settings) -> float:
+    """Return the sum of the weights of all configured tenants."""
+    return sum(_weight(tenant) for tenant in _tenants(settings).values())
+
+
 class TenantThrottles:
     """The throttles of the tenants that send.
 
@@ -18,15 +32,18 @@
     """
 
     def __init__(
-        self, settings: Settings, rng: random.Random, now_ns: int, shortest_objective_ns: int
+        self,
+        settings: Settings,
+        rate_controller: RateController,
+        rng: random.Random,
+        shortest_objective_ns: int,
     ) -> None:
-        self._tenants = settings.tenants or {"": Tenant("")}
+        self._tenants = _tenants(settings)
         self._default_tenant = next(iter(self._tenants))  # stands for tenants that are not configured
+        self._rate_controller = rate_controller
         self._rng = rng
         self._shortest_objective_ns = shortest_objective_ns
         self._throttles: dict[str, Throttle] = {}
-        total_weight = sum(self._weight(tenant) for tenant in self._tenants)
-        self.rate_controller = RateController(total_weight, now_ns)
 
     def __len__(self) -> int:
         return len(self._throttles)
@@ -44,12 +61,12 @@
             return self.of(self._default_tenant, now_ns)
         throttle = Throttle(
             tenant=tenant,
-            weight=self._weight(tenant),
+            weight=_weight(self._tenants[tenant]),
             rng=self._rng,
             now_ns=now_ns,
             shortest_objective_ns=self._shortest_objective_ns,
         )
-        throttle.set_rate(self.rate_controller.rate_of_idle_tenant(throttle.weight), now_ns)
+        throttle.set_rate(self._rate_controller.rate_of_idle_tenant(throttle.weight), now_ns)
         self._throttles[tenant] = throttle
         return throttle
 
@@ -62,6 +79,3 @@
         for throttle in list(self._throttles.values()):
             if throttle.is_idle(now_ns):
                 del self._throttles[throttle.tenant]
-
-    def _weight(self, tenant: str) -> float:
-        return max(TENANT_WEIGHT_MIN, self._tenants[tenant].quota_share)
