--- a/loadbalancer/proxy/attempts.py
+++ b/loadbalancer/proxy/attempts.py
@@ -45,6 +45,7 @@
         connection_pool: Callable[[int], ConnectionPool | None],
         on_ended: Callable[[AttemptEnded], None],
         max_attempts: int,
+        *,
         read_load_reports: bool,
     ) -> None:
         """Set up the attempts.
--- a/loadbalancer/proxy/client_connection.py
+++ b/loadbalancer/proxy/client_connection.py
@@ -48,7 +48,7 @@
     def expect_request(self, client: ClientConnection) -> None:
         """The first part of a request has been received: the rest is due."""
 
-    def start_closing(self, client: ClientConnection, flushing: bool = False) -> None:
+    def start_closing(self, client: ClientConnection, *, flushing: bool = False) -> None:
         """The connection is closing; `flushing` if part of a response is still to be written."""
 
     def remove(self, client: ClientConnection) -> None:
@@ -165,7 +165,7 @@
             return
         close = not self._current.keep_alive or self._owner.draining or self._owner.nearly_full
         self._current = None
-        self._transport.write(write_response(status, headers, body, close))
+        self._transport.write(write_response(status, headers, body, close=close))
         if close:
             self.close()
         else:
@@ -192,7 +192,7 @@
         self._owner.start_closing(self)
         if self._transport is None:
             return
-        self._transport.write(write_response(status, (), b"", True))
+        self._transport.write(write_response(status, (), b"", close=True))
         # Closed only when the client has read the response, see LINGERING_CLOSE_MAX_BYTES.
         if self._transport.can_write_eof():
             self._transport.write_eof()
@@ -206,7 +206,7 @@
     def close(self) -> None:
         """Close the connection gracefully: buffered response data is still sent, for a limited time."""
         self._ended = True
-        self._owner.start_closing(self, self.has_unsent_data)
+        self._owner.start_closing(self, flushing=self.has_unsent_data)
         if self._transport is not None:
             self._transport.close()
 
--- a/loadbalancer/proxy/discovery_call.py
+++ b/loadbalancer/proxy/discovery_call.py
@@ -86,7 +86,7 @@
         """Start a call for a list, which discovery may hold for `wait_s`."""
         return DiscoveryCall(self, query, wait_s, on_result)
 
-    def record_connect_result(self, refused: bool) -> None:
+    def record_connect_result(self, *, refused: bool) -> None:
         """Record whether a call failed to connect."""
         self.refuses_connections = refused
 
--- a/loadbalancer/proxy/discovery_client.py
+++ b/loadbalancer/proxy/discovery_client.py
@@ -45,6 +45,7 @@
         self,
         address: Address,
         reader: EndpointListReader,
+        *,
         pushes: bool,
         rng: random.Random,
         on_result: OnResult,
--- a/loadbalancer/proxy/endpoint_list.py
+++ b/loadbalancer/proxy/endpoint_list.py
@@ -25,7 +25,7 @@
     An entry is the id, the attributes and the address at the same index. Equal attributes are one object.
     """
 
-    def __init__(self, id_registry: EndpointIdRegistry, version: int = 0, complete: bool = False) -> None:
+    def __init__(self, id_registry: EndpointIdRegistry, version: int = 0, *, complete: bool = False) -> None:
         self.id_registry = id_registry
         """Assigned the ids."""
         self.version = version
--- a/loadbalancer/proxy/exchange.py
+++ b/loadbalancer/proxy/exchange.py
@@ -132,7 +132,7 @@
         """End the exchange without a report; the connection on which its response is due is closed."""
         self._release(close_connection=True)
 
-    def _release(self, close_connection: bool) -> None:
+    def _release(self, *, close_connection: bool) -> None:
         """Mark it as finished and release all that it holds."""
         self.finished = True
         if self._timeout_timer is not None:
--- a/loadbalancer/proxy/health_checks.py
+++ b/loadbalancer/proxy/health_checks.py
@@ -28,6 +28,7 @@
         self,
         connection_pool: Callable[[int], ConnectionPool | None],
         on_ended: Callable[[HealthCheckEnded], None],
+        *,
         with_load_reports: bool,
     ) -> None:
         """Set up the health checks.
--- a/loadbalancer/proxy/http.py
+++ b/loadbalancer/proxy/http.py
@@ -88,7 +88,7 @@
 class MessageReader:
     """Splits the bytes of a connection into messages; `error_status` is set when that fails."""
 
-    def __init__(self, responses: bool = False, max_body_bytes: int = MAX_REQUEST_BODY_BYTES) -> None:
+    def __init__(self, *, responses: bool = False, max_body_bytes: int = MAX_REQUEST_BODY_BYTES) -> None:
         self._parser = httptools.HttpResponseParser(self) if responses else httptools.HttpRequestParser(self)
         self._max_body_bytes = max_body_bytes
         self._complete: list[Message] = []
@@ -205,7 +205,7 @@
 
 
 def _serialize_message(
-    start_line: bytes, headers: Headers, body: bytes | bytearray, with_length: bool
+    start_line: bytes, headers: Headers, body: bytes | bytearray, *, with_length: bool
 ) -> bytes:
     lines = [start_line, *(name + b": " + value for name, value in headers)]
     if with_length:
@@ -216,14 +216,15 @@
 def write_request(method: bytes, target: bytes, headers: Headers, body: bytes | bytearray = b"") -> bytes:
     """Serialize a request; its Content-Length is added, except to a GET without a body."""
     with_length = bool(body) or method != b"GET"
-    return _serialize_message(method + b" " + target + b" HTTP/1.1", headers, body, with_length)
+    return _serialize_message(method + b" " + target + b" HTTP/1.1", headers, body, with_length=with_length)
 
 
-def write_response(status: int, headers: Headers, body: bytes | bytearray, close: bool) -> bytes:
+def write_response(status: int, headers: Headers, body: bytes | bytearray, *, close: bool) -> bytes:
     """Serialize a response with its Content-Length; `close` adds `Connection: close`."""
     reason = REASON_PHRASES.get(status, "Unknown").encode()
     connection = [(b"Connection", b"close")] if close else []
-    return _serialize_message(b"HTTP/1.1 %d %s" % (status, reason), [*headers, *connection], body, True)
+    status_line = b"HTTP/1.1 %d %s" % (status, reason)
+    return _serialize_message(status_line, [*headers, *connection], body, with_length=True)
 
 
 def parse_decimal(text: bytes) -> int | None:
