--- a/loadbalancer/messages.py
+++ b/loadbalancer/messages.py
@@ -42,15 +42,16 @@
 
     OK = "ok"
     ERROR = "error"  # an error response; may have run
-    REJECTED = "rejected"  # the endpoint rejected it before running it; never ran
+    REJECTED = "rejected"  # by the endpoint; never ran, unless `Rules.rejected_may_have_run`
     TIMEOUT = "timeout"  # may have run, may still be running
-    CONNECT_FAILED = "connect_failed"  # no connection; never ran
+    CONNECT_FAILED = "connect_failed"  # no connection, or the proxy's connection limit is reached; never ran
     RESET = "reset"  # the connection broke; may have run
     CANCELLED = "cancelled"  # by `CancelAttempt`; may have run
     NOT_SENT = "not_sent"  # the proxy did not send it; never ran
 
 
-# Results after which a request may be sent again even if it is not idempotent.
+# Results after which a request that is not idempotent may be sent again; REJECTED unless
+# `Rules.rejected_may_have_run`.
 NEVER_RAN = frozenset({AttemptResult.REJECTED, AttemptResult.CONNECT_FAILED, AttemptResult.NOT_SENT})
 
 
--- a/loadbalancer/policy/feedback.py
+++ b/loadbalancer/policy/feedback.py
@@ -1,4 +1,7 @@
-"""What is adjusted after each feedback interval (interface types: loadbalancer/messages.py)."""
+"""What is adjusted at each feedback tick (interface types: loadbalancer/messages.py).
+
+A feedback tick comes FEEDBACK_INTERVAL_NS after the one before, or with the first batch of events after that.
+"""
 
 from dataclasses import dataclass
 
@@ -18,7 +21,7 @@
 
 @dataclass(slots=True, eq=False)
 class Feedback:
-    """Adjusts rates, limits and draw widths to the results of the last feedback interval."""
+    """Adjusts rates, limits and draw widths to the results of recent attempts."""
 
     fleet: Fleet
     fleet_updater: FleetUpdater
@@ -31,7 +34,10 @@
     request_admission: RequestAdmission
 
     def adjust(self, now_ns: int) -> None:
-        """End the interval; requests that have a token at the new rates are queued."""
+        """Decay samples, set draw widths and rates, and queue requests that have a token at the new rates.
+
+        The rates change only at the ticks that end a rate interval (`RateController.adjust`).
+        """
         self.concurrency_limit.decay()
         self.fleet_updater.discard_unused_states()
         self.outlier_detection.decay()
--- a/loadbalancer/policy/outlier_detection.py
+++ b/loadbalancer/policy/outlier_detection.py
@@ -1,15 +1,19 @@
 """When an endpoint that fails is ejected, and for how long (interface types: loadbalancer/messages.py).
 
-`OutlierDetection.eject` ejects an endpoint: after its first failure for a base time, after each further one
-in a row for twice as long as before, and at most for EJECTION_MAX_NS. This time is multiplied by a random
-factor from EJECTION_JITTER_MIN to EJECTION_JITTER_MAX. The base time depends on the failure:
+`OutlierDetection.eject` ejects an endpoint: after its first failure for a base time, which is doubled for
+each further failure in a row, EJECTION_DOUBLINGS_MAX times at most, and capped at EJECTION_MAX_NS. The result
+is multiplied by a random factor from EJECTION_JITTER_MIN to EJECTION_JITTER_MAX. The base time depends on the
+failure:
 
-- no connection, or a reset that is attributed to the endpoint: BASE_EJECTION_NS;
+- no connection, also where this proxy's own connection limit allows none, or a reset that is attributed to
+  the endpoint: BASE_EJECTION_NS;
 - an attempt that took too long or was rejected (`eject_slow`): the time that it was expected to take, at most
   the shortest latency objective.
 
-No endpoint is ejected while EJECTED_FRACTION_MAX of those that one of its pools draws from are. The next
-successful response clears its failures. Pacing (`SlowStart.apply_pacing`) uses the same `ejected_until_ns`.
+No endpoint is ejected while EJECTED_FRACTION_MAX of those that one of its pools draws from are. Pacing
+(`SlowStart.apply_pacing`) uses the same `ejected_until_ns`, so that paced endpoints count as ejected. The
+next successful response of an endpoint that has failed clears its failures and ends its ejection or pacing;
+so does a restart that the endpoint list reports.
 """
 
 import random
@@ -29,8 +33,9 @@
 EJECTION_JITTER_MAX = 1.25
 EJECTED_FRACTION_MAX = 0.7  # of the endpoints that a pool draws from
 RESET_PROBABILITY_MAX = 1e-3  # resets in a row less likely than this are attributed to the endpoint
-COMMON_RESET_FRACTION_MAX = 0.3  # beyond it, enough resets in a row eject an endpoint
-RESET_COUNTS_DECAY = 0.8  # per feedback interval
+# The assumed probability of a reset is capped at this, so that 6 resets in a row are always attributed.
+COMMON_RESET_FRACTION_MAX = 0.3
+RESET_COUNTS_DECAY = 0.8  # per feedback tick
 
 
 class OutlierDetection:
@@ -75,7 +80,7 @@
         return int(ejection_ns * self.rng.uniform(EJECTION_JITTER_MIN, EJECTION_JITTER_MAX))
 
     def _may_eject(self, state: EndpointState, now_ns: int) -> bool:
-        """Tell whether each pool that draws from an endpoint has enough others that are not ejected."""
+        """Tell whether few endpoints are ejected or paced in each pool that draws from this one."""
         pools = self.fleet.pools.values()
         return all(
             self._has_few_ejected(pool, now_ns)
@@ -84,6 +89,7 @@
         )
 
     def _has_few_ejected(self, pool: EndpointPool, now_ns: int) -> bool:
+        """Tell whether fewer than EJECTED_FRACTION_MAX are ejected or paced, as in a pool of one endpoint."""
         ejected = sum(state.ejected_until_ns > now_ns for state in pool.endpoints[: pool.draw_width])
         return ejected < EJECTED_FRACTION_MAX * pool.draw_width
 
@@ -99,9 +105,9 @@
     def _are_resets_unlikely_by_chance(self, state: EndpointState) -> bool:
         """Tell whether an endpoint's resets in a row set it apart from the other endpoints.
 
-        Where connections break at all endpoints alike (a bad network, a device on the way, connections closed
+        Where connections break at all endpoints alike (a bad network, a middlebox, connections closed
         as a request is sent) a reset is not attributed to the endpoint: by chance this would eject most of a
-        sound fleet.
+        healthy fleet.
         """
         other_attempts = max(1.0, self.recent_attempts - state.recent_attempts)
         reset_fraction = (self.recent_resets - state.recent_resets) / other_attempts
--- a/loadbalancer/policy/queue_admission.py
+++ b/loadbalancer/policy/queue_admission.py
@@ -12,8 +12,8 @@
     """Tell whether a request should be served in time behind `queue_length` others.
 
     They may take a fraction of `wait_max_ns`, the time that the request can wait, at `success_rate`, the
-    requests served per second. The fraction is smaller for a tenant over its quota, so that its traffic is
-    rejected first.
+    attempts per second that are not counted as failures. The fraction is smaller for a tenant over its fair
+    share, so that its traffic is rejected first.
     """
     fraction = OVER_QUOTA_QUEUE_WAIT_MAX_FRACTION if over_quota else QUEUE_WAIT_MAX_FRACTION
     served_in_time = success_rate * wait_max_ns * fraction
--- a/loadbalancer/policy/rate_control.py
+++ b/loadbalancer/policy/rate_control.py
@@ -1,7 +1,7 @@
 """The proxy's adaptive rate, and the tenants' rates made of it (types: loadbalancer/messages.py).
 
 What bounds a tenant's rate: the proxy has one rate R, in requests a second. It falls when more than a tenth
-of the outcomes of a feedback interval (half a second; longer with little traffic) are failures that point to
+of the outcomes of a rate interval (0.5 to 2 s, the longer the less traffic) are failures that point to
 overload, and rises when a throttle had no token for a request and failures were few. `fair_shares` divides R
 among the tenants that send, by demand and weight; each may also borrow all that the others leave unused. A
 tenant's throttle admits requests at that rate, or at the tenant's part of R by weight if that is more.
@@ -23,6 +23,8 @@
 IGNORED_ENDPOINTS_FRACTION = 0.5
 
 DECREASE_MAX_FRACTION = 0.3
+# A decrease starts from this multiple of the measured attempt rate, plus a margin in requests a second, where
+# the rate is higher.
 DECREASE_START_ATTEMPT_RATE_FACTOR = 1.2
 DECREASE_START_MARGIN_PER_S = 1
 SUCCESS_RATE_FLOOR_FACTOR = 0.9
@@ -30,7 +32,7 @@
 RATE_MIN_PER_S = 1.0
 
 INCREASE_FACTOR = 1.1
-INCREASE_STEP_PER_S = 0.5
+INCREASE_STEP_PER_S = 0.5  # requests a second, added at each increase
 RECOVERY_INCREASE_FACTOR = 1.5
 RECOVERY_FAILED_RATE_FACTOR = 0.8
 
@@ -39,7 +41,10 @@
 
 @dataclass(slots=True)
 class FeedbackInterval:
-    """The outcomes of requests and attempts in one feedback interval."""
+    """The outcomes of requests and attempts in one rate interval.
+
+    It ends with the first feedback tick (`Feedback.adjust`) at which it is long enough.
+    """
 
     start_ns: int
     has_begun: bool = False  # by its first request or outcome
@@ -70,7 +75,7 @@
         self.unused_rate = INITIAL_RATE_PER_S  # what the tenants' demand leaves of it
         self.failed_rate = 0.0  # the rate at which too many attempts failed, decaying with each decrease
         self.attempt_rate = 0.0  # attempts that ended, in the last interval
-        self.success_rate = INITIAL_RATE_PER_S  # attempts that succeeded, in the last interval
+        self.success_rate = INITIAL_RATE_PER_S  # attempts not counted as failures, in the last interval
         self.interval = FeedbackInterval(now_ns)
 
     def record_arrival(self, now_ns: int) -> None:
@@ -148,7 +153,11 @@
         return failures / max(self.interval.outcomes, FAILED_FRACTION_OUTCOMES_MIN)
 
     def _decrease(self, failed_fraction: float) -> None:
-        """Lower the rate by the fraction that failed, from no more than is attempted to what succeeds."""
+        """Lower the rate by the failed fraction beyond the tolerated one, at most by DECREASE_MAX_FRACTION.
+
+        It starts from the rate, or from 1.2 times the attempt rate plus 1 if that is less. The result is no
+        less than 0.9 times the success rate.
+        """
         attempted_rate = DECREASE_START_ATTEMPT_RATE_FACTOR * self.attempt_rate + DECREASE_START_MARGIN_PER_S
         rate = min(self.rate, attempted_rate)
         self.failed_rate = max(FAILED_RATE_DECAY * self.failed_rate, rate)
@@ -164,7 +173,7 @@
         return self.rate < RECOVERY_FAILED_RATE_FACTOR * self.failed_rate
 
     def _set_tenant_rates(self, throttles: Collection[Throttle], now_ns: int) -> None:
-        """Let each tenant have its fair share, and compare its demand with that of what succeeds."""
+        """Set each tenant's rate; mark tenants whose demand exceeds their share of the success rate."""
         offered = divide_rate(self.rate, throttles)
         served = divide_rate(self.success_rate, throttles)
         self.unused_rate = offered.unused_rate
@@ -173,5 +182,5 @@
             throttle.set_fair_share(fair_share)
 
     def rate_of_idle_tenant(self, weight: float) -> float:
-        """Return the rate of a tenant that sends nothing: its quota, or what the others leave unused."""
+        """Return the least rate of a tenant, sending or not: its part of R by weight, or the unused rate."""
         return max(TENANT_RATE_MIN_PER_S, self.rate * weight / self.total_weight, self.unused_rate)
--- a/loadbalancer/policy/retry_eligibility.py
+++ b/loadbalancer/policy/retry_eligibility.py
@@ -65,7 +65,7 @@
 
 
 def should_retry(request: Request, candidates: Iterable[EndpointState], now_ns: int, limits: Limits) -> bool:
-    """Tell whether a request without an attempt in flight is queued again.
+    """Tell whether a request without an attempt in flight is queued again; it needs no second token.
 
     It is until its queue deadline, if an attempt at one of the candidates may start: a request that can't be
     forwarded anywhere is rejected at once.
--- a/loadbalancer/policy/slow_start.py
+++ b/loadbalancer/policy/slow_start.py
@@ -1,4 +1,7 @@
-"""Slow start: pacing of endpoints that are warming up, rule 4 (types: loadbalancer/messages.py)."""
+"""Slow start: pacing of endpoints that are warming up (interface types: loadbalancer/messages.py).
+
+An endpoint that is overloaded while it warms up fails for good (`Rules.overload_factor`).
+"""
 
 from loadbalancer.policy.latency_model import LatencyModel
 from loadbalancer.policy.timers import ServeQueue, Timer
@@ -9,7 +12,7 @@
 from loadbalancer.units import NANOSECONDS_PER_SECOND
 
 OVERLOAD_BUDGET_FRACTION = 0.7  # of the rate that overloads an endpoint which is warming up
-THROUGHPUT_SMOOTHING = 0.2  # weight of the newest feedback interval
+THROUGHPUT_SMOOTHING = 0.2  # weight of the newest feedback tick
 
 
 class SlowStart:
@@ -71,6 +74,6 @@
         self.timers.schedule(state.ejected_until_ns, ServeQueue())
 
     def record_throughput(self, attempts_per_second: float) -> None:
-        """Learn from the attempts per second that the subset carried in the last feedback interval."""
+        """Learn from the attempts per second that the subset carried, once each feedback tick."""
         throughput = attempts_per_second / max(1, self.fleet.subset_size)
         self.sustained_throughput += THROUGHPUT_SMOOTHING * (throughput - self.sustained_throughput)
--- a/loadbalancer/policy/tenant_throttles.py
+++ b/loadbalancer/policy/tenant_throttles.py
@@ -39,7 +39,7 @@
         shortest_objective_ns: int,
     ) -> None:
         self._tenants = _tenants(settings)
-        self._default_tenant = next(iter(self._tenants))  # stands for tenants that are not configured
+        self._default_tenant = next(iter(self._tenants))  # the first; its quota serves unknown tenants
         self._rate_controller = rate_controller
         self._rng = rng
         self._shortest_objective_ns = shortest_objective_ns
--- a/loadbalancer/policy/throttle.py
+++ b/loadbalancer/policy/throttle.py
@@ -1,10 +1,11 @@
 """Admission of one tenant's requests at the rate allotted to it (types: loadbalancer/messages.py).
 
-What bounds a tenant's rate: its throttle forwards a request for each token in the tenant's bank. Tokens come
-at the rate that `rate_control` sets after each feedback interval: the tenant's max-min fair share of the
-proxy's rate, or more. A full bank allows a burst of half a second's tokens. With the bank empty, a request
-waits in the buffer for a token, for a quarter of the shortest latency objective at most. With the buffer
-full, it is rejected.
+What bounds a tenant's rate: its throttle admits a request for each token in the tenant's bank. Tokens come
+at the rate that `rate_control` sets after each rate interval: the tenant's max-min fair share of the proxy's
+rate, or more. A full bank allows a burst of half a second's tokens, or of BANK_CAPACITY_MIN_TOKENS if that is
+more. With the bank empty, a request waits in the buffer for a token. The buffer is sized for the requests of
+a quarter of the shortest latency objective, one at least; the queue deadline bounds the wait. With the buffer
+full, a request is rejected.
 """
 
 import random
@@ -36,7 +37,10 @@
 
 
 def take_retry_token(bank: TokenBank, now_ns: int) -> bool:
-    """Take a token for a hedged request or a client's retry, if enough are left for fresh requests."""
+    """Take a token for a hedged request or a client's marked retry, if enough are left for new requests.
+
+    A retry by this proxy takes none.
+    """
     bank.accrue(now_ns)
     if bank.balance <= RETRY_RESERVE_BANK_FRACTION * bank.bank_capacity:
         return False
@@ -82,8 +86,8 @@
         )
         self.demand_per_s = 0.0
         self.is_over_quota = False  # it sends more than its fair share
-        self.has_missed_token = False  # a request found no token in this feedback interval
-        self.arrivals = 0  # in this feedback interval
+        self.has_missed_token = False  # a request found no token in this rate interval
+        self.arrivals = 0  # in this rate interval
         self._wake_up_scheduled = False
 
     def _buffer_capacity(self, rate_per_s: float) -> int:
--- a/loadbalancer/proxy/attempts.py
+++ b/loadbalancer/proxy/attempts.py
@@ -30,7 +30,7 @@
 # next request. A connection is not reused for this time after a response; data received meanwhile closes it.
 QUARANTINE_S = 0.01
 
-# Statuses of an endpoint that has rejected a request without running it, if the response is marked so.
+# Statuses of an endpoint that has rejected a request, if the response is marked as declined.
 DECLINED_STATUSES = (SERVICE_UNAVAILABLE, GATEWAY_TIMEOUT)
 
 MIN_FORWARDED_DEADLINE_MS = 1
@@ -200,7 +200,10 @@
 
 
 def response_result(response: Message) -> AttemptResult:
-    """Return the result of a response: only a 503 or 504 marked as declined proves that nothing ran."""
+    """Return the result of a response: a rejection only if it is a 503 or 504 marked as declined.
+
+    That the request never ran follows from it unless `Rules.rejected_may_have_run`.
+    """
     if response.status == OK:
         return AttemptResult.OK
     if response.status in DECLINED_STATUSES and response.header(DECLINED_HEADER) == FLAG_SET:
