--- a/loadbalancer/__main__.py
+++ b/loadbalancer/__main__.py
@@ -20,7 +20,7 @@
 from loadbalancer.logging_setup import configure_logging
 from loadbalancer.policy.balancer import Balancer
 from loadbalancer.proxy.proxy import Proxy
-from loadbalancer.startup import cpu_debt_s, freeze_heap
+from loadbalancer.startup import freeze_heap, readiness_delay_s
 
 CONFIGURATION_VARIABLE = "RELAY_CONFIG"
 EXIT_OK = 0
@@ -45,7 +45,7 @@
         task.add_done_callback(reloads.discard)
 
     loop.add_signal_handler(signal.SIGHUP, start_reload)
-    port = await proxy.start(cpu_debt_s(config.cpu_cores, time.process_time()))
+    port = await proxy.start(readiness_delay_s(config.cpu_cores, time.process_time()))
     freeze_heap()
     log.info("%s: ready on port %d", config.name, port)
     await stop.wait()
--- a/loadbalancer/policy/attempt_results.py
+++ b/loadbalancer/policy/attempt_results.py
@@ -44,7 +44,7 @@
         """Count an attempt for or against the rate, and eject an endpoint at fault."""
         state = attempt.endpoint_state
         result = event.result
-        is_outlier = (
+        reset_attributed = (
             result not in RESULTS_WITHOUT_CONNECTION_EVIDENCE
             and self.outlier_detection.record_attempt_end(state, was_reset=result is AttemptResult.RESET)
         )
@@ -58,11 +58,11 @@
                     self._record_timeout(request, attempt, event.elapsed_ns, now_ns)
             case AttemptResult.REJECTED:
                 self.rate_controller.record_failure(state.id)
-                self.outlier_detection.eject_slow(attempt, now_ns)
+                self.outlier_detection.eject_overloaded(attempt, now_ns)
             case AttemptResult.CONNECT_FAILED:
                 self.rate_controller.record_failure(state.id)
                 self.outlier_detection.eject(state, now_ns, BASE_EJECTION_NS)
-            case AttemptResult.RESET if is_outlier:
+            case AttemptResult.RESET if reset_attributed:
                 self.rate_controller.record_failure(state.id)
                 self.outlier_detection.eject(state, now_ns, BASE_EJECTION_NS)
             case AttemptResult.RESET:
@@ -81,7 +81,7 @@
         else:
             self._record_late(request, state.id)
         if state.consecutive_failures:
-            state.clear_failures()
+            state.clear_failures_and_ejection()
 
     def _record_timeout(self, request: Request, attempt: Attempt, elapsed_ns: int, now_ns: int) -> None:
         """Learn from an attempt that was cut off: it would have taken longer than it did."""
@@ -89,7 +89,7 @@
         expected_ns = self.latency_model.latency_at(attempt.load)
         full_duration_ns = max(TIMED_OUT_DURATION_FACTOR * elapsed_ns, expected_ns)
         self.latency_model.record_latency(attempt.load, full_duration_ns)
-        self.outlier_detection.eject_slow(attempt, now_ns)
+        self.outlier_detection.eject_overloaded(attempt, now_ns)
 
     def _record_late(self, request: Request, endpoint_id: int) -> None:
         """Count a late end as a failure, unless it is attributed to the throttle or to a stall."""
@@ -105,7 +105,7 @@
         as in flight.
         """
         state = attempt.endpoint_state
-        self.outlier_detection.eject_slow(attempt, now_ns)
+        self.outlier_detection.eject_overloaded(attempt, now_ns)
         if state.last_answered_ns > attempt.sent_ns:
             self.concurrency_limit.record_occupancy(state, now_ns)
             attempt.mark_overdue()
--- a/loadbalancer/policy/fleet_updates.py
+++ b/loadbalancer/policy/fleet_updates.py
@@ -75,7 +75,7 @@
             if state is None:
                 continue
             if endpoint.started_ns != state.endpoint.started_ns:
-                state.clear_failures()  # those of the process before the restart
+                state.clear_failures_and_ejection()  # those of the process before the restart
                 restarted.add(state)
             state.update_entry(endpoint)
             self.live_weights.record(state, now_ns)
@@ -89,7 +89,7 @@
                 self.fleet.endpoints[endpoint_id].mark_removed()
 
     def _rebuild_pools(self, now_ns: int) -> None:
-        """Choose all pools' subsets anew; they depend on the ready endpoints alone, not on their history."""
+        """Choose all pools' subsets again; they depend on the ready endpoints alone, not on their history."""
         fleet, pools = self.fleet, self.fleet.pools.values()
         subsets = [choose_subset(self.settings, pool.placement) for pool in pools]
         if subsets == [pool.current_subset for pool in pools]:
--- a/loadbalancer/policy/outlier_detection.py
+++ b/loadbalancer/policy/outlier_detection.py
@@ -7,8 +7,8 @@
 
 - no connection, also where this proxy's own connection limit allows none, or a reset that is attributed to
   the endpoint: BASE_EJECTION_NS;
-- an attempt that took too long or was rejected (`eject_slow`): the time that it was expected to take, at most
-  the shortest latency objective.
+- an attempt that took too long or was rejected (`eject_overloaded`): the time that it was expected to take,
+  at most the shortest latency objective.
 
 No endpoint is ejected while EJECTED_FRACTION_MAX of those that one of its pools draws from are. Pacing
 (`SlowStart.apply_pacing`) uses the same `ejected_until_ns`, so that paced endpoints count as ejected. The
@@ -51,7 +51,7 @@
         self.recent_attempts = 0.0  # over the endpoints in use, decayed over time
         self.recent_resets = 0.0
 
-    def eject_slow(self, attempt: Attempt, now_ns: int) -> None:
+    def eject_overloaded(self, attempt: Attempt, now_ns: int) -> None:
         """Eject an endpoint that did not finish an attempt in time, or had no capacity for it.
 
         One very costly request must not eject its endpoint for as long as it would have run: it is cut off,
--- a/loadbalancer/policy/queue_admission.py
+++ b/loadbalancer/policy/queue_admission.py
@@ -4,18 +4,20 @@
 from loadbalancer.units import NANOSECONDS_PER_SECOND
 
 QUEUE_WAIT_MAX_FRACTION = 0.5
-OVER_QUOTA_QUEUE_WAIT_MAX_FRACTION = 0.1
+OVER_FAIR_SHARE_QUEUE_WAIT_MAX_FRACTION = 0.1
 THROTTLE_DELAY_MAX_FRACTION = 0.5
 
 
-def has_queue_capacity(queue_length: int, wait_max_ns: int, success_rate: float, *, over_quota: bool) -> bool:
+def has_queue_capacity(
+    queue_length: int, wait_max_ns: int, success_rate: float, *, exceeds_fair_share: bool
+) -> bool:
     """Tell whether a request should be served in time behind `queue_length` others.
 
     They may take a fraction of `wait_max_ns`, the time that the request can wait, at `success_rate`, the
     attempts per second that are not counted as failures. The fraction is smaller for a tenant over its fair
     share, so that its traffic is rejected first.
     """
-    fraction = OVER_QUOTA_QUEUE_WAIT_MAX_FRACTION if over_quota else QUEUE_WAIT_MAX_FRACTION
+    fraction = OVER_FAIR_SHARE_QUEUE_WAIT_MAX_FRACTION if exceeds_fair_share else QUEUE_WAIT_MAX_FRACTION
     served_in_time = success_rate * wait_max_ns * fraction
     return queue_length * NANOSECONDS_PER_SECOND <= served_in_time
 
--- a/loadbalancer/policy/rate_control.py
+++ b/loadbalancer/policy/rate_control.py
@@ -28,13 +28,13 @@
 DECREASE_START_ATTEMPT_RATE_FACTOR = 1.2
 DECREASE_START_MARGIN_PER_S = 1
 SUCCESS_RATE_FLOOR_FACTOR = 0.9
-FAILED_RATE_DECAY = 0.9
+OVERLOAD_RATE_DECAY = 0.9
 RATE_MIN_PER_S = 1.0
 
 INCREASE_FACTOR = 1.1
 INCREASE_STEP_PER_S = 0.5  # requests a second, added at each increase
 RECOVERY_INCREASE_FACTOR = 1.5
-RECOVERY_FAILED_RATE_FACTOR = 0.8
+RECOVERY_OVERLOAD_RATE_FACTOR = 0.8  # of the last overload rate; the rate recovers faster below it
 
 TENANT_RATE_MIN_PER_S = 0.05
 
@@ -49,7 +49,7 @@
     start_ns: int
     has_begun: bool = False  # by its first request or outcome
     successes: int = 0  # attempts that say nothing against the rate
-    expired_in_queue: int = 0  # requests that no endpoint had capacity for in time
+    rejected_for_capacity: int = 0  # requests: full queue, queue deadline, late endpoint
     failures: Counter[int] = field(default_factory=Counter)  # attempts, by endpoint id
 
     @property
@@ -59,8 +59,8 @@
 
     @property
     def outcomes(self) -> int:
-        """How many attempts ended and requests expired in the queue."""
-        return self.attempts + self.expired_in_queue
+        """How many attempts ended and requests were rejected for want of capacity."""
+        return self.attempts + self.rejected_for_capacity
 
 
 class RateController:
@@ -73,7 +73,7 @@
         self.total_weight = total_weight
         self.rate = INITIAL_RATE_PER_S
         self.unused_rate = INITIAL_RATE_PER_S  # what the tenants' demand leaves of it
-        self.failed_rate = 0.0  # the rate at which too many attempts failed, decaying with each decrease
+        self.last_overload_rate = 0.0  # at which too many attempts failed; decays with each decrease
         self.attempt_rate = 0.0  # attempts that ended, in the last interval
         self.success_rate = INITIAL_RATE_PER_S  # attempts not counted as failures, in the last interval
         self.interval = FeedbackInterval(now_ns)
@@ -102,10 +102,13 @@
         """Record an attempt that ended late, but not for its endpoint: it begins the interval, uncounted."""
         self.interval.has_begun = True
 
-    def record_queue_expiry(self) -> None:
-        """Count a request that no endpoint had capacity for in time."""
+    def record_capacity_rejection(self) -> None:
+        """Count a request that is rejected because no endpoint has capacity for it in time.
+
+        Its queue was too long when it joined, its queue deadline came, or its endpoint would respond late.
+        """
         self.interval.has_begun = True
-        self.interval.expired_in_queue += 1
+        self.interval.rejected_for_capacity += 1
 
     def adjust(
         self, throttles: Collection[Throttle], now_ns: int, draw_width: int, *, is_loaded: bool = True
@@ -149,7 +152,7 @@
         """
         failures_by_endpoint = sorted(self.interval.failures.values(), reverse=True)
         ignored_endpoints = int(draw_width * IGNORED_ENDPOINTS_FRACTION)
-        failures = sum(failures_by_endpoint[ignored_endpoints:]) + self.interval.expired_in_queue
+        failures = sum(failures_by_endpoint[ignored_endpoints:]) + self.interval.rejected_for_capacity
         return failures / max(self.interval.outcomes, FAILED_FRACTION_OUTCOMES_MIN)
 
     def _decrease(self, failed_fraction: float) -> None:
@@ -160,27 +163,27 @@
         """
         attempted_rate = DECREASE_START_ATTEMPT_RATE_FACTOR * self.attempt_rate + DECREASE_START_MARGIN_PER_S
         rate = min(self.rate, attempted_rate)
-        self.failed_rate = max(FAILED_RATE_DECAY * self.failed_rate, rate)
+        self.last_overload_rate = max(OVERLOAD_RATE_DECAY * self.last_overload_rate, rate)
         decrease = min(DECREASE_MAX_FRACTION, failed_fraction - TOLERATED_FAILED_FRACTION)
         self.rate = max(RATE_MIN_PER_S, SUCCESS_RATE_FLOOR_FACTOR * self.success_rate, rate * (1 - decrease))
 
     def _increase(self) -> None:
-        """Raise the rate, faster while it recovers to the rate that failed last."""
+        """Raise the rate, faster while it is well below the last overload rate."""
         factor = RECOVERY_INCREASE_FACTOR if self._is_recovering() else INCREASE_FACTOR
         self.rate = min(RATE_MAX_PER_S, self.rate * factor + INCREASE_STEP_PER_S)
 
     def _is_recovering(self) -> bool:
-        return self.rate < RECOVERY_FAILED_RATE_FACTOR * self.failed_rate
+        return self.rate < RECOVERY_OVERLOAD_RATE_FACTOR * self.last_overload_rate
 
     def _set_tenant_rates(self, throttles: Collection[Throttle], now_ns: int) -> None:
         """Set each tenant's rate; mark tenants whose demand exceeds their share of the success rate."""
-        offered = divide_rate(self.rate, throttles)
+        allotted = divide_rate(self.rate, throttles)
         served = divide_rate(self.success_rate, throttles)
-        self.unused_rate = offered.unused_rate
-        for throttle, rate, fair_share in zip(throttles, offered.rates, served.rates, strict=True):
-            throttle.set_rate(max(self.rate_of_idle_tenant(throttle.weight), rate), now_ns)
+        self.unused_rate = allotted.unused_rate
+        for throttle, rate, fair_share in zip(throttles, allotted.rates, served.rates, strict=True):
+            throttle.set_rate(max(self.guaranteed_rate(throttle.weight), rate), now_ns)
             throttle.set_fair_share(fair_share)
 
-    def rate_of_idle_tenant(self, weight: float) -> float:
+    def guaranteed_rate(self, weight: float) -> float:
         """Return the least rate of a tenant, sending or not: its part of R by weight, or the unused rate."""
         return max(TENANT_RATE_MIN_PER_S, self.rate * weight / self.total_weight, self.unused_rate)
--- a/loadbalancer/policy/request_admission.py
+++ b/loadbalancer/policy/request_admission.py
@@ -9,7 +9,7 @@
 from loadbalancer.policy.rate_control import RateController
 from loadbalancer.policy.request_lifecycle import RequestLifecycle
 from loadbalancer.policy.tenant_throttles import TenantThrottles
-from loadbalancer.policy.throttle import Admission, Throttle, take_retry_token
+from loadbalancer.policy.throttle import Admission, Throttle, take_low_priority_token
 from loadbalancer.policy.timers import QueueDeadline, Timer, TokenDue
 from loadbalancer.settings import Idempotency, RequestClass, Settings
 from loadbalancer.state.fleet import Fleet
@@ -34,13 +34,13 @@
         """Admit, buffer or reject a new request; an id that is in use is ignored."""
         if event.request_id in self.lifecycle.requests:
             return
-        throttle = self.throttles.of(event.tenant, now_ns)
+        throttle = self.throttles.get_or_create(event.tenant, now_ns)
         request = self._new_request(event, throttle, now_ns)
         self.lifecycle.requests.add(request)
         self.timers.schedule(request.queue_deadline_ns, QueueDeadline(request))
         self.rate_controller.record_arrival(now_ns)
         admission = self._admit(request, throttle, now_ns, is_retry=event.is_retry)
-        if admission is Admission.FORWARD:
+        if admission is Admission.ADMIT:
             self._enqueue(request, throttle, now_ns)
         elif admission is Admission.BUFFER:
             request.join_queue(Queue.THROTTLE_BUFFER)
@@ -70,8 +70,8 @@
         """Take a token; a client's retry gets only one that new requests leave, and is never buffered."""
         if not is_retry:
             return throttle.admit(request, now_ns)
-        has_token = take_retry_token(throttle.bank, now_ns)
-        return Admission.FORWARD if has_token else Admission.REJECT
+        has_token = take_low_priority_token(throttle.bank, now_ns)
+        return Admission.ADMIT if has_token else Admission.REJECT
 
     def on_token_due(self, throttle: Throttle, now_ns: int) -> None:
         """Release the buffered requests that have a token by now."""
@@ -82,7 +82,7 @@
         """Queue the buffered requests that have a token, and set a timer for the next token."""
         for request in throttle.release(now_ns):
             self._enqueue(request, throttle, now_ns)
-        token_due_ns = throttle.schedule_wake_up(now_ns)
+        token_due_ns = throttle.next_wake_up_ns(now_ns)
         if token_due_ns is not None:
             self.timers.schedule(token_due_ns, TokenDue(throttle))
 
@@ -105,5 +105,5 @@
             queue_length=queue_length,
             wait_max_ns=wait_max_ns,
             success_rate=self.rate_controller.success_rate,
-            over_quota=throttle.is_over_quota,
+            exceeds_fair_share=throttle.exceeds_fair_share,
         )
--- a/loadbalancer/policy/request_lifecycle.py
+++ b/loadbalancer/policy/request_lifecycle.py
@@ -16,7 +16,7 @@
 from loadbalancer.policy.retry_eligibility import may_forward, may_have_run, should_retry
 from loadbalancer.policy.selection import Selection
 from loadbalancer.policy.tenant_throttles import TenantThrottles
-from loadbalancer.policy.throttle import take_retry_token
+from loadbalancer.policy.throttle import take_low_priority_token
 from loadbalancer.settings import Settings
 from loadbalancer.state.endpoint_pool import EndpointPool
 from loadbalancer.state.endpoint_state import EndpointState
@@ -81,7 +81,8 @@
                 if not self.concurrency_limit.increase(now_ns):
                     break
             elif state is None or self.selection.would_respond_late(request, state, now_ns):
-                # It must not block the requests behind it, which may use other endpoints.
+                # A retry without a candidate must not block the requests behind it, which may use other
+                # endpoints; a response after the objective is not worth its load.
                 self.reject_for_capacity(request)
             else:
                 queue.remove(request)
@@ -115,6 +116,8 @@
 
     def _retry_or_reject(self, request: Request, now_ns: int) -> None:
         """Queue a request again whose attempts have all failed, or give its final response."""
+        # Without candidates one endpoint of the pool is enough: the check gives the same result for all of
+        # them, where any may be used (None) and where none may (an empty list).
         candidates = self.retry_candidates.find(request, now_ns) or request.pool.endpoints[:1]
         if should_retry(request, candidates, now_ns, self.settings.limits):
             self.queues[request.pool].append_first(request)
@@ -137,7 +140,7 @@
         state = self.selection.pick(request.pool, now_ns, candidates)
         if state is None or not may_forward(request, state.endpoint, now_ns, self.settings.limits):
             return
-        if take_retry_token(request.token_bank, now_ns):
+        if take_low_priority_token(request.token_bank, now_ns):
             self.actions.append(self.forwarding.start_attempt(request, state, now_ns))
 
     def on_queue_deadline(self, request: Request) -> None:
@@ -150,7 +153,7 @@
     def reject_for_capacity(self, request: Request) -> None:
         """Reject a request for which no endpoint has capacity in time."""
         if not request.delayed_by_throttle:
-            self.rate_controller.record_queue_expiry()
+            self.rate_controller.record_capacity_rejection()
         self.reject(request)
 
     def reject(self, request: Request) -> None:
@@ -174,5 +177,5 @@
         if request.queued_in is Queue.POOL_QUEUE:
             self.queues[request.pool].remove(request)
         elif request.queued_in is Queue.THROTTLE_BUFFER:
-            self.throttles.existing(request.tenant).remove_buffered(request)
+            self.throttles.get(request.tenant).remove_buffered(request)
             request.leave_queue()
--- a/loadbalancer/policy/retry_eligibility.py
+++ b/loadbalancer/policy/retry_eligibility.py
@@ -40,7 +40,7 @@
         return False
     if len(request.attempts) >= limits.max_attempts:
         return False
-    if endpoint.status is not EndpointStatus.READY or not request.pool.admits(endpoint):
+    if endpoint.status is not EndpointStatus.READY or not request.pool.allows(endpoint):
         return False
     in_flight_max = HEDGED_ATTEMPTS_IN_FLIGHT_MAX if limits.hedging else ATTEMPTS_IN_FLIGHT_MAX
     if request.attempts_in_flight >= in_flight_max:
--- a/loadbalancer/policy/selection.py
+++ b/loadbalancer/policy/selection.py
@@ -14,8 +14,8 @@
 
 RANDOM_CHOICES = 2
 SCANNED_ENDPOINTS_MAX = 16  # of a pool, for one request: the work must not grow with the pool
-RESERVE_LIMIT = 1  # requests in flight at an endpoint outside the subset
-FAILING_ENDPOINT_LIMIT = 1  # requests in flight at an endpoint whose last attempt has failed
+RESERVE_MAX_IN_FLIGHT = 1  # requests in flight at an endpoint outside the subset
+FAILING_ENDPOINT_MAX_IN_FLIGHT = 1  # requests in flight at an endpoint whose last attempt has failed
 WARMING_UP_LIMIT_DIVISOR = 2
 REQUESTS_SINCE_REPORT = 1.5  # that an endpoint may have got since its load report, the new one included
 
@@ -40,7 +40,7 @@
         if not state.in_subset:
             return self._reserve_limit(state, now_ns)
         if state.consecutive_failures:
-            return FAILING_ENDPOINT_LIMIT
+            return FAILING_ENDPOINT_MAX_IN_FLIGHT
         limit = self.concurrency_limit.limit
         if self.slow_start.is_warming_up(state, now_ns):
             return max(1, limit // WARMING_UP_LIMIT_DIVISOR)
@@ -50,7 +50,7 @@
         """Return the limit outside the subset, where requests of unknown number come from other proxies."""
         if state.consecutive_failures or self.slow_start.is_warming_up(state, now_ns):
             return 0
-        return RESERVE_LIMIT
+        return RESERVE_MAX_IN_FLIGHT
 
     def is_available(self, state: EndpointState, now_ns: int) -> bool:
         """Tell whether an endpoint may be sent a request now."""
--- a/loadbalancer/policy/slow_start.py
+++ b/loadbalancer/policy/slow_start.py
@@ -64,7 +64,7 @@
         Other proxies may have it in the subset of another pool than this one.
         """
         pools = self.fleet.pools.values()
-        sharing_proxies = sum(pool.sharing_proxies for pool in pools if pool.admits(state.endpoint))
+        sharing_proxies = sum(pool.sharing_proxies for pool in pools if pool.allows(state.endpoint))
         return max(1.0, min(self.proxy_count, sharing_proxies))
 
     def apply_pacing(self, state: EndpointState, now_ns: int, intervals: float) -> None:
--- a/loadbalancer/policy/subsetting.py
+++ b/loadbalancer/policy/subsetting.py
@@ -30,7 +30,7 @@
 
 
 def choose_subset(settings: Settings, placement: Placement) -> Subset:
-    """Return this proxy's subset and reserve among the ready endpoints that a placement admits."""
+    """Return this proxy's subset and reserve among the ready endpoints that a placement allows."""
     ring = _subset_ring(settings, placement)
     is_partial = len(ring) < len(placement.ring) or placement.allowed_zones is not None
     sharing_proxies = _sharing_proxies(settings, is_partial=is_partial)
--- a/loadbalancer/policy/tenant_throttles.py
+++ b/loadbalancer/policy/tenant_throttles.py
@@ -39,7 +39,7 @@
         shortest_objective_ns: int,
     ) -> None:
         self._tenants = _tenants(settings)
-        self._default_tenant = next(iter(self._tenants))  # the first; its quota serves unknown tenants
+        self._default_tenant = next(iter(self._tenants))  # fallback for unknown tenants
         self._rate_controller = rate_controller
         self._rng = rng
         self._shortest_objective_ns = shortest_objective_ns
@@ -52,13 +52,13 @@
         """Return the throttles of the tenants that send, in the order in which they were made."""
         return self._throttles.values()
 
-    def of(self, tenant: str, now_ns: int) -> Throttle:
-        """Return the throttle of a tenant, made anew if it has none."""
+    def get_or_create(self, tenant: str, now_ns: int) -> Throttle:
+        """Return the throttle of a tenant, made if it has none; an unknown tenant uses the default one's."""
         throttle = self._throttles.get(tenant)
         if throttle is not None:
             return throttle
         if tenant not in self._tenants:
-            return self.of(self._default_tenant, now_ns)
+            return self.get_or_create(self._default_tenant, now_ns)
         throttle = Throttle(
             tenant=tenant,
             weight=_weight(self._tenants[tenant]),
@@ -66,11 +66,11 @@
             now_ns=now_ns,
             shortest_objective_ns=self._shortest_objective_ns,
         )
-        throttle.set_rate(self._rate_controller.rate_of_idle_tenant(throttle.weight), now_ns)
+        throttle.set_rate(self._rate_controller.guaranteed_rate(throttle.weight), now_ns)
         self._throttles[tenant] = throttle
         return throttle
 
-    def existing(self, tenant: str) -> Throttle:
+    def get(self, tenant: str) -> Throttle:
         """Return the throttle that a configured tenant has; KeyError if it has none."""
         return self._throttles[tenant]
 
--- a/loadbalancer/policy/throttle.py
+++ b/loadbalancer/policy/throttle.py
@@ -21,28 +21,29 @@
 INITIAL_RATE_PER_S = RATE_MAX_PER_S
 BANK_CAPACITY_S = 0.5  # of tokens at the current rate
 BANK_CAPACITY_MIN_TOKENS = 4
+BUFFER_WAIT_MAX_S = 0.5
 BUFFER_WAIT_MAX_OBJECTIVE_FRACTION = 0.25
-RETRY_RESERVE_BANK_FRACTION = 0.25
+NEW_REQUEST_RESERVE_BANK_FRACTION = 0.25
 DEMAND_SMOOTHING = 0.5
-OVER_QUOTA_DEMAND_FACTOR = 1.1
+OVER_FAIR_SHARE_DEMAND_FACTOR = 1.1
 IDLE_DEMAND_MAX_PER_S = 0.01
 
 
 class Admission(Enum):
     """What a throttle does with a request that arrives."""
 
-    FORWARD = auto()  # the bank had a token for it
+    ADMIT = auto()  # the bank had a token for it
     BUFFER = auto()  # it waits for a token
     REJECT = auto()  # the buffer is full
 
 
-def take_retry_token(bank: TokenBank, now_ns: int) -> bool:
+def take_low_priority_token(bank: TokenBank, now_ns: int) -> bool:
     """Take a token for a hedged request or a client's marked retry, if enough are left for new requests.
 
     A retry by this proxy takes none.
     """
     bank.accrue(now_ns)
-    if bank.balance <= RETRY_RESERVE_BANK_FRACTION * bank.bank_capacity:
+    if bank.balance <= NEW_REQUEST_RESERVE_BANK_FRACTION * bank.bank_capacity:
         return False
     bank.take_token()
     return True
@@ -67,25 +68,25 @@
 
         Args:
             tenant: The tenant's name.
-            weight: Its part of the proxy's rate, beside the weights of the other tenants.
+            weight: Its part of the proxy's rate, relative to the weights of the other tenants.
             rng: Draws when the first token comes, so that the proxies don't release requests in step.
             now_ns: The time of the call.
             shortest_objective_ns: The shortest latency objective of all request classes.
         """
         self.tenant = tenant
         self.weight = weight
-        objective_s = BUFFER_WAIT_MAX_OBJECTIVE_FRACTION * shortest_objective_ns / NANOSECONDS_PER_SECOND
-        self.buffer_wait_max_s = min(BANK_CAPACITY_S, objective_s)
+        wait_max_s = BUFFER_WAIT_MAX_OBJECTIVE_FRACTION * shortest_objective_ns / NANOSECONDS_PER_SECOND
+        self.buffer_wait_max_s = min(BUFFER_WAIT_MAX_S, wait_max_s)
         self.buffer: deque[Request] = deque()
         self.bank = TokenBank(
-            rate=INITIAL_RATE_PER_S,
+            rate_per_s=INITIAL_RATE_PER_S,
             bank_capacity=_bank_capacity(INITIAL_RATE_PER_S),
             buffer_capacity=self._buffer_capacity(INITIAL_RATE_PER_S),
-            tick_credit=rng.random(),
+            fractional_token=rng.random(),
             now_ns=now_ns,
         )
         self.demand_per_s = 0.0
-        self.is_over_quota = False  # it sends more than its fair share
+        self.exceeds_fair_share = False  # its demand exceeds its share of the success rate
         self.has_missed_token = False  # a request found no token in this rate interval
         self.arrivals = 0  # in this rate interval
         self._wake_up_scheduled = False
@@ -96,15 +97,15 @@
     def set_rate(self, rate_per_s: float, now_ns: int) -> None:
         """Change the rate and with it the capacities; tokens in the bank and buffered requests stay."""
         self.bank.set_rate(
-            rate=rate_per_s,
+            rate_per_s=rate_per_s,
             bank_capacity=_bank_capacity(rate_per_s),
             buffer_capacity=self._buffer_capacity(rate_per_s),
             now_ns=now_ns,
         )
 
     def set_fair_share(self, rate_per_s: float) -> None:
-        """Compare the tenant's demand with its fair share: traffic over quota is shed first."""
-        self.is_over_quota = self.demand_per_s > OVER_QUOTA_DEMAND_FACTOR * rate_per_s
+        """Compare the demand with the tenant's share of the success rate; what exceeds it is shed first."""
+        self.exceeds_fair_share = self.demand_per_s > OVER_FAIR_SHARE_DEMAND_FACTOR * rate_per_s
 
     def admit(self, request: Request, now_ns: int) -> Admission:
         """Take a token for an arrival, buffer it, or reject it where the buffer is full."""
@@ -117,12 +118,12 @@
             return Admission.REJECT
         bank.take_token()
         if bank.balance >= 0:
-            return Admission.FORWARD
+            return Admission.ADMIT
         self.buffer.append(request)
         return Admission.BUFFER
 
     def release(self, now_ns: int) -> Iterable[Request]:
-        """Give the buffered requests that have a token by now, the oldest first."""
+        """Yield the buffered requests that have a token by now, the oldest first."""
         self.bank.accrue(now_ns)
         while len(self.buffer) > self.bank.waiting_requests:
             yield self.buffer.popleft()
@@ -132,8 +133,11 @@
         self.buffer.remove(request)
         self.bank.return_token()
 
-    def schedule_wake_up(self, now_ns: int) -> int | None:
-        """Return when the caller must call `on_token_due`; None: no request waits, or it was scheduled."""
+    def next_wake_up_ns(self, now_ns: int) -> int | None:
+        """Return when the caller must call `on_token_due`, once for each wake-up.
+
+        None: no request waits, or the wake-up is already scheduled.
+        """
         if not self.buffer or self._wake_up_scheduled:
             return None
         self._wake_up_scheduled = True
@@ -144,7 +148,7 @@
         self._wake_up_scheduled = False
 
     def end_feedback_interval(self, elapsed_ns: int) -> None:
-        """Update the demand, and count the arrivals of the next interval."""
+        """Update the demand at the end of a rate interval, and count the arrivals of the next one."""
         arrivals_per_s = self.arrivals * NANOSECONDS_PER_SECOND / elapsed_ns
         self.demand_per_s += DEMAND_SMOOTHING * (arrivals_per_s - self.demand_per_s)
         self.arrivals = 0
--- a/loadbalancer/proxy/health_checks.py
+++ b/loadbalancer/proxy/health_checks.py
@@ -14,8 +14,10 @@
 from loadbalancer.proxy.load_report import parse_load_report
 from loadbalancer.proxy.wire_names import LIVENESS_PATH, LOAD_REPORT_PATH
 
-TIMEOUT_S = 0.05
-MAX_IN_FLIGHT = 256
+# Longer than a request waits for load reports (`load_probing.PROBE_TIMEOUT_NS`): a late one still counts for
+# later requests.
+HEALTH_CHECK_TIMEOUT_S = 0.05
+MAX_HEALTH_CHECKS_IN_FLIGHT = 256
 
 # One in so many connections is reserved for attempts.
 ATTEMPT_CONNECTIONS_DIVISOR = 8
@@ -47,7 +49,7 @@
         """Start a health check; it fails at once if it can't be sent or too many are in flight."""
         pool = self._connection_pool(endpoint_id)
         started_ns = time.monotonic_ns()
-        if pool is None or self._in_flight >= MAX_IN_FLIGHT:
+        if pool is None or self._in_flight >= MAX_HEALTH_CHECKS_IN_FLIGHT:
             self._on_ended(HealthCheckEnded(endpoint_id, AttemptResult.CONNECT_FAILED, elapsed_ns=0))
             return
         self._in_flight += 1
@@ -56,7 +58,7 @@
         start_exchange(
             pool=pool,
             data=write_request(b"GET", self._path, [(b"Host", f"{host}:{port}".encode())]),
-            timeout_s=TIMEOUT_S,
+            timeout_s=HEALTH_CHECK_TIMEOUT_S,
             on_ended=check.on_exchange_ended,
             reserved_connections=pool.limits.max_connections // ATTEMPT_CONNECTIONS_DIVISOR,
         )
--- a/loadbalancer/proxy/pending_requests.py
+++ b/loadbalancer/proxy/pending_requests.py
@@ -17,7 +17,7 @@
 from loadbalancer.proxy.request_validation import (
     DUPLICATE_ID,
     TOO_MANY_PENDING,
-    RejectedRequest,
+    ErrorResponse,
     ValidRequest,
 )
 from loadbalancer.proxy.wire_names import (
@@ -108,10 +108,10 @@
         """Return all of them, in the order of their arrival; they may be finished while the list is read."""
         return list(self._by_id.values())
 
-    def admit(
+    def register(
         self, client: ClientConnection, request: Message, valid_request: ValidRequest, received_ns: int
-    ) -> RejectedRequest | None:
-        """Admit a request and report its arrival.
+    ) -> ErrorResponse | None:
+        """Add a request to the pending ones and report its arrival.
 
         Args:
             client: The connection on which it was received.
@@ -120,7 +120,7 @@
             received_ns: When its last byte was read, on the monotonic clock.
 
         Returns:
-            None, or the response if the request is not admitted.
+            None, or the response if the request is not added.
         """
         if valid_request.client_request_id in self._client_request_ids:
             return DUPLICATE_ID
@@ -194,6 +194,7 @@
 
     def _expire(self, request_id: str) -> None:
         self.fail(request_id)
+        # For the policy this is the same as a disconnect: the request needs no response any more.
         self._on_event(ClientDisconnected(request_id))
 
     def _remove(self, pending: PendingRequest) -> None:
--- a/loadbalancer/proxy/proxy.py
+++ b/loadbalancer/proxy/proxy.py
@@ -40,7 +40,7 @@
 from loadbalancer.proxy.health_checks import HealthChecks
 from loadbalancer.proxy.http import Message
 from loadbalancer.proxy.pending_requests import PendingRequests
-from loadbalancer.proxy.request_validation import RejectedRequest, validate_request
+from loadbalancer.proxy.request_validation import ErrorResponse, validate_request
 from loadbalancer.units import NANOSECONDS_PER_SECOND
 
 log = logging.getLogger(__name__)
@@ -262,14 +262,14 @@
     # -- requests of clients --
 
     def handle_request(self, client: ClientConnection, request: Message, received_ns: int) -> None:
-        """Admit a client's request, or reject it if it is malformed or too many are pending."""
+        """Admit a client's request, unless it is malformed, its id is in use, or too many are pending."""
         checked = validate_request(request, self.config.settings.request_classes)
-        if isinstance(checked, RejectedRequest):
-            rejected: RejectedRequest | None = checked
+        if isinstance(checked, ErrorResponse):
+            error: ErrorResponse | None = checked
         else:
-            rejected = self._pending_requests.admit(client, request, checked, received_ns)
-        if rejected is not None:
-            client.respond(rejected.status, rejected.headers)
+            error = self._pending_requests.register(client, request, checked, received_ns)
+        if error is not None:
+            client.respond(error.status, error.headers)
 
     def handle_disconnect(self, client: ClientConnection) -> None:
         """Drop the request of a client that has disconnected."""
--- a/loadbalancer/proxy/request_validation.py
+++ b/loadbalancer/proxy/request_validation.py
@@ -31,8 +31,8 @@
 
 
 @dataclass(frozen=True, slots=True)
-class RejectedRequest:
-    """The response to a request that is not admitted."""
+class ErrorResponse:
+    """The response to a request that is invalid, or that the proxy can't add to the pending ones."""
 
     status: int
     headers: Headers = ()
@@ -47,23 +47,23 @@
     timeout_ns: int  # from the time at which the request was received
 
 
-UNKNOWN_METHOD = RejectedRequest(METHOD_NOT_ALLOWED, ((ALLOW_HEADER, b"GET, POST"),))
+UNKNOWN_METHOD = ErrorResponse(METHOD_NOT_ALLOWED, ((ALLOW_HEADER, b"GET, POST"),))
 WRONG_METHOD = {
-    allowed: RejectedRequest(METHOD_NOT_ALLOWED, ((ALLOW_HEADER, allowed),)) for allowed in ALLOWED_METHODS
+    allowed: ErrorResponse(METHOD_NOT_ALLOWED, ((ALLOW_HEADER, allowed),)) for allowed in ALLOWED_METHODS
 }
-MALFORMED = RejectedRequest(BAD_REQUEST)
+MALFORMED = ErrorResponse(BAD_REQUEST)
 
 # An endpoint does not read the body of a GET, and would take it for the next request.
-BODY_NOT_ALLOWED = RejectedRequest(BAD_REQUEST)
+BODY_NOT_ALLOWED = ErrorResponse(BAD_REQUEST)
 
 # With two pending requests of one id, their responses could not be told apart.
-DUPLICATE_ID = RejectedRequest(CONFLICT)
-TOO_MANY_PENDING = RejectedRequest(
+DUPLICATE_ID = ErrorResponse(CONFLICT)
+TOO_MANY_PENDING = ErrorResponse(
     SERVICE_UNAVAILABLE, ((RETRY_AFTER_HEADER, b"%d" % TOO_MANY_PENDING_RETRY_AFTER_S),)
 )
 
 
-def validate_request(request: Message, classes: Mapping[str, RequestClass]) -> ValidRequest | RejectedRequest:
+def validate_request(request: Message, classes: Mapping[str, RequestClass]) -> ValidRequest | ErrorResponse:
     """Check a request by itself.
 
     The first segment of the path must name a request class, whose method is required. There must be exactly
--- a/loadbalancer/startup.py
+++ b/loadbalancer/startup.py
@@ -5,12 +5,12 @@
 import gc
 
 # With a small CPU limit, serving slowly is better than not serving.
-MAX_CPU_DEBT_S = 1.0
+MAX_READINESS_DELAY_S = 1.0
 # The system may throttle a process so long after it exceeded its limit.
 THROTTLING_DELAY_S = 0.15
 
 
-def cpu_debt_s(cpu_cores: float, cpu_time_s: float) -> float:
+def readiness_delay_s(cpu_cores: float, cpu_time_s: float) -> float:
     """Return the seconds after which the CPU time of the start is within the CPU limit.
 
     Until then the system may throttle the process, so it should not report readiness.
@@ -21,7 +21,7 @@
     """
     if cpu_cores <= 0:
         return 0.0
-    return min(MAX_CPU_DEBT_S, cpu_time_s / cpu_cores + THROTTLING_DELAY_S)
+    return min(MAX_READINESS_DELAY_S, cpu_time_s / cpu_cores + THROTTLING_DELAY_S)
 
 
 def freeze_heap() -> None:
--- a/loadbalancer/state/endpoint_pool.py
+++ b/loadbalancer/state/endpoint_pool.py
@@ -12,7 +12,7 @@
 
 @dataclass(slots=True, eq=False)
 class EndpointPool:
-    """The endpoints that one placement admits and this proxy uses."""
+    """The endpoints that one placement allows and this proxy uses."""
 
     placement: Placement
     endpoints: list[EndpointState] = field(default_factory=list)  # ready ones, this proxy's subset first
@@ -22,9 +22,9 @@
     current_subset: Subset | None = None  # what `endpoints` was made of
     last_choice: EndpointState | None = None
 
-    def admits(self, endpoint: Endpoint) -> bool:
+    def allows(self, endpoint: Endpoint) -> bool:
         """Tell whether the placement allows an endpoint."""
-        return self.placement.admits(endpoint.zone, endpoint.machine_type)
+        return self.placement.allows(endpoint.zone, endpoint.machine_type)
 
     def replace_endpoints(
         self,
--- a/loadbalancer/state/endpoint_state.py
+++ b/loadbalancer/state/endpoint_state.py
@@ -92,8 +92,8 @@
         """Count one more failure in a row."""
         self.consecutive_failures += 1
 
-    def clear_failures(self) -> None:
-        """Clear the failures in a row and end the ejection."""
+    def clear_failures_and_ejection(self) -> None:
+        """Clear the failures in a row, and end the ejection or pacing."""
         self.consecutive_failures = 0
         self.ejected_until_ns = 0
 
--- a/loadbalancer/state/endpoint_table.py
+++ b/loadbalancer/state/endpoint_table.py
@@ -1,7 +1,7 @@
 """Every endpoint of the list, stored compactly, and the hash rings of those that are ready.
 
 The table stores the attributes of each endpoint, and for each ready one a key on the ring of every placement
-that admits it. An update costs in proportion to what changed, and no structure that is read often grows with
+that allows it. An update costs in proportion to what changed, and no structure that is read often grows with
 the length of the list. Only the endpoints in use have a full `EndpointState`.
 """
 
@@ -15,7 +15,7 @@
 from loadbalancer.state.hash_ring import RingKey, ring_slice, unmix64
 from loadbalancer.state.placement import Placement
 
-REBUILD_CHANGES_MIN = 256  # with fewer changes the rings are never built anew
+REBUILD_CHANGES_MIN = 256  # with fewer changes the rings are never rebuilt
 REBUILD_CHANGED_FRACTION = 0.5  # of the endpoints, beyond REBUILD_CHANGES_MIN
 UNUSED_ATTRIBUTES_MIN = 256  # fewer are never dropped
 
--- a/loadbalancer/state/placement.py
+++ b/loadbalancer/state/placement.py
@@ -1,4 +1,4 @@
-"""The hash rings of the ready endpoints that one placement admits."""
+"""The hash rings of the ready endpoints that one placement allows."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 @dataclass(slots=True, eq=False)
 class Placement:
-    """The ready endpoints that one placement admits, in ring order: all, by zone, and by cell.
+    """The ready endpoints that one placement allows, in ring order: all, by zone, and by cell.
 
     A placement is the pair of zones and machine types that a request class is restricted to. The rings by
     zone and by cell are filled only if `index_zones` and `index_cells` are set.
@@ -29,7 +29,7 @@
     by_zone: dict[str, SortedList[RingKey]] = field(default_factory=lambda: defaultdict(SortedList))
     by_cell: dict[tuple[str, int], list[RingKey]] = field(default_factory=lambda: defaultdict(list))
 
-    def admits(self, zone: str, machine_type: str) -> bool:
+    def allows(self, zone: str, machine_type: str) -> bool:
         """Tell whether requests of this placement may go to an endpoint of a zone and machine type."""
         return (self.allowed_zones is None or zone in self.allowed_zones) and (
             self.allowed_machine_types is None or machine_type in self.allowed_machine_types
@@ -38,7 +38,7 @@
     def remove(self, endpoints: Iterable[IdentifiedAttributes]) -> None:
         """Take admitted endpoints off the rings, given the attributes with which they were added."""
         for endpoint_id, attributes in endpoints:
-            if not self.admits(attributes.zone, attributes.machine_type):
+            if not self.allows(attributes.zone, attributes.machine_type):
                 continue
             key = mix64(endpoint_id, 0)
             self.ring.remove(key)
@@ -54,11 +54,11 @@
             del self.by_cell[cell]
 
     def add(self, endpoints: Iterable[IdentifiedAttributes]) -> None:
-        """Put those of these ready endpoints on the rings that the placement admits."""
+        """Put those of these ready endpoints on the rings that the placement allows."""
         keys: list[RingKey] = []
         zones: dict[str, list[RingKey]] = defaultdict(list)
         for endpoint_id, attributes in endpoints:
-            if not self.admits(attributes.zone, attributes.machine_type):
+            if not self.allows(attributes.zone, attributes.machine_type):
                 continue
             key = mix64(endpoint_id, 0)
             keys.append(key)
--- a/tests/policy/test_queue.py
+++ b/tests/policy/test_queue.py
@@ -68,8 +68,8 @@
         for request, number in harness.attempts_in_flight():
             if harness.now_ns - harness.attempts[request][number][1] >= 50 * NANOSECONDS_PER_MILLISECOND:
                 harness.finish(request, number=number)
-    assert harness.balancer.throttles.existing("ash").is_over_quota
-    assert not harness.balancer.throttles.existing("birch").is_over_quota
+    assert harness.balancer.throttles.get("ash").exceeds_fair_share
+    assert not harness.balancer.throttles.get("birch").exceeds_fair_share
 
 
 def test_blocked_queue_draws_from_one_endpoint_beyond_the_subset() -> None:
--- a/tests/policy/test_queue_admission.py
+++ b/tests/policy/test_queue_admission.py
@@ -10,20 +10,22 @@
 
 
 @pytest.mark.parametrize(
-    ("queue_length", "over_quota", "admitted"),
+    ("queue_length", "exceeds_fair_share", "admitted"),
     [(10, False, True), (11, False, False), (2, True, True), (3, True, False)],
 )
 def test_the_requests_ahead_may_take_a_fraction_of_the_wait(
-    queue_length: int, over_quota: bool, admitted: bool
+    queue_length: int, exceeds_fair_share: bool, admitted: bool
 ) -> None:
     # At 100 a second, 20 are served in 200 ms: half of them within the quota, a tenth beyond it.
     wait_max_ns = 200 * NANOSECONDS_PER_MILLISECOND
-    capacity = has_queue_capacity(queue_length, wait_max_ns, success_rate=100.0, over_quota=over_quota)
+    capacity = has_queue_capacity(
+        queue_length, wait_max_ns, success_rate=100.0, exceeds_fair_share=exceeds_fair_share
+    )
     assert capacity is admitted
 
 
 def test_an_empty_queue_takes_a_request_though_nothing_is_served() -> None:
-    assert has_queue_capacity(0, NANOSECONDS_PER_MILLISECOND, success_rate=0.0, over_quota=True)
+    assert has_queue_capacity(0, NANOSECONDS_PER_MILLISECOND, success_rate=0.0, exceeds_fair_share=True)
 
 
 @pytest.mark.parametrize(("waited_ms", "delayed"), [(0, False), (150, False), (151, True)])
--- a/tests/policy/test_rate_control.py
+++ b/tests/policy/test_rate_control.py
@@ -80,7 +80,7 @@
         harness.finish(f"r{i}")
         harness.advance(5 * NANOSECONDS_PER_MILLISECOND)
         if i % 4 == 0:
-            controller.record_queue_expiry()  # a fifth of the outcomes: more than is tolerated
+            controller.record_capacity_rejection()  # a fifth of the outcomes: more than is tolerated
     harness.give(arrival("last", harness.now_ns))
 
     sent = 200.0  # a second, one each 5 ms
@@ -91,11 +91,11 @@
 def test_one_failure_of_few_outcomes_does_not_hold_the_rate_down() -> None:
     throttle = Throttle("ash", 1.0, random.Random(1), 0)
     controller = RateController(throttle.weight, 0)
-    controller.rate = controller.failed_rate = 10.0
+    controller.rate = controller.last_overload_rate = 10.0
 
     for i in range(1, 6):
         controller.interval.successes = 4
-        controller.interval.expired_in_queue = 1
+        controller.interval.rejected_for_capacity = 1
         throttle.arrivals = 100
         throttle.has_missed_token = True
         controller.adjust([throttle], 4 * i * FEEDBACK_INTERVAL_NS, DRAW_WIDTH)
@@ -118,10 +118,10 @@
 def failures_after_timeout(tokens_a_second: float) -> int:
     """Return the failures recorded when a request waits for a token and its only attempt times out."""
     balancer = listed_balancer(settings(tenants={"ash": Tenant("ash")}, limits=Limits(max_attempts=1)))
-    throttle = balancer.throttles.of("ash", START)
+    throttle = balancer.throttles.get_or_create("ash", START)
     throttle.set_rate(tokens_a_second, START)
     throttle.bank.counter = throttle.bank.buffer_capacity
-    throttle.bank.tick_credit = 0.0
+    throttle.bank.fractional_token = 0.0
     due_events: list[tuple[int, Event]] = [(START, arrival(1, START))]
     for _ in range(40):
         due_events.sort(key=due_time_ns)
@@ -185,8 +185,8 @@
         controller._set_tenant_rates(throttles, 0)
 
     same, idle = every[: len(sending)], every[len(sending) :]
-    assert [t.bank.rate for t in sending] == pytest.approx([t.bank.rate for t in same], rel=1e-9)
-    assert [t.is_over_quota for t in sending] == [t.is_over_quota for t in same]
+    assert [t.bank.rate_per_s for t in sending] == pytest.approx([t.bank.rate_per_s for t in same], rel=1e-9)
+    assert [t.exceeds_fair_share for t in sending] == [t.exceeds_fair_share for t in same]
     # A new throttle has the rate of one that was there all the time.
-    new_rates = [sparse.rate_of_idle_tenant(t.weight) for t in idle]
-    assert new_rates == pytest.approx([t.bank.rate for t in idle], rel=1e-9)
+    new_rates = [sparse.guaranteed_rate(t.weight) for t in idle]
+    assert new_rates == pytest.approx([t.bank.rate_per_s for t in idle], rel=1e-9)
--- a/tests/policy/test_tenant_throttles.py
+++ b/tests/policy/test_tenant_throttles.py
@@ -68,20 +68,20 @@
     throttles = harness.balancer.throttles
     assert {throttle.tenant for throttle in throttles.values()} == {"t0"}
 
-    returned = throttles.of("t1", harness.now_ns)
+    returned = throttles.get_or_create("t1", harness.now_ns)
 
     assert returned.bank.counter == returned.bank.bank_capacity + returned.bank.buffer_capacity
-    assert returned.bank.rate == harness.balancer.rate_controller.rate_of_idle_tenant(returned.weight)
+    assert returned.bank.rate_per_s == harness.balancer.rate_controller.guaranteed_rate(returned.weight)
 
 
 def test_an_unknown_tenant_has_the_throttle_of_the_first() -> None:
     throttles = PolicyHarness(settings(tenants=make_tenants(3))).balancer.throttles
-    assert throttles.of("nobody", START) is throttles.of("t0", START)
+    assert throttles.get_or_create("nobody", START) is throttles.get_or_create("t0", START)
 
 
 def test_the_throttle_of_a_buffered_request_is_not_dropped() -> None:
     harness = PolicyHarness(settings(tenants=make_tenants(2)))
-    throttle = harness.balancer.throttles.of("t1", harness.now_ns)
+    throttle = harness.balancer.throttles.get_or_create("t1", harness.now_ns)
     throttle.set_rate(0.5, harness.now_ns)
     throttle.bank.counter = throttle.bank.buffer_capacity
     harness.give(arrival("buffered", harness.now_ns, tenant="t1"))
@@ -89,4 +89,4 @@
 
     harness.balancer.throttles.drop_idle(harness.now_ns)
 
-    assert harness.balancer.throttles.existing("t1") is throttle
+    assert harness.balancer.throttles.get("t1") is throttle
--- a/tests/policy/test_throttle.py
+++ b/tests/policy/test_throttle.py
@@ -9,7 +9,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from loadbalancer.policy.throttle import Admission, Throttle, take_retry_token
+from loadbalancer.policy.throttle import Admission, Throttle, take_low_priority_token
 from loadbalancer.settings import RequestClass, Tenant
 from loadbalancer.state.endpoint_pool import EndpointPool
 from loadbalancer.state.placement import Placement
@@ -31,8 +31,8 @@
     throttle.bank.bank_capacity = bank_capacity
     throttle.bank.buffer_capacity = buffer_capacity
     throttle.bank.counter = counter
-    throttle.bank.rate = 1.0
-    throttle.bank.tick_credit = 0.0
+    throttle.bank.rate_per_s = 1.0
+    throttle.bank.fractional_token = 0.0
     return throttle
 
 
@@ -73,7 +73,7 @@
             admission = throttle.admit(make_request(request_number, throttle), now_ns)
             if admission is Admission.REJECT:
                 rejections += 1
-            elif admission is Admission.FORWARD:
+            elif admission is Admission.ADMIT:
                 trace.forwarded.append(request_number)
         trace.counters.append(throttle.bank.counter)
         trace.rejections.append(rejections)
@@ -160,12 +160,12 @@
     banks = [Throttle("ash", 1.0, random.Random(seed), 0).bank for seed in range(20)]
     for bank in banks:
         assert bank.counter == bank.bank_capacity + bank.buffer_capacity
-    assert len({round(bank.tick_credit, 3) for bank in banks}) > 10
+    assert len({round(bank.fractional_token, 3) for bank in banks}) > 10
 
 
 def test_retries_leave_a_quarter_of_the_bank_to_fresh_requests() -> None:
     bank = make_throttle(8, 2, 10).bank
-    assert [take_retry_token(bank, 0) for _ in range(8)] == [True] * 6 + [False] * 2
+    assert [take_low_priority_token(bank, 0) for _ in range(8)] == [True] * 6 + [False] * 2
     assert bank.balance == 2
 
 
@@ -176,11 +176,11 @@
         "slow": RequestClass("slow"),
     }
     harness = PolicyHarness(policy_settings(request_classes=classes, tenants={"ash": Tenant("ash")}))
-    throttle = harness.balancer.throttles.of("ash", harness.now_ns)
+    throttle = harness.balancer.throttles.get_or_create("ash", harness.now_ns)
 
     throttle.set_rate(400.0, harness.now_ns)
 
     bank = throttle.bank
-    longest_wait_s = bank.buffer_capacity / bank.rate
-    assert 0 < longest_wait_s <= 0.25 * objective_ms / 1000 + 1 / bank.rate
+    longest_wait_s = bank.buffer_capacity / bank.rate_per_s
+    assert 0 < longest_wait_s <= 0.25 * objective_ms / 1000 + 1 / bank.rate_per_s
     assert bank.buffer_capacity < bank.bank_capacity / 2
--- a/tests/process/test_process.py
+++ b/tests/process/test_process.py
@@ -16,7 +16,7 @@
 
 import pytest
 
-from loadbalancer.startup import MAX_CPU_DEBT_S, THROTTLING_DELAY_S, cpu_debt_s
+from loadbalancer.startup import MAX_READINESS_DELAY_S, THROTTLING_DELAY_S, readiness_delay_s
 from tests.support.sockets import (
     HOST,
     PATIENCE_S,
@@ -174,13 +174,13 @@
 
 
 @pytest.mark.parametrize(
-    ("cores", "spent_s", "debt_s"),
-    [(0.0, 0.1, 0.0), (0.5, 0.1, 0.2 + THROTTLING_DELAY_S), (0.01, 0.1, MAX_CPU_DEBT_S)],
+    ("cores", "spent_s", "delay_s"),
+    [(0.0, 0.1, 0.0), (0.5, 0.1, 0.2 + THROTTLING_DELAY_S), (0.01, 0.1, MAX_READINESS_DELAY_S)],
 )
 def test_the_cpu_debt_is_the_time_until_the_start_is_paid_for(
-    cores: float, spent_s: float, debt_s: float
+    cores: float, spent_s: float, delay_s: float
 ) -> None:
-    assert cpu_debt_s(cores, spent_s) == pytest.approx(debt_s)
+    assert readiness_delay_s(cores, spent_s) == pytest.approx(delay_s)
 
 
 def test_a_proxy_with_a_long_known_list_becomes_ready_and_serves(tmp_path: Path) -> None:
--- a/tests/proxy/test_client_disconnect.py
+++ b/tests/proxy/test_client_disconnect.py
@@ -224,7 +224,7 @@
         "loadbalancer.policy.load_probing.PROBE_TIMEOUT_NS",
         int(PATIENCE_S * 1000) * NANOSECONDS_PER_MILLISECOND,
     )
-    monkeypatch.setattr("loadbalancer.proxy.health_checks.TIMEOUT_S", PATIENCE_S)
+    monkeypatch.setattr("loadbalancer.proxy.health_checks.HEALTH_CHECK_TIMEOUT_S", PATIENCE_S)
     endpoint = await FakeEndpoint(answer).start()
     balancer = balancer_of(health_checks=True)
     policy = DisconnectInjector(balancer, when)
--- a/tests/proxy/test_faults.py
+++ b/tests/proxy/test_faults.py
@@ -57,7 +57,7 @@
     upstreams = [await FakeEndpoint(reset_every(4)).start() for _ in range(ENDPOINTS)]
     balancer = Balancer(settings(), 1, time.monotonic_ns())
     # Resets alone count: on a busy machine a response may be overdue, which ejects its endpoint as well.
-    monkeypatch.setattr(balancer.outlier_detection, "eject_slow", lambda _attempt, _now_ns: None)
+    monkeypatch.setattr(balancer.outlier_detection, "eject_overloaded", lambda _attempt, _now_ns: None)
     most_ejected = 0
     async with node(balancer, *upstreams) as client:
         for _ in range(60):
@@ -91,7 +91,7 @@
             await answers(200, b'{"inflight":0}')(received, writer)
 
     monkeypatch.setattr("loadbalancer.policy.load_probing.PROBE_TIMEOUT_NS", 4 * NANOSECONDS_PER_SECOND)
-    monkeypatch.setattr("loadbalancer.proxy.health_checks.TIMEOUT_S", 4.0)
+    monkeypatch.setattr("loadbalancer.proxy.health_checks.HEALTH_CHECK_TIMEOUT_S", 4.0)
     upstream = await FakeEndpoint(answer).start()
     async with node(Balancer(settings(health_checks=True), 1, time.monotonic_ns()), upstream) as client:
         begun = time.monotonic_ns()
--- a/tests/proxy/test_request_validation.py
+++ b/tests/proxy/test_request_validation.py
@@ -11,7 +11,7 @@
     MAX_DEADLINE_MS,
     UNKNOWN_METHOD,
     WRONG_METHOD,
-    RejectedRequest,
+    ErrorResponse,
     ValidRequest,
     validate_request,
 )
@@ -76,7 +76,7 @@
         (message(body=b"x"), BODY_NOT_ALLOWED),
     ],
 )
-def test_a_bad_request_is_rejected(request_message: Message, rejected: RejectedRequest) -> None:
+def test_a_bad_request_is_rejected(request_message: Message, rejected: ErrorResponse) -> None:
     assert validate_request(request_message, CLASSES) is rejected
 
 
@@ -91,7 +91,7 @@
     ],
 )
 def test_a_rejection_has_a_status_and_headers(
-    rejected: RejectedRequest, status: int, headers: list[tuple[bytes, bytes]]
+    rejected: ErrorResponse, status: int, headers: list[tuple[bytes, bytes]]
 ) -> None:
     assert rejected.status == status
     assert list(rejected.headers) == headers
--- a/tests/proxy/test_unread_disconnect.py
+++ b/tests/proxy/test_unread_disconnect.py
@@ -212,7 +212,7 @@
     endpoint = await FakeEndpoint(answers(200)).start()
     balancer = Balancer(settings(), 1, time.monotonic_ns())
     async with node(balancer, endpoint) as client, plain_socket(client) as sock:
-        throttle = balancer.throttles.of("", time.monotonic_ns())
+        throttle = balancer.throttles.get_or_create("", time.monotonic_ns())
         # No token left, and none comes however long this takes: the next request waits for one.
         throttle.set_rate(0.001, time.monotonic_ns())
         throttle.bank.counter = throttle.bank.buffer_capacity
--- a/tests/support/requests.py
+++ b/tests/support/requests.py
@@ -17,7 +17,7 @@
 ) -> Request:
     """Return a request that arrives at START, at a pool of its own."""
     deadline_ns = START + deadline_ms * NANOSECONDS_PER_MILLISECOND
-    bank = TokenBank(rate=1.0, bank_capacity=1, buffer_capacity=1, tick_credit=0.0, now_ns=START)
+    bank = TokenBank(rate_per_s=1.0, bank_capacity=1, buffer_capacity=1, fractional_token=0.0, now_ns=START)
     return Request(
         id=request_id,
         request_class=request_class,
--- a/tests/support/start_cost.py
+++ b/tests/support/start_cost.py
@@ -2,7 +2,7 @@
 
     python -m tests.support.start_cost 200 10000 160000
 
-At a share c of a core a start takes about cpu / c, and the rest that `cpu_debt_s` adds.
+At a share c of a core a start takes about cpu / c, and the rest that `readiness_delay_s` adds.
 """
 
 from __future__ import annotations
