--- a/loadbalancer/configuration_reload.py
+++ b/loadbalancer/configuration_reload.py
@@ -1,7 +1,7 @@
 """Reload of the configuration file while the proxy runs (SIGHUP).
 
-The address of discovery is applied at once. All other changes need a restart: they are logged and not
-applied. The endpoint list of the file is only used at the start, and is ignored.
+A handover to the address of discovery starts at once. All other changes but the seed and the known endpoint
+list are logged and need a restart. The endpoint list is parsed, not applied: it is only used at the start.
 """
 
 from __future__ import annotations
@@ -33,7 +33,7 @@
         return
     log.info("%s: reload: discovery at %s:%d", current.name, *new.discovery)
     for name in changes_that_need_a_restart(current, new):
-        log.warning("%s: reload: another %s needs a restart", current.name, name)
+        log.warning("%s: reload: changed %s needs a restart", current.name, name)
     hand_over_discovery(new.discovery)
 
 
--- a/loadbalancer/proxy/pending_requests.py
+++ b/loadbalancer/proxy/pending_requests.py
@@ -220,7 +220,7 @@
 
 
 def _affinity_cookie(request: Message) -> str:
-    """Return the value of the cookie by which requests are sticky to one endpoint; empty if there is none."""
+    """Return the affinity key, which no decision uses; empty if the cookie is absent."""
     for cookie in request.header(COOKIE_HEADER).decode("latin-1").split(";"):
         name, separator, value = cookie.strip().partition("=")
         if separator and name == AFFINITY_COOKIE:
--- a/loadbalancer/proxy/wire_names.py
+++ b/loadbalancer/proxy/wire_names.py
@@ -12,7 +12,7 @@
 IS_RETRY_HEADER = b"req-retry"
 FORWARDED_DEADLINE_MS_HEADER = b"Req-Deadline-Ms"  # as the proxy writes it
 COOKIE_HEADER = b"cookie"
-AFFINITY_COOKIE = "user"  # requests with equal values are sticky to one endpoint
+AFFINITY_COOKIE = "user"  # the affinity key, which no decision uses
 
 # Response headers.
 DECLINED_HEADER = b"srv-declined"  # of an endpoint: the request did not run
--- a/tests/package/test_policy_limits.py
+++ b/tests/package/test_policy_limits.py
@@ -43,7 +43,7 @@
     code = text.split("```python\n")[1].split("```")[0]
     done = subprocess.run([sys.executable, "-c", code], cwd=ROOT, capture_output=True, text=True, check=False)
     assert done.returncode == 0, done.stderr
-    assert done.stdout.startswith("send r1 to upstream ")
+    assert done.stdout.startswith("send r1 to endpoint ")
 
 
 def test_no_former_package_name_is_left() -> None:
--- a/tests/process/test_configuration_reload.py
+++ b/tests/process/test_configuration_reload.py
@@ -63,7 +63,7 @@
     assert moves == [OTHER_ADDRESS]
     assert [record.getMessage() for record in caplog.records] == [
         "n0: reload: discovery at 127.0.0.2:2",
-        "n0: reload: another sockets needs a restart",
+        "n0: reload: changed sockets needs a restart",
     ]
 
 
