--- a/loadbalancer/policy/subsetting.py
+++ b/loadbalancer/policy/subsetting.py
@@ -68,12 +68,14 @@
 
 
 def _keeps_to_own_zone(settings: Settings) -> bool:
-    """Tell whether proxies use the endpoints of their own zones: where both connections and zones cost.
+    """Tell whether proxies use the endpoints of their own zones: if connections and crossing zones cost.
 
     With fewer proxies than zones the endpoints of zones without a proxy would be idle.
     """
-    all_zones_have_proxies = settings.proxy_count >= len(settings.zones)
-    return settings.prices.connection > 0 < settings.prices.cross_zone and all_zones_have_proxies
+    prices = settings.prices
+    if prices.connection <= 0 or prices.cross_zone <= 0:
+        return False
+    return settings.proxy_count >= len(settings.zones)
 
 
 def _subset_ring(settings: Settings, placement: Placement) -> SortedList[RingKey]:
--- a/loadbalancer/state/endpoint_table.py
+++ b/loadbalancer/state/endpoint_table.py
@@ -143,4 +143,9 @@
 
     No ring depends on these two, and weights change all the time.
     """
-    return (old[:3], old.machine_type) == (new[:3], new.machine_type)
+    return (
+        old.status is new.status
+        and old.zone == new.zone
+        and old.cell == new.cell
+        and old.machine_type == new.machine_type
+    )
