--- a/loadbalancer/policy/subsetting.py
+++ b/loadbalancer/policy/subsetting.py
@@ -73,9 +73,9 @@
     With fewer proxies than zones the endpoints of zones without a proxy would be idle.
     """
     prices = settings.prices
-    if prices.connection <= 0 or prices.cross_zone <= 0:
-        return False
-    return settings.proxy_count >= len(settings.zones)
+    has_prices = prices.connection > 0 and prices.cross_zone > 0
+    all_zones_have_proxies = settings.proxy_count >= len(settings.zones)
+    return has_prices and all_zones_have_proxies
 
 
 def _subset_ring(settings: Settings, placement: Placement) -> SortedList[RingKey]:
