--- a/loadbalancer/policy/attempt_results.py
+++ b/loadbalancer/policy/attempt_results.py
@@ -37,7 +37,7 @@
         if event.load_report and IN_FLIGHT_COLUMN in event.load_report:
             # The report leaves this attempt out, and remove_attempt takes it off once more.
             state.record_load(event.load_report[IN_FLIGHT_COLUMN] + 1, now_ns)
-        self._record_result(request, attempt, event, now_ns)
+        self._record_result(request=request, attempt=attempt, event=event, now_ns=now_ns)
         state.remove_attempt(attempt.overdue)
 
     def _record_result(self, request: Request, attempt: Attempt, event: AttemptEnded, now_ns: int) -> None:
@@ -50,12 +50,16 @@
         )
         match result:
             case AttemptResult.OK:
-                self._record_success(request, attempt, event.elapsed_ns, now_ns)
+                self._record_success(
+                    request=request, attempt=attempt, elapsed_ns=event.elapsed_ns, now_ns=now_ns
+                )
             case AttemptResult.ERROR:
                 self.rate_controller.record_success()
             case AttemptResult.TIMEOUT:
                 if not request.stalled:
-                    self._record_timeout(request, attempt, event.elapsed_ns, now_ns)
+                    self._record_timeout(
+                        request=request, attempt=attempt, elapsed_ns=event.elapsed_ns, now_ns=now_ns
+                    )
             case AttemptResult.REJECTED:
                 self.rate_controller.record_failure(state.id)
                 self.outlier_detection.eject_slow(attempt, now_ns)
--- a/loadbalancer/policy/balancer.py
+++ b/loadbalancer/policy/balancer.py
@@ -102,7 +102,12 @@
             selection=self.selection,
             retry_candidates=RetryCandidates(self.fleet_updater, self.rng),
             load_probing=self.load_probing,
-            forwarding=Forwarding(self.concurrency_limit, self.latency_model, self.slow_start, self.timers),
+            forwarding=Forwarding(
+                limit=self.concurrency_limit,
+                latency_model=self.latency_model,
+                slow_start=self.slow_start,
+                timers=self.timers,
+            ),
             attempt_results=self.attempt_results,
         )
 
--- a/loadbalancer/policy/forwarding.py
+++ b/loadbalancer/policy/forwarding.py
@@ -16,21 +16,26 @@
     """Starts attempts: counts them at their endpoint, paces it, and times them."""
 
     def __init__(
-        self, limit: ConcurrencyLimit, latency: LatencyModel, slow_start: SlowStart, timers: TimerQueue[Timer]
+        self,
+        limit: ConcurrencyLimit,
+        latency_model: LatencyModel,
+        slow_start: SlowStart,
+        timers: TimerQueue[Timer],
     ) -> None:
         self.concurrency_limit = limit
-        self.latency_model = latency
+        self.latency_model = latency_model
         self.slow_start = slow_start
         self.timers = timers
 
     def start_attempt(self, request: Request, state: EndpointState, now_ns: int) -> Forward:
-        """Record an attempt at an endpoint, and return the action that sends it."""
+        """Record an attempt at an endpoint, and return the action that starts it."""
         self.concurrency_limit.record_occupancy(state, now_ns)
         state.add_attempt()
         expected_ns = expected_duration_ns(request, state, self.latency_model)
         load = max(1.0, estimated_load(state, now_ns))
         number = len(request.attempts)
-        request.attempts.append(Attempt(state, now_ns, expected_ns, load))
+        attempt = Attempt(endpoint_state=state, sent_ns=now_ns, expected_ns=expected_ns, load=load)
+        request.attempts.append(attempt)
         if self.slow_start.is_warming_up(state, now_ns):
             self.slow_start.apply_pacing(state, now_ns, self._relative_cost(request))
         overdue_ns = now_ns + overdue_after_ns(expected_ns, self.latency_model.deviation)
--- a/loadbalancer/policy/request_admission.py
+++ b/loadbalancer/policy/request_admission.py
@@ -4,10 +4,15 @@
 
 from loadbalancer.messages import RequestArrived
 from loadbalancer.policy.latency_model import LatencyModel
-from loadbalancer.policy.queue_admission import has_queue_capacity, was_delayed_by_throttle
+from loadbalancer.policy.queue_admission import (
+    has_queue_capacity,
+    queue_wait_max_ns,
+    was_delayed_by_throttle,
+)
 from loadbalancer.policy.queue_deadline import queue_deadline_ns
 from loadbalancer.policy.rate_control import RateController
 from loadbalancer.policy.request_lifecycle import RequestLifecycle
+from loadbalancer.policy.request_queue import RequestQueue
 from loadbalancer.policy.tenant_throttles import TenantThrottles
 from loadbalancer.policy.throttle import Admission, Throttle, take_retry_token
 from loadbalancer.policy.timers import QueueDeadline, Timer, TokenDue
@@ -39,7 +44,7 @@
         self.lifecycle.requests.add(request)
         self.timers.schedule(request.queue_deadline_ns, QueueDeadline(request))
         self.rate_controller.record_arrival(now_ns)
-        admission = self._admit(request, throttle, event.is_retry, now_ns)
+        admission = self._admit(request, throttle, is_retry=event.is_retry, now_ns=now_ns)
         if admission is Admission.FORWARD:
             self._enqueue(request, throttle, now_ns)
         elif admission is Admission.BUFFER:
@@ -91,19 +96,17 @@
         request.leave_queue()
         request.record_throttle_delay(was_delayed_by_throttle(request, now_ns))
         queue = self.lifecycle.queues[request.pool]
-        if queue.blocked_since_ns and not self._fits(request, throttle, len(queue.waiting), now_ns):
+        if queue.blocked_since_ns and not self._fits(queue, request, throttle, now_ns=now_ns):
             self.lifecycle.reject_for_capacity(request)
             return
         queue.append(request)
         self.lifecycle.probe_loads(request, now_ns)
 
-    def _fits(self, request: Request, throttle: Throttle, queue_length: int, now_ns: int) -> bool:
-        """Tell whether a blocked queue takes a request."""
-        # A class with a long objective must not make the queue too long for those with a short one.
-        wait_max_ns = min(request.queue_deadline_ns - now_ns, self.shortest_objective_ns)
+    def _fits(self, queue: RequestQueue, request: Request, throttle: Throttle, now_ns: int) -> bool:
+        """Tell whether a blocked queue takes one more request."""
         return has_queue_capacity(
-            queue_length=queue_length,
-            wait_max_ns=wait_max_ns,
+            queue_length=len(queue.waiting),
+            wait_max_ns=queue_wait_max_ns(request, self.shortest_objective_ns, now_ns),
             success_rate=self.rate_controller.success_rate,
             over_quota=throttle.is_over_quota,
         )
--- a/loadbalancer/policy/request_lifecycle.py
+++ b/loadbalancer/policy/request_lifecycle.py
@@ -91,7 +91,7 @@
 
     def _forward_or_reject(self, request: Request, state: EndpointState, now_ns: int) -> None:
         """Start an attempt at the chosen endpoint, if that is still safe."""
-        if may_forward(request, state.endpoint, now_ns, self.settings.limits):
+        if may_forward(request, state.endpoint, now_ns=now_ns, limits=self.settings.limits):
             self.actions.append(self.forwarding.start_attempt(request, state, now_ns))
         else:
             self.reject(request)
@@ -105,7 +105,7 @@
         if attempt is None:
             return
         attempt.end(event.result, may_have_run(event.result, self.settings.rules))
-        self.attempt_results.record(request, attempt, event, now_ns)
+        self.attempt_results.record(request=request, attempt=attempt, event=event, now_ns=now_ns)
         if event.request_complete:
             self._finish(request)
         elif request.finished:
@@ -116,7 +116,7 @@
     def _retry_or_reject(self, request: Request, now_ns: int) -> None:
         """Queue a request again whose attempts have all failed, or give its final response."""
         candidates = self.retry_candidates.find(request, now_ns) or request.pool.endpoints[:1]
-        if should_retry(request, candidates, now_ns, self.settings.limits):
+        if should_retry(request, candidates, now_ns=now_ns, limits=self.settings.limits):
             self.queues[request.pool].append_first(request)
             self.probe_loads(request, now_ns)
         else:
@@ -127,17 +127,23 @@
         if attempt.result is not None or request.stalled:
             return
         self.attempt_results.record_overdue(attempt, now_ns)
-        queue = self.queues[request.pool]
-        if should_hedge(request, attempt, len(queue.waiting), self.settings.limits, now_ns):
+        if should_hedge(
+            request=request,
+            overdue=attempt,
+            queue_length=len(self.queues[request.pool].waiting),
+            limits=self.settings.limits,
+            now_ns=now_ns,
+        ):
             self._hedge(request, now_ns)
 
     def _hedge(self, request: Request, now_ns: int) -> None:
         """Forward a request a second time, if an endpoint is available and its tenant has a token left."""
         candidates = self.retry_candidates.find(request, now_ns)
         state = self.selection.pick(request.pool, now_ns, candidates)
-        if state is None or not may_forward(request, state.endpoint, now_ns, self.settings.limits):
+        if state is None:
             return
-        if take_retry_token(request.token_bank, now_ns):
+        is_safe = may_forward(request, state.endpoint, now_ns=now_ns, limits=self.settings.limits)
+        if is_safe and take_retry_token(request.token_bank, now_ns):
             self.actions.append(self.forwarding.start_attempt(request, state, now_ns))
 
     def on_queue_deadline(self, request: Request) -> None:
--- a/loadbalancer/policy/retry_eligibility.py
+++ b/loadbalancer/policy/retry_eligibility.py
@@ -45,7 +45,7 @@
     in_flight_max = HEDGED_ATTEMPTS_IN_FLIGHT_MAX if limits.hedging else ATTEMPTS_IN_FLIGHT_MAX
     if request.attempts_in_flight >= in_flight_max:
         return False
-    return _may_repeat(request, endpoint, now_ns, limits)
+    return _may_repeat(request, endpoint, now_ns=now_ns, limits=limits)
 
 
 def _may_repeat(request: Request, endpoint: Endpoint, now_ns: int, limits: Limits) -> bool:
@@ -72,7 +72,7 @@
     """
     if now_ns >= request.queue_deadline_ns:
         return False
-    return any(may_forward(request, state.endpoint, now_ns, limits) for state in candidates)
+    return any(may_forward(request, state.endpoint, now_ns=now_ns, limits=limits) for state in candidates)
 
 
 def may_reject(request: Request) -> bool:
--- a/loadbalancer/state/timer_queue.py
+++ b/loadbalancer/state/timer_queue.py
@@ -45,7 +45,7 @@
 
     def pop(self) -> TimerT:
         """Remove and return the first timer; IndexError if there is none."""
-        timer = heapq.heappop(self._heap)[2]
+        _, _, timer = heapq.heappop(self._heap)
         self.first_due_ns = self._heap[0][0] if self._heap else NEVER_NS
         return timer
 
--- a/tests/policy/test_attempt_results.py
+++ b/tests/policy/test_attempt_results.py
@@ -91,8 +91,8 @@
 
 
 def test_lost_answer_does_not_count_as_in_flight() -> None:
-    # Guards against silent attempts of a bad network filling the places at sound endpoints (event8052).
-    for lost, sent in ((True, 2), (False, 0)):  # one that answers nobody stands still: left alone
+    # Attempts whose responses a bad network loses must not use up the concurrency limit of good endpoints.
+    for lost, sent in ((True, 2), (False, 0)):  # an endpoint that answers nobody is hung, and ejected
         harness = harness_with_an_overdue_attempt(lost)
         harness.give(arrival("a", harness.now_ns), arrival("b", harness.now_ns))
         harness.advance(1 * NANOSECONDS_PER_MILLISECOND)
--- a/tests/policy/test_disconnect.py
+++ b/tests/policy/test_disconnect.py
@@ -1,4 +1,4 @@
-"""The policy alone: it is told of a disconnect and of what else is due in one batch."""
+"""The policy is given a disconnect and other events in one batch."""
 
 from __future__ import annotations
 
--- a/tests/policy/test_queue.py
+++ b/tests/policy/test_queue.py
@@ -25,7 +25,7 @@
 
 
 def test_short_deadline_is_answered_though_the_queue_is_blocked() -> None:
-    # Guards against a wake-up that comes a little early being taken for an old one: no timer was set again.
+    # A wake-up that comes a little early is not one that was replaced: the next one has to be set.
     harness = PolicyHarness(endpoint_count=1)
     harness.give(arrival(1, harness.now_ns))
     for i in range(2, 40):
@@ -38,7 +38,7 @@
 
 
 def test_concurrency_limit_does_not_rise_before_the_first_answers() -> None:
-    # Incident i4eb9e9: the queue waited at the start, each limit looked good before its requests were done.
+    # Incident i4eb9e9: while the queue waited at the start, the limit rose before any request was finished.
     harness = PolicyHarness()
     for i in range(300):
         harness.give(arrival(i, harness.now_ns))
@@ -47,7 +47,7 @@
 
 
 def test_class_with_a_long_objective_keeps_the_queue_short_for_others() -> None:
-    # Incident i31aba8: requests with two seconds to spare filled the queue, and quick ones never got in.
+    # Incident i31aba8: requests with a long objective filled the queue, and the others were all rejected.
     slow = RequestClass("slow", Idempotency.IDEMPOTENT, latency_objective_ns=20 * NANOSECONDS_PER_SECOND)
     harness = PolicyHarness(settings(request_classes={"slow": slow, "read": READ}), endpoint_count=1)
     for i in range(200):
--- a/tests/policy/test_retry_eligibility.py
+++ b/tests/policy/test_retry_eligibility.py
@@ -96,7 +96,7 @@
 
 @pytest.mark.parametrize("request_class", [NEAR, BIG])
 def test_placement_binds_every_attempt(request_class: RequestClass) -> None:
-    # Guards against a class going where it may not, on retries too: the checker asserts it for each send.
+    # The rule checker asserts the placement of each attempt, retries included.
     harness = PolicyHarness(endpoint_count=0)
     harness.give(EndpointUpdate(EndpointUpdateKind.CACHED, make_mixed_endpoints(12)))
     for i in range(60):
@@ -128,7 +128,7 @@
 def test_rejection_proves_that_nothing_ran_only_where_the_rules_say_so(
     request_class: RequestClass, rejected_may_have_run: bool, answer: FinalAnswer | None
 ) -> None:
-    # Guards against a second effect where endpoints also drop what they had begun.
+    # Endpoints may also reject requests that they have begun, and a retry would take effect twice.
     rules = Rules(slow_start_ns=4 * NANOSECONDS_PER_SECOND, rejected_may_have_run=rejected_may_have_run)
     harness = PolicyHarness(settings(rules=rules))
     harness.give(arrival(1, harness.now_ns, request_class))
--- a/tests/policy/test_timer_queue.py
+++ b/tests/policy/test_timer_queue.py
@@ -31,7 +31,7 @@
     assert popped == [first, second]
 
 
-def test_a_wake_up_is_set_anew_only_for_an_earlier_timer() -> None:
+def test_another_wake_up_is_set_only_for_an_earlier_timer() -> None:
     queue = TimerQueue[Timer]()
     assert queue.next_wake_up(0) is None
     queue.schedule(20, ServeQueue())
