--- a/loadbalancer/policy/balancer.py
+++ b/loadbalancer/policy/balancer.py
@@ -15,7 +15,7 @@
 from loadbalancer.policy.live_weights import LiveWeights
 from loadbalancer.policy.load_probing import LoadProbing, is_probing_enabled
 from loadbalancer.policy.outlier_detection import OutlierDetection
-from loadbalancer.policy.rate_control import FEEDBACK_INTERVAL_NS
+from loadbalancer.policy.rate_control import FEEDBACK_INTERVAL_NS, RateController
 from loadbalancer.policy.request_admission import RequestAdmission
 from loadbalancer.policy.request_lifecycle import RequestLifecycle
 from loadbalancer.policy.request_queue import RequestQueue
@@ -23,7 +23,7 @@
 from loadbalancer.policy.selection import Selection
 from loadbalancer.policy.slow_start import SlowStart
 from loadbalancer.policy.subsetting import new_endpoint_table
-from loadbalancer.policy.tenant_throttles import TenantThrottles
+from loadbalancer.policy.tenant_throttles import TenantThrottles, total_tenant_weight
 from loadbalancer.policy.timers import AttemptOverdue, PollDiscovery, QueueDeadline, Timer, TokenDue
 from loadbalancer.settings import Settings
 from loadbalancer.state.fleet import Fleet
@@ -52,8 +52,8 @@
         self.shortest_objective_ns = min(objectives_ns)
         probes_load = is_probing_enabled(settings)
         self.timers = TimerQueue[Timer]()
-        self.throttles = TenantThrottles(settings, self.rng, now_ns, self.shortest_objective_ns)
-        self.rate_controller = self.throttles.rate_controller
+        self.rate_controller = RateController(total_tenant_weight(settings), now_ns)
+        self.throttles = TenantThrottles(settings, self.rate_controller, self.rng, self.shortest_objective_ns)
         self.latency_model = LatencyModel(slowest_objective_ns=max(objectives_ns))
         self.concurrency_limit = ConcurrencyLimit(self.latency_model)
         self.fleet = Fleet(settings.request_classes, new_endpoint_table(settings))
@@ -129,6 +129,7 @@
             fleet_updater=self.fleet_updater,
             queues=self.queues,
             throttles=self.throttles,
+            rate_controller=self.rate_controller,
             concurrency_limit=self.concurrency_limit,
             outlier_detection=self.outlier_detection,
             slow_start=self.slow_start,
--- a/loadbalancer/policy/feedback.py
+++ b/loadbalancer/policy/feedback.py
@@ -7,6 +7,7 @@
 from loadbalancer.policy.fleet_updates import FleetUpdater
 from loadbalancer.policy.load_estimate import is_loaded
 from loadbalancer.policy.outlier_detection import OutlierDetection
+from loadbalancer.policy.rate_control import RateController
 from loadbalancer.policy.request_admission import RequestAdmission
 from loadbalancer.policy.request_queue import RequestQueue
 from loadbalancer.policy.slow_start import SlowStart
@@ -23,6 +24,7 @@
     fleet_updater: FleetUpdater
     queues: dict[EndpointPool, RequestQueue]
     throttles: TenantThrottles
+    rate_controller: RateController
     concurrency_limit: ConcurrencyLimit
     outlier_detection: OutlierDetection
     slow_start: SlowStart
@@ -45,7 +47,7 @@
 
     def _adjust_rates(self, now_ns: int) -> None:
         """Adjust the proxy's and the tenants' rates, and the throughput that slow start counts on."""
-        rate_controller = self.throttles.rate_controller
+        rate_controller = self.rate_controller
         rate_controller.adjust(
             throttles=self.throttles.values(),
             now_ns=now_ns,
--- a/loadbalancer/proxy/endpoint_list_parser.py
+++ b/loadbalancer/proxy/endpoint_list_parser.py
@@ -28,8 +28,8 @@
     LIST_VERSION,
     STATUS_BY_NAME,
 )
+from loadbalancer.state.endpoint_attributes import EndpointAttributes
 from loadbalancer.state.endpoint_ids import EndpointIdRegistry, host_fingerprint, preferred_id
-from loadbalancer.state.endpoint_table import EndpointAttributes
 from loadbalancer.units import NANOSECONDS_PER_MILLISECOND
 
 log = logging.getLogger(__name__)
@@ -188,8 +188,7 @@
             raise EndpointListError(f"{LIST_VERSION} is not a whole number: {self._version!r}")
         if not isinstance(self._complete, bool):
             raise EndpointListError(f"{LIST_COMPLETE} is not true or false: {self._complete!r}")
-        self._list.version = self._version
-        self._list.complete = self._complete
+        self._list.set_version(self._version, complete=self._complete)
         return self._list
 
     def _add_entry(self, entry: Entry) -> None:
@@ -203,7 +202,7 @@
             log.warning("discovery: entry %.*s can't be read: %r", MAX_LOGGED_HOST_CHARACTERS, host, error)
             endpoint_id = self._id_registry.find(preferred_id(host), host_fingerprint(host))
             if endpoint_id is not None:
-                self._list.unreadable.append(endpoint_id)
+                self._list.add_unreadable(endpoint_id)
             return
         endpoint_id = self._endpoint_id(host, attributes.status)
         if endpoint_id is not None:
--- a/tests/support/requests.py
+++ b/tests/support/requests.py
@@ -6,7 +6,7 @@
 from loadbalancer.settings import RequestClass
 from loadbalancer.state.endpoint_pool import EndpointPool
 from loadbalancer.state.endpoint_state import EndpointState
-from loadbalancer.state.endpoint_table import Placement
+from loadbalancer.state.placement import Placement
 from loadbalancer.state.request import Attempt, Request
 from loadbalancer.state.token_bank import TokenBank
 from tests.support.policy_harness import NANOSECONDS_PER_MILLISECOND, READ, START, make_endpoints
