--- a/loadbalancer/policy/balancer.py
+++ b/loadbalancer/policy/balancer.py
@@ -83,11 +83,9 @@
         self.request_lifecycle = self._request_lifecycle()
         self.request_admission = self._request_admission()
         self._handlers = self._event_handlers()
-        self.feedback = self._feedback()
-        self.feedback_ns = now_ns
-        self.discovery_retry = DiscoveryRetry(settings, self.rng)
-        if not settings.discovery_pushes:
-            self.timers.schedule(now_ns + self.discovery_retry.first_delay_ns(), PollDiscovery())
+        self.feedback = self._feedback(now_ns)
+        self.discovery_retry = DiscoveryRetry(settings, self.timers, self.rng)
+        self.discovery_retry.schedule_first_poll(now_ns)
 
     def _request_lifecycle(self) -> RequestLifecycle:
         return RequestLifecycle(
@@ -123,8 +121,9 @@
             lifecycle=self.request_lifecycle,
         )
 
-    def _feedback(self) -> Feedback:
+    def _feedback(self, now_ns: int) -> Feedback:
         return Feedback(
+            due_ns=now_ns + FEEDBACK_INTERVAL_NS,
             fleet=self.fleet,
             fleet_updater=self.fleet_updater,
             queues=self.queues,
@@ -162,8 +161,7 @@
         while timers.first_due_ns <= now_ns:
             self._on_timer(timers.pop(), now_ns)
         self.request_lifecycle.serve_queues(now_ns)
-        if now_ns - self.feedback_ns >= FEEDBACK_INTERVAL_NS:
-            self.feedback_ns = now_ns
+        if now_ns >= self.feedback.due_ns:
             self.feedback.adjust(now_ns)
         wake_up = timers.next_wake_up(now_ns)
         if wake_up is not None:
@@ -180,8 +178,7 @@
 
     def _on_endpoint_update(self, event: messages.EndpointUpdate, now_ns: int) -> None:
         if event.kind in (messages.EndpointUpdateKind.FAILED, messages.EndpointUpdateKind.WATCH_TIMED_OUT):
-            delay_ns = self.discovery_retry.delay_after(event.kind, now_ns)
-            self.timers.schedule(now_ns + delay_ns, PollDiscovery())
+            self.discovery_retry.schedule_poll_after(event.kind, now_ns)
             return
         self.discovery_retry.record_list(event.kind)
         for state in self.fleet_updater.apply(event, now_ns):
--- a/loadbalancer/policy/discovery_retry.py
+++ b/loadbalancer/policy/discovery_retry.py
@@ -3,7 +3,9 @@
 import random
 
 from loadbalancer.messages import EndpointUpdateKind
+from loadbalancer.policy.timers import PollDiscovery, Timer
 from loadbalancer.settings import Settings
+from loadbalancer.state.timer_queue import TimerQueue
 from loadbalancer.units import NANOSECONDS_PER_MILLISECOND
 
 FIRST_POLL_SPREAD_FRACTION = 0.25
@@ -26,20 +28,31 @@
     a second after its timeout: the next call is made at once and, if it fails, the one after that soon.
     """
 
-    def __init__(self, settings: Settings, rng: random.Random) -> None:
+    def __init__(self, settings: Settings, timers: TimerQueue[Timer], rng: random.Random) -> None:
+        self.timers = timers
         self.rng = rng
         self.poll_interval_ns = settings.rules.poll_interval_ns
+        self.discovery_pushes = settings.discovery_pushes
         self.call_in_flight = settings.discovery_pushes
         self.watch_timed_out = False  # the last call ended with a watch timeout
         self.consecutive_failures = 0
         self.called_ns = 0
 
-    def first_delay_ns(self) -> int:
-        """Return the delay of the first call, spread over the proxies that start together."""
-        return int(self.rng.random() * self.poll_interval_ns * FIRST_POLL_SPREAD_FRACTION)
+    def schedule_first_poll(self, now_ns: int) -> None:
+        """Set the timer for the first call, spread over the proxies that start together.
 
-    def delay_after(self, kind: EndpointUpdateKind, now_ns: int) -> int:
-        """Return the delay in ns of the next call, after one that failed or a watch that timed out."""
+        Where discovery pushes, the first call is made without one.
+        """
+        if not self.discovery_pushes:
+            delay_ns = int(self.rng.random() * self.poll_interval_ns * FIRST_POLL_SPREAD_FRACTION)
+            self.timers.schedule(now_ns + delay_ns, PollDiscovery())
+
+    def schedule_poll_after(self, kind: EndpointUpdateKind, now_ns: int) -> None:
+        """Set the timer for the next call, after one that failed or a watch that timed out."""
+        self.timers.schedule(now_ns + self._delay_after_ns(kind, now_ns), PollDiscovery())
+
+    def _delay_after_ns(self, kind: EndpointUpdateKind, now_ns: int) -> int:
+        """Return the delay of the next call: a jittered backoff after a failure, 0 after a watch timeout."""
         failed = kind is EndpointUpdateKind.FAILED
         failed_after_watch_timeout = failed and self.watch_timed_out
         self.call_in_flight = False
--- a/loadbalancer/policy/feedback.py
+++ b/loadbalancer/policy/feedback.py
@@ -7,7 +7,7 @@
 from loadbalancer.policy.fleet_updates import FleetUpdater
 from loadbalancer.policy.load_estimate import is_loaded
 from loadbalancer.policy.outlier_detection import OutlierDetection
-from loadbalancer.policy.rate_control import RateController
+from loadbalancer.policy.rate_control import FEEDBACK_INTERVAL_NS, RateController
 from loadbalancer.policy.request_admission import RequestAdmission
 from loadbalancer.policy.request_queue import RequestQueue
 from loadbalancer.policy.slow_start import SlowStart
@@ -20,6 +20,8 @@
 class Feedback:
     """Adjusts rates, limits and draw widths to the results of the last feedback interval."""
 
+    due_ns: int  # when the interval ends
+
     fleet: Fleet
     fleet_updater: FleetUpdater
     queues: dict[EndpointPool, RequestQueue]
@@ -32,6 +34,7 @@
 
     def adjust(self, now_ns: int) -> None:
         """End the interval; requests that have a token at the new rates are queued."""
+        self.due_ns = now_ns + FEEDBACK_INTERVAL_NS
         self.concurrency_limit.decay()
         self.fleet_updater.discard_unused_states()
         self.outlier_detection.decay()
