--- a/tests/policy/test_request_queue.py
+++ b/tests/policy/test_request_queue.py
@@ -4,7 +4,7 @@
 
 from loadbalancer.policy.request_queue import RequestQueue
 from loadbalancer.state.endpoint_pool import EndpointPool
-from loadbalancer.state.endpoint_table import Placement
+from loadbalancer.state.placement import Placement
 from loadbalancer.state.request import Queue
 from tests.support.requests import make_request
 
