--- a/loadbalancer/policy/concurrency_limit.py
+++ b/loadbalancer/policy/concurrency_limit.py
@@ -34,7 +34,7 @@
         self._samples = ThroughputSamples(CONCURRENCY_LIMIT_MAX + 1, OUTCOMES_MIN)
 
     def record_occupancy(self, endpoint: EndpointState, now_ns: int) -> None:
-        """Record for how long an endpoint held its requests in flight; call before their number changes."""
+        """Record how long the number of requests in flight was unchanged; call before it changes."""
         if endpoint.in_flight and endpoint.in_subset:
             seconds = (now_ns - endpoint.in_flight_since_ns) / NANOSECONDS_PER_SECOND
             self._samples.add_time(endpoint.in_flight, seconds)
--- a/loadbalancer/policy/fair_shares.py
+++ b/loadbalancer/policy/fair_shares.py
@@ -14,7 +14,7 @@
 class Allocation(NamedTuple):
     """A rate as it is divided among the tenants, in requests a second."""
 
-    rates: list[float]  # one for each tenant: its share and, on top, the whole unused rate
+    rates: list[float]  # one for each tenant: its share and, on top, all of the unused rate
     unused_rate: float  # what the demand of all tenants leaves
 
 
--- a/loadbalancer/policy/feedback.py
+++ b/loadbalancer/policy/feedback.py
@@ -10,7 +10,7 @@
 from loadbalancer.policy.fleet_updates import FleetUpdater
 from loadbalancer.policy.load_estimate import is_loaded
 from loadbalancer.policy.outlier_detection import OutlierDetection
-from loadbalancer.policy.rate_control import RateController
+from loadbalancer.policy.rate_control import FEEDBACK_INTERVAL_NS, RateController
 from loadbalancer.policy.request_admission import RequestAdmission
 from loadbalancer.policy.request_queue import RequestQueue
 from loadbalancer.policy.slow_start import SlowStart
@@ -23,6 +23,8 @@
 class Feedback:
     """Adjusts rates, limits and draw widths to the results of recent attempts."""
 
+    due_ns: int  # time of the next feedback tick
+
     fleet: Fleet
     fleet_updater: FleetUpdater
     queues: dict[EndpointPool, RequestQueue]
@@ -38,6 +40,7 @@
 
         The rates change only at the ticks that end a rate interval (`RateController.adjust`).
         """
+        self.due_ns = now_ns + FEEDBACK_INTERVAL_NS
         self.concurrency_limit.decay()
         self.fleet_updater.discard_unused_states()
         self.outlier_detection.decay()
--- a/loadbalancer/policy/latency_model.py
+++ b/loadbalancer/policy/latency_model.py
@@ -54,7 +54,7 @@
         return self._mean_ns_by_class.get(request_class.name, initial_ns)
 
     def latency_at(self, load: float) -> float:
-        """Return what a request takes at an endpoint with so many in flight, this one included."""
+        """Return what a request takes at an endpoint with `load` in flight, this one included."""
         return self.base_ns + self.per_request_ns * load
 
     def record_success(self, request: Request, attempt: Attempt, latency_ns: int) -> None:
--- a/loadbalancer/policy/subsetting.py
+++ b/loadbalancer/policy/subsetting.py
@@ -3,11 +3,11 @@
 Types of the interface: loadbalancer/messages.py.
 
 A subset is a run of consecutive keys of a hash ring that all proxies compute alike, so that a proxy's own
-requests in flight are a measure of each endpoint's load; beside it there is a reserve. Where open connections
-have a price subsets are small, and lie in the proxy's own zone if crossing zones has a price too. In a large
-deployment the ring is cut into segments by key. A subset begins by rank in its segment: subsets are spread
-evenly whatever the keys are, and a change of the endpoint list moves only those of one segment, by one
-endpoint.
+requests in flight are a measure of each endpoint's load; a reserve is kept in addition. Where open
+connections have a price subsets are small, and lie in the proxy's own zone if crossing zones has a price too.
+In a large deployment the ring is cut into segments by key. A subset begins by rank in its segment: subsets
+are spread evenly whatever the keys are, and a change of the endpoint list moves only those of one segment, by
+one endpoint.
 """
 
 from sortedcontainers import SortedList
@@ -21,7 +21,7 @@
 
 SEGMENT_PROXIES_MIN = 256  # with fewer the endpoints of a segment are not evenly used
 SEGMENT_ENDPOINTS_MIN = 2048
-# The reserve: endpoints beside the subset, which replace its losses and serve keyed retries.
+# The reserve: endpoints outside the subset, which replace its losses and serve retries with idempotency keys.
 ZONE_RESERVE_SIZE = 128  # those that follow the subset on its ring
 REMOTE_RESERVE_SIZE = 128  # those from the ring of all zones
 RESERVE_SIZE = ZONE_RESERVE_SIZE + REMOTE_RESERVE_SIZE
@@ -59,7 +59,10 @@
 
 
 def new_endpoint_table(settings: Settings) -> EndpointTable:
-    """Return an empty table, with the rings by zone and by cell that subsets and keyed retries need."""
+    """Return an empty table, with the rings by zone and by cell that are needed.
+
+    Subsets, and retries with an idempotency key, need them.
+    """
     scopes = {request_class.deduplication_scope for request_class in settings.request_classes.values()}
     return EndpointTable(
         index_zones=_keeps_to_own_zone(settings) or DeduplicationScope.ZONE in scopes,
@@ -68,12 +71,14 @@
 
 
 def _keeps_to_own_zone(settings: Settings) -> bool:
-    """Tell whether proxies use the endpoints of their own zones: where both connections and zones cost.
+    """Tell whether proxies use the endpoints of their own zones: if connections and crossing zones cost.
 
     With fewer proxies than zones the endpoints of zones without a proxy would be idle.
     """
+    prices = settings.prices
+    has_prices = prices.connection > 0 and prices.cross_zone > 0
     all_zones_have_proxies = settings.proxy_count >= len(settings.zones)
-    return settings.prices.connection > 0 < settings.prices.cross_zone and all_zones_have_proxies
+    return has_prices and all_zones_have_proxies
 
 
 def _subset_ring(settings: Settings, placement: Placement) -> SortedList[RingKey]:
@@ -142,7 +147,7 @@
 
 
 def _fits_into_reserve(full_ring: SortedList[RingKey], assigned_count: int) -> bool:
-    """Tell whether the reserve holds all endpoints beside the subset."""
+    """Tell whether the reserve holds all endpoints outside the subset."""
     return len(full_ring) - assigned_count <= RESERVE_SIZE
 
 
--- a/loadbalancer/policy/tenant_throttles.py
+++ b/loadbalancer/policy/tenant_throttles.py
@@ -28,7 +28,7 @@
     """The throttles of the tenants that send.
 
     One is made at a tenant's first request, as if it had always been there, and dropped when it is idle:
-    silent tenants cost nothing, however many there are.
+    idle tenants cost nothing, however many there are.
     """
 
     def __init__(
--- a/loadbalancer/proxy/health_checks.py
+++ b/loadbalancer/proxy/health_checks.py
@@ -19,7 +19,7 @@
 HEALTH_CHECK_TIMEOUT_S = 0.05
 MAX_HEALTH_CHECKS_IN_FLIGHT = 256
 
-# One in so many connections is reserved for attempts.
+# The limit on connections divided by this is reserved for attempts.
 ATTEMPT_CONNECTIONS_DIVISOR = 8
 
 
--- a/loadbalancer/settings.py
+++ b/loadbalancer/settings.py
@@ -99,8 +99,8 @@
 
     # Discovery.
     drain_notice_ns: int = 1_000_000_000  # within which sends to a draining or removed endpoint must end
-    poll_interval_ns: int = 10_000_000_000  # a proxy that has not asked for this long counts as notified
-    # Slow start: a started endpoint warms up; how its capacity grows meanwhile isn't known.
+    poll_interval_ns: int = 10_000_000_000  # a proxy that has not polled for this long counts as notified
+    # Slow start: a started endpoint warms up; how its capacity grows in this time isn't known.
     slow_start_initial_capacity: float = 0.3  # least part of the full capacity at the start
     slow_start_ns: int = 0  # longest time until the full capacity; 0: there is no slow start
     # Overload: one that warms up fails for good if it is sent too much for too long.
@@ -144,7 +144,7 @@
     rules: Rules = field(default_factory=Rules)
     prices: Prices = field(default_factory=Prices)
     # What is known of endpoints.
-    discovery_pushes: bool = True  # updates of the list come by themselves; else a proxy has to ask
+    discovery_pushes: bool = True  # updates of the list come by themselves; else a proxy has to poll
     load_report_columns: Sequence[str] = ()  # names of the figures in a load report
     load_reports_in_responses: bool = False  # else in the responses to health checks alone
     weight_source: WeightSource = WeightSource.NONE
--- a/loadbalancer/startup.py
+++ b/loadbalancer/startup.py
@@ -6,7 +6,7 @@
 
 # With a small CPU limit, serving slowly is better than not serving.
 MAX_READINESS_DELAY_S = 1.0
-# The system may throttle a process so long after it exceeded its limit.
+# For how long the system may throttle a process after it has exceeded its limit.
 THROTTLING_DELAY_S = 0.15
 
 
@@ -16,7 +16,7 @@
     Until then the system may throttle the process, so it should not report readiness.
 
     Args:
-        cpu_cores: The CPU limit, in cores; 0 if it is not known: the result is 0 then.
+        cpu_cores: The CPU limit, in cores; 0 if it is not known, for which the result is 0.
         cpu_time_s: The CPU time used so far, in seconds.
     """
     if cpu_cores <= 0:
--- a/loadbalancer/state/request.py
+++ b/loadbalancer/state/request.py
@@ -65,7 +65,7 @@
     delayed_by_throttle: bool = False  # a late end is not attributed to the endpoints
     stalled: bool = False  # the event loop stalled while it was pending: none of its durations is valid
     queued_in: Queue | None = None
-    queue_deadline_ns: int = 0  # it is rejected if it is still queued then
+    queue_deadline_ns: int = 0  # it is rejected if it is still queued at this time
     probed_endpoints: list[EndpointState] = field(default_factory=list)  # load probed on its behalf
     probed_ns: int = 0
 
--- a/loadbalancer/state/throughput_samples.py
+++ b/loadbalancer/state/throughput_samples.py
@@ -6,7 +6,7 @@
 
 
 class ThroughputSamples:
-    """The seconds that endpoints spent with so many requests in flight, and the requests finished meanwhile.
+    """The seconds that endpoints spent at each level of concurrency, and the requests finished at it.
 
     A level is a number of requests in flight at one endpoint, from 1 to `top_level`; higher ones count as the
     top one. Fewer completions than `min_completions` give no throughput.
