--- a/loadbalancer/policy/rate_control.py
+++ b/loadbalancer/policy/rate_control.py
@@ -16,7 +16,7 @@
 from loadbalancer.units import NANOSECONDS_PER_SECOND
 
 FEEDBACK_INTERVAL_NS = NANOSECONDS_PER_SECOND // 2
-FEEDBACK_INTERVAL_MAX_NS = 4 * FEEDBACK_INTERVAL_NS
+RATE_INTERVAL_MAX_NS = 4 * FEEDBACK_INTERVAL_NS
 OUTCOMES_MIN = 8
 FAILED_FRACTION_OUTCOMES_MIN = 2 * OUTCOMES_MIN
 TOLERATED_FAILED_FRACTION = 0.1
@@ -40,7 +40,7 @@
 
 
 @dataclass(slots=True)
-class FeedbackInterval:
+class RateInterval:
     """The outcomes of requests and attempts in one rate interval.
 
     It ends with the first feedback tick (`Feedback.adjust`) at which it is long enough.
@@ -76,7 +76,7 @@
         self.last_overload_rate = 0.0  # at which too many attempts failed; decays with each decrease
         self.attempt_rate = 0.0  # attempts that ended, in the last interval
         self.success_rate = INITIAL_RATE_PER_S  # attempts not counted as failures, in the last interval
-        self.interval = FeedbackInterval(now_ns)
+        self.interval = RateInterval(now_ns)
 
     def record_arrival(self, now_ns: int) -> None:
         """Begin the interval with its first request.
@@ -131,13 +131,13 @@
         elif self.interval.outcomes and any(throttle.has_missed_token for throttle in throttles):
             self._increase()
         for throttle in throttles:
-            throttle.end_feedback_interval(elapsed_ns)
+            throttle.end_rate_interval(elapsed_ns)
         self._set_tenant_rates(throttles, now_ns)
-        self.interval = FeedbackInterval(now_ns)
+        self.interval = RateInterval(now_ns)
 
     def _is_long_enough(self, elapsed_ns: int) -> bool:
         """Tell whether enough outcomes have come in, or it has waited for them as long as it may."""
-        if elapsed_ns >= FEEDBACK_INTERVAL_MAX_NS:
+        if elapsed_ns >= RATE_INTERVAL_MAX_NS:
             return True
         return elapsed_ns >= FEEDBACK_INTERVAL_NS and self.interval.outcomes >= OUTCOMES_MIN
 
--- a/loadbalancer/policy/throttle.py
+++ b/loadbalancer/policy/throttle.py
@@ -147,7 +147,7 @@
         """Record that the scheduled wake-up has come."""
         self._wake_up_scheduled = False
 
-    def end_feedback_interval(self, elapsed_ns: int) -> None:
+    def end_rate_interval(self, elapsed_ns: int) -> None:
         """Update the demand at the end of a rate interval, and count the arrivals of the next one."""
         arrivals_per_s = self.arrivals * NANOSECONDS_PER_SECOND / elapsed_ns
         self.demand_per_s += DEMAND_SMOOTHING * (arrivals_per_s - self.demand_per_s)
