--- a/loadbalancer/policy/fair_shares.py
+++ b/loadbalancer/policy/fair_shares.py
@@ -1,6 +1,6 @@
 """Max-min fair division of a rate among the tenants that send (types: loadbalancer/messages.py).
 
-Each tenant gets what it asks for, or its part by weight of what the tenants that ask for less leave over.
+Each tenant gets its demand or, if that is less, its part by weight of what tenants with less demand leave.
 """
 
 from collections.abc import Collection
--- a/loadbalancer/policy/rate_control.py
+++ b/loadbalancer/policy/rate_control.py
@@ -164,7 +164,7 @@
         return self.rate < RECOVERY_FAILED_RATE_FACTOR * self.failed_rate
 
     def _set_tenant_rates(self, throttles: Collection[Throttle], now_ns: int) -> None:
-        """Let each tenant have its fair share, and compare its demand with that of what succeeds."""
+        """Set each tenant's rate, and compare its demand with its fair share of the success rate."""
         offered = divide_rate(self.rate, throttles)
         served = divide_rate(self.success_rate, throttles)
         self.unused_rate = offered.unused_rate
--- a/loadbalancer/policy/tenant_throttles.py
+++ b/loadbalancer/policy/tenant_throttles.py
@@ -11,7 +11,7 @@
 
 
 def _tenants(settings: Settings) -> Mapping[str, Tenant]:
-    """Return the configured tenants by name; where there are none, one with an empty name sends it all."""
+    """Return the configured tenants by name; where there are none, one with an empty name."""
     return settings.tenants or {"": Tenant("")}
 
 
@@ -28,7 +28,7 @@
     """The throttles of the tenants that send.
 
     One is made at a tenant's first request, as if it had always been there, and dropped when it is idle:
-    silent tenants cost nothing, however many there are.
+    tenants that send nothing cost nothing, however many are configured.
     """
 
     def __init__(
