--- a/tests/proxy/conftest.py
+++ b/tests/conftest.py
@@ -2,11 +2,14 @@
 
 from __future__ import annotations
 
+import asyncio
 import inspect
 
 import pytest
 
-from tests.support.sockets import run
+from tests.support.sockets import PATIENCE_S
+
+TEST_TIMEOUT_S = 3 * PATIENCE_S
 
 
 @pytest.hookimpl(tryfirst=True)
@@ -15,5 +18,6 @@
     if not inspect.iscoroutinefunction(pyfuncitem.obj):
         return None
     arguments = inspect.signature(pyfuncitem.obj).parameters
-    run(pyfuncitem.obj(**{name: pyfuncitem.funcargs[name] for name in arguments}))
+    test = pyfuncitem.obj(**{name: pyfuncitem.funcargs[name] for name in arguments})
+    asyncio.run(asyncio.wait_for(test, TEST_TIMEOUT_S))
     return True
--- a/tests/process/test_process.py
+++ b/tests/process/test_process.py
@@ -29,7 +29,6 @@
     known,
     read,
     request,
-    run,
     until,
     written,
 )
@@ -125,52 +124,46 @@
     return response
 
 
-def test_sigterm_answers_open_requests_and_those_that_still_arrive(tmp_path: Path) -> None:
-    async def test() -> None:
-        release = asyncio.Event()
-
-        async def answer(got: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
-            if "/slow" in got.first:
-                await release.wait()
-            writer.write(written(200, b"done"))
-
-        upstream, second = await FakeEndpoint(answer).start(), await FakeEndpoint(answer).start()
-        async with running_proxy(tmp_path, upstream.port, second.port) as (process, port):
-            assert (await exchange(port, READINESS_CHECK)).status == 200
-            idle_reader, idle_writer = await asyncio.open_connection(HOST, port)
-            idle_writer.write(READINESS_CHECK)
-            assert (await read(idle_reader)).status == 200
-            slow = asyncio.create_task(exchange(port, request("/read/slow", deadline_ms=3000)))
-            await until(lambda: upstream.got or second.got)
-            process.send_signal(signal.SIGTERM)
-            while (await exchange(port, READINESS_CHECK)).status != 503:  # the signal may take a moment
-                pass
-            late = await exchange(port, request("/read/late"))
-            assert (late.status, late.headers["connection"]) == (200, "close")
-            assert await asyncio.wait_for(idle_reader.read(), PATIENCE_S) == b""
-            assert not slow.done()
-            assert process.returncode is None
-            release.set()
-            assert (await slow).body == b"done"
-            assert await asyncio.wait_for(process.wait(), PATIENCE_S) == 0
-            idle_writer.close()
-        upstream.stop()
-        second.stop()
-
-    run(test())
-
-
-def test_the_proxy_is_ready_once_the_processor_time_of_its_start_is_paid_for(tmp_path: Path) -> None:
+async def test_sigterm_answers_open_requests_and_those_that_still_arrive(tmp_path: Path) -> None:
+    release = asyncio.Event()
+
+    async def answer(got: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
+        if "/slow" in got.first:
+            await release.wait()
+        writer.write(written(200, b"done"))
+
+    upstream, second = await FakeEndpoint(answer).start(), await FakeEndpoint(answer).start()
+    async with running_proxy(tmp_path, upstream.port, second.port) as (process, port):
+        assert (await exchange(port, READINESS_CHECK)).status == 200
+        idle_reader, idle_writer = await asyncio.open_connection(HOST, port)
+        idle_writer.write(READINESS_CHECK)
+        assert (await read(idle_reader)).status == 200
+        slow = asyncio.create_task(exchange(port, request("/read/slow", deadline_ms=3000)))
+        await until(lambda: upstream.got or second.got)
+        process.send_signal(signal.SIGTERM)
+        while (await exchange(port, READINESS_CHECK)).status != 503:  # the signal may take a moment
+            pass
+        late = await exchange(port, request("/read/late"))
+        assert (late.status, late.headers["connection"]) == (200, "close")
+        assert await asyncio.wait_for(idle_reader.read(), PATIENCE_S) == b""
+        assert not slow.done()
+        assert process.returncode is None
+        release.set()
+        assert (await slow).body == b"done"
+        assert await asyncio.wait_for(process.wait(), PATIENCE_S) == 0
+        idle_writer.close()
+    upstream.stop()
+    second.stop()
+
+
+async def test_the_proxy_is_ready_once_the_processor_time_of_its_start_is_paid_for(tmp_path: Path) -> None:
     # Guards against clients that wait while the system stops a process that overspent its share at the start.
-    async def test() -> None:
-        upstream = await FakeEndpoint(answers(200)).start()
-        async with running_proxy(tmp_path, upstream.port, cores=0.001) as (_, port):
-            while (got := await exchange(port, READINESS_CHECK)).status != 200:
-                assert got.status == 503
-                assert (await exchange(port, request())).status == 200  # it serves meanwhile
-        upstream.stop()
-
-    run(test())
+    upstream = await FakeEndpoint(answers(200)).start()
+    async with running_proxy(tmp_path, upstream.port, cores=0.001) as (_, port):
+        while (got := await exchange(port, READINESS_CHECK)).status != 200:
+            assert got.status == 503
+            assert (await exchange(port, request())).status == 200  # it serves meanwhile
+    upstream.stop()
 
 
 @pytest.mark.parametrize(
@@ -183,116 +176,104 @@
     assert cpu_debt_s(cores, spent_s) == pytest.approx(debt_s)
 
 
-def test_a_proxy_with_a_long_known_list_becomes_ready_and_serves(tmp_path: Path) -> None:
+async def test_a_proxy_with_a_long_known_list_becomes_ready_and_serves(tmp_path: Path) -> None:
     # Nothing is timed: each request must reach the only one of 30,001 endpoints that is up.
-    async def test() -> None:
-        upstream = await FakeEndpoint(answers(200)).start()
-        rows = known(*[1] * 30_000, upstream.port)
-        assert isinstance(rows["hosts"], list)
-        for row in rows["hosts"][:-1]:
-            row["health"] = "draining"
-        path = tmp_path / "long.json"
-        path.write_text(json.dumps(configuration(known=rows)))
-        async with running_proxy(tmp_path, path=path) as (process, port):
-            assert (await exchange(port, READINESS_CHECK)).status == 200
-            assert [(await exchange(port, request())).status for _ in range(3)] == [200] * 3
-            assert len(upstream.got) == 3
-            assert process.returncode is None
-        upstream.stop()
-
-    run(test())
-
-
-def test_sighup_moves_discovery_and_a_bad_file_changes_nothing(tmp_path: Path) -> None:
-    async def test() -> None:
-        discoveries = [FakeDiscovery(), FakeDiscovery()]
+    upstream = await FakeEndpoint(answers(200)).start()
+    rows = known(*[1] * 30_000, upstream.port)
+    assert isinstance(rows["hosts"], list)
+    for row in rows["hosts"][:-1]:
+        row["health"] = "draining"
+    path = tmp_path / "long.json"
+    path.write_text(json.dumps(configuration(known=rows)))
+    async with running_proxy(tmp_path, path=path) as (process, port):
+        assert (await exchange(port, READINESS_CHECK)).status == 200
+        assert [(await exchange(port, request())).status for _ in range(3)] == [200] * 3
+        assert len(upstream.got) == 3
+        assert process.returncode is None
+    upstream.stop()
+
+
+async def test_sighup_moves_discovery_and_a_bad_file_changes_nothing(tmp_path: Path) -> None:
+    discoveries = [FakeDiscovery(), FakeDiscovery()]
+    for discovery in discoveries:
+        await discovery.server.start()
+    upstream = await FakeEndpoint(answers(200)).start()
+    path = tmp_path / "config.json"
+    async with running_proxy(tmp_path, upstream.port) as (process, port):
+        for text in ("{", "[" * 100_000, json.dumps(configuration(listen=3))):
+            path.write_text(text)
+            process.send_signal(signal.SIGHUP)
+            line = b""
+            while b"the old configuration stays" not in line:
+                assert process.stderr is not None
+                line = await asyncio.wait_for(process.stderr.readline(), PATIENCE_S)
+                assert line, "it ended"
+        assert (await exchange(port, request())).status == 200
         for discovery in discoveries:
-            await discovery.server.start()
-        upstream = await FakeEndpoint(answers(200)).start()
-        path = tmp_path / "config.json"
-        async with running_proxy(tmp_path, upstream.port) as (process, port):
-            for text in ("{", "[" * 100_000, json.dumps(configuration(listen=3))):
-                path.write_text(text)
-                process.send_signal(signal.SIGHUP)
-                line = b""
-                while b"the old configuration stays" not in line:
-                    assert process.stderr is not None
-                    line = await asyncio.wait_for(process.stderr.readline(), PATIENCE_S)
-                    assert line, "it ended"
-            assert (await exchange(port, request())).status == 200
-            for discovery in discoveries:
-                path.write_text(json.dumps(configuration(discovery=f"{HOST}:{discovery.server.port}")))
-                process.send_signal(signal.SIGHUP)
-                await until(lambda r=discovery: len(r.calls) >= 2)  # type: ignore[misc]
-            process.send_signal(signal.SIGTERM)
-            process.send_signal(signal.SIGHUP)  # also during the shutdown
-            assert await asyncio.wait_for(process.wait(), PATIENCE_S) == 0
-        for server in (upstream, *(r.server for r in discoveries)):
-            server.stop()
-
-    run(test())
-
-
-def test_the_proxy_serves_after_it_ran_out_of_descriptors(tmp_path: Path) -> None:
-    async def test() -> None:
-        upstream = await FakeEndpoint(answers(200)).start()
-        async with running_proxy(tmp_path, upstream.port, descriptors=24) as (process, port):
-            idle = [await asyncio.open_connection(HOST, port) for _ in range(40)]
-            assert (await exchange(port, READINESS_CHECK)).status == 200
-            for _, writer in idle:
-                writer.close()
-            answered = [(await exchange(port, request())).status for _ in range(3)]
-            assert answered == [200] * 3
-            assert process.returncode is None
-        upstream.stop()
-
-    run(test())
+            path.write_text(json.dumps(configuration(discovery=f"{HOST}:{discovery.server.port}")))
+            process.send_signal(signal.SIGHUP)
+            await until(lambda r=discovery: len(r.calls) >= 2)  # type: ignore[misc]
+        process.send_signal(signal.SIGTERM)
+        process.send_signal(signal.SIGHUP)  # also during the shutdown
+        assert await asyncio.wait_for(process.wait(), PATIENCE_S) == 0
+    for server in (upstream, *(r.server for r in discoveries)):
+        server.stop()
+
+
+async def test_the_proxy_serves_after_it_ran_out_of_descriptors(tmp_path: Path) -> None:
+    upstream = await FakeEndpoint(answers(200)).start()
+    async with running_proxy(tmp_path, upstream.port, descriptors=24) as (process, port):
+        idle = [await asyncio.open_connection(HOST, port) for _ in range(40)]
+        assert (await exchange(port, READINESS_CHECK)).status == 200
+        for _, writer in idle:
+            writer.close()
+        answered = [(await exchange(port, request())).status for _ in range(3)]
+        assert answered == [200] * 3
+        assert process.returncode is None
+    upstream.stop()
 
 
 @pytest.mark.parametrize("mode", ["ask", "push"])
-def test_idle_clients_in_all_descriptors_do_not_stop_discovery(mode: str, tmp_path: Path) -> None:
+async def test_idle_clients_in_all_descriptors_do_not_stop_discovery(mode: str, tmp_path: Path) -> None:
     # Discovery breaks two calls while idle clients and connections to endpoints take all descriptors.
-    async def test() -> None:
-        discovery, fails = FakeDiscovery(), iter(range(2))
-        heard: Answer = discovery.server.answer
-        upstreams = [await FakeEndpoint(answers(200)).start() for _ in range(16)]
-
-        async def answer(got: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
-            if next(fails, None) is not None:
-                discovery.calls.append((0.0, got.first))
-                await breaks(got, writer)
-            else:
-                if "s0" not in discovery.rows:
-                    discovery.change("s0", dial=f"{HOST}:{upstreams[0].port}", health="draining")
-                await heard(got, writer)
-
-        discovery.server.answer = answer
-        await discovery.server.start()
-        async with running_proxy(
-            tmp_path,
-            *(u.port for u in upstreams),
-            descriptors=256,
-            mode=mode,
-            discovery=discovery.server.port,
-            sockets=256,
-        ) as (process, port):
-            idle = [await asyncio.open_connection(HOST, port) for _ in range(300)]
-            answered = set()
-            while len(discovery.calls) < 4:  # two fail, one brings a change, the watch goes on
-                got = await asyncio.gather(*(exchange(port, request()) for _ in range(40)))
-                answered |= {g.status for g in got}
-                idle += [await asyncio.open_connection(HOST, port) for _ in range(10)]
-            before = len(upstreams[0].got)
-            answered |= {(await exchange(port, request())).status for _ in range(40)}
-            assert len(upstreams[0].got) == before
-            assert answered == {200}
-            assert process.returncode is None
-            for _, writer in idle:
-                writer.close()
-        for server in (*upstreams, discovery.server):
-            server.stop()
-
-    run(test())
+    discovery, fails = FakeDiscovery(), iter(range(2))
+    heard: Answer = discovery.server.answer
+    upstreams = [await FakeEndpoint(answers(200)).start() for _ in range(16)]
+
+    async def answer(got: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
+        if next(fails, None) is not None:
+            discovery.calls.append((0.0, got.first))
+            await breaks(got, writer)
+        else:
+            if "s0" not in discovery.rows:
+                discovery.change("s0", dial=f"{HOST}:{upstreams[0].port}", health="draining")
+            await heard(got, writer)
+
+    discovery.server.answer = answer
+    await discovery.server.start()
+    async with running_proxy(
+        tmp_path,
+        *(u.port for u in upstreams),
+        descriptors=256,
+        mode=mode,
+        discovery=discovery.server.port,
+        sockets=256,
+    ) as (process, port):
+        idle = [await asyncio.open_connection(HOST, port) for _ in range(300)]
+        answered = set()
+        while len(discovery.calls) < 4:  # two fail, one brings a change, the watch goes on
+            got = await asyncio.gather(*(exchange(port, request()) for _ in range(40)))
+            answered |= {g.status for g in got}
+            idle += [await asyncio.open_connection(HOST, port) for _ in range(10)]
+        before = len(upstreams[0].got)
+        answered |= {(await exchange(port, request())).status for _ in range(40)}
+        assert len(upstreams[0].got) == before
+        assert answered == {200}
+        assert process.returncode is None
+        for _, writer in idle:
+            writer.close()
+    for server in (*upstreams, discovery.server):
+        server.stop()
 
 
 @pytest.mark.parametrize(
--- a/tests/proxy/test_discovery_handover.py
+++ b/tests/proxy/test_discovery_handover.py
@@ -27,7 +27,6 @@
     entry,
     known,
     node,
-    run,
     until,
     written,
 )
@@ -49,83 +48,71 @@
     return registry
 
 
-def test_a_move_asks_the_new_address_for_the_whole_list_and_watches_there() -> None:
-    async def test() -> None:
-        old, script = FakeDiscovery(), ScriptedPolicy()
-        new = await start_discovery("s8", "s9")
-        async with node(script, registry=old, known_list=known(5)) as client:
-            await until(lambda: old.calls)
-            left = client.node.discovery_client._target
-            client.node.discovery_client.move_to((HOST, new.server.port))
-            await until(lambda: len(new.calls) == 2)
-            assert new.calls[0][1] == "/registry/instances"
-            assert new.calls[1][1].startswith("/registry/instances?after=3&")
-            assert len(last_full_list(script)) == 2
-            assert len(client.node.addresses.ready()) == 2
-            assert left.pool.limits.open_connections == 0
-            new.change("s7")
-            await until(lambda: len(client.node.addresses.ready()) == 3)
-        new.server.stop()
-
-    run(test())
-
-
-def test_the_old_watch_stays_until_the_new_address_answers() -> None:
-    async def test() -> None:
-        old, script = FakeDiscovery(), ScriptedPolicy()
-        new = await start_discovery("s9", broken=written(503))
-        async with node(script, registry=old, known_list=known(5)) as client:
-            await until(lambda: old.calls)
-            client.node.discovery_client.move_to((HOST, new.server.port))
-            await until(lambda: len(new.calls) == 2)
-            old.change("s1")
-            await until(lambda: len(client.node.addresses.ready()) == 2)
-            new.broken = b""
-            await until(lambda: len(client.node.addresses.ready()) == 1)
-        new.server.stop()
-
-    run(test())
-
-
-def test_an_old_address_that_closes_is_not_asked_again() -> None:
-    async def test() -> None:
-        old, script = FakeDiscovery(), ScriptedPolicy()
-        new = await start_discovery("s9", broken=written(503))
-        async with node(script, registry=old, known_list=known(5)) as client:
-            await until(lambda: old.calls)
-            client.node.discovery_client.move_to((HOST, new.server.port))
-            old.broken = written(503)
-            old.change("s1")  # the watch ends
-            await until(lambda: client.node.discovery_client._watch_call is None)
-            assert client.node.discovery_client._watch_timer is None
-            new.broken = b""
-            await until(lambda: len(new.calls) > 1 and "after=3" in new.calls[-1][1])
-        new.server.stop()
-
-    run(test())
-
-
-def test_of_several_moves_the_last_one_counts_also_back_to_the_first() -> None:
-    async def test() -> None:
-        old, script = FakeDiscovery(), ScriptedPolicy()
-        new = [await start_discovery(f"s{i}") for i in (7, 8)]
-        async with node(script, registry=old, known_list=known(5)) as client:
-            await until(lambda: old.calls)
-            addresses = [(HOST, r.server.port) for r in (*new, old)]
-            for address in addresses:
-                client.node.discovery_client.move_to(address)
-            old.change("s1")
-            await until(lambda: len(client.node.addresses.ready()) == 2)
-            for address in addresses[:2]:
-                client.node.discovery_client.move_to(address)
-            await until(lambda: len(new[1].calls) == 2)
-            assert not new[0].calls
-            assert client.node.discovery_client._handover is None
-            assert last_full_list(script) == [preferred_id("s8")]
-        for registry in new:
-            registry.server.stop()
-
-    run(test())
+async def test_a_move_asks_the_new_address_for_the_whole_list_and_watches_there() -> None:
+    old, script = FakeDiscovery(), ScriptedPolicy()
+    new = await start_discovery("s8", "s9")
+    async with node(script, registry=old, known_list=known(5)) as client:
+        await until(lambda: old.calls)
+        left = client.node.discovery_client._target
+        client.node.discovery_client.move_to((HOST, new.server.port))
+        await until(lambda: len(new.calls) == 2)
+        assert new.calls[0][1] == "/registry/instances"
+        assert new.calls[1][1].startswith("/registry/instances?after=3&")
+        assert len(last_full_list(script)) == 2
+        assert len(client.node.addresses.ready()) == 2
+        assert left.pool.limits.open_connections == 0
+        new.change("s7")
+        await until(lambda: len(client.node.addresses.ready()) == 3)
+    new.server.stop()
+
+
+async def test_the_old_watch_stays_until_the_new_address_answers() -> None:
+    old, script = FakeDiscovery(), ScriptedPolicy()
+    new = await start_discovery("s9", broken=written(503))
+    async with node(script, registry=old, known_list=known(5)) as client:
+        await until(lambda: old.calls)
+        client.node.discovery_client.move_to((HOST, new.server.port))
+        await until(lambda: len(new.calls) == 2)
+        old.change("s1")
+        await until(lambda: len(client.node.addresses.ready()) == 2)
+        new.broken = b""
+        await until(lambda: len(client.node.addresses.ready()) == 1)
+    new.server.stop()
+
+
+async def test_an_old_address_that_closes_is_not_asked_again() -> None:
+    old, script = FakeDiscovery(), ScriptedPolicy()
+    new = await start_discovery("s9", broken=written(503))
+    async with node(script, registry=old, known_list=known(5)) as client:
+        await until(lambda: old.calls)
+        client.node.discovery_client.move_to((HOST, new.server.port))
+        old.broken = written(503)
+        old.change("s1")  # the watch ends
+        await until(lambda: client.node.discovery_client._watch_call is None)
+        assert client.node.discovery_client._watch_timer is None
+        new.broken = b""
+        await until(lambda: len(new.calls) > 1 and "after=3" in new.calls[-1][1])
+    new.server.stop()
+
+
+async def test_of_several_moves_the_last_one_counts_also_back_to_the_first() -> None:
+    old, script = FakeDiscovery(), ScriptedPolicy()
+    new = [await start_discovery(f"s{i}") for i in (7, 8)]
+    async with node(script, registry=old, known_list=known(5)) as client:
+        await until(lambda: old.calls)
+        addresses = [(HOST, r.server.port) for r in (*new, old)]
+        for address in addresses:
+            client.node.discovery_client.move_to(address)
+        old.change("s1")
+        await until(lambda: len(client.node.addresses.ready()) == 2)
+        for address in addresses[:2]:
+            client.node.discovery_client.move_to(address)
+        await until(lambda: len(new[1].calls) == 2)
+        assert not new[0].calls
+        assert client.node.discovery_client._handover is None
+        assert last_full_list(script) == [preferred_id("s8")]
+    for registry in new:
+        registry.server.stop()
 
 
 def answer_in_turn(registry: FakeDiscovery, work_s: float) -> None:
@@ -140,29 +127,26 @@
     registry.server.answer = answer
 
 
-def test_a_new_address_that_answers_in_turn_is_waited_for() -> None:
+async def test_a_new_address_that_answers_in_turn_is_waited_for() -> None:
     # Guards against a retry storm: a call given up after a second stays in the queue of that address, and
     # each retry waits behind it. A second signal with the same address must not queue one either.
-    async def test() -> None:
-        old, script = FakeDiscovery(), ScriptedPolicy()
-        new = await start_discovery("s9")
-        answer_in_turn(new, 1.3)
-        async with node(script, registry=old, known_list=known(5)) as client:
-            await until(lambda: old.calls)
-            client.node.discovery_client.move_to((HOST, new.server.port))
-            await until(lambda: new.server.got)
-            handover = client.node.discovery_client._handover
-            assert handover is not None
-            client.node.discovery_client.move_to((HOST, new.server.port))
-            assert client.node.discovery_client._handover is handover
-            await until(lambda: client.node.discovery_client._handover is None)
-            assert last_full_list(script) == [preferred_id("s9")]
-            await until(lambda: len(new.server.got) == 2)
-            assert [("after=" in got.first) for got in new.server.got] == [False, True]
-            assert handover.backoff.failures == 0
-        new.server.stop()
-
-    run(test())
+    old, script = FakeDiscovery(), ScriptedPolicy()
+    new = await start_discovery("s9")
+    answer_in_turn(new, 1.3)
+    async with node(script, registry=old, known_list=known(5)) as client:
+        await until(lambda: old.calls)
+        client.node.discovery_client.move_to((HOST, new.server.port))
+        await until(lambda: new.server.got)
+        handover = client.node.discovery_client._handover
+        assert handover is not None
+        client.node.discovery_client.move_to((HOST, new.server.port))
+        assert client.node.discovery_client._handover is handover
+        await until(lambda: client.node.discovery_client._handover is None)
+        assert last_full_list(script) == [preferred_id("s9")]
+        await until(lambda: len(new.server.got) == 2)
+        assert [("after=" in got.first) for got in new.server.got] == [False, True]
+        assert handover.backoff.failures == 0
+    new.server.stop()
 
 
 def timer_driven_policy() -> ScriptedPolicy:
@@ -190,97 +174,85 @@
     assert failed_updates(script) == 1  # of the watch that has ended
 
 
-def test_calls_while_the_old_address_is_closed_are_answered_by_the_new_one() -> None:
+async def test_calls_while_the_old_address_is_closed_are_answered_by_the_new_one() -> None:
     # Guards against failures of the old address that are reported to the policy, and against calls to it.
-    async def test() -> None:
-        old, script = FakeDiscovery(), timer_driven_policy()
-        new = await start_discovery("s9")
-        release = hold_first_list(new)
-        async with node(script, registry=old, known_list=known(5), asked=True) as client:
-            discovery = client.node.discovery_client
-            await close_old_address_in_handover(old, new, client, script)
-            client.node.dispatch(TimerExpired("watch"))
-            await until(lambda: discovery._watch_call is None)  # refused
+    old, script = FakeDiscovery(), timer_driven_policy()
+    new = await start_discovery("s9")
+    release = hold_first_list(new)
+    async with node(script, registry=old, known_list=known(5), asked=True) as client:
+        discovery = client.node.discovery_client
+        await close_old_address_in_handover(old, new, client, script)
+        client.node.dispatch(TimerExpired("watch"))
+        await until(lambda: discovery._watch_call is None)  # refused
+        client.node.dispatch(TimerExpired("watch"))
+        client.node.dispatch(TimerExpired("fetch"))
+        assert discovery._watch_call is None
+        assert discovery._fetch_call is None
+        assert failed_updates(script) == 1
+        release.set()
+        await until(lambda: len(new.calls) == 2)
+        assert last_full_list(script) == [preferred_id("s9")]
+        assert "after=3" in new.calls[1][1]
+        assert failed_updates(script) == 1
+    new.server.stop()
+
+
+async def test_calls_while_both_addresses_fail_report_one_failure_each() -> None:
+    # Guards against a policy that waits for ever, and against failures of calls that it did not make.
+    old, script = FakeDiscovery(), timer_driven_policy()
+    new = await start_discovery("s9", broken=written(503))
+    async with node(script, registry=old, known_list=known(5), asked=True) as client:
+        discovery = client.node.discovery_client
+        await close_old_address_in_handover(old, new, client, script)
+
+        async def is_reported_once(told: int) -> None:
             client.node.dispatch(TimerExpired("watch"))
-            client.node.dispatch(TimerExpired("fetch"))
+            await until(lambda: failed_updates(script) == told)
+            ended = len(new.calls)
+            await until(lambda: len(new.calls) >= ended + 2)
+            assert failed_updates(script) == told
             assert discovery._watch_call is None
-            assert discovery._fetch_call is None
-            assert failed_updates(script) == 1
-            release.set()
-            await until(lambda: len(new.calls) == 2)
-            assert last_full_list(script) == [preferred_id("s9")]
-            assert "after=3" in new.calls[1][1]
-            assert failed_updates(script) == 1
-        new.server.stop()
 
-    run(test())
-
-
-def test_calls_while_both_addresses_fail_report_one_failure_each() -> None:
-    # Guards against a policy that waits for ever, and against failures of calls that it did not make.
-    async def test() -> None:
-        old, script = FakeDiscovery(), timer_driven_policy()
-        new = await start_discovery("s9", broken=written(503))
-        async with node(script, registry=old, known_list=known(5), asked=True) as client:
-            discovery = client.node.discovery_client
-            await close_old_address_in_handover(old, new, client, script)
-
-            async def is_reported_once(told: int) -> None:
-                client.node.dispatch(TimerExpired("watch"))
-                await until(lambda: failed_updates(script) == told)
-                ended = len(new.calls)
-                await until(lambda: len(new.calls) >= ended + 2)
-                assert failed_updates(script) == told
-                assert discovery._watch_call is None
-
-            await is_reported_once(2)
-            await is_reported_once(3)
-            new.broken = b""
-            await until(lambda: discovery._handover is None)
-            assert last_full_list(script) == [preferred_id("s9")]
-        new.server.stop()
-
-    run(test())
+        await is_reported_once(2)
+        await is_reported_once(3)
+        new.broken = b""
+        await until(lambda: discovery._handover is None)
+        assert last_full_list(script) == [preferred_id("s9")]
+    new.server.stop()
 
 
 @pytest.mark.parametrize("asked", ["watch", "fetch"])
-def test_deferred_calls_go_to_the_old_address_after_a_move_back(asked: str) -> None:
-    async def test() -> None:
-        old, script = FakeDiscovery(), timer_driven_policy()
-        new = await start_discovery("s9")
-        hold_first_list(new)
-        async with node(script, registry=old, known_list=known(5), asked=True) as client:
-            await close_old_address_in_handover(old, new, client, script)
-            client.node.dispatch(TimerExpired(asked))
-            await until(lambda: client.node.discovery_client._target.refuses_connections)
-            client.node.discovery_client.move_to((HOST, old.server.port))
-            await until(lambda: failed_updates(script) >= 2)  # it is still closed, and is asked
-        new.server.stop()
-
-    run(test())
-
-
-def test_an_older_list_at_a_handover_does_not_undo_a_drain() -> None:
+async def test_deferred_calls_go_to_the_old_address_after_a_move_back(asked: str) -> None:
+    old, script = FakeDiscovery(), timer_driven_policy()
+    new = await start_discovery("s9")
+    hold_first_list(new)
+    async with node(script, registry=old, known_list=known(5), asked=True) as client:
+        await close_old_address_in_handover(old, new, client, script)
+        client.node.dispatch(TimerExpired(asked))
+        await until(lambda: client.node.discovery_client._target.refuses_connections)
+        client.node.discovery_client.move_to((HOST, old.server.port))
+        await until(lambda: failed_updates(script) >= 2)  # it is still closed, and is asked
+    new.server.stop()
+
+
+async def test_an_older_list_at_a_handover_does_not_undo_a_drain() -> None:
     # The new address answers with what it had when asked; meanwhile the old one has told a drain.
-    async def test() -> None:
-        old, script = FakeDiscovery(), ScriptedPolicy()
-        old.rows = {"s0": entry("s0", 5)}
-        new = await start_discovery("s0")
-        new.version = 1
-        release = hold_first_list(new)
-        async with node(script, registry=old, known_list=known(5)) as client:
-            await until(lambda: old.calls)
-            client.node.discovery_client.move_to((HOST, new.server.port))
-            await until(lambda: new.calls)
-            old.change("s0", health="draining")
-            await until(lambda: reported_statuses(script)[-1] is EndpointStatus.DRAINING)
-            release.set()
-            await until(lambda: len(new.calls) == 2)  # what it said is read, and it is asked once more
-            assert reported_statuses(script) == [EndpointStatus.READY, EndpointStatus.DRAINING]
-            assert not client.node.addresses.ready()
-            new.rows["s0"]["health"], new.version = "draining", 2
-            await until(lambda: client.node.discovery_client._handover is None)
-            assert EndpointStatus.READY not in reported_statuses(script)[1:]
-        new.server.stop()
-
-    run(test())
+    old, script = FakeDiscovery(), ScriptedPolicy()
+    old.rows = {"s0": entry("s0", 5)}
+    new = await start_discovery("s0")
+    new.version = 1
+    release = hold_first_list(new)
+    async with node(script, registry=old, known_list=known(5)) as client:
+        await until(lambda: old.calls)
+        client.node.discovery_client.move_to((HOST, new.server.port))
+        await until(lambda: new.calls)
+        old.change("s0", health="draining")
+        await until(lambda: reported_statuses(script)[-1] is EndpointStatus.DRAINING)
+        release.set()
+        await until(lambda: len(new.calls) == 2)  # what it said is read, and it is asked once more
+        assert reported_statuses(script) == [EndpointStatus.READY, EndpointStatus.DRAINING]
+        assert not client.node.addresses.ready()
+        new.rows["s0"]["health"], new.version = "draining", 2
+        await until(lambda: client.node.discovery_client._handover is None)
+        assert EndpointStatus.READY not in reported_statuses(script)[1:]
+    new.server.stop()
--- a/tests/proxy/test_discovery_outage.py
+++ b/tests/proxy/test_discovery_outage.py
@@ -38,7 +38,6 @@
     known,
     node,
     request,
-    run,
     silent,
     until,
     written,
@@ -138,35 +137,31 @@
 
 @pytest.mark.parametrize("asked", [True, False])
 @pytest.mark.parametrize("order", [[declined, silent], [breaks, silent], [breaks, silent, silent, declined]])
-def test_a_return_does_not_hide_behind_a_long_watch(
+async def test_a_return_does_not_hide_behind_a_long_watch(
     order: list[Answer], asked: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     # A call fails, the next is never answered: what then changes must not wait for a watch of 10 s to end.
     shorten(monkeypatch)
+    registry, bad = FakeDiscovery(), iter(order)
+    heard: Answer = registry.server.answer
+
+    async def answer(got: ReceivedRequest, writer: Writer) -> None:
+        fails = next(bad, None)
+        if fails is not None:
+            registry.calls.append((time.monotonic(), got.first.split()[1]))
+            await fails(got, writer)
+            return
+        if "s0" not in registry.rows:
+            registry.change("s0", health="draining")
+        await heard(got, writer)
 
-    async def test() -> None:
-        registry, bad = FakeDiscovery(), iter(order)
-        heard: Answer = registry.server.answer
-
-        async def answer(got: ReceivedRequest, writer: Writer) -> None:
-            fails = next(bad, None)
-            if fails is not None:
-                registry.calls.append((time.monotonic(), got.first.split()[1]))
-                await fails(got, writer)
-                return
-            if "s0" not in registry.rows:
-                registry.change("s0", health="draining")
-            await heard(got, writer)
-
-        registry.server.answer = answer
-        module = Balancer(node_settings(asked=asked), 1, time.monotonic_ns())
-        async with node(module, registry=registry, known_list=known(5), asked=asked) as client:
-            await until(lambda: not client.node.addresses.ready() and len(registry.calls) == len(order) + 2)
-            waits = [int(query.rpartition("wait_ms=")[2]) for _, query in registry.calls]
-            longest = 10_000 if asked else 40
-            assert waits == [longest, *[20] * len(order), longest]  # short until one is answered
-
-    run(test())
+    registry.server.answer = answer
+    module = Balancer(node_settings(asked=asked), 1, time.monotonic_ns())
+    async with node(module, registry=registry, known_list=known(5), asked=asked) as client:
+        await until(lambda: not client.node.addresses.ready() and len(registry.calls) == len(order) + 2)
+        waits = [int(query.rpartition("wait_ms=")[2]) for _, query in registry.calls]
+        longest = 10_000 if asked else 40
+        assert waits == [longest, *[20] * len(order), longest]  # short until one is answered
 
 
 class Machine(FakeEndpoint):
@@ -200,58 +195,50 @@
 
 @pytest.mark.parametrize("asked", [True, False])
 @pytest.mark.parametrize("refuses", [True, False])
-def test_a_drain_is_in_force_when_a_machine_that_was_away_is_back(
+async def test_a_drain_is_in_force_when_a_machine_that_was_away_is_back(
     refuses: bool, asked: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     shorten(monkeypatch)
-
-    async def test() -> None:
-        registry = FakeDiscovery()
-        registry.server = machine = Machine(registry.server.answer, refuses)
-        module = Balancer(node_settings(asked=asked), 1, time.monotonic_ns())
-        monkeypatch.setattr(
-            "loadbalancer.proxy.discovery_client.POLL_WAIT_MS", 40
-        )  # the first call too must be given up
-        async with node(module, registry=registry, known_list=known(5), asked=asked) as client:
-            await until(lambda: client.node.discovery_client._watch_backoff.failures >= 3)
-            registry.change("s0", health="draining")
-            await machine.comes_back()
-            await until(lambda: not client.node.addresses.ready())
-
-    run(test())
+    registry = FakeDiscovery()
+    registry.server = machine = Machine(registry.server.answer, refuses)
+    module = Balancer(node_settings(asked=asked), 1, time.monotonic_ns())
+    monkeypatch.setattr(
+        "loadbalancer.proxy.discovery_client.POLL_WAIT_MS", 40
+    )  # the first call too must be given up
+    async with node(module, registry=registry, known_list=known(5), asked=asked) as client:
+        await until(lambda: client.node.discovery_client._watch_backoff.failures >= 3)
+        registry.change("s0", health="draining")
+        await machine.comes_back()
+        await until(lambda: not client.node.addresses.ready())
 
 
 @pytest.mark.parametrize("kind", ["refuses", "unreachable", "silent"])
-def test_a_new_address_that_is_away_at_first_is_asked_until_it_answers(
+async def test_a_new_address_that_is_away_at_first_is_asked_until_it_answers(
     kind: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     shorten(monkeypatch)
-
-    async def test() -> None:
-        old, new = FakeDiscovery(), FakeDiscovery()
-        new.rows, new.version = {"s0": entry("s0", 5, health="draining")}, 3
-        heard: Answer = new.server.answer
-        if kind == "silent":
-            new.server.answer = silent
+    old, new = FakeDiscovery(), FakeDiscovery()
+    new.rows, new.version = {"s0": entry("s0", 5, health="draining")}, 3
+    heard: Answer = new.server.answer
+    if kind == "silent":
+        new.server.answer = silent
+    else:
+        new.server = Machine(heard, kind == "refuses")
+    await new.server.start()
+    async with node(ScriptedPolicy(), registry=old, known_list=known(5)) as client:
+        await until(lambda: old.calls)
+        client.node.discovery_client.move_to((HOST, new.server.port))
+        handover = client.node.discovery_client._handover
+        assert handover is not None
+        await until(lambda: handover.backoff.failures >= 2)
+        assert client.node.addresses.ready()
+        if isinstance(new.server, Machine):
+            await new.server.comes_back()
         else:
-            new.server = Machine(heard, kind == "refuses")
-        await new.server.start()
-        async with node(ScriptedPolicy(), registry=old, known_list=known(5)) as client:
-            await until(lambda: old.calls)
-            client.node.discovery_client.move_to((HOST, new.server.port))
-            handover = client.node.discovery_client._handover
-            assert handover is not None
-            await until(lambda: handover.backoff.failures >= 2)
-            assert client.node.addresses.ready()
-            if isinstance(new.server, Machine):
-                await new.server.comes_back()
-            else:
-                new.server.answer = heard
-            await until(lambda: not client.node.addresses.ready())
-            assert client.node.discovery_client._handover is None
-        new.server.stop()
-
-    run(test())
+            new.server.answer = heard
+        await until(lambda: not client.node.addresses.ready())
+        assert client.node.discovery_client._handover is None
+    new.server.stop()
 
 
 DESCRIPTORS = 256
@@ -269,70 +256,65 @@
 
 @pytest.mark.parametrize("asked", [True, False])
 @pytest.mark.parametrize("kind", ["refuses", "breaks", "silent"])
-def test_idle_clients_in_all_places_keep_neither_the_list_away_nor_requests(
+async def test_idle_clients_in_all_places_keep_neither_the_list_away_nor_requests(
     kind: str, asked: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     shorten(monkeypatch)
     monkeypatch.setattr("loadbalancer.proxy.discovery_client.POLL_WAIT_MS", 40)
+    endpoints = [
+        await FakeEndpoint(answers(200)).start() for _ in range(PLACES // MAX_IDLE_CONNECTIONS_PER_ENDPOINT)
+    ]
+    registry = FakeDiscovery()
+    heard: Answer = registry.server.answer
+    if kind == "refuses":
+        registry.server = Machine(heard, True)
+    else:
+        registry.server.answer = {"breaks": breaks, "silent": silent}[kind]
+    module = Balancer(node_settings(asked=asked), 1, time.monotonic_ns())
+    async with node(module, *endpoints, registry=registry, sockets=DESCRIPTORS, asked=asked) as client:
+        hub, server, discovery = (
+            client.node._connection_limits,
+            client.node.downstream,
+            client.node.discovery_client,
+        )
+        numbers = {port: number for number, (_, port) in client.node.addresses.ready().items()}
+        for number in numbers.values():
+            pool = client.node.addresses.connection_pool(number)
+            assert pool is not None
+            for _ in range(MAX_IDLE_CONNECTIONS_PER_ENDPOINT):
+                start_exchange(pool, b"GET /read HTTP/1.1\r\n\r\n", None, lambda _result, _response: None)
+        await until(lambda: len(hub.idle_connections) == PLACES)
+        idle = [asyncio.create_task(says_nothing(client.port)) for _ in range(PLACES + 30)]
+        served, most = [], 0
+
+        async def asks() -> None:
+            nonlocal most
+            await until(lambda: len(server._connections) == PLACES)
+            another = client.another()
+            served.append((await another.ask(request())).status)
+            another.close()
+            most = max(
+                most,
+                len(server._connections)
+                + hub.open_connections
+                + discovery._target.pool.limits.open_connections,
+            )
 
-    async def test() -> None:
-        endpoints = [
-            await FakeEndpoint(answers(200)).start()
-            for _ in range(PLACES // MAX_IDLE_CONNECTIONS_PER_ENDPOINT)
-        ]
-        registry = FakeDiscovery()
-        heard: Answer = registry.server.answer
-        if kind == "refuses":
-            registry.server = Machine(heard, True)
+        while discovery._watch_backoff.failures < 4:
+            await asks()
+        registry.change("s0", port=endpoints[0].port, health="draining")
+        if isinstance(registry.server, Machine):
+            await registry.server.comes_back()
         else:
-            registry.server.answer = {"breaks": breaks, "silent": silent}[kind]
-        module = Balancer(node_settings(asked=asked), 1, time.monotonic_ns())
-        async with node(module, *endpoints, registry=registry, sockets=DESCRIPTORS, asked=asked) as client:
-            hub, server, discovery = (
-                client.node._connection_limits,
-                client.node.downstream,
-                client.node.discovery_client,
-            )
-            numbers = {port: number for number, (_, port) in client.node.addresses.ready().items()}
-            for number in numbers.values():
-                pool = client.node.addresses.connection_pool(number)
-                assert pool is not None
-                for _ in range(MAX_IDLE_CONNECTIONS_PER_ENDPOINT):
-                    start_exchange(pool, b"GET /read HTTP/1.1\r\n\r\n", None, lambda _result, _response: None)
-            await until(lambda: len(hub.idle_connections) == PLACES)
-            idle = [asyncio.create_task(says_nothing(client.port)) for _ in range(PLACES + 30)]
-            served, most = [], 0
-
-            async def asks() -> None:
-                nonlocal most
-                await until(lambda: len(server._connections) == PLACES)
-                another = client.another()
-                served.append((await another.ask(request())).status)
-                another.close()
-                most = max(
-                    most,
-                    len(server._connections)
-                    + hub.open_connections
-                    + discovery._target.pool.limits.open_connections,
-                )
-
-            while discovery._watch_backoff.failures < 4:
-                await asks()
-            registry.change("s0", port=endpoints[0].port, health="draining")
-            if isinstance(registry.server, Machine):
-                await registry.server.comes_back()
-            else:
-                registry.server.answer = heard
-            await until(lambda: numbers[endpoints[0].port] not in client.node.addresses.ready())
-            before = len(endpoints[0].got)
-            for _ in range(20):
-                await asks()
-            await until(lambda: len(registry.calls) > 1)  # the watch goes on
-            assert len(endpoints[0].got) == before
-            assert set(served) == {200}
-            assert most <= DESCRIPTORS - 32 + 2
-            for task in idle:
-                task.cancel()
-            await asyncio.gather(*idle, return_exceptions=True)
-
-    run(test())
+            registry.server.answer = heard
+        await until(lambda: numbers[endpoints[0].port] not in client.node.addresses.ready())
+        before = len(endpoints[0].got)
+        for _ in range(20):
+            await asks()
+        await until(lambda: len(registry.calls) > 1)  # the watch goes on
+        assert len(endpoints[0].got) == before
+        assert set(served) == {200}
+        assert most <= DESCRIPTORS - 32 + 2
+        for task in idle:
+            task.cancel()
+        await asyncio.gather(*idle, return_exceptions=True)
--- a/tests/proxy/test_endpoint_ids.py
+++ b/tests/proxy/test_endpoint_ids.py
@@ -12,7 +12,7 @@
 from loadbalancer.proxy.proxy import Proxy
 from loadbalancer.state.endpoint_ids import SEGMENTS, EndpointIdRegistry, preferred_id
 from tests.support.discovery import list_json, read_list
-from tests.support.sockets import HOST, FakeDiscovery, ScriptedPolicy, entry, known, node, run, until
+from tests.support.sockets import HOST, FakeDiscovery, ScriptedPolicy, entry, known, node, until
 
 SHARED_ID = 7  # the id that all hosts prefer where they collide
 
@@ -64,107 +64,90 @@
 
 
 @pytest.mark.usefixtures("colliding")
-def test_a_delta_that_adds_a_colliding_host_leaves_its_partner() -> None:
-    async def test() -> None:
-        registry, script = FakeDiscovery(), ScriptedPolicy()
-        registry.rows = {"s0": entry("s0", 1)}
-        async with node(script, registry=registry, known_list=known(1)) as client:
-            await until(lambda: registry.calls)
-            registry.change("s1", dial=f"{HOST}:2")
-            await until(lambda: len(client.node.addresses.ready()) == 2)
-            assert ports(client.node) == {1: SHARED_ID, 2: SHARED_ID + 1}
-
-    run(test())
+async def test_a_delta_that_adds_a_colliding_host_leaves_its_partner() -> None:
+    registry, script = FakeDiscovery(), ScriptedPolicy()
+    registry.rows = {"s0": entry("s0", 1)}
+    async with node(script, registry=registry, known_list=known(1)) as client:
+        await until(lambda: registry.calls)
+        registry.change("s1", dial=f"{HOST}:2")
+        await until(lambda: len(client.node.addresses.ready()) == 2)
+        assert ports(client.node) == {1: SHARED_ID, 2: SHARED_ID + 1}
 
 
 @pytest.mark.usefixtures("colliding")
-def test_colliding_hosts_of_the_cached_list_keep_their_ids_when_discovery_lists_them() -> None:
-    async def test() -> None:
-        script = ScriptedPolicy()
-        async with node(script, known_list=known(1, 2)) as client:
-            assert script.ids() == [SHARED_ID, SHARED_ID + 1]
-            proxy = client.node
-            proxy.list_applier.on_watch_result(
-                read_hosts(proxy._list_reader, 2, entry("s1", 4), entry("s0", 3), whole=True)
-            )
-            await until(lambda: proxy.list_applier.task is None)
-            assert ports(proxy) == {3: SHARED_ID, 4: SHARED_ID + 1}
-
-    run(test())
+async def test_colliding_hosts_of_the_cached_list_keep_their_ids_when_discovery_lists_them() -> None:
+    script = ScriptedPolicy()
+    async with node(script, known_list=known(1, 2)) as client:
+        assert script.ids() == [SHARED_ID, SHARED_ID + 1]
+        proxy = client.node
+        proxy.list_applier.on_watch_result(
+            read_hosts(proxy._list_reader, 2, entry("s1", 4), entry("s0", 3), whole=True)
+        )
+        await until(lambda: proxy.list_applier.task is None)
+        assert ports(proxy) == {3: SHARED_ID, 4: SHARED_ID + 1}
 
 
 @pytest.mark.usefixtures("colliding")
 @pytest.mark.parametrize("swept", [False, True])
 @pytest.mark.parametrize("whole", [False, True])
 @pytest.mark.parametrize("left", [0, 1])
-def test_a_removed_host_whose_colliding_partner_stays_returns(left: int, whole: bool, swept: bool) -> None:
-    async def test() -> None:
-        async with node(ScriptedPolicy(), known_list=known(1, 2)) as client:
-            proxy, stays = client.node, 1 - left
-
-            def apply(*hosts: object, whole: bool = False) -> None:
-                version = (proxy._list_reader._newest_version or 0) + 1
-                proxy.list_applier.on_watch_result(
-                    read_hosts(proxy._list_reader, version, *hosts, whole=whole)
-                )
-                if swept:
-                    proxy.list_applier.sweep_ids(SEGMENTS)
-
-            if whole:
-                apply(entry(f"s{stays}", stays + 1), whole=True)
-            else:
-                apply(entry(f"s{left}", health="removed", dial=""))
-            assert ports(proxy) == {stays + 1: SHARED_ID + stays}
-            apply(entry(f"s{stays}", stays + 1))
-            assert ports(proxy) == {stays + 1: SHARED_ID + stays}  # it keeps its id
-            apply(entry(f"s{left}", left + 1))
-            assert ports(proxy) == {1: SHARED_ID, 2: SHARED_ID + 1}
-
-    run(test())
+async def test_a_removed_host_whose_colliding_partner_stays_returns(
+    left: int, whole: bool, swept: bool
+) -> None:
+    async with node(ScriptedPolicy(), known_list=known(1, 2)) as client:
+        proxy, stays = client.node, 1 - left
+
+        def apply(*hosts: object, whole: bool = False) -> None:
+            version = (proxy._list_reader._newest_version or 0) + 1
+            proxy.list_applier.on_watch_result(read_hosts(proxy._list_reader, version, *hosts, whole=whole))
+            if swept:
+                proxy.list_applier.sweep_ids(SEGMENTS)
+
+        if whole:
+            apply(entry(f"s{stays}", stays + 1), whole=True)
+        else:
+            apply(entry(f"s{left}", health="removed", dial=""))
+        assert ports(proxy) == {stays + 1: SHARED_ID + stays}
+        apply(entry(f"s{stays}", stays + 1))
+        assert ports(proxy) == {stays + 1: SHARED_ID + stays}  # it keeps its id
+        apply(entry(f"s{left}", left + 1))
+        assert ports(proxy) == {1: SHARED_ID, 2: SHARED_ID + 1}
 
 
 @pytest.mark.usefixtures("colliding")
-def test_an_id_is_freed_when_the_list_that_removes_its_host_is_applied_and_no_sooner() -> None:
-    async def test() -> None:
-        async with node(ScriptedPolicy(), known_list=known(1, 2)) as client:
-            proxy, reader = client.node, client.node._list_reader
-            many = [entry(f"s{i}", i + 1) for i in range(1, 100)]
-            proxy.list_applier.on_watch_result(read_hosts(reader, 2, *many, whole=True))  # applied in slices
-            assert proxy.list_applier.task is not None
-            proxy.list_applier.sweep_ids(SEGMENTS)
-            assert len(reader.id_registry) == 100
-            assert list(read_hosts(reader, 3, entry("new", 200)).ids) == [SHARED_ID + 100]  # none is free
-            await until(lambda: proxy.list_applier.task is None)
-            proxy.list_applier.sweep_ids(SEGMENTS)
-            assert len(reader.id_registry) == len(proxy.addresses.by_id) == 99
-            assert list(read_hosts(reader, 4, entry("newer", 201)).ids) == [SHARED_ID]
-
-    run(test())
-
-
-def test_hosts_that_come_and_go_leave_nothing_behind() -> None:
-    async def test() -> None:
-        async with node(ScriptedPolicy(), known_list=known(1)) as client:
-            proxy, reader = client.node, client.node._list_reader
-            for version in range(2, 50):
-                proxy.list_applier.on_watch_result(
-                    read_hosts(reader, version, entry(f"x{version}"), whole=True)
-                )
-            with pytest.raises(EndpointListError):
-                read_list({"hosts": [entry("bad")]}, reader)
-            read_hosts(reader, 1, entry("late"))  # older than the last: not taken
-            abandoned = reader.read_cooperatively(bytearray(json.dumps(known(*range(1, 200))).encode()))
-            next(abandoned)
-            proxy.list_applier.sweep_ids(SEGMENTS)
-            assert len(reader.id_registry) > 50  # what is being read may name any
-            abandoned.close()
-            for _ in range(SEGMENTS):  # as once a second
-                assert proxy._sweep_timer is not None
-                proxy._sweep_timer.cancel()
-                proxy._sweep_once()
-            assert len(reader.id_registry) == len(proxy.addresses.by_id) == 1
-
-    run(test())
+async def test_an_id_is_freed_when_the_list_that_removes_its_host_is_applied_and_no_sooner() -> None:
+    async with node(ScriptedPolicy(), known_list=known(1, 2)) as client:
+        proxy, reader = client.node, client.node._list_reader
+        many = [entry(f"s{i}", i + 1) for i in range(1, 100)]
+        proxy.list_applier.on_watch_result(read_hosts(reader, 2, *many, whole=True))  # applied in slices
+        assert proxy.list_applier.task is not None
+        proxy.list_applier.sweep_ids(SEGMENTS)
+        assert len(reader.id_registry) == 100
+        assert list(read_hosts(reader, 3, entry("new", 200)).ids) == [SHARED_ID + 100]  # none is free
+        await until(lambda: proxy.list_applier.task is None)
+        proxy.list_applier.sweep_ids(SEGMENTS)
+        assert len(reader.id_registry) == len(proxy.addresses.by_id) == 99
+        assert list(read_hosts(reader, 4, entry("newer", 201)).ids) == [SHARED_ID]
+
+
+async def test_hosts_that_come_and_go_leave_nothing_behind() -> None:
+    async with node(ScriptedPolicy(), known_list=known(1)) as client:
+        proxy, reader = client.node, client.node._list_reader
+        for version in range(2, 50):
+            proxy.list_applier.on_watch_result(read_hosts(reader, version, entry(f"x{version}"), whole=True))
+        with pytest.raises(EndpointListError):
+            read_list({"hosts": [entry("bad")]}, reader)
+        read_hosts(reader, 1, entry("late"))  # older than the last: not taken
+        abandoned = reader.read_cooperatively(bytearray(json.dumps(known(*range(1, 200))).encode()))
+        next(abandoned)
+        proxy.list_applier.sweep_ids(SEGMENTS)
+        assert len(reader.id_registry) > 50  # what is being read may name any
+        abandoned.close()
+        for _ in range(SEGMENTS):  # as once a second
+            assert proxy._sweep_timer is not None
+            proxy._sweep_timer.cancel()
+            proxy._sweep_once()
+        assert len(reader.id_registry) == len(proxy.addresses.by_id) == 1
 
 
 def test_a_swept_host_is_forgotten_and_the_next_free_id_wraps_around() -> None:
--- a/tests/proxy/test_endpoint_list_parser.py
+++ b/tests/proxy/test_endpoint_list_parser.py
@@ -12,7 +12,7 @@
 from loadbalancer.proxy.errors import EndpointListError
 from loadbalancer.state.endpoint_ids import preferred_id
 from tests.support.discovery import read_list
-from tests.support.sockets import HOST, FakeDiscovery, ScriptedPolicy, entry, known, node, run, until, written
+from tests.support.sockets import HOST, FakeDiscovery, ScriptedPolicy, entry, known, node, until, written
 
 
 def test_entries_are_converted_to_endpoints() -> None:
@@ -53,26 +53,21 @@
     assert [e.address[1] for e in listing.entries] == [81]
 
 
-def test_an_unreadable_entry_does_not_remove_a_known_endpoint() -> None:
-    async def test() -> None:
-        registry, script = FakeDiscovery(), ScriptedPolicy()
-        registry.broken = written(
-            200,
-            json.dumps(
-                {"seq": 2, "whole": True, "hosts": [entry("s0", health="odd"), entry("s1", 2)]}
-            ).encode(),
-        )
-        async with node(script, registry=registry, known_list=known(1, 2, 3)) as client:
-            await until(lambda: len(client.node.addresses.ready()) == 2)  # s2 is gone, s0 is still there
-            assert {port for _, port in client.node.addresses.ready().values()} == {1, 2}
-            told = [u for e in script.of(EndpointUpdate)[1:] for u in e.endpoints]
-            assert {u.id for u in told if u.status is EndpointStatus.REMOVED} == {preferred_id("s2")}
-            # What is known of s0 stays to the letter: nothing else is told of it, and it is where it was.
-            assert preferred_id("s0") not in {u.id for u in told}
-            assert client.node.addresses.ready()[preferred_id("s0")] == (HOST, 1)
-            assert all(e.kind is EndpointUpdateKind.DELTA for e in script.of(EndpointUpdate)[1:])
-
-    run(test())
+async def test_an_unreadable_entry_does_not_remove_a_known_endpoint() -> None:
+    registry, script = FakeDiscovery(), ScriptedPolicy()
+    registry.broken = written(
+        200,
+        json.dumps({"seq": 2, "whole": True, "hosts": [entry("s0", health="odd"), entry("s1", 2)]}).encode(),
+    )
+    async with node(script, registry=registry, known_list=known(1, 2, 3)) as client:
+        await until(lambda: len(client.node.addresses.ready()) == 2)  # s2 is gone, s0 is still there
+        assert {port for _, port in client.node.addresses.ready().values()} == {1, 2}
+        told = [u for e in script.of(EndpointUpdate)[1:] for u in e.endpoints]
+        assert {u.id for u in told if u.status is EndpointStatus.REMOVED} == {preferred_id("s2")}
+        # What is known of s0 stays to the letter: nothing else is told of it, and it is where it was.
+        assert preferred_id("s0") not in {u.id for u in told}
+        assert client.node.addresses.ready()[preferred_id("s0")] == (HOST, 1)
+        assert all(e.kind is EndpointUpdateKind.DELTA for e in script.of(EndpointUpdate)[1:])
     again = read_list({"seq": 2, "whole": True, "hosts": [entry("s0", health="odd"), entry("s1", 2)]})
     assert again.unreadable == [preferred_id("s0")]
     assert list(again.ids) == [preferred_id("s1")]
--- a/tests/proxy/test_endpoint_list_reader.py
+++ b/tests/proxy/test_endpoint_list_reader.py
@@ -41,7 +41,6 @@
     Writer,
     entry,
     listing,
-    run,
     settings,
     until,
     written,
@@ -133,82 +132,75 @@
     assert yields == (size - 1) // YIELD_BYTES
 
 
-def test_a_list_over_the_size_limit_is_rejected_with_one_log_line_and_the_old_one_stays(
+async def test_a_list_over_the_size_limit_is_rejected_with_one_log_line_and_the_old_one_stays(
     caplog: pytest.LogCaptureFixture,
 ) -> None:
     caplog.set_level(logging.WARNING)
+    registry, script = FakeDiscovery(), ScriptedPolicy()
+    await registry.server.start()
+    long = json.dumps(complete_list(200, 2)).encode()
+    registry.broken = written(200, long)
+    config = Configuration(
+        "n",
+        (HOST, 0),
+        (HOST, registry.server.port),
+        1,
+        1024,
+        settings(),
+        listing(complete_list(3)),
+        memory_bytes=4 * (len(long) - 1),
+    )
+    proxy = Proxy(config, script)
+    await proxy.start()
+    try:
+        await until(lambda: caplog.records)
+        assert [r.getMessage() for r in caplog.records] == [
+            f"discovery: a list of over {len(long) - 1} bytes is rejected; the old list stays"
+        ]
+        assert len(proxy.addresses.ready()) == 3
+        assert len(script.of(EndpointUpdate)) == 1
+        registry.broken = b""
+        registry.change("s9", port=9)  # what is not too long is heard
+        await until(lambda: preferred_id("s9") in proxy.addresses.ready())
+    finally:
+        proxy.close()
+        registry.server.stop()
+
 
-    async def test() -> None:
-        registry, script = FakeDiscovery(), ScriptedPolicy()
-        await registry.server.start()
-        long = json.dumps(complete_list(200, 2)).encode()
-        registry.broken = written(200, long)
-        config = Configuration(
-            "n",
-            (HOST, 0),
-            (HOST, registry.server.port),
-            1,
-            1024,
-            settings(),
-            listing(complete_list(3)),
-            memory_bytes=4 * (len(long) - 1),
-        )
-        proxy = Proxy(config, script)
-        await proxy.start()
-        try:
-            await until(lambda: caplog.records)
-            assert [r.getMessage() for r in caplog.records] == [
-                f"discovery: a list of over {len(long) - 1} bytes is rejected; the old list stays"
-            ]
-            assert len(proxy.addresses.ready()) == 3
-            assert len(script.of(EndpointUpdate)) == 1
-            registry.broken = b""
-            registry.change("s9", port=9)  # what is not too long is heard
-            await until(lambda: preferred_id("s9") in proxy.addresses.ready())
-        finally:
-            proxy.close()
-            registry.server.stop()
-
-    run(test())
-
-
-def test_a_long_response_extends_its_timeout_by_what_has_come() -> None:
+async def test_a_long_response_extends_its_timeout_by_what_has_come() -> None:
     # Guards against a long list that never comes whole, and against an answer that drips for ever.
-    async def test() -> None:
-        go = asyncio.Event()
-
-        async def part(_got: ReceivedRequest, writer: Writer) -> None:
-            writer.write(written(200, b"x" * 6000)[:3000])
-            await go.wait()
-            writer.write(written(200, b"x" * 6000)[3000:])
-
-        endpoint = await FakeEndpoint(part).start()
-        try:
-            for rate, put_off in ((1000.0, 3.0), (0.0, 0.0)):
-                ended: list[AttemptResult] = []
-                pool = ConnectionPool(
-                    ConnectionLimits(2, 2.0, 0.0, min_response_bytes_per_s=rate), (HOST, endpoint.port)
-                )
-                exchange = start_exchange(
-                    pool,
-                    b"GET / HTTP/1.1\r\n\r\n",
-                    PATIENCE_S,
-                    lambda result, _response, ended=ended: ended.append(result),  # type: ignore[misc]
-                )
-                before = exchange._timeout_timer.when()  # type: ignore[union-attr]
-                seen = len(endpoint.got)
-                await until(lambda seen=seen: len(endpoint.got) > seen)  # type: ignore[misc]
-                if rate:
-                    await until(lambda e=exchange, b=before: e._timeout_timer.when() > b)  # type: ignore[misc]
-                assert exchange._timeout_timer.when() - before == pytest.approx(put_off)  # type: ignore[union-attr]
-                go.set()
-                await until(lambda ended=ended: ended == [AttemptResult.OK])  # type: ignore[misc]
-                go.clear()
-                pool.close_idle()
-        finally:
-            endpoint.stop()
-
-    run(test())
+    go = asyncio.Event()
+
+    async def part(_got: ReceivedRequest, writer: Writer) -> None:
+        writer.write(written(200, b"x" * 6000)[:3000])
+        await go.wait()
+        writer.write(written(200, b"x" * 6000)[3000:])
+
+    endpoint = await FakeEndpoint(part).start()
+    try:
+        for rate, put_off in ((1000.0, 3.0), (0.0, 0.0)):
+            ended: list[AttemptResult] = []
+            pool = ConnectionPool(
+                ConnectionLimits(2, 2.0, 0.0, min_response_bytes_per_s=rate), (HOST, endpoint.port)
+            )
+            exchange = start_exchange(
+                pool,
+                b"GET / HTTP/1.1\r\n\r\n",
+                PATIENCE_S,
+                lambda result, _response, ended=ended: ended.append(result),  # type: ignore[misc]
+            )
+            before = exchange._timeout_timer.when()  # type: ignore[union-attr]
+            seen = len(endpoint.got)
+            await until(lambda seen=seen: len(endpoint.got) > seen)  # type: ignore[misc]
+            if rate:
+                await until(lambda e=exchange, b=before: e._timeout_timer.when() > b)  # type: ignore[misc]
+            assert exchange._timeout_timer.when() - before == pytest.approx(put_off)  # type: ignore[union-attr]
+            go.set()
+            await until(lambda ended=ended: ended == [AttemptResult.OK])  # type: ignore[misc]
+            go.clear()
+            pool.close_idle()
+    finally:
+        endpoint.stop()
 
 
 CONFIG: Json = {
@@ -235,7 +227,9 @@
     assert config.settings.prices.connection == 0.03
 
 
-def test_a_start_does_its_work_once_for_each_row(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+async def test_a_start_does_its_work_once_for_each_row(
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+) -> None:
     # A restarted process has to be ready in 10 s at a small share of a core: what it does a row is counted.
     path, count = tmp_path / "config.json", 5000
     path.write_text(json.dumps(CONFIG | {"known": complete_list(count)}))
@@ -261,14 +255,11 @@
     config = read_configuration(str(path))
     balancer = Balancer(config.settings, 1, 1)
 
-    async def test() -> None:
-        started = Proxy(config, balancer)
-        await started.start()
-        assert started.ready
-        assert len(started.addresses.ready()) == count
-        started.close()
-
-    run(test())
+    started = Proxy(config, balancer)
+    await started.start()
+    assert started.ready
+    assert len(started.addresses.ready()) == count
+    started.close()
     assert done["preferred_id"] == count
     assert done["parse_compact_address"] <= count + 2
     assert done["mix64"] <= count + 10
--- a/tests/support/sockets.py
+++ b/tests/support/sockets.py
@@ -7,7 +7,7 @@
 import json
 import re
 import time
-from collections.abc import AsyncIterator, Awaitable, Callable, Coroutine, Iterable
+from collections.abc import AsyncIterator, Awaitable, Callable, Iterable
 from contextlib import asynccontextmanager
 from dataclasses import dataclass, field
 from typing import Any, TypeVar
@@ -32,10 +32,6 @@
 EventType = TypeVar("EventType")
 
 
-def run(test: Coroutine[Any, Any, None]) -> None:
-    asyncio.run(asyncio.wait_for(test, 3 * PATIENCE_S))
-
-
 async def until(true: Callable[[], object]) -> None:
     """Wait for something to become true."""
     end = time.monotonic() + PATIENCE_S
