--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -7,9 +7,9 @@
 
 import pytest
 
-from tests.support.sockets import PATIENCE_S
+from tests.support.sockets import WAIT_TIMEOUT_S
 
-TEST_TIMEOUT_S = 3 * PATIENCE_S
+TEST_TIMEOUT_S = 3 * WAIT_TIMEOUT_S
 
 
 @pytest.hookimpl(tryfirst=True)
--- a/tests/process/test_process.py
+++ b/tests/process/test_process.py
@@ -19,18 +19,18 @@
 from loadbalancer.startup import MAX_CPU_DEBT_S, THROTTLING_DELAY_S, cpu_debt_s
 from tests.support.sockets import (
     HOST,
-    PATIENCE_S,
-    Answer,
+    WAIT_TIMEOUT_S,
     FakeDiscovery,
     FakeEndpoint,
-    ReceivedRequest,
-    answers,
-    breaks,
-    known,
-    read,
+    ReceivedMessage,
+    Responder,
+    abort_connection,
+    format_response,
+    list_of_ports,
+    read_message,
     request,
-    until,
-    written,
+    respond_with,
+    wait_until,
 )
 
 READINESS_CHECK = b"GET /health/ready HTTP/1.1\r\n\r\n"
@@ -47,14 +47,14 @@
         "discovery": f"{HOST}:1",
         "seed": "8c1f30d27a5be964",
         "limits": {"sockets": 1024},
-        "known": known(*upstreams),
+        "known": list_of_ports(*upstreams),
         "settings": SETTINGS,
         **changes,
     }
 
 
 @asynccontextmanager
-async def running_proxy(
+async def proxy_process(
     folder: Path,
     *upstreams: int,
     descriptors: int = 1024,
@@ -95,7 +95,7 @@
     try:
         line = b""
         while b"ready on port" not in line:
-            line = await asyncio.wait_for(process.stderr.readline(), PATIENCE_S)
+            line = await asyncio.wait_for(process.stderr.readline(), WAIT_TIMEOUT_S)
             assert line, "it ended before it was ready"
         yield process, int(line.split()[-1])
     finally:
@@ -115,11 +115,11 @@
     )
 
 
-async def exchange(port: int, data: bytes) -> ReceivedRequest:
+async def exchange(port: int, data: bytes) -> ReceivedMessage:
     """Send a request on a connection of its own, and return the response."""
     reader, writer = await asyncio.open_connection(HOST, port)
     writer.write(data)
-    response = await asyncio.wait_for(read(reader), PATIENCE_S)
+    response = await asyncio.wait_for(read_message(reader), WAIT_TIMEOUT_S)
     writer.close()
     return response
 
@@ -127,30 +127,30 @@
 async def test_sigterm_answers_open_requests_and_those_that_still_arrive(tmp_path: Path) -> None:
     release = asyncio.Event()
 
-    async def answer(got: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
-        if "/slow" in got.first:
+    async def respond(received: ReceivedMessage, writer: asyncio.StreamWriter) -> None:
+        if "/slow" in received.start_line:
             await release.wait()
-        writer.write(written(200, b"done"))
+        writer.write(format_response(200, b"done"))
 
-    upstream, second = await FakeEndpoint(answer).start(), await FakeEndpoint(answer).start()
-    async with running_proxy(tmp_path, upstream.port, second.port) as (process, port):
+    upstream, second = await FakeEndpoint(respond).start(), await FakeEndpoint(respond).start()
+    async with proxy_process(tmp_path, upstream.port, second.port) as (process, port):
         assert (await exchange(port, READINESS_CHECK)).status == 200
         idle_reader, idle_writer = await asyncio.open_connection(HOST, port)
         idle_writer.write(READINESS_CHECK)
-        assert (await read(idle_reader)).status == 200
+        assert (await read_message(idle_reader)).status == 200
         slow = asyncio.create_task(exchange(port, request("/read/slow", deadline_ms=3000)))
-        await until(lambda: upstream.got or second.got)
+        await wait_until(lambda: upstream.requests or second.requests)
         process.send_signal(signal.SIGTERM)
         while (await exchange(port, READINESS_CHECK)).status != 503:  # the signal may take a moment
             pass
         late = await exchange(port, request("/read/late"))
         assert (late.status, late.headers["connection"]) == (200, "close")
-        assert await asyncio.wait_for(idle_reader.read(), PATIENCE_S) == b""
+        assert await asyncio.wait_for(idle_reader.read(), WAIT_TIMEOUT_S) == b""
         assert not slow.done()
         assert process.returncode is None
         release.set()
         assert (await slow).body == b"done"
-        assert await asyncio.wait_for(process.wait(), PATIENCE_S) == 0
+        assert await asyncio.wait_for(process.wait(), WAIT_TIMEOUT_S) == 0
         idle_writer.close()
     upstream.stop()
     second.stop()
@@ -158,10 +158,10 @@
 
 async def test_the_proxy_is_ready_once_the_processor_time_of_its_start_is_paid_for(tmp_path: Path) -> None:
     # Guards against clients that wait while the system stops a process that overspent its share at the start.
-    upstream = await FakeEndpoint(answers(200)).start()
-    async with running_proxy(tmp_path, upstream.port, cores=0.001) as (_, port):
-        while (got := await exchange(port, READINESS_CHECK)).status != 200:
-            assert got.status == 503
+    upstream = await FakeEndpoint(respond_with(200)).start()
+    async with proxy_process(tmp_path, upstream.port, cores=0.001) as (_, port):
+        while (response := await exchange(port, READINESS_CHECK)).status != 200:
+            assert response.status == 503
             assert (await exchange(port, request())).status == 200  # it serves meanwhile
     upstream.stop()
 
@@ -178,17 +178,17 @@
 
 async def test_a_proxy_with_a_long_known_list_becomes_ready_and_serves(tmp_path: Path) -> None:
     # Nothing is timed: each request must reach the only one of 30,001 endpoints that is up.
-    upstream = await FakeEndpoint(answers(200)).start()
-    rows = known(*[1] * 30_000, upstream.port)
+    upstream = await FakeEndpoint(respond_with(200)).start()
+    rows = list_of_ports(*[1] * 30_000, upstream.port)
     assert isinstance(rows["hosts"], list)
     for row in rows["hosts"][:-1]:
         row["health"] = "draining"
     path = tmp_path / "long.json"
     path.write_text(json.dumps(configuration(known=rows)))
-    async with running_proxy(tmp_path, path=path) as (process, port):
+    async with proxy_process(tmp_path, path=path) as (process, port):
         assert (await exchange(port, READINESS_CHECK)).status == 200
         assert [(await exchange(port, request())).status for _ in range(3)] == [200] * 3
-        assert len(upstream.got) == 3
+        assert len(upstream.requests) == 3
         assert process.returncode is None
     upstream.stop()
 
@@ -197,32 +197,32 @@
     discoveries = [FakeDiscovery(), FakeDiscovery()]
     for discovery in discoveries:
         await discovery.server.start()
-    upstream = await FakeEndpoint(answers(200)).start()
+    upstream = await FakeEndpoint(respond_with(200)).start()
     path = tmp_path / "config.json"
-    async with running_proxy(tmp_path, upstream.port) as (process, port):
+    async with proxy_process(tmp_path, upstream.port) as (process, port):
         for text in ("{", "[" * 100_000, json.dumps(configuration(listen=3))):
             path.write_text(text)
             process.send_signal(signal.SIGHUP)
             line = b""
             while b"the old configuration stays" not in line:
                 assert process.stderr is not None
-                line = await asyncio.wait_for(process.stderr.readline(), PATIENCE_S)
+                line = await asyncio.wait_for(process.stderr.readline(), WAIT_TIMEOUT_S)
                 assert line, "it ended"
         assert (await exchange(port, request())).status == 200
         for discovery in discoveries:
             path.write_text(json.dumps(configuration(discovery=f"{HOST}:{discovery.server.port}")))
             process.send_signal(signal.SIGHUP)
-            await until(lambda r=discovery: len(r.calls) >= 2)  # type: ignore[misc]
+            await wait_until(lambda r=discovery: len(r.calls) >= 2)  # type: ignore[misc]
         process.send_signal(signal.SIGTERM)
         process.send_signal(signal.SIGHUP)  # also during the shutdown
-        assert await asyncio.wait_for(process.wait(), PATIENCE_S) == 0
+        assert await asyncio.wait_for(process.wait(), WAIT_TIMEOUT_S) == 0
     for server in (upstream, *(r.server for r in discoveries)):
         server.stop()
 
 
 async def test_the_proxy_serves_after_it_ran_out_of_descriptors(tmp_path: Path) -> None:
-    upstream = await FakeEndpoint(answers(200)).start()
-    async with running_proxy(tmp_path, upstream.port, descriptors=24) as (process, port):
+    upstream = await FakeEndpoint(respond_with(200)).start()
+    async with proxy_process(tmp_path, upstream.port, descriptors=24) as (process, port):
         idle = [await asyncio.open_connection(HOST, port) for _ in range(40)]
         assert (await exchange(port, READINESS_CHECK)).status == 200
         for _, writer in idle:
@@ -237,21 +237,21 @@
 async def test_idle_clients_in_all_descriptors_do_not_stop_discovery(mode: str, tmp_path: Path) -> None:
     # Discovery breaks two calls while idle clients and connections to endpoints take all descriptors.
     discovery, fails = FakeDiscovery(), iter(range(2))
-    heard: Answer = discovery.server.answer
-    upstreams = [await FakeEndpoint(answers(200)).start() for _ in range(16)]
+    respond_normally: Responder = discovery.server.respond
+    upstreams = [await FakeEndpoint(respond_with(200)).start() for _ in range(16)]
 
-    async def answer(got: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
+    async def respond(received: ReceivedMessage, writer: asyncio.StreamWriter) -> None:
         if next(fails, None) is not None:
-            discovery.calls.append((0.0, got.first))
-            await breaks(got, writer)
+            discovery.calls.append((0.0, received.start_line))
+            await abort_connection(received, writer)
         else:
-            if "s0" not in discovery.rows:
+            if "s0" not in discovery.entries:
                 discovery.change("s0", dial=f"{HOST}:{upstreams[0].port}", health="draining")
-            await heard(got, writer)
+            await respond_normally(received, writer)
 
-    discovery.server.answer = answer
+    discovery.server.respond = respond
     await discovery.server.start()
-    async with running_proxy(
+    async with proxy_process(
         tmp_path,
         *(u.port for u in upstreams),
         descriptors=256,
@@ -262,12 +262,12 @@
         idle = [await asyncio.open_connection(HOST, port) for _ in range(300)]
         answered = set()
         while len(discovery.calls) < 4:  # two fail, one brings a change, the watch goes on
-            got = await asyncio.gather(*(exchange(port, request()) for _ in range(40)))
-            answered |= {g.status for g in got}
+            responses = await asyncio.gather(*(exchange(port, request()) for _ in range(40)))
+            answered |= {response.status for response in responses}
             idle += [await asyncio.open_connection(HOST, port) for _ in range(10)]
-        before = len(upstreams[0].got)
+        before = len(upstreams[0].requests)
         answered |= {(await exchange(port, request())).status for _ in range(40)}
-        assert len(upstreams[0].got) == before
+        assert len(upstreams[0].requests) == before
         assert answered == {200}
         assert process.returncode is None
         for _, writer in idle:
--- a/tests/proxy/test_attempt_responses.py
+++ b/tests/proxy/test_attempt_responses.py
@@ -22,65 +22,65 @@
 from tests.support.sockets import (
     HOST,
     NANOSECONDS_PER_MILLISECOND,
-    Answer,
     FakeEndpoint,
-    answers,
-    breaks,
-    known,
-    node,
+    Responder,
+    abort_connection,
+    format_response,
+    list_of_ports,
+    never_respond,
     request,
-    sends_raw,
-    silent,
-    until,
-    written,
+    respond_raw,
+    respond_with,
+    running_proxy,
+    wait_until,
 )
 
 DECLINED = "Srv-Declined: 1"
 
 
 @pytest.mark.parametrize(
-    ("answer", "result"),
+    ("respond", "result"),
     [
-        (answers(200, b"x"), AttemptResult.OK),
-        (answers(500), AttemptResult.ERROR),
-        (answers(503, b"", DECLINED), AttemptResult.REJECTED),
-        (answers(504, b"", DECLINED), AttemptResult.REJECTED),
-        (answers(503), AttemptResult.ERROR),
-        (answers(404), AttemptResult.ERROR),
-        (answers(500, b"", DECLINED), AttemptResult.ERROR),
-        (breaks, AttemptResult.RESET),
-        (sends_raw(b"no http\r\n"), AttemptResult.RESET),
-        (sends_raw(b"HTTP/1.1 200 X\r\nContent-Length: 9\r\n\r\nhalf", close=True), AttemptResult.RESET),
-        (answers(200, b"x" * 400_000), AttemptResult.OK),
-        (answers(200, b"x" * (1024 * 1024 + 1)), AttemptResult.RESET),
-        (sends_raw(b"HTTP/1.1 200 X\r\nContent-Length: 3000000000\r\n\r\nabc"), AttemptResult.RESET),
+        (respond_with(200, b"x"), AttemptResult.OK),
+        (respond_with(500), AttemptResult.ERROR),
+        (respond_with(503, b"", DECLINED), AttemptResult.REJECTED),
+        (respond_with(504, b"", DECLINED), AttemptResult.REJECTED),
+        (respond_with(503), AttemptResult.ERROR),
+        (respond_with(404), AttemptResult.ERROR),
+        (respond_with(500, b"", DECLINED), AttemptResult.ERROR),
+        (abort_connection, AttemptResult.RESET),
+        (respond_raw(b"no http\r\n"), AttemptResult.RESET),
+        (respond_raw(b"HTTP/1.1 200 X\r\nContent-Length: 9\r\n\r\nhalf", close=True), AttemptResult.RESET),
+        (respond_with(200, b"x" * 400_000), AttemptResult.OK),
+        (respond_with(200, b"x" * (1024 * 1024 + 1)), AttemptResult.RESET),
+        (respond_raw(b"HTTP/1.1 200 X\r\nContent-Length: 3000000000\r\n\r\nabc"), AttemptResult.RESET),
         (
-            sends_raw(b"HTTP/1.1 200 X\r\nContent-Length: 3\r\nContent-Length: 2\r\n\r\nab"),
+            respond_raw(b"HTTP/1.1 200 X\r\nContent-Length: 3\r\nContent-Length: 2\r\n\r\nab"),
             AttemptResult.RESET,
         ),
-        (sends_raw(b"HTTP/1.1 200 X\r\nContent-Length: -1\r\n\r\nab"), AttemptResult.RESET),
+        (respond_raw(b"HTTP/1.1 200 X\r\nContent-Length: -1\r\n\r\nab"), AttemptResult.RESET),
         (
-            sends_raw(b"HTTP/1.1 200 X\r\nTransfer-Encoding: chunked\r\n\r\n1\r\na\r\nzz\r\n"),
+            respond_raw(b"HTTP/1.1 200 X\r\nTransfer-Encoding: chunked\r\n\r\n1\r\na\r\nzz\r\n"),
             AttemptResult.RESET,
         ),
         (
-            sends_raw(b"HTTP/1.1 200 X\r\nTransfer-Encoding: gzip, chunked\r\n\r\n0\r\n\r\n"),
+            respond_raw(b"HTTP/1.1 200 X\r\nTransfer-Encoding: gzip, chunked\r\n\r\n0\r\n\r\n"),
             AttemptResult.RESET,
         ),
-        (sends_raw(b"HTTP/1.1 OK 200\r\nContent-Length: 1\r\n\r\na"), AttemptResult.RESET),
-        (sends_raw(b"ICY 200 OK\r\nContent-Length: 1\r\n\r\na"), AttemptResult.RESET),
-        (sends_raw(b"HTTP/1.1 200 X\r\n" + b"X: y\r\n" * 4000), AttemptResult.RESET),
-        (sends_raw(b"HTTP/1.1 102 X\r\n\r\n" * 17 + written(200)), AttemptResult.RESET),
+        (respond_raw(b"HTTP/1.1 OK 200\r\nContent-Length: 1\r\n\r\na"), AttemptResult.RESET),
+        (respond_raw(b"ICY 200 OK\r\nContent-Length: 1\r\n\r\na"), AttemptResult.RESET),
+        (respond_raw(b"HTTP/1.1 200 X\r\n" + b"X: y\r\n" * 4000), AttemptResult.RESET),
+        (respond_raw(b"HTTP/1.1 102 X\r\n\r\n" * 17 + format_response(200)), AttemptResult.RESET),
     ],
 )
-async def test_the_response_determines_the_result(answer: Answer, result: AttemptResult) -> None:
-    endpoint = await FakeEndpoint(answer).start()
+async def test_the_response_determines_the_result(respond: Responder, result: AttemptResult) -> None:
+    endpoint = await FakeEndpoint(respond).start()
     policy = forwarding_policy(fail_unless_complete)
-    async with node(policy, endpoint) as client:
-        got = await client.ask(request())
-        assert got.status == (200 if result is AttemptResult.OK else 504)
+    async with running_proxy(policy, endpoint) as client:
+        response = await client.exchange(request())
+        assert response.status == (200 if result is AttemptResult.OK else 504)
         assert results(policy) == [result]
-        assert len(endpoint.got) == 1  # nothing is retried without the policy
+        assert len(endpoint.requests) == 1  # nothing is retried without the policy
 
 
 @pytest.mark.parametrize(
@@ -96,30 +96,30 @@
     ],
 )
 async def test_an_unreadable_load_report_is_dropped(report: str, expected: object) -> None:
-    endpoint = await FakeEndpoint(answers(200, b"it", f"Srv-Load: {report}")).start()
+    endpoint = await FakeEndpoint(respond_with(200, b"it", f"Srv-Load: {report}")).start()
     policy = forwarding_policy()
-    async with node(policy, endpoint, in_answers=True) as client:
+    async with running_proxy(policy, endpoint, reports_in_responses=True) as client:
         for number in (1, 2):
-            assert (await client.ask(request())).body == b"it"
-            await until(lambda number=number: len(policy.of(AttemptEnded)) == number)  # type: ignore[misc]
-        assert [(o.result, o.load_report) for o in policy.of(AttemptEnded)] == [
+            assert (await client.exchange(request())).body == b"it"
+            await wait_until(lambda number=number: len(policy.events_of(AttemptEnded)) == number)  # type: ignore[misc]
+        assert [(o.result, o.load_report) for o in policy.events_of(AttemptEnded)] == [
             (AttemptResult.OK, expected)
         ] * 2
 
 
 async def test_a_refused_connection_is_a_connect_failure() -> None:
-    endpoint = await FakeEndpoint(silent).start()
+    endpoint = await FakeEndpoint(never_respond).start()
     endpoint.stop()
     policy = forwarding_policy(fail_unless_complete)
-    async with node(policy, endpoint) as client:
-        assert (await client.ask(request())).status == 504
+    async with running_proxy(policy, endpoint) as client:
+        assert (await client.exchange(request())).status == 504
         assert results(policy) == [AttemptResult.CONNECT_FAILED]
 
 
 async def test_a_connect_timeout_is_a_connect_failure(monkeypatch: pytest.MonkeyPatch) -> None:
-    endpoint = await FakeEndpoint(silent).start()
+    endpoint = await FakeEndpoint(never_respond).start()
     policy = forwarding_policy(fail_unless_complete)
-    async with node(policy, endpoint, connect_timeout_ns=20 * NANOSECONDS_PER_MILLISECOND) as client:
+    async with running_proxy(policy, endpoint, connect_timeout_ns=20 * NANOSECONDS_PER_MILLISECOND) as client:
         await client.send(request())
         hold_connections(monkeypatch, asyncio.Event())
         assert (await client.read()).status == 504
@@ -135,16 +135,16 @@
     server = await asyncio.start_server(serve, HOST, 0, limit=1)
     policy = forwarding_policy(fail_unless_complete)
     port = server.sockets[0].getsockname()[1]
-    async with node(policy, known_list=known(port)) as client:
-        pool = client.node.addresses.connection_pool(next(iter(client.node.addresses.ready())))
+    async with running_proxy(policy, initial_list=list_of_ports(port)) as client:
+        pool = client.proxy.addresses.connection_pool(next(iter(client.proxy.addresses.ready())))
         assert pool is not None
         ended: list[AttemptResult] = []
         exchange = start_exchange(
             pool, b"x" * 50_000_000, None, lambda result, _response: ended.append(result)
         )
-        await until(lambda: held and not exchange.unsent)
+        await wait_until(lambda: held and not exchange.unsent)
         held[0].transport.abort()
-        await until(lambda: ended)
+        await wait_until(lambda: ended)
         assert ended == [AttemptResult.CONNECT_FAILED]
     server.close()
 
@@ -162,8 +162,8 @@
             return made
 
         policy = forwarding_policy(fail_unless_complete)
-        async with node(policy, known_list=known(listener.getsockname()[1])) as client:
+        async with running_proxy(policy, initial_list=list_of_ports(listener.getsockname()[1])) as client:
             await client.send(b"")
             monkeypatch.setattr(loop, "create_connection", create_connection)
-            assert (await client.ask(request("/pay", method="POST"))).status == 504
+            assert (await client.exchange(request("/pay", method="POST"))).status == 504
             assert results(policy) == [AttemptResult.CONNECT_FAILED]
--- a/tests/proxy/test_attempts.py
+++ b/tests/proxy/test_attempts.py
@@ -35,22 +35,22 @@
     HOST,
     NANOSECONDS_PER_MILLISECOND,
     FakeEndpoint,
-    ReceivedRequest,
+    ReceivedMessage,
     ScriptedPolicy,
-    known,
-    node,
+    format_response,
+    list_of_ports,
+    never_respond,
     request,
-    silent,
-    until,
-    written,
+    running_proxy,
+    wait_until,
 )
 
 
 async def test_a_timed_out_attempt_closes_its_connection_and_drops_the_late_response() -> None:
     release = asyncio.Event()
 
-    async def late(_received: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
-        if len(endpoint.got) == 1:
+    async def late(_received: ReceivedMessage, writer: asyncio.StreamWriter) -> None:
+        if len(endpoint.requests) == 1:
             await release.wait()
             writer.write(b"HTTP/1.1 200 X\r\nContent-Length: 4\r\n\r\nlate")
         else:
@@ -66,11 +66,11 @@
         return ()
 
     forward_requests(policy, retry, timeout_ns=30 * NANOSECONDS_PER_MILLISECOND)
-    async with node(policy, endpoint) as client:
-        assert (await client.ask(request())).body == b"fresh"
-        assert endpoint.opened == 2
-        await until(lambda: endpoint.closed == 1)
-        assert [(o.result, o.attempt) for o in policy.of(AttemptEnded)] == [
+    async with running_proxy(policy, endpoint) as client:
+        assert (await client.exchange(request())).body == b"fresh"
+        assert endpoint.opened_connections == 2
+        await wait_until(lambda: endpoint.closed_connections == 1)
+        assert [(o.result, o.attempt) for o in policy.events_of(AttemptEnded)] == [
             (AttemptResult.TIMEOUT, 0),
             (AttemptResult.OK, 1),
         ]
@@ -90,7 +90,7 @@
             return ()
 
         forward_requests(policy, check_closed, timeout_ns=30 * NANOSECONDS_PER_MILLISECOND)
-        async with node(policy, known_list=known(listener.getsockname()[1])) as client:
+        async with running_proxy(policy, initial_list=list_of_ports(listener.getsockname()[1])) as client:
             await client.send(request())
             loop = asyncio.get_running_loop()
             accepted.append((await loop.sock_accept(listener))[0])
@@ -101,40 +101,40 @@
 
 
 async def test_a_cancelled_attempt_closes_its_connection() -> None:
-    endpoint = await FakeEndpoint(silent).start()
+    endpoint = await FakeEndpoint(never_respond).start()
     policy = ScriptedPolicy()
     forward_requests(
         policy,
         lambda e: [CancelAttempt("1", 0)] if isinstance(e, TimerExpired) else fail_unless_complete(e),
     )
-    async with node(policy, endpoint) as client:
+    async with running_proxy(policy, endpoint) as client:
         await client.send(request())
-        await until(lambda: endpoint.got)
-        client.node.dispatch(TimerExpired("now"))
+        await wait_until(lambda: endpoint.requests)
+        client.proxy.dispatch(TimerExpired("now"))
         assert (await client.read()).status == 504
-        await until(lambda: endpoint.closed == 1)
+        await wait_until(lambda: endpoint.closed_connections == 1)
         assert results(policy) == [AttemptResult.CANCELLED]
 
 
 async def test_a_stall_after_the_decision_does_not_extend_the_timeout() -> None:
-    endpoint = await FakeEndpoint(silent).start()
+    endpoint = await FakeEndpoint(never_respond).start()
     policy = ScriptedPolicy()
 
     def react(event: Event) -> Iterable[Action]:
         if isinstance(event, RequestArrived):
             timeout = event.deadline_ns - time.monotonic_ns()
             time.sleep(0.02)  # the process gets no processor for a while
-            return [Forward(event.request_id, policy.ids()[0], timeout), SetTimer(timeout, "end")]
+            return [Forward(event.request_id, policy.endpoint_ids()[0], timeout), SetTimer(timeout, "end")]
         if isinstance(event, AttemptEnded) and event.result is AttemptResult.TIMEOUT:
             return [Reject(event.request_id)]
         return ()
 
     policy.react = react
-    async with node(policy, endpoint) as client:
-        assert (await client.ask(request(deadline_ms=150))).status == 503
+    async with running_proxy(policy, endpoint) as client:
+        assert (await client.exchange(request(deadline_ms=150))).status == 503
         assert results(policy) == [AttemptResult.TIMEOUT]
-        await until(lambda: policy.of(TimerExpired))
-        assert not policy.of(ClientDisconnected)
+        await wait_until(lambda: policy.events_of(TimerExpired))
+        assert not policy.events_of(ClientDisconnected)
 
 
 @pytest.mark.parametrize(
@@ -148,32 +148,32 @@
     ends: list[int] = []  # of the attempts, by the clock
     received: list[int] = []  # when the last one had come
 
-    async def answer(_received: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
+    async def respond(_received: ReceivedMessage, writer: asyncio.StreamWriter) -> None:
         received.append(time.monotonic_ns())
-        writer.write(written(200))
+        writer.write(format_response(200))
 
     def forward(event: Event) -> Iterable[Action]:
         if isinstance(event, (RequestArrived, AttemptEnded)) and len(ends) < attempts:
-            arrival = policy.of(RequestArrived)[0]
+            arrival = policy.events_of(RequestArrived)[0]
             deadline = arrival.deadline_ns + POLICY_DEADLINE_MARGIN_NS - PROXY_DEADLINE_MARGIN_NS
-            ends.append(client.node._decision_time_ns + timeout_ns if timeout_ns else deadline)
-            endpoints = policy.ids()
+            ends.append(client.proxy._decision_time_ns + timeout_ns if timeout_ns else deadline)
+            endpoints = policy.endpoint_ids()
             return [Forward(arrival.request_id, endpoints[-1 if len(ends) == attempts else 0], timeout_ns)]
         return ()
 
-    refusing, endpoint = await FakeEndpoint(silent).start(), await FakeEndpoint(answer).start()
+    refusing, endpoint = await FakeEndpoint(never_respond).start(), await FakeEndpoint(respond).start()
     refusing.stop()
     policy, up = ScriptedPolicy(forward), asyncio.Event()
-    async with node(policy, refusing, endpoint) as client:
+    async with running_proxy(policy, refusing, endpoint) as client:
         await connect(client)
         hold_connections(monkeypatch, up, endpoint.port)
         await client.send(request())
-        await until(lambda: len(ends) == attempts)
+        await wait_until(lambda: len(ends) == attempts)
         begun = time.monotonic_ns()
-        await until(lambda: time.monotonic_ns() - begun >= connect_ns)
+        await wait_until(lambda: time.monotonic_ns() - begun >= connect_ns)
         opened = time.monotonic_ns()
         up.set()
         assert (await client.read()).status == 200
-        told_ns = int(endpoint.got[0].headers["req-deadline-ms"]) * NANOSECONDS_PER_MILLISECOND
+        told_ns = int(endpoint.requests[0].headers["req-deadline-ms"]) * NANOSECONDS_PER_MILLISECOND
         # It was written between these two times, and what it tells is in whole milliseconds.
         assert ends[-1] - received[0] - NANOSECONDS_PER_MILLISECOND < told_ns <= ends[-1] - opened
--- a/tests/proxy/test_client_connection.py
+++ b/tests/proxy/test_client_connection.py
@@ -11,7 +11,7 @@
 from loadbalancer.messages import ClientDisconnected, Fail, RequestArrived, TimerExpired
 from tests.support.clients import first_connection, transport_of
 from tests.support.scripted import READY_REQUEST, fail_all
-from tests.support.sockets import ScriptedPolicy, node, request, until
+from tests.support.sockets import ScriptedPolicy, request, running_proxy, wait_until
 
 CHUNKED = "Transfer-Encoding: chunked"
 
@@ -39,13 +39,13 @@
 )
 async def test_malformed_request_is_rejected_and_ends_the_connection(data: bytes, status: int) -> None:
     policy = ScriptedPolicy(fail_all)
-    async with node(policy) as client:
-        response = await client.ask(data)
+    async with running_proxy(policy) as client:
+        response = await client.exchange(data)
         assert response.status == status
         assert response.headers["connection"] == "close"
-        assert await client.closed()
-        assert not policy.of(RequestArrived)
-        assert (await client.another().ask(READY_REQUEST)).status == 200
+        assert await client.is_closed_by_proxy()
+        assert not policy.events_of(RequestArrived)
+        assert (await client.new_client().exchange(READY_REQUEST)).status == 200
 
 
 @pytest.mark.parametrize(
@@ -67,86 +67,86 @@
 )
 async def test_invalid_request_is_rejected_and_the_connection_kept_alive(data: bytes, status: int) -> None:
     policy = ScriptedPolicy(fail_all)
-    async with node(policy) as client:
-        assert (await client.ask(data)).status == status
-        assert not policy.of(RequestArrived)
-        assert (await client.ask(READY_REQUEST)).status == 200
+    async with running_proxy(policy) as client:
+        assert (await client.exchange(data)).status == status
+        assert not policy.events_of(RequestArrived)
+        assert (await client.exchange(READY_REQUEST)).status == 200
 
 
 async def test_largest_allowed_body_is_accepted() -> None:
-    async with node(ScriptedPolicy(fail_all)) as client:
-        assert (await client.ask(request("/pay", method="POST", body=b"x" * 64 * 1024))).status == 504
+    async with running_proxy(ScriptedPolicy(fail_all)) as client:
+        assert (await client.exchange(request("/pay", method="POST", body=b"x" * 64 * 1024))).status == 504
 
 
 async def test_request_beyond_the_maximum_of_pending_ones_is_rejected() -> None:
-    async with node(ScriptedPolicy(), max_pending_requests=1) as client:
+    async with running_proxy(ScriptedPolicy(), max_pending_requests=1) as client:
         await client.send(request())
-        await until(lambda: client.node._pending_requests)
-        response = await client.another().ask(request())
+        await wait_until(lambda: client.proxy._pending_requests)
+        response = await client.new_client().exchange(request())
         assert response.status == 503
         assert float(response.headers["retry-after"]) > 0
 
 
 async def test_id_of_a_pending_request_is_rejected() -> None:
     policy = ScriptedPolicy(lambda event: [Fail("1")] if isinstance(event, TimerExpired) else ())
-    async with node(policy) as client:
-        await client.send(request(name="one"))
-        await until(lambda: client.node._pending_requests)
-        assert (await client.another().ask(request(name="one"))).status == 409
+    async with running_proxy(policy) as client:
+        await client.send(request(request_id="one"))
+        await wait_until(lambda: client.proxy._pending_requests)
+        assert (await client.new_client().exchange(request(request_id="one"))).status == 409
 
-        client.node.dispatch(TimerExpired("now"))
+        client.proxy.dispatch(TimerExpired("now"))
         assert (await client.read()).status == 504  # the pending one goes on as if nothing had come
 
-        await client.send(request(name="one"))
-        await until(lambda: len(policy.of(RequestArrived)) == 2)
+        await client.send(request(request_id="one"))
+        await wait_until(lambda: len(policy.events_of(RequestArrived)) == 2)
 
 
 @pytest.mark.parametrize("sent_apart", [False, True])
 @pytest.mark.parametrize("more", [request(), request() * 300, request()[:20], b"nonsense\r\n\r\n"])
 async def test_pipelined_request_is_rejected_and_ends_the_connection(more: bytes, sent_apart: bool) -> None:
     policy = ScriptedPolicy()
-    async with node(policy) as client:
+    async with running_proxy(policy) as client:
         if sent_apart:
             await client.send(request())
-            await until(lambda: policy.of(RequestArrived))
+            await wait_until(lambda: policy.events_of(RequestArrived))
             await client.send(more)
         else:
             await client.send(request() + more)
         assert (await client.read()).status == 400
-        assert await client.closed()
-        assert len(policy.of(RequestArrived)) == int(sent_apart)
-        assert len(policy.of(ClientDisconnected)) == int(sent_apart)
-        assert not client.node._pending_requests
-        assert not client.node._pending_requests._client_request_ids
+        assert await client.is_closed_by_proxy()
+        assert len(policy.events_of(RequestArrived)) == int(sent_apart)
+        assert len(policy.events_of(ClientDisconnected)) == int(sent_apart)
+        assert not client.proxy._pending_requests
+        assert not client.proxy._pending_requests._client_request_ids
 
 
 async def test_empty_line_between_requests_is_ignored() -> None:
-    async with node(ScriptedPolicy(fail_all)) as client:
+    async with running_proxy(ScriptedPolicy(fail_all)) as client:
         for _ in range(2):
-            assert (await client.ask(request() + b"\r\n")).status == 504
+            assert (await client.exchange(request() + b"\r\n")).status == 504
 
 
 async def test_request_in_pieces_arrives_with_its_last_byte() -> None:
     policy = ScriptedPolicy(fail_all)
-    async with node(policy) as client:
+    async with running_proxy(policy) as client:
         data = request("/pay", method="POST", body=b"abc")
         for i in range(len(data) - 1):
             await client.send(data[i : i + 1])
         await asyncio.sleep(0)
-        assert not policy.of(RequestArrived)
-        assert (await client.ask(data[-1:])).status == 504
+        assert not policy.events_of(RequestArrived)
+        assert (await client.exchange(data[-1:])).status == 504
 
 
 async def test_connection_close_of_the_client_is_honoured() -> None:
-    async with node(ScriptedPolicy(fail_all)) as client:
-        response = await client.ask(request("/read", "Connection: close"))
+    async with running_proxy(ScriptedPolicy(fail_all)) as client:
+        response = await client.exchange(request("/read", "Connection: close"))
         assert response.headers["connection"] == "close"
-        assert await client.closed()
+        assert await client.is_closed_by_proxy()
 
 
 async def test_client_that_reads_no_response_is_not_read_from() -> None:
-    async with node(ScriptedPolicy()) as client:
-        await client.ask(READY_REQUEST)
+    async with running_proxy(ScriptedPolicy()) as client:
+        await client.exchange(READY_REQUEST)
         assert client.writer is not None
         client_transport = cast(asyncio.Transport, client.writer.transport)
         client_transport.pause_reading()
@@ -161,13 +161,13 @@
         assert transport.get_write_buffer_size() < 8192
 
         client_transport.resume_reading()
-        await until(transport.is_reading)
+        await wait_until(transport.is_reading)
 
 
 async def test_lingering_close_reads_a_bounded_number_of_bytes() -> None:
-    async with node(ScriptedPolicy()) as client:
+    async with running_proxy(ScriptedPolicy()) as client:
         await client.send(request("/pay", "Content-Length: 60000000", method="POST"))
         assert (await client.read()).status == 413  # before the body comes
         transport = transport_of(first_connection(client))
         await client.send(b"x" * 300_000)
-        await until(lambda: not transport.is_reading())
+        await wait_until(lambda: not transport.is_reading())
--- a/tests/proxy/test_client_disconnect.py
+++ b/tests/proxy/test_client_disconnect.py
@@ -43,21 +43,21 @@
 from tests.support.sockets import (
     HOST,
     NANOSECONDS_PER_MILLISECOND,
-    PATIENCE_S,
-    Answer,
+    WAIT_TIMEOUT_S,
     Client,
     FakeEndpoint,
-    ReceivedRequest,
+    ReceivedMessage,
+    Responder,
     ScriptedPolicy,
     Writer,
-    answers,
-    breaks,
-    node,
+    abort_connection,
+    format_response,
+    never_respond,
+    proxy_settings,
     request,
-    settings,
-    silent,
-    until,
-    written,
+    respond_with,
+    running_proxy,
+    wait_until,
 )
 
 # An attempt that begins so long after the disconnect breaks the rule.
@@ -67,11 +67,11 @@
 ATTEMPT_TIMEOUT_NS = 250 * NANOSECONDS_PER_MILLISECOND
 
 # How an attempt can end without success.
-ATTEMPT_ENDS: dict[str, Answer] = {
-    "rejected": answers(503, b"", "Srv-Declined: 1"),
-    "error": answers(500),
-    "reset": breaks,
-    "timeout": silent,
+ATTEMPT_ENDS: dict[str, Responder] = {
+    "rejected": respond_with(503, b"", "Srv-Declined: 1"),
+    "error": respond_with(500),
+    "reset": abort_connection,
+    "timeout": never_respond,
 }
 
 
@@ -146,13 +146,13 @@
         """Disconnect now, and wait until that is read; or arrange it for when the request is forwarded."""
         if self._when is DisconnectTime.READ:
             disconnect(sock)
-            await until(lambda: self._request_id not in client.node._pending_requests)
+            await wait_until(lambda: self._request_id not in client.proxy._pending_requests)
         else:
             self._pending_disconnect = lambda: disconnect(sock)
 
 
 def balancer_of(**limits: bool) -> Balancer:
-    return Balancer(settings(**limits), 1, time.monotonic_ns())
+    return Balancer(proxy_settings(**limits), 1, time.monotonic_ns())
 
 
 def forwarded(endpoint: FakeEndpoint) -> list[str]:
@@ -164,10 +164,10 @@
     """Have a later request served, though its endpoint may be ejected for a while first."""
 
     async def ask() -> None:
-        while (await client.another().ask(request("/read/later"))).status != 200:
+        while (await client.new_client().exchange(request("/read/later"))).status != 200:
             await asyncio.sleep(0.01)
 
-    await asyncio.wait_for(ask(), PATIENCE_S)
+    await asyncio.wait_for(ask(), WAIT_TIMEOUT_S)
 
 
 @each_disconnect
@@ -177,22 +177,22 @@
 ) -> None:
     may_respond = asyncio.Event()
 
-    async def answer(received: ReceivedRequest, writer: Writer) -> None:
-        if "/read/first" in received.first:
+    async def respond(received: ReceivedMessage, writer: Writer) -> None:
+        if "/read/first" in received.start_line:
             await may_respond.wait()
-        writer.write(written(200))
+        writer.write(format_response(200))
 
-    endpoint = await FakeEndpoint(answer).start()
+    endpoint = await FakeEndpoint(respond).start()
     balancer = balancer_of()
     policy = DisconnectInjector(balancer, when, request_id="2")
     policy.watch_connections(monkeypatch, endpoint)
-    async with node(policy, endpoint) as client, plain_socket(client) as sock:
-        first = client.another()
+    async with running_proxy(policy, endpoint) as client, plain_socket(client) as sock:
+        first = client.new_client()
         await first.send(request("/read/first"))
-        await until(lambda: endpoint.got)
+        await wait_until(lambda: endpoint.requests)
         sock.send(request("/read/abandoned"))
         # The only endpoint has no capacity for a second request.
-        await until(lambda: balancer.queues[balancer.fleet.default_pool].waiting)
+        await wait_until(lambda: balancer.queues[balancer.fleet.default_pool].waiting)
 
         await policy.disconnect(disconnect, sock, client)
         may_respond.set()
@@ -213,25 +213,25 @@
     may_respond = asyncio.Event()
     probe_headers = ["Connection: close"] if when is DisconnectTime.CONNECTED else []
 
-    async def answer(received: ReceivedRequest, writer: Writer) -> None:
-        if "/stats" in received.first:
+    async def respond(received: ReceivedMessage, writer: Writer) -> None:
+        if "/stats" in received.start_line:
             await may_respond.wait()
-            writer.write(written(200, b'{"inflight":0}', *probe_headers))
+            writer.write(format_response(200, b'{"inflight":0}', *probe_headers))
         else:
-            writer.write(written(200))
+            writer.write(format_response(200))
 
     monkeypatch.setattr(
         "loadbalancer.policy.load_probing.PROBE_TIMEOUT_NS",
-        int(PATIENCE_S * 1000) * NANOSECONDS_PER_MILLISECOND,
+        int(WAIT_TIMEOUT_S * 1000) * NANOSECONDS_PER_MILLISECOND,
     )
-    monkeypatch.setattr("loadbalancer.proxy.health_checks.TIMEOUT_S", PATIENCE_S)
-    endpoint = await FakeEndpoint(answer).start()
+    monkeypatch.setattr("loadbalancer.proxy.health_checks.TIMEOUT_S", WAIT_TIMEOUT_S)
+    endpoint = await FakeEndpoint(respond).start()
     balancer = balancer_of(health_checks=True)
     policy = DisconnectInjector(balancer, when)
     policy.watch_connections(monkeypatch, endpoint)
-    async with node(policy, endpoint, health_checks=True) as client, plain_socket(client) as sock:
+    async with running_proxy(policy, endpoint, health_checks=True) as client, plain_socket(client) as sock:
         sock.send(request("/read/abandoned"))
-        await until(lambda: endpoint.got)  # a load probe, and the request waits for its result
+        await wait_until(lambda: endpoint.requests)  # a load probe, and the request waits for its result
         assert balancer.queues[balancer.fleet.default_pool].waiting
         assert not forwarded(endpoint)
 
@@ -252,22 +252,22 @@
 ) -> None:
     may_respond = asyncio.Event()
 
-    async def answer(received: ReceivedRequest, writer: Writer) -> None:
+    async def respond(received: ReceivedMessage, writer: Writer) -> None:
         await may_respond.wait()
-        endpoint.answer = answers(200)
+        endpoint.respond = respond_with(200)
         await ATTEMPT_ENDS[end](received, writer)
 
-    endpoint = await FakeEndpoint(answer).start()
+    endpoint = await FakeEndpoint(respond).start()
     policy = DisconnectInjector(balancer_of(), when, attempt=1)
     policy.watch_connections(monkeypatch, endpoint)
-    async with node(policy, endpoint) as client, plain_socket(client) as sock:
+    async with running_proxy(policy, endpoint) as client, plain_socket(client) as sock:
         sock.send(request("/read/abandoned"))
-        await until(lambda: endpoint.got)
+        await wait_until(lambda: endpoint.requests)
 
         await policy.disconnect(disconnect, sock, client)  # where it is read: while the first one is out
         may_respond.set()
 
-        await until(lambda: not client.node._pending_requests)
+        await wait_until(lambda: not client.proxy._pending_requests)
         await ask_until_served(client)
         assert forwarded(endpoint) == ["/read/abandoned", "/read/later"]
         assert policy.done
@@ -279,13 +279,13 @@
 async def test_disconnect_after_an_attempt_with_any_result(
     monkeypatch: pytest.MonkeyPatch, disconnect: Disconnect, when: DisconnectTime, end: str
 ) -> None:
-    endpoint = await FakeEndpoint(ATTEMPT_ENDS.get(end, silent)).start()
-    other = await FakeEndpoint(answers(200)).start()
+    endpoint = await FakeEndpoint(ATTEMPT_ENDS.get(end, never_respond)).start()
+    other = await FakeEndpoint(respond_with(200)).start()
     attempt_timeout_ns = ATTEMPT_TIMEOUT_NS if end == "timeout" else 0
     retry_at = TimerExpired if when is DisconnectTime.READ else AttemptEnded
 
     def react(event: Event) -> Iterable[Action]:
-        first, second = script.ids()
+        first, second = script.endpoint_ids()
         if isinstance(event, RequestArrived):
             if event.request_id == "1":
                 return [Forward(event.request_id, second)]
@@ -297,26 +297,31 @@
     script = ScriptedPolicy(react)
     policy = DisconnectInjector(script, when, request_id="2", attempt=1)
     policy.watch_connections(monkeypatch, endpoint, other)
-    async with node(policy, endpoint, other) as client:
-        assert (await client.ask(request("/read/first"))).status == 200  # leaves its connection to others
+    async with running_proxy(policy, endpoint, other) as client:
+        # Its connection is left to others.
+        assert (await client.exchange(request("/read/first"))).status == 200
         if end == "refused":
             endpoint.stop()
         async with plain_socket(client) as sock:
             if when is not DisconnectTime.READ:
                 await policy.disconnect(disconnect, sock, client)
             sock.send(request("/read/abandoned"))
-            await until(lambda: len(script.of(AttemptEnded)) >= 2)
+            await wait_until(lambda: len(script.events_of(AttemptEnded)) >= 2)
             if when is DisconnectTime.READ:
                 await policy.disconnect(disconnect, sock, client)
-                client.node.dispatch(TimerExpired("again"))
-            await until(lambda: script.of(ClientDisconnected) and len(script.of(AttemptEnded)) >= 3)
+                client.proxy.dispatch(TimerExpired("again"))
+            await wait_until(
+                lambda: script.events_of(ClientDisconnected) and len(script.events_of(AttemptEnded)) >= 3
+            )
 
             script.react = lambda event: (
-                [Forward(event.request_id, script.ids()[1])] if isinstance(event, RequestArrived) else ()
+                [Forward(event.request_id, script.endpoint_ids()[1])]
+                if isinstance(event, RequestArrived)
+                else ()
             )
             await ask_until_served(client)
             assert forwarded(other) == ["/read/first", "/read/later"]
-            assert len(endpoint.got) == (0 if end == "refused" else 1)
+            assert len(endpoint.requests) == (0 if end == "refused" else 1)
             assert policy.done
 
 
@@ -326,11 +331,11 @@
     monkeypatch: pytest.MonkeyPatch, disconnect: Disconnect, idle_connection: bool
 ) -> None:
     monkeypatch.setattr("loadbalancer.proxy.attempts.QUARANTINE_S", 0.0)
-    endpoint = await FakeEndpoint(answers(200)).start()
+    endpoint = await FakeEndpoint(respond_with(200)).start()
     policy = forwarding_policy()
-    async with node(policy, endpoint) as client:
+    async with running_proxy(policy, endpoint) as client:
         if idle_connection:
-            assert (await client.ask(request("/read/first"))).status == 200
+            assert (await client.exchange(request("/read/first"))).status == 200
         # No turn of the loop from connecting to the disconnect.
         with socket.create_connection((HOST, client.port)) as sock:
             sock.send(request("/read/abandoned"))
@@ -347,23 +352,23 @@
     monkeypatch.setattr("loadbalancer.proxy.attempts.QUARANTINE_S", 0.0)
     all_received = asyncio.Event()
 
-    async def answer(_received: ReceivedRequest, writer: Writer) -> None:
+    async def respond(_received: ReceivedMessage, writer: Writer) -> None:
         await all_received.wait()
-        writer.write(written(200))
+        writer.write(format_response(200))
 
-    endpoint = await FakeEndpoint(answer).start()
+    endpoint = await FakeEndpoint(respond).start()
     policy = forwarding_policy()
-    async with node(policy, endpoint) as client, AsyncExitStack() as stack:
+    async with running_proxy(policy, endpoint) as client, AsyncExitStack() as stack:
         socks = [await stack.enter_async_context(plain_socket(client)) for _ in range(6)]
         for sock in socks:
             sock.send(request("/read/first"))
-        await until(lambda: len(endpoint.got) == 6)
+        await wait_until(lambda: len(endpoint.requests) == 6)
         all_received.set()
-        await until(lambda: len(policy.of(AttemptEnded)) == 6)  # an idle connection for each
+        await wait_until(lambda: len(policy.events_of(AttemptEnded)) == 6)  # an idle connection for each
         policy.react = lambda _event: ()
         for i, sock in enumerate(socks):
             sock.send(request(f"/read/{i}"))
-            await until(lambda i=i: len(policy.of(RequestArrived)) == 7 + i)  # type: ignore[misc]
+            await wait_until(lambda i=i: len(policy.events_of(RequestArrived)) == 7 + i)  # type: ignore[misc]
 
         def react(event: Event) -> Iterable[Action]:
             if not isinstance(event, TimerExpired):
@@ -371,14 +376,16 @@
             for sock in socks[::2]:
                 disconnect(sock)
             time.sleep(1.2 * MAX_NOTICE_S)  # the batch: nothing is read meanwhile
-            endpoint_id = policy.ids()[0]
-            return [Forward(arrived.request_id, endpoint_id) for arrived in policy.of(RequestArrived)[6:]]
+            endpoint_id = policy.endpoint_ids()[0]
+            return [
+                Forward(arrived.request_id, endpoint_id) for arrived in policy.events_of(RequestArrived)[6:]
+            ]
 
         policy.react = react
-        client.node.dispatch(TimerExpired("token"))
+        client.proxy.dispatch(TimerExpired("token"))
 
-        await until(lambda: len(policy.of(AttemptEnded)) == 12)
-        assert len(policy.of(ClientDisconnected)) == 3
+        await wait_until(lambda: len(policy.events_of(AttemptEnded)) == 12)
+        assert len(policy.events_of(ClientDisconnected)) == 3
         assert sorted(forwarded(endpoint)[6:]) == ["/read/1", "/read/3", "/read/5"]
 
 
@@ -388,32 +395,32 @@
     monkeypatch: pytest.MonkeyPatch, disconnect: Disconnect, idle_connection: bool
 ) -> None:
     # Guards against clients that disconnect in numbers costing endpoints a handshake each.
-    endpoint = await FakeEndpoint(answers(200)).start()
+    endpoint = await FakeEndpoint(respond_with(200)).start()
     script = forwarding_policy()
     policy = DisconnectInjector(script, DisconnectTime.DECIDED, request_id="2" if idle_connection else "1")
     policy.watch_connections(monkeypatch, endpoint)
-    async with node(policy, endpoint) as client:
+    async with running_proxy(policy, endpoint) as client:
         if idle_connection:
-            assert (await client.ask(request("/read/first"))).status == 200
+            assert (await client.exchange(request("/read/first"))).status == 200
         async with plain_socket(client) as sock:
             await policy.disconnect(disconnect, sock, client)
             sock.send(request("/read/abandoned"))
 
-            await until(lambda: script.of(ClientDisconnected))
+            await wait_until(lambda: script.events_of(ClientDisconnected))
             await assert_only_later_request_is_forwarded(
                 endpoint, client, script, received_before=1 if idle_connection else 0
             )
-            assert endpoint.opened == 1
-            assert not endpoint.closed
+            assert endpoint.opened_connections == 1
+            assert not endpoint.closed_connections
 
 
 @each_disconnect
 async def test_disconnect_while_reading_is_paused(disconnect: Disconnect) -> None:
     # Unread responses make a full close a reset. Its request lies in the socket, and is not forwarded.
-    endpoint = await FakeEndpoint(answers(200)).start()
+    endpoint = await FakeEndpoint(respond_with(200)).start()
     policy = forwarding_policy()
     async with (
-        node(policy, endpoint) as client,
+        running_proxy(policy, endpoint) as client,
         client_with_unread_response(client, endpoint, 900_000) as sock,
     ):
         connection = first_connection(client)
@@ -424,9 +431,9 @@
 
         assert connection.has_disconnected  # the kernel knows, the loop does not
         if sock.fileno() != -1:  # a half-close: the client still reads
-            while len(policy.of(RequestArrived)) < 2:
+            while len(policy.events_of(RequestArrived)) < 2:
                 await asyncio.get_running_loop().sock_recv(sock, 1 << 16)
-        await until(lambda: connection not in client.node.downstream._connections)
+        await wait_until(lambda: connection not in client.proxy.downstream._connections)
         await assert_only_later_request_is_forwarded(endpoint, client, policy, received_before=1)
 
 
@@ -438,28 +445,31 @@
 ) -> None:
     # A proxy has one attempt in flight at a time, also where the settings allow two: a hedged request is
     # not sent at all.
-    endpoint = await FakeEndpoint(silent).start()
-    other = await FakeEndpoint(answers(200)).start()
+    endpoint = await FakeEndpoint(never_respond).start()
+    other = await FakeEndpoint(respond_with(200)).start()
     script = forwarding_policy()
     policy = DisconnectInjector(script, when, attempt=1)
     async with (
-        node(policy, endpoint, other, hedging=hedging, cancellation=True) as client,
+        running_proxy(policy, endpoint, other, hedging=hedging, cancellation=True) as client,
         plain_socket(client) as sock,
     ):
         sock.send(request("/read/abandoned"))
-        await until(lambda: endpoint.got)
+        await wait_until(lambda: endpoint.requests)
         script.react = lambda event: (
-            [Forward("1", script.ids()[1])] if isinstance(event, TimerExpired) else ()
+            [Forward("1", script.endpoint_ids()[1])] if isinstance(event, TimerExpired) else ()
         )
 
         await policy.disconnect(disconnect, sock, client)
-        client.node.dispatch(TimerExpired("overdue"))
+        client.proxy.dispatch(TimerExpired("overdue"))
 
-        await until(lambda: script.of(ClientDisconnected) and len(script.of(AttemptEnded)) == 2)
-        results = {ended.result for ended in script.of(AttemptEnded)}
+        await wait_until(
+            lambda: script.events_of(ClientDisconnected) and len(script.events_of(AttemptEnded)) == 2
+        )
+        results = {ended.result for ended in script.events_of(AttemptEnded)}
         assert results == {AttemptResult.CANCELLED, AttemptResult.NOT_SENT}
-        endpoint.answer = answers(200)
+        endpoint.respond = respond_with(200)
         await assert_only_later_request_is_forwarded(endpoint, client, script, received_before=1)
         assert forwarded(endpoint) == ["/read/abandoned", "/read/later"]
-        assert not other.got
-        await until(lambda: endpoint.closed)  # the attempt that was in flight has been cancelled
+        assert not other.requests
+        # The attempt that was in flight has been cancelled.
+        await wait_until(lambda: endpoint.closed_connections)
--- a/tests/proxy/test_discovery_handover.py
+++ b/tests/proxy/test_discovery_handover.py
@@ -21,14 +21,14 @@
     HOST,
     Client,
     FakeDiscovery,
-    ReceivedRequest,
+    ReceivedMessage,
     ScriptedPolicy,
     Writer,
     entry,
-    known,
-    node,
-    until,
-    written,
+    format_response,
+    list_of_ports,
+    running_proxy,
+    wait_until,
 )
 
 
@@ -36,95 +36,97 @@
     """The ids of the endpoints in the last complete list that was reported."""
     return [
         u.id
-        for u in [e for e in script.of(EndpointUpdate) if e.kind is EndpointUpdateKind.FULL][-1].endpoints
+        for u in [e for e in script.events_of(EndpointUpdate) if e.kind is EndpointUpdateKind.FULL][
+            -1
+        ].endpoints
     ]
 
 
-async def start_discovery(*rows: str, broken: bytes = b"") -> FakeDiscovery:
-    registry = FakeDiscovery()
-    registry.rows = {host: entry(host, 9) for host in rows}
-    registry.broken, registry.version = broken, 3
-    await registry.server.start()
-    return registry
+async def start_discovery(*rows: str, broken_response: bytes = b"") -> FakeDiscovery:
+    discovery = FakeDiscovery()
+    discovery.entries = {host: entry(host, 9) for host in rows}
+    discovery.broken_response, discovery.version = broken_response, 3
+    await discovery.server.start()
+    return discovery
 
 
 async def test_a_move_asks_the_new_address_for_the_whole_list_and_watches_there() -> None:
     old, script = FakeDiscovery(), ScriptedPolicy()
     new = await start_discovery("s8", "s9")
-    async with node(script, registry=old, known_list=known(5)) as client:
-        await until(lambda: old.calls)
-        left = client.node.discovery_client._target
-        client.node.discovery_client.move_to((HOST, new.server.port))
-        await until(lambda: len(new.calls) == 2)
+    async with running_proxy(script, discovery=old, initial_list=list_of_ports(5)) as client:
+        await wait_until(lambda: old.calls)
+        left = client.proxy.discovery_client._target
+        client.proxy.discovery_client.move_to((HOST, new.server.port))
+        await wait_until(lambda: len(new.calls) == 2)
         assert new.calls[0][1] == "/registry/instances"
         assert new.calls[1][1].startswith("/registry/instances?after=3&")
         assert len(last_full_list(script)) == 2
-        assert len(client.node.addresses.ready()) == 2
+        assert len(client.proxy.addresses.ready()) == 2
         assert left.pool.limits.open_connections == 0
         new.change("s7")
-        await until(lambda: len(client.node.addresses.ready()) == 3)
+        await wait_until(lambda: len(client.proxy.addresses.ready()) == 3)
     new.server.stop()
 
 
 async def test_the_old_watch_stays_until_the_new_address_answers() -> None:
     old, script = FakeDiscovery(), ScriptedPolicy()
-    new = await start_discovery("s9", broken=written(503))
-    async with node(script, registry=old, known_list=known(5)) as client:
-        await until(lambda: old.calls)
-        client.node.discovery_client.move_to((HOST, new.server.port))
-        await until(lambda: len(new.calls) == 2)
+    new = await start_discovery("s9", broken_response=format_response(503))
+    async with running_proxy(script, discovery=old, initial_list=list_of_ports(5)) as client:
+        await wait_until(lambda: old.calls)
+        client.proxy.discovery_client.move_to((HOST, new.server.port))
+        await wait_until(lambda: len(new.calls) == 2)
         old.change("s1")
-        await until(lambda: len(client.node.addresses.ready()) == 2)
-        new.broken = b""
-        await until(lambda: len(client.node.addresses.ready()) == 1)
+        await wait_until(lambda: len(client.proxy.addresses.ready()) == 2)
+        new.broken_response = b""
+        await wait_until(lambda: len(client.proxy.addresses.ready()) == 1)
     new.server.stop()
 
 
 async def test_an_old_address_that_closes_is_not_asked_again() -> None:
     old, script = FakeDiscovery(), ScriptedPolicy()
-    new = await start_discovery("s9", broken=written(503))
-    async with node(script, registry=old, known_list=known(5)) as client:
-        await until(lambda: old.calls)
-        client.node.discovery_client.move_to((HOST, new.server.port))
-        old.broken = written(503)
+    new = await start_discovery("s9", broken_response=format_response(503))
+    async with running_proxy(script, discovery=old, initial_list=list_of_ports(5)) as client:
+        await wait_until(lambda: old.calls)
+        client.proxy.discovery_client.move_to((HOST, new.server.port))
+        old.broken_response = format_response(503)
         old.change("s1")  # the watch ends
-        await until(lambda: client.node.discovery_client._watch_call is None)
-        assert client.node.discovery_client._watch_timer is None
-        new.broken = b""
-        await until(lambda: len(new.calls) > 1 and "after=3" in new.calls[-1][1])
+        await wait_until(lambda: client.proxy.discovery_client._watch_call is None)
+        assert client.proxy.discovery_client._watch_timer is None
+        new.broken_response = b""
+        await wait_until(lambda: len(new.calls) > 1 and "after=3" in new.calls[-1][1])
     new.server.stop()
 
 
 async def test_of_several_moves_the_last_one_counts_also_back_to_the_first() -> None:
     old, script = FakeDiscovery(), ScriptedPolicy()
     new = [await start_discovery(f"s{i}") for i in (7, 8)]
-    async with node(script, registry=old, known_list=known(5)) as client:
-        await until(lambda: old.calls)
+    async with running_proxy(script, discovery=old, initial_list=list_of_ports(5)) as client:
+        await wait_until(lambda: old.calls)
         addresses = [(HOST, r.server.port) for r in (*new, old)]
         for address in addresses:
-            client.node.discovery_client.move_to(address)
+            client.proxy.discovery_client.move_to(address)
         old.change("s1")
-        await until(lambda: len(client.node.addresses.ready()) == 2)
+        await wait_until(lambda: len(client.proxy.addresses.ready()) == 2)
         for address in addresses[:2]:
-            client.node.discovery_client.move_to(address)
-        await until(lambda: len(new[1].calls) == 2)
+            client.proxy.discovery_client.move_to(address)
+        await wait_until(lambda: len(new[1].calls) == 2)
         assert not new[0].calls
-        assert client.node.discovery_client._handover is None
+        assert client.proxy.discovery_client._handover is None
         assert last_full_list(script) == [preferred_id("s8")]
-    for registry in new:
-        registry.server.stop()
+    for discovery in new:
+        discovery.server.stop()
 
 
-def answer_in_turn(registry: FakeDiscovery, work_s: float) -> None:
+def answer_in_turn(discovery: FakeDiscovery, work_s: float) -> None:
     """Each call is work of so many seconds, one after the other, also for a caller that has gone."""
-    turn, heard = asyncio.Lock(), registry.server.answer
+    turn, respond_normally = asyncio.Lock(), discovery.server.respond
 
-    async def answer(got: ReceivedRequest, writer: Writer) -> None:
+    async def respond(received: ReceivedMessage, writer: Writer) -> None:
         async with turn:
             await asyncio.sleep(work_s)
-        await heard(got, writer)
+        await respond_normally(received, writer)
 
-    registry.server.answer = answer
+    discovery.server.respond = respond
 
 
 async def test_a_new_address_that_answers_in_turn_is_waited_for() -> None:
@@ -133,18 +135,18 @@
     old, script = FakeDiscovery(), ScriptedPolicy()
     new = await start_discovery("s9")
     answer_in_turn(new, 1.3)
-    async with node(script, registry=old, known_list=known(5)) as client:
-        await until(lambda: old.calls)
-        client.node.discovery_client.move_to((HOST, new.server.port))
-        await until(lambda: new.server.got)
-        handover = client.node.discovery_client._handover
+    async with running_proxy(script, discovery=old, initial_list=list_of_ports(5)) as client:
+        await wait_until(lambda: old.calls)
+        client.proxy.discovery_client.move_to((HOST, new.server.port))
+        await wait_until(lambda: new.server.requests)
+        handover = client.proxy.discovery_client._handover
         assert handover is not None
-        client.node.discovery_client.move_to((HOST, new.server.port))
-        assert client.node.discovery_client._handover is handover
-        await until(lambda: client.node.discovery_client._handover is None)
+        client.proxy.discovery_client.move_to((HOST, new.server.port))
+        assert client.proxy.discovery_client._handover is handover
+        await wait_until(lambda: client.proxy.discovery_client._handover is None)
         assert last_full_list(script) == [preferred_id("s9")]
-        await until(lambda: len(new.server.got) == 2)
-        assert [("after=" in got.first) for got in new.server.got] == [False, True]
+        await wait_until(lambda: len(new.server.requests) == 2)
+        assert [("after=" in received.start_line) for received in new.server.requests] == [False, True]
         assert handover.backoff.failures == 0
     new.server.stop()
 
@@ -156,21 +158,21 @@
 
 
 def failed_updates(script: ScriptedPolicy) -> int:
-    return sum(e.kind is EndpointUpdateKind.FAILED for e in script.of(EndpointUpdate))
+    return sum(e.kind is EndpointUpdateKind.FAILED for e in script.events_of(EndpointUpdate))
 
 
 async def close_old_address_in_handover(
     old: FakeDiscovery, new: FakeDiscovery, client: Client, script: ScriptedPolicy
 ) -> None:
     """Move the proxy to a new address while the old one ends its watch and listens no more."""
-    client.node.dispatch(TimerExpired("watch"))
-    await until(lambda: old.calls)
-    client.node.discovery_client.move_to((HOST, new.server.port))
-    await until(lambda: new.server.got)
-    old.broken = written(503)
+    client.proxy.dispatch(TimerExpired("watch"))
+    await wait_until(lambda: old.calls)
+    client.proxy.discovery_client.move_to((HOST, new.server.port))
+    await wait_until(lambda: new.server.requests)
+    old.broken_response = format_response(503)
     old.server.stop()
     old.change("s1")
-    await until(lambda: client.node.discovery_client._watch_call is None)
+    await wait_until(lambda: client.proxy.discovery_client._watch_call is None)
     assert failed_updates(script) == 1  # of the watch that has ended
 
 
@@ -179,18 +181,18 @@
     old, script = FakeDiscovery(), timer_driven_policy()
     new = await start_discovery("s9")
     release = hold_first_list(new)
-    async with node(script, registry=old, known_list=known(5), asked=True) as client:
-        discovery = client.node.discovery_client
+    async with running_proxy(script, discovery=old, initial_list=list_of_ports(5), polls=True) as client:
+        discovery_client = client.proxy.discovery_client
         await close_old_address_in_handover(old, new, client, script)
-        client.node.dispatch(TimerExpired("watch"))
-        await until(lambda: discovery._watch_call is None)  # refused
-        client.node.dispatch(TimerExpired("watch"))
-        client.node.dispatch(TimerExpired("fetch"))
-        assert discovery._watch_call is None
-        assert discovery._fetch_call is None
+        client.proxy.dispatch(TimerExpired("watch"))
+        await wait_until(lambda: discovery_client._watch_call is None)  # refused
+        client.proxy.dispatch(TimerExpired("watch"))
+        client.proxy.dispatch(TimerExpired("fetch"))
+        assert discovery_client._watch_call is None
+        assert discovery_client._fetch_call is None
         assert failed_updates(script) == 1
         release.set()
-        await until(lambda: len(new.calls) == 2)
+        await wait_until(lambda: len(new.calls) == 2)
         assert last_full_list(script) == [preferred_id("s9")]
         assert "after=3" in new.calls[1][1]
         assert failed_updates(script) == 1
@@ -200,59 +202,59 @@
 async def test_calls_while_both_addresses_fail_report_one_failure_each() -> None:
     # Guards against a policy that waits for ever, and against failures of calls that it did not make.
     old, script = FakeDiscovery(), timer_driven_policy()
-    new = await start_discovery("s9", broken=written(503))
-    async with node(script, registry=old, known_list=known(5), asked=True) as client:
-        discovery = client.node.discovery_client
+    new = await start_discovery("s9", broken_response=format_response(503))
+    async with running_proxy(script, discovery=old, initial_list=list_of_ports(5), polls=True) as client:
+        discovery_client = client.proxy.discovery_client
         await close_old_address_in_handover(old, new, client, script)
 
         async def is_reported_once(told: int) -> None:
-            client.node.dispatch(TimerExpired("watch"))
-            await until(lambda: failed_updates(script) == told)
+            client.proxy.dispatch(TimerExpired("watch"))
+            await wait_until(lambda: failed_updates(script) == told)
             ended = len(new.calls)
-            await until(lambda: len(new.calls) >= ended + 2)
+            await wait_until(lambda: len(new.calls) >= ended + 2)
             assert failed_updates(script) == told
-            assert discovery._watch_call is None
+            assert discovery_client._watch_call is None
 
         await is_reported_once(2)
         await is_reported_once(3)
-        new.broken = b""
-        await until(lambda: discovery._handover is None)
+        new.broken_response = b""
+        await wait_until(lambda: discovery_client._handover is None)
         assert last_full_list(script) == [preferred_id("s9")]
     new.server.stop()
 
 
-@pytest.mark.parametrize("asked", ["watch", "fetch"])
-async def test_deferred_calls_go_to_the_old_address_after_a_move_back(asked: str) -> None:
+@pytest.mark.parametrize("polls", ["watch", "fetch"])
+async def test_deferred_calls_go_to_the_old_address_after_a_move_back(polls: str) -> None:
     old, script = FakeDiscovery(), timer_driven_policy()
     new = await start_discovery("s9")
     hold_first_list(new)
-    async with node(script, registry=old, known_list=known(5), asked=True) as client:
+    async with running_proxy(script, discovery=old, initial_list=list_of_ports(5), polls=True) as client:
         await close_old_address_in_handover(old, new, client, script)
-        client.node.dispatch(TimerExpired(asked))
-        await until(lambda: client.node.discovery_client._target.refuses_connections)
-        client.node.discovery_client.move_to((HOST, old.server.port))
-        await until(lambda: failed_updates(script) >= 2)  # it is still closed, and is asked
+        client.proxy.dispatch(TimerExpired(polls))
+        await wait_until(lambda: client.proxy.discovery_client._target.refuses_connections)
+        client.proxy.discovery_client.move_to((HOST, old.server.port))
+        await wait_until(lambda: failed_updates(script) >= 2)  # it is still closed, and is asked
     new.server.stop()
 
 
 async def test_an_older_list_at_a_handover_does_not_undo_a_drain() -> None:
     # The new address answers with what it had when asked; meanwhile the old one has told a drain.
     old, script = FakeDiscovery(), ScriptedPolicy()
-    old.rows = {"s0": entry("s0", 5)}
+    old.entries = {"s0": entry("s0", 5)}
     new = await start_discovery("s0")
     new.version = 1
     release = hold_first_list(new)
-    async with node(script, registry=old, known_list=known(5)) as client:
-        await until(lambda: old.calls)
-        client.node.discovery_client.move_to((HOST, new.server.port))
-        await until(lambda: new.calls)
+    async with running_proxy(script, discovery=old, initial_list=list_of_ports(5)) as client:
+        await wait_until(lambda: old.calls)
+        client.proxy.discovery_client.move_to((HOST, new.server.port))
+        await wait_until(lambda: new.calls)
         old.change("s0", health="draining")
-        await until(lambda: reported_statuses(script)[-1] is EndpointStatus.DRAINING)
+        await wait_until(lambda: reported_statuses(script)[-1] is EndpointStatus.DRAINING)
         release.set()
-        await until(lambda: len(new.calls) == 2)  # what it said is read, and it is asked once more
+        await wait_until(lambda: len(new.calls) == 2)  # what it said is read, and it is asked once more
         assert reported_statuses(script) == [EndpointStatus.READY, EndpointStatus.DRAINING]
-        assert not client.node.addresses.ready()
-        new.rows["s0"]["health"], new.version = "draining", 2
-        await until(lambda: client.node.discovery_client._handover is None)
+        assert not client.proxy.addresses.ready()
+        new.entries["s0"]["health"], new.version = "draining", 2
+        await wait_until(lambda: client.proxy.discovery_client._handover is None)
         assert EndpointStatus.READY not in reported_statuses(script)[1:]
     new.server.stop()
--- a/tests/proxy/test_discovery_outage.py
+++ b/tests/proxy/test_discovery_outage.py
@@ -26,23 +26,23 @@
 from tests.support.policy_harness import NANOSECONDS_PER_SECOND, START, settings
 from tests.support.sockets import (
     HOST,
-    Answer,
     FakeDiscovery,
     FakeEndpoint,
-    ReceivedRequest,
+    ReceivedMessage,
+    Responder,
     ScriptedPolicy,
     Writer,
-    answers,
-    breaks,
+    abort_connection,
     entry,
-    known,
-    node,
+    format_response,
+    list_of_ports,
+    never_respond,
+    proxy_settings,
     request,
-    silent,
-    until,
-    written,
+    respond_with,
+    running_proxy,
+    wait_until,
 )
-from tests.support.sockets import settings as node_settings
 
 CHANGE_DUE_S = 6.0  # a change counts as told so long after discovery had it and could be reached
 ANSWER_S = 1.0  # of that, for the call that brings it, and as a margin
@@ -120,8 +120,8 @@
     assert sum(late) / len(late) < 0.3 * fleet
 
 
-async def declined(_got: ReceivedRequest, writer: Writer) -> None:
-    writer.write(written(503))
+async def declined(_received: ReceivedMessage, writer: Writer) -> None:
+    writer.write(format_response(503))
 
 
 def shorten(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -135,40 +135,51 @@
         monkeypatch.setattr(f"loadbalancer.proxy.{name}", value)
 
 
-@pytest.mark.parametrize("asked", [True, False])
-@pytest.mark.parametrize("order", [[declined, silent], [breaks, silent], [breaks, silent, silent, declined]])
+@pytest.mark.parametrize("polls", [True, False])
+@pytest.mark.parametrize(
+    "order",
+    [
+        [declined, never_respond],
+        [abort_connection, never_respond],
+        [abort_connection, never_respond, never_respond, declined],
+    ],
+)
 async def test_a_return_does_not_hide_behind_a_long_watch(
-    order: list[Answer], asked: bool, monkeypatch: pytest.MonkeyPatch
+    order: list[Responder], polls: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     # A call fails, the next is never answered: what then changes must not wait for a watch of 10 s to end.
     shorten(monkeypatch)
-    registry, bad = FakeDiscovery(), iter(order)
-    heard: Answer = registry.server.answer
+    discovery, bad = FakeDiscovery(), iter(order)
+    respond_normally: Responder = discovery.server.respond
 
-    async def answer(got: ReceivedRequest, writer: Writer) -> None:
+    async def respond(received: ReceivedMessage, writer: Writer) -> None:
         fails = next(bad, None)
         if fails is not None:
-            registry.calls.append((time.monotonic(), got.first.split()[1]))
-            await fails(got, writer)
+            discovery.calls.append((time.monotonic(), received.start_line.split()[1]))
+            await fails(received, writer)
             return
-        if "s0" not in registry.rows:
-            registry.change("s0", health="draining")
-        await heard(got, writer)
-
-    registry.server.answer = answer
-    module = Balancer(node_settings(asked=asked), 1, time.monotonic_ns())
-    async with node(module, registry=registry, known_list=known(5), asked=asked) as client:
-        await until(lambda: not client.node.addresses.ready() and len(registry.calls) == len(order) + 2)
-        waits = [int(query.rpartition("wait_ms=")[2]) for _, query in registry.calls]
-        longest = 10_000 if asked else 40
+        if "s0" not in discovery.entries:
+            discovery.change("s0", health="draining")
+        await respond_normally(received, writer)
+
+    discovery.server.respond = respond
+    policy = Balancer(proxy_settings(polls=polls), 1, time.monotonic_ns())
+    async with running_proxy(
+        policy, discovery=discovery, initial_list=list_of_ports(5), polls=polls
+    ) as client:
+        await wait_until(
+            lambda: not client.proxy.addresses.ready() and len(discovery.calls) == len(order) + 2
+        )
+        waits = [int(query.rpartition("wait_ms=")[2]) for _, query in discovery.calls]
+        longest = 10_000 if polls else 40
         assert waits == [longest, *[20] * len(order), longest]  # short until one is answered
 
 
 class Machine(FakeEndpoint):
     """One that is not there yet: its port is held, connections to it are refused, or never come up."""
 
-    def __init__(self, answer: Answer, refuses: bool) -> None:
-        super().__init__(answer)
+    def __init__(self, respond: Responder, refuses: bool) -> None:
+        super().__init__(respond)
         self._socket = socket.socket()
         self._refuses = refuses
         self._filling: list[socket.socket] = []
@@ -193,23 +204,24 @@
             held.close()
 
 
-@pytest.mark.parametrize("asked", [True, False])
+@pytest.mark.parametrize("polls", [True, False])
 @pytest.mark.parametrize("refuses", [True, False])
 async def test_a_drain_is_in_force_when_a_machine_that_was_away_is_back(
-    refuses: bool, asked: bool, monkeypatch: pytest.MonkeyPatch
+    refuses: bool, polls: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     shorten(monkeypatch)
-    registry = FakeDiscovery()
-    registry.server = machine = Machine(registry.server.answer, refuses)
-    module = Balancer(node_settings(asked=asked), 1, time.monotonic_ns())
-    monkeypatch.setattr(
-        "loadbalancer.proxy.discovery_client.POLL_WAIT_MS", 40
-    )  # the first call too must be given up
-    async with node(module, registry=registry, known_list=known(5), asked=asked) as client:
-        await until(lambda: client.node.discovery_client._watch_backoff.failures >= 3)
-        registry.change("s0", health="draining")
+    discovery = FakeDiscovery()
+    discovery.server = machine = Machine(discovery.server.respond, refuses)
+    policy = Balancer(proxy_settings(polls=polls), 1, time.monotonic_ns())
+    # The first call too must be given up.
+    monkeypatch.setattr("loadbalancer.proxy.discovery_client.POLL_WAIT_MS", 40)
+    async with running_proxy(
+        policy, discovery=discovery, initial_list=list_of_ports(5), polls=polls
+    ) as client:
+        await wait_until(lambda: client.proxy.discovery_client._watch_backoff.failures >= 3)
+        discovery.change("s0", health="draining")
         await machine.comes_back()
-        await until(lambda: not client.node.addresses.ready())
+        await wait_until(lambda: not client.proxy.addresses.ready())
 
 
 @pytest.mark.parametrize("kind", ["refuses", "unreachable", "silent"])
@@ -218,26 +230,26 @@
 ) -> None:
     shorten(monkeypatch)
     old, new = FakeDiscovery(), FakeDiscovery()
-    new.rows, new.version = {"s0": entry("s0", 5, health="draining")}, 3
-    heard: Answer = new.server.answer
+    new.entries, new.version = {"s0": entry("s0", 5, health="draining")}, 3
+    respond_normally: Responder = new.server.respond
     if kind == "silent":
-        new.server.answer = silent
+        new.server.respond = never_respond
     else:
-        new.server = Machine(heard, kind == "refuses")
+        new.server = Machine(respond_normally, kind == "refuses")
     await new.server.start()
-    async with node(ScriptedPolicy(), registry=old, known_list=known(5)) as client:
-        await until(lambda: old.calls)
-        client.node.discovery_client.move_to((HOST, new.server.port))
-        handover = client.node.discovery_client._handover
+    async with running_proxy(ScriptedPolicy(), discovery=old, initial_list=list_of_ports(5)) as client:
+        await wait_until(lambda: old.calls)
+        client.proxy.discovery_client.move_to((HOST, new.server.port))
+        handover = client.proxy.discovery_client._handover
         assert handover is not None
-        await until(lambda: handover.backoff.failures >= 2)
-        assert client.node.addresses.ready()
+        await wait_until(lambda: handover.backoff.failures >= 2)
+        assert client.proxy.addresses.ready()
         if isinstance(new.server, Machine):
             await new.server.comes_back()
         else:
-            new.server.answer = heard
-        await until(lambda: not client.node.addresses.ready())
-        assert client.node.discovery_client._handover is None
+            new.server.respond = respond_normally
+        await wait_until(lambda: not client.proxy.addresses.ready())
+        assert client.proxy.discovery_client._handover is None
     new.server.stop()
 
 
@@ -254,65 +266,68 @@
         writer.close()
 
 
-@pytest.mark.parametrize("asked", [True, False])
+@pytest.mark.parametrize("polls", [True, False])
 @pytest.mark.parametrize("kind", ["refuses", "breaks", "silent"])
 async def test_idle_clients_in_all_places_keep_neither_the_list_away_nor_requests(
-    kind: str, asked: bool, monkeypatch: pytest.MonkeyPatch
+    kind: str, polls: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     shorten(monkeypatch)
     monkeypatch.setattr("loadbalancer.proxy.discovery_client.POLL_WAIT_MS", 40)
     endpoints = [
-        await FakeEndpoint(answers(200)).start() for _ in range(PLACES // MAX_IDLE_CONNECTIONS_PER_ENDPOINT)
+        await FakeEndpoint(respond_with(200)).start()
+        for _ in range(PLACES // MAX_IDLE_CONNECTIONS_PER_ENDPOINT)
     ]
-    registry = FakeDiscovery()
-    heard: Answer = registry.server.answer
+    discovery = FakeDiscovery()
+    respond_normally: Responder = discovery.server.respond
     if kind == "refuses":
-        registry.server = Machine(heard, True)
+        discovery.server = Machine(respond_normally, True)
     else:
-        registry.server.answer = {"breaks": breaks, "silent": silent}[kind]
-    module = Balancer(node_settings(asked=asked), 1, time.monotonic_ns())
-    async with node(module, *endpoints, registry=registry, sockets=DESCRIPTORS, asked=asked) as client:
-        hub, server, discovery = (
-            client.node._connection_limits,
-            client.node.downstream,
-            client.node.discovery_client,
+        discovery.server.respond = {"breaks": abort_connection, "silent": never_respond}[kind]
+    policy = Balancer(proxy_settings(polls=polls), 1, time.monotonic_ns())
+    async with running_proxy(
+        policy, *endpoints, discovery=discovery, sockets=DESCRIPTORS, polls=polls
+    ) as client:
+        hub, server, discovery_client = (
+            client.proxy._connection_limits,
+            client.proxy.downstream,
+            client.proxy.discovery_client,
         )
-        numbers = {port: number for number, (_, port) in client.node.addresses.ready().items()}
+        numbers = {port: number for number, (_, port) in client.proxy.addresses.ready().items()}
         for number in numbers.values():
-            pool = client.node.addresses.connection_pool(number)
+            pool = client.proxy.addresses.connection_pool(number)
             assert pool is not None
             for _ in range(MAX_IDLE_CONNECTIONS_PER_ENDPOINT):
                 start_exchange(pool, b"GET /read HTTP/1.1\r\n\r\n", None, lambda _result, _response: None)
-        await until(lambda: len(hub.idle_connections) == PLACES)
+        await wait_until(lambda: len(hub.idle_connections) == PLACES)
         idle = [asyncio.create_task(says_nothing(client.port)) for _ in range(PLACES + 30)]
         served, most = [], 0
 
         async def asks() -> None:
             nonlocal most
-            await until(lambda: len(server._connections) == PLACES)
-            another = client.another()
-            served.append((await another.ask(request())).status)
+            await wait_until(lambda: len(server._connections) == PLACES)
+            another = client.new_client()
+            served.append((await another.exchange(request())).status)
             another.close()
             most = max(
                 most,
                 len(server._connections)
                 + hub.open_connections
-                + discovery._target.pool.limits.open_connections,
+                + discovery_client._target.pool.limits.open_connections,
             )
 
-        while discovery._watch_backoff.failures < 4:
+        while discovery_client._watch_backoff.failures < 4:
             await asks()
-        registry.change("s0", port=endpoints[0].port, health="draining")
-        if isinstance(registry.server, Machine):
-            await registry.server.comes_back()
+        discovery.change("s0", port=endpoints[0].port, health="draining")
+        if isinstance(discovery.server, Machine):
+            await discovery.server.comes_back()
         else:
-            registry.server.answer = heard
-        await until(lambda: numbers[endpoints[0].port] not in client.node.addresses.ready())
-        before = len(endpoints[0].got)
+            discovery.server.respond = respond_normally
+        await wait_until(lambda: numbers[endpoints[0].port] not in client.proxy.addresses.ready())
+        before = len(endpoints[0].requests)
         for _ in range(20):
             await asks()
-        await until(lambda: len(registry.calls) > 1)  # the watch goes on
-        assert len(endpoints[0].got) == before
+        await wait_until(lambda: len(discovery.calls) > 1)  # the watch goes on
+        assert len(endpoints[0].requests) == before
         assert set(served) == {200}
         assert most <= DESCRIPTORS - 32 + 2
         for task in idle:
--- a/tests/proxy/test_downstream.py
+++ b/tests/proxy/test_downstream.py
@@ -15,7 +15,15 @@
 from loadbalancer.proxy.downstream import DownstreamServer
 from tests.support.clients import plain_socket
 from tests.support.scripted import READY_REQUEST, fail_all
-from tests.support.sockets import HOST, PATIENCE_S, Client, ScriptedPolicy, node, request, until
+from tests.support.sockets import (
+    HOST,
+    WAIT_TIMEOUT_S,
+    Client,
+    ScriptedPolicy,
+    request,
+    running_proxy,
+    wait_until,
+)
 
 SOCKETS_FOR_EIGHT_CLIENTS = 32 + 16
 
@@ -32,7 +40,7 @@
 
 async def rest_of_stream(client: Client) -> bytes:
     assert client.reader is not None
-    return await asyncio.wait_for(client.reader.read(), PATIENCE_S)
+    return await asyncio.wait_for(client.reader.read(), WAIT_TIMEOUT_S)
 
 
 # -- time-outs --
@@ -42,7 +50,7 @@
 
 
 @pytest.mark.parametrize(
-    ("on_kept_connection", "data", "answer"),
+    ("on_retained_connection", "data", "response_start"),
     [
         (False, b"", b""),
         (False, HALF_A_HEAD, b"HTTP/1.1 408 "),
@@ -52,14 +60,14 @@
     ],
 )
 async def test_request_that_is_not_received_in_time_ends_the_connection(
-    on_kept_connection: bool, data: bytes, answer: bytes
+    on_retained_connection: bool, data: bytes, response_start: bytes
 ) -> None:
-    async with node(ScriptedPolicy()) as client:
-        server = client.node.downstream
-        if on_kept_connection:
-            await client.ask(READY_REQUEST)
+    async with running_proxy(ScriptedPolicy()) as client:
+        server = client.proxy.downstream
+        if on_retained_connection:
+            await client.exchange(READY_REQUEST)
         await client.send(data)
-        await until(
+        await wait_until(
             lambda: server._awaiting_request and (not data or first(server._awaiting_request).request_started)
         )
         server._enforce_timeouts()
@@ -69,48 +77,48 @@
         server._enforce_timeouts()
 
         received = await rest_of_stream(client)
-        assert received.startswith(answer)
-        assert bool(received) == bool(answer)
+        assert received.startswith(response_start)
+        assert bool(received) == bool(response_start)
         client.close()
-        await until(lambda: not server._connections and not server._closing)
+        await wait_until(lambda: not server._connections and not server._closing)
 
 
 async def test_idle_connection_awaits_no_request() -> None:
-    async with node(ScriptedPolicy()) as client:
-        await client.ask(READY_REQUEST)
+    async with running_proxy(ScriptedPolicy()) as client:
+        await client.exchange(READY_REQUEST)
         await client.send(b"")
-        assert not client.node.downstream._awaiting_request
+        assert not client.proxy.downstream._awaiting_request
 
 
 async def test_keep_alive_connection_is_closed_after_two_idle_seconds() -> None:
-    async with node(ScriptedPolicy()) as client:
-        server = client.node.downstream
-        assert (await client.ask(READY_REQUEST)).status == 200
+    async with running_proxy(ScriptedPolicy()) as client:
+        server = client.proxy.downstream
+        assert (await client.exchange(READY_REQUEST)).status == 200
         age(server._idle, 1.8)
         server._enforce_timeouts()
-        assert (await client.ask(READY_REQUEST)).status == 200  # which begins its time anew
+        assert (await client.exchange(READY_REQUEST)).status == 200  # which begins its time anew
         age(server._idle, 2.0)
         server._enforce_timeouts()
-        assert await client.closed()
-        await until(lambda: not server._connections)
+        assert await client.is_closed_by_proxy()
+        await wait_until(lambda: not server._connections)
 
 
 async def test_first_byte_does_not_restart_the_time_since_connecting() -> None:
-    async with node(ScriptedPolicy()) as client:
-        server = client.node.downstream
+    async with running_proxy(ScriptedPolicy()) as client:
+        server = client.proxy.downstream
         await client.send(b"")
-        await until(lambda: server._awaiting_request)
+        await wait_until(lambda: server._awaiting_request)
         age(server._awaiting_request, 2.0)
         since = first(server._awaiting_request).entered_at
         await client.send(b"GET")
-        await until(lambda: first(server._awaiting_request).request_started)
+        await wait_until(lambda: first(server._awaiting_request).request_started)
         assert first(server._awaiting_request).entered_at == since
 
 
 async def test_lingering_close_ends_after_its_timeout() -> None:
-    async with node(ScriptedPolicy()) as client:
-        server = client.node.downstream
-        assert (await client.ask(b"nonsense\r\n\r\n")).status == 400
+    async with running_proxy(ScriptedPolicy()) as client:
+        server = client.proxy.downstream
+        assert (await client.exchange(b"nonsense\r\n\r\n")).status == 400
         assert server._closing
         assert server._connections
         age(server._closing, 0.6)
@@ -123,24 +131,24 @@
 
 
 async def test_silent_connections_are_evicted_before_idle_ones() -> None:
-    async with node(ScriptedPolicy(), sockets=SOCKETS_FOR_EIGHT_CLIENTS) as client:
-        server = client.node.downstream
-        assert (await client.ask(READY_REQUEST)).status == 200
-        silent_clients = [client.another() for _ in range(7)]
+    async with running_proxy(ScriptedPolicy(), sockets=SOCKETS_FOR_EIGHT_CLIENTS) as client:
+        server = client.proxy.downstream
+        assert (await client.exchange(READY_REQUEST)).status == 200
+        silent_clients = [client.new_client() for _ in range(7)]
         for silent_client in silent_clients:
             await silent_client.send(b"")
-        await until(lambda: len(server._awaiting_request) == 7)
+        await wait_until(lambda: len(server._awaiting_request) == 7)
         age(server._awaiting_request, 1.0)
-        assert (await client.another().ask(READY_REQUEST)).status == 200
-        assert await silent_clients[0].closed()
-        assert (await client.ask(READY_REQUEST)).status == 200  # idle for longer, and still there
+        assert (await client.new_client().exchange(READY_REQUEST)).status == 200
+        assert await silent_clients[0].is_closed_by_proxy()
+        assert (await client.exchange(READY_REQUEST)).status == 200  # idle for longer, and still there
         for silent_client in silent_clients:
             silent_client.close()
 
 
 async def test_connection_that_is_evicted_before_it_is_set_up_is_closed() -> None:
-    async with node(ScriptedPolicy()) as client:
-        server = client.node.downstream
+    async with running_proxy(ScriptedPolicy()) as client:
+        server = client.proxy.downstream
         with socket.create_connection((HOST, client.port)) as sock:
             sock.setblocking(False)
             while not server._awaiting_request:
@@ -148,38 +156,38 @@
             age(server._awaiting_request, 1.0)
             assert server._evict_one()  # its transport is not made yet
             end_of_stream = asyncio.get_running_loop().sock_recv(sock, 1)
-            assert await asyncio.wait_for(end_of_stream, PATIENCE_S) == b""
+            assert await asyncio.wait_for(end_of_stream, WAIT_TIMEOUT_S) == b""
 
 
 async def test_idle_connections_are_evicted_and_busy_ones_stay() -> None:
     policy = ScriptedPolicy()
-    async with node(policy, sockets=SOCKETS_FOR_EIGHT_CLIENTS) as client:
-        idle = client.another()
-        assert (await idle.ask(READY_REQUEST)).status == 200
-        busy_clients = [client.another() for _ in range(7)]
+    async with running_proxy(policy, sockets=SOCKETS_FOR_EIGHT_CLIENTS) as client:
+        idle = client.new_client()
+        assert (await idle.exchange(READY_REQUEST)).status == 200
+        busy_clients = [client.new_client() for _ in range(7)]
         for busy in busy_clients:
             await busy.send(request())
-        await until(lambda: len(policy.of(RequestArrived)) == 7)
+        await wait_until(lambda: len(policy.events_of(RequestArrived)) == 7)
 
         # With most places taken, the answer ends its connection.
-        response = await client.another().ask(READY_REQUEST)
+        response = await client.new_client().exchange(READY_REQUEST)
         assert response.status == 200
         assert response.headers["connection"] == "close"
-        assert await idle.closed()
+        assert await idle.is_closed_by_proxy()
 
         await client.send(request())
-        await until(lambda: len(policy.of(RequestArrived)) == 8)
-        last = client.another()
+        await wait_until(lambda: len(policy.events_of(RequestArrived)) == 8)
+        last = client.new_client()
         await last.send(READY_REQUEST)  # waits in the listen queue until one has its answer
         policy.react = lambda event: [Fail("3")] if isinstance(event, TimerExpired) else ()
-        client.node.dispatch(TimerExpired("now"))
+        client.proxy.dispatch(TimerExpired("now"))
         assert (await last.read()).status == 200
         for other in (*busy_clients, last):
             other.close()
 
 
 async def test_accept_survives_a_lack_of_file_descriptors(monkeypatch: pytest.MonkeyPatch) -> None:
-    async with node(ScriptedPolicy()) as client:
+    async with running_proxy(ScriptedPolicy()) as client:
         accept = socket.socket.accept
         failures_left = 2
 
@@ -191,7 +199,7 @@
             return accept(self)
 
         monkeypatch.setattr(socket.socket, "accept", fail_twice)
-        assert (await client.ask(READY_REQUEST)).status == 200
+        assert (await client.exchange(READY_REQUEST)).status == 200
         assert not failures_left
 
 
@@ -218,19 +226,19 @@
     had_request: bool, close_connections: Callable[[DownstreamServer], None]
 ) -> None:
     # Guards against a close between requests that crosses a request: it has been taken, and would be lost.
-    async with node(ScriptedPolicy(fail_all)) as client, plain_socket(client) as sock:
-        server = client.node.downstream
+    async with running_proxy(ScriptedPolicy(fail_all)) as client, plain_socket(client) as sock:
+        server = client.proxy.downstream
         loop = asyncio.get_running_loop()
-        await until(lambda: any(connection._transport for connection in server._connections))
+        await wait_until(lambda: any(connection._transport for connection in server._connections))
         if had_request:
             sock.send(READY_REQUEST)
             assert (await loop.sock_recv(sock, 4096)).startswith(b"HTTP/1.1 200 ")
-            await until(lambda: server._idle)
+            await wait_until(lambda: server._idle)
 
         sock.send(request())  # it lies in the socket: no turn of the loop from here on
         for table in (server._idle, server._awaiting_request):
             age(table, 3.0)
         close_connections(server)
 
-        received = await asyncio.wait_for(loop.sock_recv(sock, 4096), PATIENCE_S)
+        received = await asyncio.wait_for(loop.sock_recv(sock, 4096), WAIT_TIMEOUT_S)
         assert received.startswith(b"HTTP/1.1 504 ")
--- a/tests/proxy/test_endpoint_changes.py
+++ b/tests/proxy/test_endpoint_changes.py
@@ -26,14 +26,14 @@
 from tests.support.sockets import (
     HOST,
     FakeEndpoint,
-    ReceivedRequest,
+    ReceivedMessage,
     ScriptedPolicy,
-    answers,
-    known,
-    node,
+    format_response,
+    list_of_ports,
     request,
-    until,
-    written,
+    respond_with,
+    running_proxy,
+    wait_until,
 )
 
 
@@ -41,41 +41,41 @@
 async def test_a_drain_cancels_an_attempt_that_waits_for_its_connection(
     monkeypatch: pytest.MonkeyPatch, health: str
 ) -> None:
-    endpoint = await FakeEndpoint(answers(200)).start()
+    endpoint = await FakeEndpoint(respond_with(200)).start()
     policy = forwarding_policy(fail_unless_complete)
     up = asyncio.Event()
-    async with node(policy, endpoint) as client:
+    async with running_proxy(policy, endpoint) as client:
         await connect(client)
         hold_connections(monkeypatch, up)
         await client.send(request())
-        await until(lambda: policy.of(RequestArrived))
-        update_first_endpoint(client.node, 2, dial=f"{HOST}:{endpoint.port}", health=health)
+        await wait_until(lambda: policy.events_of(RequestArrived))
+        update_first_endpoint(client.proxy, 2, dial=f"{HOST}:{endpoint.port}", health=health)
         assert (await client.read()).status == 504
         up.set()
         assert results(policy) == [AttemptResult.NOT_SENT]
-        assert (await client.ask(request())).status == 504  # nor does a new one go there
+        assert (await client.exchange(request())).status == 504  # nor does a new one go there
         assert results(policy) == [AttemptResult.NOT_SENT] * 2
-        assert not endpoint.got
+        assert not endpoint.requests
 
 
 async def test_an_attempt_that_waits_for_its_connection_follows_a_move(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    old = await FakeEndpoint(answers(200, b"old")).start()
-    new = await FakeEndpoint(answers(200, b"new")).start()
+    old = await FakeEndpoint(respond_with(200, b"old")).start()
+    new = await FakeEndpoint(respond_with(200, b"new")).start()
     policy = forwarding_policy(retry_unless_complete)
-    async with node(policy, known_list=known(old.port)) as client:
+    async with running_proxy(policy, initial_list=list_of_ports(old.port)) as client:
         await connect(client)
         up = asyncio.Event()
         hold_connections(monkeypatch, up)
         await client.send(request())
-        await until(lambda: policy.of(RequestArrived))
-        update_first_endpoint(client.node, 2, dial=f"{HOST}:{new.port}")
+        await wait_until(lambda: policy.events_of(RequestArrived))
+        update_first_endpoint(client.proxy, 2, dial=f"{HOST}:{new.port}")
         up.set()
         assert (await client.read()).body == b"new"
         assert results(policy) == [AttemptResult.NOT_SENT, AttemptResult.OK]
-        assert not old.got
-        assert client.node._connection_limits.open_connections == 1
+        assert not old.requests
+        assert client.proxy._connection_limits.open_connections == 1
     old.stop()
     new.stop()
 
@@ -83,21 +83,21 @@
 async def test_a_connection_to_a_former_address_is_not_reused() -> None:
     release = asyncio.Event()
 
-    async def late(_received: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
+    async def late(_received: ReceivedMessage, writer: asyncio.StreamWriter) -> None:
         await release.wait()
-        writer.write(written(200, b"old"))
+        writer.write(format_response(200, b"old"))
 
     old = await FakeEndpoint(late).start()
-    new = await FakeEndpoint(answers(200, b"new")).start()
+    new = await FakeEndpoint(respond_with(200, b"new")).start()
     policy = forwarding_policy()
-    async with node(policy, known_list=known(old.port)) as client:
+    async with running_proxy(policy, initial_list=list_of_ports(old.port)) as client:
         await client.send(request())
-        await until(lambda: old.got)
-        update_first_endpoint(client.node, 2, dial=f"{HOST}:{new.port}")
+        await wait_until(lambda: old.requests)
+        update_first_endpoint(client.proxy, 2, dial=f"{HOST}:{new.port}")
         release.set()
         assert (await client.read()).body == b"old"  # what was begun there ends there
-        assert (await client.ask(request())).body == b"new"
-        await until(lambda: old.closed == 1)
+        assert (await client.exchange(request())).body == b"new"
+        await wait_until(lambda: old.closed_connections == 1)
     old.stop()
     new.stop()
 
@@ -105,21 +105,21 @@
 async def test_an_endpoint_removed_and_added_again_gets_one_attempt(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    endpoint = await FakeEndpoint(answers(200, b"it")).start()
+    endpoint = await FakeEndpoint(respond_with(200, b"it")).start()
     policy = ScriptedPolicy()
-    async with node(policy, endpoint) as client:
+    async with running_proxy(policy, endpoint) as client:
         await connect(client)
         up = asyncio.Event()
         hold_connections(monkeypatch, up)
         forward_requests(policy)
         await client.send(request())
-        await until(lambda: policy.of(RequestArrived))
-        update_first_endpoint(client.node, 2, health="removed")
+        await wait_until(lambda: policy.events_of(RequestArrived))
+        update_first_endpoint(client.proxy, 2, health="removed")
         assert results(policy) == [AttemptResult.NOT_SENT]  # before it is back
-        update_first_endpoint(client.node, 3, dial=f"{HOST}:{endpoint.port}")
-        policy.react = on_timer(lambda: [Forward("1", policy.ids()[0])])
-        client.node.dispatch(TimerExpired("again"))
+        update_first_endpoint(client.proxy, 3, dial=f"{HOST}:{endpoint.port}")
+        policy.react = on_timer(lambda: [Forward("1", policy.endpoint_ids()[0])])
+        client.proxy.dispatch(TimerExpired("again"))
         up.set()
         assert (await client.read()).body == b"it"
-        assert len(endpoint.got) == 1
-        assert client.node._connection_limits.open_connections == 1
+        assert len(endpoint.requests) == 1
+        assert client.proxy._connection_limits.open_connections == 1
--- a/tests/proxy/test_endpoint_ids.py
+++ b/tests/proxy/test_endpoint_ids.py
@@ -12,7 +12,15 @@
 from loadbalancer.proxy.proxy import Proxy
 from loadbalancer.state.endpoint_ids import SEGMENTS, EndpointIdRegistry, preferred_id
 from tests.support.discovery import list_json, read_list
-from tests.support.sockets import HOST, FakeDiscovery, ScriptedPolicy, entry, known, node, until
+from tests.support.sockets import (
+    HOST,
+    FakeDiscovery,
+    ScriptedPolicy,
+    entry,
+    list_of_ports,
+    running_proxy,
+    wait_until,
+)
 
 SHARED_ID = 7  # the id that all hosts prefer where they collide
 
@@ -29,8 +37,8 @@
 
 def test_hosts_that_collide_get_different_ids(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr("loadbalancer.proxy.endpoint_list_parser.preferred_id", lambda _host: 7)
-    listing = read_list({"seq": 1, "whole": True, "hosts": [entry("a", 80), entry("b", 81)]})
-    assert len(set(listing.ids)) == 2
+    endpoint_list = read_list({"seq": 1, "whole": True, "hosts": [entry("a", 80), entry("b", 81)]})
+    assert len(set(endpoint_list.ids)) == 2
 
 
 def read_hosts(reader: EndpointListReader, version: int, *hosts: object, whole: bool = False) -> EndpointList:
@@ -65,25 +73,25 @@
 
 @pytest.mark.usefixtures("colliding")
 async def test_a_delta_that_adds_a_colliding_host_leaves_its_partner() -> None:
-    registry, script = FakeDiscovery(), ScriptedPolicy()
-    registry.rows = {"s0": entry("s0", 1)}
-    async with node(script, registry=registry, known_list=known(1)) as client:
-        await until(lambda: registry.calls)
-        registry.change("s1", dial=f"{HOST}:2")
-        await until(lambda: len(client.node.addresses.ready()) == 2)
-        assert ports(client.node) == {1: SHARED_ID, 2: SHARED_ID + 1}
+    discovery, script = FakeDiscovery(), ScriptedPolicy()
+    discovery.entries = {"s0": entry("s0", 1)}
+    async with running_proxy(script, discovery=discovery, initial_list=list_of_ports(1)) as client:
+        await wait_until(lambda: discovery.calls)
+        discovery.change("s1", dial=f"{HOST}:2")
+        await wait_until(lambda: len(client.proxy.addresses.ready()) == 2)
+        assert ports(client.proxy) == {1: SHARED_ID, 2: SHARED_ID + 1}
 
 
 @pytest.mark.usefixtures("colliding")
 async def test_colliding_hosts_of_the_cached_list_keep_their_ids_when_discovery_lists_them() -> None:
     script = ScriptedPolicy()
-    async with node(script, known_list=known(1, 2)) as client:
-        assert script.ids() == [SHARED_ID, SHARED_ID + 1]
-        proxy = client.node
+    async with running_proxy(script, initial_list=list_of_ports(1, 2)) as client:
+        assert script.endpoint_ids() == [SHARED_ID, SHARED_ID + 1]
+        proxy = client.proxy
         proxy.list_applier.on_watch_result(
             read_hosts(proxy._list_reader, 2, entry("s1", 4), entry("s0", 3), whole=True)
         )
-        await until(lambda: proxy.list_applier.task is None)
+        await wait_until(lambda: proxy.list_applier.task is None)
         assert ports(proxy) == {3: SHARED_ID, 4: SHARED_ID + 1}
 
 
@@ -94,8 +102,8 @@
 async def test_a_removed_host_whose_colliding_partner_stays_returns(
     left: int, whole: bool, swept: bool
 ) -> None:
-    async with node(ScriptedPolicy(), known_list=known(1, 2)) as client:
-        proxy, stays = client.node, 1 - left
+    async with running_proxy(ScriptedPolicy(), initial_list=list_of_ports(1, 2)) as client:
+        proxy, stays = client.proxy, 1 - left
 
         def apply(*hosts: object, whole: bool = False) -> None:
             version = (proxy._list_reader._newest_version or 0) + 1
@@ -116,29 +124,29 @@
 
 @pytest.mark.usefixtures("colliding")
 async def test_an_id_is_freed_when_the_list_that_removes_its_host_is_applied_and_no_sooner() -> None:
-    async with node(ScriptedPolicy(), known_list=known(1, 2)) as client:
-        proxy, reader = client.node, client.node._list_reader
+    async with running_proxy(ScriptedPolicy(), initial_list=list_of_ports(1, 2)) as client:
+        proxy, reader = client.proxy, client.proxy._list_reader
         many = [entry(f"s{i}", i + 1) for i in range(1, 100)]
         proxy.list_applier.on_watch_result(read_hosts(reader, 2, *many, whole=True))  # applied in slices
         assert proxy.list_applier.task is not None
         proxy.list_applier.sweep_ids(SEGMENTS)
         assert len(reader.id_registry) == 100
         assert list(read_hosts(reader, 3, entry("new", 200)).ids) == [SHARED_ID + 100]  # none is free
-        await until(lambda: proxy.list_applier.task is None)
+        await wait_until(lambda: proxy.list_applier.task is None)
         proxy.list_applier.sweep_ids(SEGMENTS)
         assert len(reader.id_registry) == len(proxy.addresses.by_id) == 99
         assert list(read_hosts(reader, 4, entry("newer", 201)).ids) == [SHARED_ID]
 
 
 async def test_hosts_that_come_and_go_leave_nothing_behind() -> None:
-    async with node(ScriptedPolicy(), known_list=known(1)) as client:
-        proxy, reader = client.node, client.node._list_reader
+    async with running_proxy(ScriptedPolicy(), initial_list=list_of_ports(1)) as client:
+        proxy, reader = client.proxy, client.proxy._list_reader
         for version in range(2, 50):
             proxy.list_applier.on_watch_result(read_hosts(reader, version, entry(f"x{version}"), whole=True))
         with pytest.raises(EndpointListError):
             read_list({"hosts": [entry("bad")]}, reader)
         read_hosts(reader, 1, entry("late"))  # older than the last: not taken
-        abandoned = reader.read_cooperatively(bytearray(json.dumps(known(*range(1, 200))).encode()))
+        abandoned = reader.read_cooperatively(bytearray(json.dumps(list_of_ports(*range(1, 200))).encode()))
         next(abandoned)
         proxy.list_applier.sweep_ids(SEGMENTS)
         assert len(reader.id_registry) > 50  # what is being read may name any
--- a/tests/proxy/test_endpoint_list_applier.py
+++ b/tests/proxy/test_endpoint_list_applier.py
@@ -8,12 +8,19 @@
 from loadbalancer.proxy.endpoint_list_applier import SLICE_ENTRIES
 from loadbalancer.state.endpoint_ids import preferred_id
 from tests.support.discovery import complete_list, read_list
-from tests.support.sockets import ScriptedPolicy, entry, known, listing, node, until
+from tests.support.sockets import (
+    ScriptedPolicy,
+    entry,
+    list_of_ports,
+    read_live_list,
+    running_proxy,
+    wait_until,
+)
 
 
 async def test_a_host_that_was_removed_is_forgotten() -> None:
-    async with node(ScriptedPolicy(), known_list=known(1, 2)) as client:
-        proxy = client.node
+    async with running_proxy(ScriptedPolicy(), initial_list=list_of_ports(1, 2)) as client:
+        proxy = client.proxy
         proxy.list_applier.on_watch_result(
             read_list({"seq": 2, "whole": False, "hosts": [entry("s0", health="removed")]})
         )
@@ -25,18 +32,18 @@
 
 
 def later_updates(script: ScriptedPolicy, first: int = 1) -> list[EndpointUpdate]:
-    return script.of(EndpointUpdate)[first:]
+    return script.events_of(EndpointUpdate)[first:]
 
 
 def last_statuses(script: ScriptedPolicy) -> dict[int, EndpointStatus]:
-    return {u.id: u.status for update in script.of(EndpointUpdate) for u in update.endpoints}
+    return {u.id: u.status for update in script.events_of(EndpointUpdate) for u in update.endpoints}
 
 
 async def test_a_long_list_is_applied_in_slices_and_requests_go_on() -> None:
     script, turns = ScriptedPolicy(), 0
-    async with node(script, known_list=complete_list(3)) as client:
-        client.node.list_applier.on_watch_result(listing(complete_list(1000, 2, first=2)))
-        while client.node.list_applier.task is not None:
+    async with running_proxy(script, initial_list=complete_list(3)) as client:
+        client.proxy.list_applier.on_watch_result(read_live_list(complete_list(1000, 2, first=2)))
+        while client.proxy.list_applier.task is not None:
             await asyncio.sleep(0)
             turns += 1
         assert turns >= 1000 // SLICE_ENTRIES  # so many turns of the loop were others' too
@@ -48,53 +55,54 @@
             if status is EndpointStatus.REMOVED
         }
         assert removed == {preferred_id("s0"), preferred_id("s1")}  # s2 is in both
-        assert set(client.node.addresses.by_id) == {preferred_id(f"s{i}") for i in range(2, 1002)}
-        assert not client.node.addresses.pools  # no connections, nor a place for any, where nothing is sent
+        assert set(client.proxy.addresses.by_id) == {preferred_id(f"s{i}") for i in range(2, 1002)}
+        assert not client.proxy.addresses.pools  # no connections, nor a place for any, where nothing is sent
 
 
 async def test_what_comes_while_a_long_list_is_applied_is_not_undone() -> None:
     script = ScriptedPolicy()
-    async with node(script, known_list=complete_list(3)) as client:
-        proxy = client.node
-        proxy.list_applier.on_watch_result(listing(complete_list(500, 2)))
-        proxy.list_applier.on_watch_result(listing(complete_list(500, 3)))  # waits behind the first
+    async with running_proxy(script, initial_list=complete_list(3)) as client:
+        proxy = client.proxy
+        proxy.list_applier.on_watch_result(read_live_list(complete_list(500, 2)))
+        proxy.list_applier.on_watch_result(read_live_list(complete_list(500, 3)))  # waits behind the first
         last = {
             "seq": 4,
             "whole": False,
             "hosts": [entry("s499", health="draining"), entry("s498", health="removed"), entry("new", 7)],
         }
-        proxy.list_applier.on_watch_result(listing(last))  # applied at once
+        proxy.list_applier.on_watch_result(read_live_list(last))  # applied at once
         assert proxy.list_applier.task is not None
         names = ("s499", "s498", "new")
         assert [u.id for u in later_updates(script)[-1].endpoints] == [preferred_id(name) for name in names]
-        await until(lambda: proxy.list_applier.task is None)
+        await wait_until(lambda: proxy.list_applier.task is None)
         assert last_statuses(script)[preferred_id("s499")] is EndpointStatus.DRAINING
         assert last_statuses(script)[preferred_id("s498")] is EndpointStatus.REMOVED
         assert last_statuses(script)[preferred_id("new")] is EndpointStatus.READY
         assert len(proxy.addresses.by_id) == 500
         assert not {preferred_id("s499"), preferred_id("s498")} & set(proxy.addresses.ready())
-        proxy.list_applier.on_watch_result(listing(complete_list(300, 5)))  # a newer whole list counts again
-        await until(lambda: proxy.list_applier.task is None)
+        # A newer complete list counts again.
+        proxy.list_applier.on_watch_result(read_live_list(complete_list(300, 5)))
+        await wait_until(lambda: proxy.list_applier.task is None)
         assert len(proxy.addresses.ready()) == 300
 
 
 async def test_a_short_complete_list_after_a_long_one_is_applied_in_slices_too() -> None:
     script = ScriptedPolicy()
-    async with node(script, known_list=complete_list(3)) as client:
+    async with running_proxy(script, initial_list=complete_list(3)) as client:
         for version, count in ((2, 700), (3, 2)):
-            client.node.list_applier.on_watch_result(listing(complete_list(count, version)))
-            await until(lambda: client.node.list_applier.task is None)
+            client.proxy.list_applier.on_watch_result(read_live_list(complete_list(count, version)))
+            await wait_until(lambda: client.proxy.list_applier.task is None)
         assert max(len(list(update.endpoints)) for update in later_updates(script)) <= SLICE_ENTRIES
-        assert len(client.node.addresses.by_id) == 2
+        assert len(client.proxy.addresses.by_id) == 2
 
 
 async def test_connections_are_kept_only_for_endpoints_in_use() -> None:
-    async with node(ScriptedPolicy(), known_list=complete_list(200)) as client:
-        numbers = list(client.node.addresses.ready())
-        assert client.node.addresses.connection_pool(numbers[3]) is client.node.addresses.connection_pool(
+    async with running_proxy(ScriptedPolicy(), initial_list=complete_list(200)) as client:
+        numbers = list(client.proxy.addresses.ready())
+        assert client.proxy.addresses.connection_pool(numbers[3]) is client.proxy.addresses.connection_pool(
             numbers[3]
         )
-        assert list(client.node.addresses.pools) == [numbers[3]]
-        assert client.node.addresses.connection_pool(1) is None
-        client.node.addresses.forget_empty_pools()
-        assert not client.node.addresses.pools
+        assert list(client.proxy.addresses.pools) == [numbers[3]]
+        assert client.proxy.addresses.connection_pool(1) is None
+        client.proxy.addresses.forget_empty_pools()
+        assert not client.proxy.addresses.pools
--- a/tests/proxy/test_endpoint_list_parser.py
+++ b/tests/proxy/test_endpoint_list_parser.py
@@ -12,11 +12,20 @@
 from loadbalancer.proxy.errors import EndpointListError
 from loadbalancer.state.endpoint_ids import preferred_id
 from tests.support.discovery import read_list
-from tests.support.sockets import HOST, FakeDiscovery, ScriptedPolicy, entry, known, node, until, written
+from tests.support.sockets import (
+    HOST,
+    FakeDiscovery,
+    ScriptedPolicy,
+    entry,
+    format_response,
+    list_of_ports,
+    running_proxy,
+    wait_until,
+)
 
 
 def test_entries_are_converted_to_endpoints() -> None:
-    listing = read_list(
+    endpoint_list = read_list(
         {
             "seq": 7,
             "whole": True,
@@ -27,10 +36,10 @@
         },
         EndpointListReader(5),
     )
-    by_port = {e.address[1]: e.endpoint for e in listing.entries}
+    by_port = {e.address[1]: e.endpoint for e in endpoint_list.entries}
     assert by_port[80]._replace(id=1) == Endpoint(1, EndpointStatus.DRAINING, "west", 3, 0.5, 1_999_995, "m")
     assert by_port[81].started_ns == 0
-    assert (listing.version, listing.complete) == (7, True)
+    assert (endpoint_list.version, endpoint_list.complete) == (7, True)
 
 
 @pytest.mark.parametrize(
@@ -49,25 +58,25 @@
     ],
 )
 def test_a_bad_entry_does_not_hide_the_others(row: object) -> None:
-    listing = read_list({"seq": 1, "whole": False, "hosts": [row, entry("b", 81)]})
-    assert [e.address[1] for e in listing.entries] == [81]
+    endpoint_list = read_list({"seq": 1, "whole": False, "hosts": [row, entry("b", 81)]})
+    assert [e.address[1] for e in endpoint_list.entries] == [81]
 
 
 async def test_an_unreadable_entry_does_not_remove_a_known_endpoint() -> None:
-    registry, script = FakeDiscovery(), ScriptedPolicy()
-    registry.broken = written(
+    discovery, script = FakeDiscovery(), ScriptedPolicy()
+    discovery.broken_response = format_response(
         200,
         json.dumps({"seq": 2, "whole": True, "hosts": [entry("s0", health="odd"), entry("s1", 2)]}).encode(),
     )
-    async with node(script, registry=registry, known_list=known(1, 2, 3)) as client:
-        await until(lambda: len(client.node.addresses.ready()) == 2)  # s2 is gone, s0 is still there
-        assert {port for _, port in client.node.addresses.ready().values()} == {1, 2}
-        told = [u for e in script.of(EndpointUpdate)[1:] for u in e.endpoints]
+    async with running_proxy(script, discovery=discovery, initial_list=list_of_ports(1, 2, 3)) as client:
+        await wait_until(lambda: len(client.proxy.addresses.ready()) == 2)  # s2 is gone, s0 is still there
+        assert {port for _, port in client.proxy.addresses.ready().values()} == {1, 2}
+        told = [u for e in script.events_of(EndpointUpdate)[1:] for u in e.endpoints]
         assert {u.id for u in told if u.status is EndpointStatus.REMOVED} == {preferred_id("s2")}
         # What is known of s0 stays to the letter: nothing else is told of it, and it is where it was.
         assert preferred_id("s0") not in {u.id for u in told}
-        assert client.node.addresses.ready()[preferred_id("s0")] == (HOST, 1)
-        assert all(e.kind is EndpointUpdateKind.DELTA for e in script.of(EndpointUpdate)[1:])
+        assert client.proxy.addresses.ready()[preferred_id("s0")] == (HOST, 1)
+        assert all(e.kind is EndpointUpdateKind.DELTA for e in script.events_of(EndpointUpdate)[1:])
     again = read_list({"seq": 2, "whole": True, "hosts": [entry("s0", health="odd"), entry("s1", 2)]})
     assert again.unreadable == [preferred_id("s0")]
     assert list(again.ids) == [preferred_id("s1")]
--- a/tests/proxy/test_endpoint_list_reader.py
+++ b/tests/proxy/test_endpoint_list_reader.py
@@ -32,18 +32,18 @@
 from tests.support.discovery import complete_list
 from tests.support.sockets import (
     HOST,
-    PATIENCE_S,
+    WAIT_TIMEOUT_S,
     FakeDiscovery,
     FakeEndpoint,
     Json,
-    ReceivedRequest,
+    ReceivedMessage,
     ScriptedPolicy,
     Writer,
     entry,
-    listing,
-    settings,
-    until,
-    written,
+    format_response,
+    proxy_settings,
+    read_live_list,
+    wait_until,
 )
 
 
@@ -136,45 +136,45 @@
     caplog: pytest.LogCaptureFixture,
 ) -> None:
     caplog.set_level(logging.WARNING)
-    registry, script = FakeDiscovery(), ScriptedPolicy()
-    await registry.server.start()
+    discovery, script = FakeDiscovery(), ScriptedPolicy()
+    await discovery.server.start()
     long = json.dumps(complete_list(200, 2)).encode()
-    registry.broken = written(200, long)
+    discovery.broken_response = format_response(200, long)
     config = Configuration(
         "n",
         (HOST, 0),
-        (HOST, registry.server.port),
+        (HOST, discovery.server.port),
         1,
         1024,
-        settings(),
-        listing(complete_list(3)),
+        proxy_settings(),
+        read_live_list(complete_list(3)),
         memory_bytes=4 * (len(long) - 1),
     )
     proxy = Proxy(config, script)
     await proxy.start()
     try:
-        await until(lambda: caplog.records)
+        await wait_until(lambda: caplog.records)
         assert [r.getMessage() for r in caplog.records] == [
             f"discovery: a list of over {len(long) - 1} bytes is rejected; the old list stays"
         ]
         assert len(proxy.addresses.ready()) == 3
-        assert len(script.of(EndpointUpdate)) == 1
-        registry.broken = b""
-        registry.change("s9", port=9)  # what is not too long is heard
-        await until(lambda: preferred_id("s9") in proxy.addresses.ready())
+        assert len(script.events_of(EndpointUpdate)) == 1
+        discovery.broken_response = b""
+        discovery.change("s9", port=9)  # what is not too long is heard
+        await wait_until(lambda: preferred_id("s9") in proxy.addresses.ready())
     finally:
         proxy.close()
-        registry.server.stop()
+        discovery.server.stop()
 
 
 async def test_a_long_response_extends_its_timeout_by_what_has_come() -> None:
     # Guards against a long list that never comes whole, and against an answer that drips for ever.
     go = asyncio.Event()
 
-    async def part(_got: ReceivedRequest, writer: Writer) -> None:
-        writer.write(written(200, b"x" * 6000)[:3000])
+    async def part(_received: ReceivedMessage, writer: Writer) -> None:
+        writer.write(format_response(200, b"x" * 6000)[:3000])
         await go.wait()
-        writer.write(written(200, b"x" * 6000)[3000:])
+        writer.write(format_response(200, b"x" * 6000)[3000:])
 
     endpoint = await FakeEndpoint(part).start()
     try:
@@ -186,17 +186,17 @@
             exchange = start_exchange(
                 pool,
                 b"GET / HTTP/1.1\r\n\r\n",
-                PATIENCE_S,
+                WAIT_TIMEOUT_S,
                 lambda result, _response, ended=ended: ended.append(result),  # type: ignore[misc]
             )
             before = exchange._timeout_timer.when()  # type: ignore[union-attr]
-            seen = len(endpoint.got)
-            await until(lambda seen=seen: len(endpoint.got) > seen)  # type: ignore[misc]
+            seen = len(endpoint.requests)
+            await wait_until(lambda seen=seen: len(endpoint.requests) > seen)  # type: ignore[misc]
             if rate:
-                await until(lambda e=exchange, b=before: e._timeout_timer.when() > b)  # type: ignore[misc]
+                await wait_until(lambda e=exchange, b=before: e._timeout_timer.when() > b)  # type: ignore[misc]
             assert exchange._timeout_timer.when() - before == pytest.approx(put_off)  # type: ignore[union-attr]
             go.set()
-            await until(lambda ended=ended: ended == [AttemptResult.OK])  # type: ignore[misc]
+            await wait_until(lambda ended=ended: ended == [AttemptResult.OK])  # type: ignore[misc]
             go.clear()
             pool.close_idle()
     finally:
--- a/tests/proxy/test_faults.py
+++ b/tests/proxy/test_faults.py
@@ -11,40 +11,40 @@
 from loadbalancer.units import NANOSECONDS_PER_SECOND
 from tests.support.sockets import (
     NANOSECONDS_PER_MILLISECOND,
-    Answer,
     FakeEndpoint,
-    ReceivedRequest,
+    ReceivedMessage,
+    Responder,
     Writer,
-    answers,
-    breaks,
-    node,
+    abort_connection,
+    format_response,
+    never_respond,
+    proxy_settings,
     request,
-    settings,
-    silent,
-    until,
-    written,
+    respond_with,
+    running_proxy,
+    wait_until,
 )
 
 ENDPOINTS = 4
 
 
-def reset_every(nth: int) -> Answer:
+def reset_every(nth: int) -> Responder:
     """Reset the connection under the second request, and under every nth one from there."""
     count = 0
 
-    async def answer(_received: ReceivedRequest, writer: Writer) -> None:
+    async def respond(_received: ReceivedMessage, writer: Writer) -> None:
         nonlocal count
         count += 1
         if count % nth == 2 % nth:
             writer.transport.abort()
         else:
-            writer.write(written(200))
+            writer.write(format_response(200))
 
-    return answer
+    return respond
 
 
-async def start_upstreams(answer: Answer, count: int) -> list[FakeEndpoint]:
-    return [await FakeEndpoint(answer).start() for _ in range(count)]
+async def start_upstreams(respond: Responder, count: int) -> list[FakeEndpoint]:
+    return [await FakeEndpoint(respond).start() for _ in range(count)]
 
 
 def ejected_count(balancer: Balancer) -> int:
@@ -55,47 +55,49 @@
 async def test_resets_at_all_endpoints_eject_no_more_than_one(monkeypatch: pytest.MonkeyPatch) -> None:
     # Guards against a bad network, whose resets strike all alike, taking most of a healthy fleet out of use.
     upstreams = [await FakeEndpoint(reset_every(4)).start() for _ in range(ENDPOINTS)]
-    balancer = Balancer(settings(), 1, time.monotonic_ns())
+    balancer = Balancer(proxy_settings(), 1, time.monotonic_ns())
     # Resets alone count: on a busy machine a response may be overdue, which ejects its endpoint as well.
     monkeypatch.setattr(balancer.outlier_detection, "eject_slow", lambda _attempt, _now_ns: None)
     most_ejected = 0
-    async with node(balancer, *upstreams) as client:
+    async with running_proxy(balancer, *upstreams) as client:
         for _ in range(60):
-            assert (await client.ask(request())).status == 200  # idempotent: retried at once
+            assert (await client.exchange(request())).status == 200  # idempotent: retried at once
             most_ejected = max(most_ejected, ejected_count(balancer))
-    assert sum(len(upstream.got) for upstream in upstreams) >= 70  # so many were reset
+    assert sum(len(upstream.requests) for upstream in upstreams) >= 70  # so many were reset
     assert most_ejected <= 1  # the first reset of all has no other to be compared with
 
 
 async def test_endpoint_that_alone_resets_connections_is_ejected_at_once() -> None:
-    outlier = await FakeEndpoint(breaks).start()
-    healthy = await start_upstreams(answers(200), ENDPOINTS - 1)
-    async with node(Balancer(settings(), 1, time.monotonic_ns()), outlier, *healthy) as client:
+    outlier = await FakeEndpoint(abort_connection).start()
+    healthy = await start_upstreams(respond_with(200), ENDPOINTS - 1)
+    async with running_proxy(Balancer(proxy_settings(), 1, time.monotonic_ns()), outlier, *healthy) as client:
         for _ in range(30):
-            assert (await client.ask(request())).status == 200
-    assert len(outlier.got) <= 2
+            assert (await client.exchange(request())).status == 200
+    assert len(outlier.requests) <= 2
 
 
 async def test_load_probe_that_is_reset_is_retried(monkeypatch: pytest.MonkeyPatch) -> None:
     # Guards against each broken probe costing a request the whole time a response would be waited for.
     probes = 0
 
-    async def answer(received: ReceivedRequest, writer: Writer) -> None:
+    async def respond(received: ReceivedMessage, writer: Writer) -> None:
         nonlocal probes
-        is_probe = received.first.startswith("GET /stats")
+        is_probe = received.start_line.startswith("GET /stats")
         if is_probe:
             probes += 1
         if is_probe and probes % 2 == 1:
-            await breaks(received, writer)
+            await abort_connection(received, writer)
         else:
-            await answers(200, b'{"inflight":0}')(received, writer)
+            await respond_with(200, b'{"inflight":0}')(received, writer)
 
     monkeypatch.setattr("loadbalancer.policy.load_probing.PROBE_TIMEOUT_NS", 4 * NANOSECONDS_PER_SECOND)
     monkeypatch.setattr("loadbalancer.proxy.health_checks.TIMEOUT_S", 4.0)
-    upstream = await FakeEndpoint(answer).start()
-    async with node(Balancer(settings(health_checks=True), 1, time.monotonic_ns()), upstream) as client:
+    upstream = await FakeEndpoint(respond).start()
+    async with running_proxy(
+        Balancer(proxy_settings(health_checks=True), 1, time.monotonic_ns()), upstream
+    ) as client:
         begun = time.monotonic_ns()
-        assert (await client.ask(request())).status == 200
+        assert (await client.exchange(request())).status == 200
         assert probes == 2
         assert time.monotonic_ns() - begun < 2 * NANOSECONDS_PER_SECOND
 
@@ -105,14 +107,14 @@
     a_minute_us = 60_000_000
     # A slow machine changes nothing here.
     monkeypatch.setattr("loadbalancer.policy.balancer.EVENT_LOOP_STALL_NS", 60 * NANOSECONDS_PER_SECOND)
-    upstream = await FakeEndpoint(silent).start()
-    balancer = Balancer(settings(), 1, time.monotonic_ns())
-    async with node(balancer, upstream) as client:
-        response = await client.ask(request("/read", f"Req-Cost: {a_minute_us}", deadline_ms=500))
+    upstream = await FakeEndpoint(never_respond).start()
+    balancer = Balancer(proxy_settings(), 1, time.monotonic_ns())
+    async with running_proxy(balancer, upstream) as client:
+        response = await client.exchange(request("/read", f"Req-Cost: {a_minute_us}", deadline_ms=500))
         assert response.status in (503, 504)
-        assert len(upstream.got) == 1
+        assert len(upstream.requests) == 1
         endpoint = next(iter(balancer.fleet.endpoints.values()))
-        await until(lambda: endpoint.consecutive_failures)
+        await wait_until(lambda: endpoint.consecutive_failures)
         ejection_ns = endpoint.ejected_until_ns - time.monotonic_ns()
         assert ejection_ns < 1.25 * balancer.outlier_detection.shortest_objective_ns
 
@@ -120,13 +122,13 @@
 async def test_event_loop_stall_is_held_against_no_endpoint() -> None:
     # Guards against a stopped process, such as one that has spent its share of the processor, taking all
     # endpoints for dead when it goes on.
-    upstreams = await start_upstreams(silent, ENDPOINTS)
-    balancer = Balancer(settings(), 1, time.monotonic_ns())
-    async with node(balancer, *upstreams) as client:
-        clients = [client.another() for _ in range(ENDPOINTS)]
+    upstreams = await start_upstreams(never_respond, ENDPOINTS)
+    balancer = Balancer(proxy_settings(), 1, time.monotonic_ns())
+    async with running_proxy(balancer, *upstreams) as client:
+        clients = [client.new_client() for _ in range(ENDPOINTS)]
         for other in clients:
             await other.send(request(deadline_ms=500))
-        await until(lambda: sum(len(upstream.got) for upstream in upstreams) == ENDPOINTS)
+        await wait_until(lambda: sum(len(upstream.requests) for upstream in upstreams) == ENDPOINTS)
         per_request_ns = balancer.latency_model.per_request_ns
 
         time.sleep(0.7)  # the whole loop stands still
@@ -143,9 +145,9 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     # Guards against a second execution: by then the upstreams have forgotten the first one.
-    upstream = await FakeEndpoint(breaks).start()
+    upstream = await FakeEndpoint(abort_connection).start()
     balancer = Balancer(
-        settings(connect_timeout_ns=1000 * NANOSECONDS_PER_MILLISECOND), 1, time.monotonic_ns()
+        proxy_settings(connect_timeout_ns=1000 * NANOSECONDS_PER_MILLISECOND), 1, time.monotonic_ns()
     )
     connects_at: list[float] = []
     loop = asyncio.get_running_loop()
@@ -154,12 +156,14 @@
     async def create_connection(*args: object, **options: object) -> object:
         connects_at.append(time.monotonic())
         if len(connects_at) > 1:  # up in time, but only once the window of 1 s is over
-            await until(lambda: time.monotonic() > connects_at[0] + 1.05)
+            await wait_until(lambda: time.monotonic() > connects_at[0] + 1.05)
         return await original(*args, **options)  # type: ignore[call-overload]
 
-    async with node(balancer, upstream, connect_timeout_ns=3000 * NANOSECONDS_PER_MILLISECOND) as client:
+    async with running_proxy(
+        balancer, upstream, connect_timeout_ns=3000 * NANOSECONDS_PER_MILLISECOND
+    ) as client:
         await client.send(b"")
         monkeypatch.setattr(loop, "create_connection", create_connection)
-        response = await client.ask(request("/book", "Idempotency-Key: k", method="POST"))
+        response = await client.exchange(request("/book", "Idempotency-Key: k", method="POST"))
         assert response.status in (503, 504)
-        assert len(upstream.got) == 1
+        assert len(upstream.requests) == 1
--- a/tests/proxy/test_gossip.py
+++ b/tests/proxy/test_gossip.py
@@ -17,7 +17,7 @@
 from tests.support.sockets import (
     HOST,
     ScriptedPolicy,
-    until,
+    wait_until,
 )
 
 
@@ -66,7 +66,7 @@
 
     proxies[0].dispatch(TimerExpired("now"))
 
-    await until(lambda: len(receiver.of(GossipReceived)) == 2)
-    assert set(receiver.of(GossipReceived)) == {GossipReceived(0, b"one"), GossipReceived(0, b"all")}
+    await wait_until(lambda: len(receiver.events_of(GossipReceived)) == 2)
+    assert set(receiver.events_of(GossipReceived)) == {GossipReceived(0, b"one"), GossipReceived(0, b"all")}
     for proxy in proxies:
         proxy.close()
--- a/tests/proxy/test_health_checks.py
+++ b/tests/proxy/test_health_checks.py
@@ -16,26 +16,26 @@
 )
 from tests.support.sockets import (
     FakeEndpoint,
-    ReceivedRequest,
+    ReceivedMessage,
     ScriptedPolicy,
-    answers,
-    node,
+    never_respond,
     request,
-    silent,
-    until,
+    respond_with,
+    running_proxy,
+    wait_until,
 )
 
 
 async def test_health_checks_leave_connections_for_attempts() -> None:
-    endpoint = await FakeEndpoint(silent).start()
-    policy = ScriptedPolicy(on_timer(lambda: [CheckHealth(policy.ids()[0])] * 20))
-    async with node(policy, endpoint) as client:
-        client.node._connection_limits.max_connections = 16
-        client.node.dispatch(TimerExpired("now"))
-        assert client.node._connection_limits.open_connections <= 14
+    endpoint = await FakeEndpoint(never_respond).start()
+    policy = ScriptedPolicy(on_timer(lambda: [CheckHealth(policy.endpoint_ids()[0])] * 20))
+    async with running_proxy(policy, endpoint) as client:
+        client.proxy._connection_limits.max_connections = 16
+        client.proxy.dispatch(TimerExpired("now"))
+        assert client.proxy._connection_limits.open_connections <= 14
         forward_requests(policy)
         await client.send(request())
-        await until(lambda: any("/read" in got.first for got in endpoint.got))
+        await wait_until(lambda: any("/read" in received.start_line for received in endpoint.requests))
 
 
 async def test_health_checks_return_load_reports() -> None:
@@ -46,21 +46,21 @@
         (200, b'{"inflight": NaN}'),
     ]
 
-    async def stats(received: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
-        status, body = responses[len(endpoint.got) - 1]
-        await answers(status, body)(received, writer)
+    async def stats(received: ReceivedMessage, writer: asyncio.StreamWriter) -> None:
+        status, body = responses[len(endpoint.requests) - 1]
+        await respond_with(status, body)(received, writer)
 
     endpoint = await FakeEndpoint(stats).start()
-    policy = ScriptedPolicy(on_timer(lambda: [CheckHealth(policy.ids()[0])]))
-    async with node(policy, endpoint) as client:
+    policy = ScriptedPolicy(on_timer(lambda: [CheckHealth(policy.endpoint_ids()[0])]))
+    async with running_proxy(policy, endpoint) as client:
         for i in range(len(responses)):
-            client.node.dispatch(TimerExpired("now"))
-            await until(lambda ended=i + 1: len(policy.of(HealthCheckEnded)) == ended)  # type: ignore[misc]
+            client.proxy.dispatch(TimerExpired("now"))
+            await wait_until(lambda ended=i + 1: len(policy.events_of(HealthCheckEnded)) == ended)  # type: ignore[misc]
         policy.react = on_timer(lambda: [CheckHealth(99)])
-        client.node.dispatch(TimerExpired("now"))
-    assert endpoint.got[0].first == "GET /stats HTTP/1.1"
-    assert endpoint.opened == 1
-    ended = [(check.result, check.load_report) for check in policy.of(HealthCheckEnded)]
+        client.proxy.dispatch(TimerExpired("now"))
+    assert endpoint.requests[0].start_line == "GET /stats HTTP/1.1"
+    assert endpoint.opened_connections == 1
+    ended = [(check.result, check.load_report) for check in policy.events_of(HealthCheckEnded)]
     assert ended == [
         (AttemptResult.OK, {"inflight": 3.0, "queue": 1.0}),
         (AttemptResult.REJECTED, None),
--- a/tests/proxy/test_requests.py
+++ b/tests/proxy/test_requests.py
@@ -37,23 +37,25 @@
     HOST,
     NANOSECONDS_PER_MILLISECOND,
     FakeEndpoint,
-    ReceivedRequest,
+    ReceivedMessage,
     ScriptedPolicy,
-    answers,
-    node,
+    format_response,
+    never_respond,
+    proxy_settings,
     request,
-    settings,
-    silent,
-    until,
-    written,
+    respond_with,
+    running_proxy,
+    wait_until,
 )
 
 
 async def test_a_request_is_forwarded_unchanged() -> None:
-    endpoint = await FakeEndpoint(answers(200, b"\x00quote\r\n", "Content-Type: x/y", "Srv-Load: {}")).start()
+    endpoint = await FakeEndpoint(
+        respond_with(200, b"\x00quote\r\n", "Content-Type: x/y", "Srv-Load: {}")
+    ).start()
     policy = forwarding_policy()
-    async with node(policy, endpoint) as client:
-        got = await client.ask(
+    async with running_proxy(policy, endpoint) as client:
+        response = await client.exchange(
             request(
                 "/pay/a%20b?x=1&y=%2F",
                 "Idempotency-Key: k1",
@@ -65,33 +67,35 @@
                 "X-Hop: 1",
                 method="POST",
                 body=b"\x01body",
-                name="9b1f03aa",
+                request_id="9b1f03aa",
             )
         )
-        assert (got.status, got.body) == (200, b"\x00quote\r\n")
-        assert got.headers["content-type"] == "x/y"
-        assert "srv-load" not in got.headers
-        forwarded = endpoint.got[0]
-        assert (forwarded.first, forwarded.body) == ("POST /pay/a%20b?x=1&y=%2F HTTP/1.1", b"\x01body")
+        assert (response.status, response.body) == (200, b"\x00quote\r\n")
+        assert response.headers["content-type"] == "x/y"
+        assert "srv-load" not in response.headers
+        forwarded = endpoint.requests[0]
+        assert (forwarded.start_line, forwarded.body) == ("POST /pay/a%20b?x=1&y=%2F HTTP/1.1", b"\x01body")
         assert (forwarded.headers["req-id"], forwarded.headers["idempotency-key"]) == ("9b1f03aa", "k1")
         assert 4000 < int(forwarded.headers["req-deadline-ms"]) <= 5000
         assert "x-hop" not in forwarded.headers
-    arrival = policy.of(RequestArrived)[0]
+    arrival = policy.events_of(RequestArrived)[0]
     assert (arrival.class_name, arrival.tenant, arrival.affinity_key) == ("pay", "acme", "7f3a")
     assert arrival.cost_hint_ns == 1_200_000
     assert arrival.is_retry
     assert time.monotonic_ns() + 5000 * NANOSECONDS_PER_MILLISECOND - arrival.deadline_ns > 0
-    ended = policy.of(AttemptEnded)[0]
+    ended = policy.events_of(AttemptEnded)[0]
     assert (ended.result, ended.attempt, ended.request_complete) == (AttemptResult.OK, 0, True)
     assert ended.elapsed_ns > 0
 
 
 async def test_a_proxy_with_the_real_policy_serves() -> None:
-    endpoint = await FakeEndpoint(answers(200, b'{"inflight": 1}')).start()
-    async with node(Balancer(settings(health_checks=True), 1, time.monotonic_ns()), endpoint) as client:
+    endpoint = await FakeEndpoint(respond_with(200, b'{"inflight": 1}')).start()
+    async with running_proxy(
+        Balancer(proxy_settings(health_checks=True), 1, time.monotonic_ns()), endpoint
+    ) as client:
         for _ in range(3):
-            assert (await client.ask(request())).status == 200
-    assert sum(g.first.startswith("GET /read") for g in endpoint.got) == 3
+            assert (await client.exchange(request())).status == 200
+    assert sum(g.start_line.startswith("GET /read") for g in endpoint.requests) == 3
 
 
 async def test_a_rejection_is_answered_at_once_with_retry_after() -> None:
@@ -100,77 +104,77 @@
             [Reject(e.request_id, 437 * NANOSECONDS_PER_MILLISECOND)] if isinstance(e, RequestArrived) else ()
         )
     )
-    async with node(policy) as client:
+    async with running_proxy(policy) as client:
         begun = time.monotonic()
-        got = await client.ask(request())
-        assert got.status == 503
-        assert got.headers["retry-after"] == "0.437"
+        response = await client.exchange(request())
+        assert response.status == 503
+        assert response.headers["retry-after"] == "0.437"
         assert time.monotonic() - begun < 2.5  # of the five seconds that the client would wait
 
 
 async def test_a_proxy_within_its_ready_delay_is_not_ready_but_serves() -> None:
-    endpoint = await FakeEndpoint(answers(200)).start()
+    endpoint = await FakeEndpoint(respond_with(200)).start()
     policy = forwarding_policy()
-    async with node(policy, endpoint, rest_s=3600.0) as client:
+    async with running_proxy(policy, endpoint, ready_delay_s=3600.0) as client:
         assert (await connect(client)).status == 503
-        assert (await client.ask(request())).status == 200
-    async with node(policy, endpoint) as client:
+        assert (await client.exchange(request())).status == 200
+    async with running_proxy(policy, endpoint) as client:
         assert (await connect(client)).status == 200
 
 
 async def test_one_attempt_at_a_time_and_none_after_the_final_answer() -> None:
-    endpoint = await FakeEndpoint(silent).start()
+    endpoint = await FakeEndpoint(never_respond).start()
     policy = ScriptedPolicy()
 
     def react(event: Event) -> Iterable[Action]:
         if isinstance(event, RequestArrived):
-            endpoint_id = policy.ids()[0]
+            endpoint_id = policy.endpoint_ids()[0]
             return [Forward(event.request_id, endpoint_id)] * 2
         if isinstance(event, TimerExpired):
-            return [Fail("1"), Fail("1"), Forward("1", policy.ids()[0])]
+            return [Fail("1"), Fail("1"), Forward("1", policy.endpoint_ids()[0])]
         return ()
 
     policy.react = react
-    async with node(policy, endpoint) as client:
+    async with running_proxy(policy, endpoint) as client:
         await client.send(request())
-        await until(lambda: endpoint.got)
-        client.node.dispatch(TimerExpired("now"))
+        await wait_until(lambda: endpoint.requests)
+        client.proxy.dispatch(TimerExpired("now"))
         assert (await client.read()).status == 504
-        await until(lambda: endpoint.closed == 1)
-        ended = {(o.attempt, o.result, o.request_complete) for o in policy.of(AttemptEnded)}
+        await wait_until(lambda: endpoint.closed_connections == 1)
+        ended = {(o.attempt, o.result, o.request_complete) for o in policy.events_of(AttemptEnded)}
         assert ended == {
             (1, AttemptResult.NOT_SENT, False),
             (0, AttemptResult.CANCELLED, True),
             (0, AttemptResult.NOT_SENT, True),
         }
-        assert len(endpoint.got) == 1
-        assert policy.deepest == 1
+        assert len(endpoint.requests) == 1
+        assert policy.deepest_call == 1
         assert (await connect(client)).status == 200  # one answer only
 
 
 async def test_a_client_disconnect_cancels_its_request() -> None:
-    endpoint = await FakeEndpoint(silent).start()
+    endpoint = await FakeEndpoint(never_respond).start()
     policy = forwarding_policy()
-    async with node(policy, endpoint) as client:
+    async with running_proxy(policy, endpoint) as client:
         await client.send(request())
-        await until(lambda: endpoint.got)
+        await wait_until(lambda: endpoint.requests)
         client.close()
-        await until(lambda: endpoint.closed == 1)
-        assert policy.of(ClientDisconnected) == [ClientDisconnected("1")]
-        assert [(o.result, o.request_complete) for o in policy.of(AttemptEnded)] == [
+        await wait_until(lambda: endpoint.closed_connections == 1)
+        assert policy.events_of(ClientDisconnected) == [ClientDisconnected("1")]
+        assert [(o.result, o.request_complete) for o in policy.events_of(AttemptEnded)] == [
             (AttemptResult.CANCELLED, True)
         ]
-        assert not client.node._pending_requests
-        assert not client.node._pending_requests._by_client
+        assert not client.proxy._pending_requests
+        assert not client.proxy._pending_requests._by_client
 
 
 async def test_a_request_that_the_policy_leaves_open_fails_at_its_deadline() -> None:
     policy = ScriptedPolicy()
-    async with node(policy) as client:
+    async with running_proxy(policy) as client:
         begun = time.monotonic()
-        assert (await client.ask(request(deadline_ms=80))).status == 504
+        assert (await client.exchange(request(deadline_ms=80))).status == 504
         assert time.monotonic() - begun > 0.05
-        assert policy.of(ClientDisconnected) == [ClientDisconnected("1")]
+        assert policy.events_of(ClientDisconnected) == [ClientDisconnected("1")]
 
 
 async def test_an_error_in_the_policy_does_not_stop_the_proxy(
@@ -181,9 +185,9 @@
             raise RuntimeError("bug")
         return [Fail(event.request_id)] if isinstance(event, RequestArrived) else ()
 
-    async with node(ScriptedPolicy(react)) as client:
-        assert (await client.ask(request(deadline_ms=50))).status == 504
-        assert (await client.ask(request())).status == 504
+    async with running_proxy(ScriptedPolicy(react)) as client:
+        assert (await client.exchange(request(deadline_ms=50))).status == 504
+        assert (await client.exchange(request())).status == 504
     assert "n: policy: error, events dropped: [RequestArrived(request_id='1'" in caplog.text
     assert "RuntimeError: bug" in caplog.text
 
@@ -191,8 +195,8 @@
 async def test_a_message_of_the_policy_is_logged(caplog: pytest.LogCaptureFixture) -> None:
     caplog.set_level(logging.INFO)
     policy = ScriptedPolicy(on_timer(lambda: [LogMessage("table is full")]))
-    async with node(policy) as client:
-        client.node.dispatch(TimerExpired("now"))
+    async with running_proxy(policy) as client:
+        client.proxy.dispatch(TimerExpired("now"))
     assert "n: policy: table is full" in caplog.text
 
 
@@ -200,9 +204,9 @@
     policy = ScriptedPolicy(
         lambda e: [SetTimer(2 * NANOSECONDS_PER_MILLISECOND, "next")] if e == TimerExpired("first") else ()
     )
-    async with node(policy) as client:
-        client.node.dispatch(TimerExpired("first"))
-        await until(lambda: TimerExpired("next") in policy.events)
+    async with running_proxy(policy) as client:
+        client.proxy.dispatch(TimerExpired("first"))
+        await wait_until(lambda: TimerExpired("next") in policy.events)
 
 
 @pytest.mark.parametrize(
@@ -213,29 +217,31 @@
 ) -> None:
     writers: list[asyncio.StreamWriter] = []
 
-    async def wait(_received: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
+    async def wait(_received: ReceivedMessage, writer: asyncio.StreamWriter) -> None:
         writers.append(writer)
 
     endpoint = await FakeEndpoint(wait).start()
     policy = forwarding_policy(fail_unless_complete, timeout_ns=100 * NANOSECONDS_PER_MILLISECOND)
-    async with node(policy, endpoint) as client:
+    async with running_proxy(policy, endpoint) as client:
         client_socket = socket.socket()
         client_socket.setblocking(False)
         await asyncio.get_running_loop().sock_connect(client_socket, (HOST, client.port))
         client_socket.send(request())
-        await until(lambda: writers)
+        await wait_until(lambda: writers)
         for event in order:
             if event == "response":
-                os.write(writers[0].transport.get_extra_info("socket").fileno(), written(200, b"late"))
+                os.write(
+                    writers[0].transport.get_extra_info("socket").fileno(), format_response(200, b"late")
+                )
             else:
                 client_socket.shutdown(socket.SHUT_WR)
         time.sleep(0.15)  # the attempt's timeout expires too, all in one turn
-        await until(lambda: policy.of(AttemptEnded))
-        await until(lambda: not client.node._pending_requests)
-        assert len(policy.of(AttemptEnded)) == 1
-        assert len(endpoint.got) == 1
-        assert len(policy.of(ClientDisconnected)) <= 1
+        await wait_until(lambda: policy.events_of(AttemptEnded))
+        await wait_until(lambda: not client.proxy._pending_requests)
+        assert len(policy.events_of(AttemptEnded)) == 1
+        assert len(endpoint.requests) == 1
+        assert len(policy.events_of(ClientDisconnected)) <= 1
         forward_requests(policy)
-        endpoint.answer = answers(200, b"next")
-        assert (await client.ask(request())).body == b"next"  # it does not get the late response
+        endpoint.respond = respond_with(200, b"next")
+        assert (await client.exchange(request())).body == b"next"  # it does not get the late response
         client_socket.close()
--- a/tests/proxy/test_shutdown.py
+++ b/tests/proxy/test_shutdown.py
@@ -23,14 +23,14 @@
 from tests.support.sockets import (
     NANOSECONDS_PER_MILLISECOND,
     FakeEndpoint,
-    ReceivedRequest,
+    ReceivedMessage,
     ScriptedPolicy,
-    answers,
-    node,
+    format_response,
+    never_respond,
     request,
-    silent,
-    until,
-    written,
+    respond_with,
+    running_proxy,
+    wait_until,
 )
 
 
@@ -50,21 +50,21 @@
 async def test_requests_that_come_late_in_a_shutdown_are_answered() -> None:
     release = asyncio.Event()
 
-    async def answer(got: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
-        if "/late" in got.first:
+    async def respond(received: ReceivedMessage, writer: asyncio.StreamWriter) -> None:
+        if "/late" in received.start_line:
             await release.wait()
-        writer.write(written(200, b"it"))
+        writer.write(format_response(200, b"it"))
 
-    endpoint = await FakeEndpoint(answer).start()
+    endpoint = await FakeEndpoint(respond).start()
     policy = forwarding_policy()
-    async with node(policy, endpoint) as client:
-        draining = asyncio.create_task(client.node.drain())
-        await until(lambda: not client.node.ready)
-        assert (await client.ask(request())).status == 200  # for a moment none is pending
-        assert not client.node._pending_requests
-        late = client.another()
+    async with running_proxy(policy, endpoint) as client:
+        draining = asyncio.create_task(client.proxy.drain())
+        await wait_until(lambda: not client.proxy.ready)
+        assert (await client.exchange(request())).status == 200  # for a moment none is pending
+        assert not client.proxy._pending_requests
+        late = client.new_client()
         await late.send(request("/read/late"))
-        await until(lambda: client.node.downstream._socket is None)
+        await wait_until(lambda: client.proxy.downstream._socket is None)
         asyncio.get_running_loop().call_later(0.1, release.set)
         assert (await late.read()).body == b"it"
         await draining
@@ -74,27 +74,27 @@
 async def test_the_backlog_is_answered_in_a_shutdown(monkeypatch: pytest.MonkeyPatch) -> None:
     # Guards against an end of listening while clients that the system has accepted wait for a connection.
     policy = ScriptedPolicy()
-    async with node(policy, sockets=32 + 16) as client:  # so eight clients
-        busy = [client.another() for _ in range(8)]
+    async with running_proxy(policy, sockets=32 + 16) as client:  # so eight clients
+        busy = [client.new_client() for _ in range(8)]
         for other in busy:
             await other.send(request())
-        await until(lambda: len(policy.of(RequestArrived)) == len(busy))
-        late = [client.another() for _ in range(2)]
+        await wait_until(lambda: len(policy.events_of(RequestArrived)) == len(busy))
+        late = [client.new_client() for _ in range(2)]
         for other in late:
             await other.send(request())
         paused = asyncio.Event()
-        monkeypatch.setattr(client.node.downstream, "_pause_accepting", lambda _for_s=None: paused.set())
-        draining = asyncio.create_task(client.node.drain())
+        monkeypatch.setattr(client.proxy.downstream, "_pause_accepting", lambda _for_s=None: paused.set())
+        draining = asyncio.create_task(client.proxy.drain())
         await paused.wait()  # the shutdown has come to the backlog
         monkeypatch.undo()
         policy.react = fail_all_also_earlier_ones
-        client.node.dispatch(TimerExpired("now"))
+        client.proxy.dispatch(TimerExpired("now"))
         for other in (*busy, *late):
-            got = await other.read()
-            assert got.status == 504
-            assert got.headers["connection"] == "close"
+            response = await other.read()
+            assert response.status == 504
+            assert response.headers["connection"] == "close"
         await draining
-        assert len(policy.of(RequestArrived)) == len(busy) + len(late)
+        assert len(policy.events_of(RequestArrived)) == len(busy) + len(late)
 
 
 @pytest.mark.parametrize(
@@ -121,13 +121,13 @@
     caplog: pytest.LogCaptureFixture,
 ) -> None:
     # Guards against leaving to SIGKILL what came late, where the longest deadline is short.
-    endpoint = await FakeEndpoint(silent).start()
+    endpoint = await FakeEndpoint(never_respond).start()
     policy = forwarding_policy()
-    async with node(policy, endpoint, limit_ns=100 * NANOSECONDS_PER_MILLISECOND) as client:
+    async with running_proxy(policy, endpoint, client_timeout_ns=100 * NANOSECONDS_PER_MILLISECOND) as client:
         await client.send(request(deadline_ms=600_000))
-        await until(lambda: endpoint.got)
+        await wait_until(lambda: endpoint.requests)
         begun = time.monotonic()
-        draining = asyncio.create_task(client.node.drain())
+        draining = asyncio.create_task(client.proxy.drain())
         assert (await client.read()).status == 504
         assert time.monotonic() - begun < 2.5  # soon after 0.6 s; a fixed time for all settings is 3.4 s
         await draining
@@ -140,44 +140,44 @@
     monkeypatch: pytest.MonkeyPatch, kept: bool
 ) -> None:
     monkeypatch.setattr("loadbalancer.proxy.downstream.MIN_EVICTION_AGE_S", 0.0)
-    endpoint = await FakeEndpoint(answers(200, b"it")).start()
+    endpoint = await FakeEndpoint(respond_with(200, b"it")).start()
     policy = forwarding_policy()
-    async with node(policy, endpoint) as client:
+    async with running_proxy(policy, endpoint) as client:
         if kept:
-            assert (await client.ask(request())).status == 200
-        idle = client.another()
+            assert (await client.exchange(request())).status == 200
+        idle = client.new_client()
         assert (await connect(idle)).status == 200
         data = request()
         await client.send(data[:-3])
-        await until(lambda: any(c.request_started for c in client.node.downstream._connections))
-        draining = asyncio.create_task(client.node.drain())
-        assert await idle.closed()  # the shutdown has come to connections between requests
+        await wait_until(lambda: any(c.request_started for c in client.proxy.downstream._connections))
+        draining = asyncio.create_task(client.proxy.drain())
+        assert await idle.is_closed_by_proxy()  # the shutdown has come to connections between requests
         await client.send(data[-3:])
-        got = await client.read()
-        assert (got.body, got.headers["connection"]) == (b"it", "close")
+        response = await client.read()
+        assert (response.body, response.headers["connection"]) == (b"it", "close")
         await draining
 
 
 async def test_a_large_response_is_written_completely_in_a_shutdown() -> None:
     body = bytes(range(256)) * 1000
-    endpoint = await FakeEndpoint(answers(200, body)).start()
+    endpoint = await FakeEndpoint(respond_with(200, body)).start()
     policy = forwarding_policy()
-    async with node(policy, endpoint) as client:
+    async with running_proxy(policy, endpoint) as client:
         await client.send(b"")
         assert client.writer is not None
         client_side = cast(asyncio.Transport, client.writer.transport)
         client_side.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
         client_side.pause_reading()
-        await until(lambda: client.node.downstream._connections)
-        server_side = next(iter(client.node.downstream._connections))
-        await until(lambda: server_side._transport)
+        await wait_until(lambda: client.proxy.downstream._connections)
+        server_side = next(iter(client.proxy.downstream._connections))
+        await wait_until(lambda: server_side._transport)
         assert server_side._transport is not None
         server_side._transport.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
-        draining = asyncio.create_task(client.node.drain())
-        await until(lambda: not client.node.ready)
+        draining = asyncio.create_task(client.proxy.drain())
+        await wait_until(lambda: not client.proxy.ready)
         await client.send(request())
-        await until(lambda: client.node.downstream._flushing)
-        await until(lambda: client.node.downstream._socket is None)
+        await wait_until(lambda: client.proxy.downstream._flushing)
+        await wait_until(lambda: client.proxy.downstream._socket is None)
         assert not draining.done()
         for transport in (client_side, server_side._transport):  # small buffers would take long
             for option in (socket.SO_RCVBUF, socket.SO_SNDBUF):
--- a/tests/proxy/test_unread_disconnect.py
+++ b/tests/proxy/test_unread_disconnect.py
@@ -36,16 +36,16 @@
 )
 from tests.support.scripted import forward_to_first, forwarding_policy
 from tests.support.sockets import (
-    Answer,
     FakeEndpoint,
-    ReceivedRequest,
+    ReceivedMessage,
+    Responder,
     ScriptedPolicy,
     Writer,
-    answers,
-    node,
+    proxy_settings,
     request,
-    settings,
-    until,
+    respond_with,
+    running_proxy,
+    wait_until,
 )
 
 # Whether the policy acts before the loop has read the disconnect.
@@ -55,7 +55,7 @@
 def forward_at_timer(policy: ScriptedPolicy, request_id: str) -> None:
     """Buffer what arrives, and forward the request when a timer expires: its token has come."""
     policy.react = lambda event: (
-        [Forward(request_id, policy.ids()[0])] if isinstance(event, TimerExpired) else ()
+        [Forward(request_id, policy.endpoint_ids()[0])] if isinstance(event, TimerExpired) else ()
     )
 
 
@@ -64,39 +64,39 @@
 async def test_buffered_request_of_a_disconnected_client_is_not_forwarded(
     disconnect: Disconnect, unread: bool
 ) -> None:
-    endpoint = await FakeEndpoint(answers(200)).start()
+    endpoint = await FakeEndpoint(respond_with(200)).start()
     policy = ScriptedPolicy()
-    async with node(policy, endpoint) as client, plain_socket(client) as sock:
+    async with running_proxy(policy, endpoint) as client, plain_socket(client) as sock:
         sock.send(request("/read/abandoned"))
-        await until(lambda: policy.of(RequestArrived))
+        await wait_until(lambda: policy.events_of(RequestArrived))
         forward_at_timer(policy, "1")
 
         disconnect(sock)
         if not unread:
-            await until(lambda: policy.of(ClientDisconnected))
-        client.node.dispatch(TimerExpired("token"))
+            await wait_until(lambda: policy.events_of(ClientDisconnected))
+        client.proxy.dispatch(TimerExpired("token"))
 
-        await until(lambda: policy.of(ClientDisconnected) and policy.of(AttemptEnded))
+        await wait_until(lambda: policy.events_of(ClientDisconnected) and policy.events_of(AttemptEnded))
         await assert_only_later_request_is_forwarded(endpoint, client, policy)
-        assert policy.of(ClientDisconnected) == [ClientDisconnected("1")]
+        assert policy.events_of(ClientDisconnected) == [ClientDisconnected("1")]
 
 
 @each_disconnect
 async def test_buffered_request_of_a_disconnected_client_is_not_forwarded_on_an_idle_connection(
     disconnect: Disconnect,
 ) -> None:
-    endpoint = await FakeEndpoint(answers(200)).start()
+    endpoint = await FakeEndpoint(respond_with(200)).start()
     policy = forwarding_policy()
-    async with node(policy, endpoint) as client, plain_socket(client) as sock:
-        assert (await client.ask(request("/read/first"))).status == 200
+    async with running_proxy(policy, endpoint) as client, plain_socket(client) as sock:
+        assert (await client.exchange(request("/read/first"))).status == 200
         forward_at_timer(policy, "2")
         sock.send(request("/read/abandoned"))
-        await until(lambda: len(policy.of(RequestArrived)) == 2)
+        await wait_until(lambda: len(policy.events_of(RequestArrived)) == 2)
 
         disconnect(sock)
-        client.node.dispatch(TimerExpired("token"))
+        client.proxy.dispatch(TimerExpired("token"))
 
-        await until(lambda: policy.of(ClientDisconnected))
+        await wait_until(lambda: policy.events_of(ClientDisconnected))
         await assert_only_later_request_is_forwarded(endpoint, client, policy, received_before=1)
 
 
@@ -105,7 +105,7 @@
 async def test_request_of_a_client_that_disconnects_during_connect_is_not_forwarded(
     monkeypatch: pytest.MonkeyPatch, disconnect: Disconnect, unread: bool
 ) -> None:
-    endpoint = await FakeEndpoint(answers(200)).start()
+    endpoint = await FakeEndpoint(respond_with(200)).start()
     policy = forwarding_policy()
     may_be_up = asyncio.Event()
     loop = asyncio.get_running_loop()
@@ -118,20 +118,20 @@
             disconnect(sock)
         return connection
 
-    async with node(policy, endpoint) as client, plain_socket(client) as sock:
+    async with running_proxy(policy, endpoint) as client, plain_socket(client) as sock:
         monkeypatch.setattr(loop, "create_connection", create_connection_late)
         sock.send(request("/read/abandoned"))
-        await until(lambda: endpoint.opened)
+        await wait_until(lambda: endpoint.opened_connections)
 
         if not unread:
             disconnect(sock)
-            await until(lambda: policy.of(ClientDisconnected))
+            await wait_until(lambda: policy.events_of(ClientDisconnected))
         may_be_up.set()
 
-        await until(lambda: policy.of(ClientDisconnected))
+        await wait_until(lambda: policy.events_of(ClientDisconnected))
         monkeypatch.setattr(loop, "create_connection", create_connection)
         await assert_only_later_request_is_forwarded(endpoint, client, policy)
-        assert policy.of(AttemptEnded)[0].result is AttemptResult.CANCELLED
+        assert policy.events_of(AttemptEnded)[0].result is AttemptResult.CANCELLED
 
 
 @each_disconnect
@@ -139,89 +139,89 @@
 async def test_request_of_a_client_that_disconnects_between_two_attempts_is_not_retried(
     disconnect: Disconnect, unread: bool
 ) -> None:
-    responses: list[Answer] = [answers(503, b"", "Srv-Declined: 1"), answers(200)]
+    responses: list[Responder] = [respond_with(503, b"", "Srv-Declined: 1"), respond_with(200)]
 
-    async def next_response(received: ReceivedRequest, writer: Writer) -> None:
+    async def next_response(received: ReceivedMessage, writer: Writer) -> None:
         await responses.pop(0)(received, writer)
 
     endpoint = await FakeEndpoint(next_response).start()
     policy = ScriptedPolicy()
-    async with node(policy, endpoint) as client, plain_socket(client) as sock:
+    async with running_proxy(policy, endpoint) as client, plain_socket(client) as sock:
 
         def react(event: Event) -> Iterable[Action]:
             if isinstance(event, AttemptEnded) and unread and not event.request_complete:
                 disconnect(sock)
                 return [Forward(event.request_id, event.endpoint_id)]
             if isinstance(event, TimerExpired):
-                return [Forward("1", policy.ids()[0])]
+                return [Forward("1", policy.endpoint_ids()[0])]
             return forward_to_first(policy, event)
 
         policy.react = react
         sock.send(request("/read/abandoned"))
-        await until(lambda: policy.of(AttemptEnded))
+        await wait_until(lambda: policy.events_of(AttemptEnded))
         if not unread:
             disconnect(sock)
-            await until(lambda: policy.of(ClientDisconnected))
-            client.node.dispatch(TimerExpired("again"))
+            await wait_until(lambda: policy.events_of(ClientDisconnected))
+            client.proxy.dispatch(TimerExpired("again"))
 
-        await until(lambda: policy.of(ClientDisconnected))
+        await wait_until(lambda: policy.events_of(ClientDisconnected))
         await assert_only_later_request_is_forwarded(endpoint, client, policy, received_before=1)
 
 
 async def test_disconnect_is_notified_while_an_earlier_response_is_unwritten() -> None:
     # The transport ends only when its last byte is out: the client's disconnect must not wait for that.
-    endpoint = await FakeEndpoint(answers(200)).start()
+    endpoint = await FakeEndpoint(respond_with(200)).start()
     policy = forwarding_policy()
     async with (
-        node(policy, endpoint) as client,
+        running_proxy(policy, endpoint) as client,
         client_with_unread_response(client, endpoint, 50_000) as sock,  # too little to pause reading
     ):
         connection = first_connection(client)
         policy.react = lambda _event: ()
         sock.send(request("/read/abandoned"))
-        await until(lambda: len(policy.of(RequestArrived)) == 2)
+        await wait_until(lambda: len(policy.events_of(RequestArrived)) == 2)
 
         half_close(sock)
 
-        await until(lambda: policy.of(ClientDisconnected))
+        await wait_until(lambda: policy.events_of(ClientDisconnected))
         assert connection.has_unsent_data
-        assert connection in client.node.downstream._flushing
+        assert connection in client.proxy.downstream._flushing
         await assert_only_later_request_is_forwarded(endpoint, client, policy, received_before=1)
 
 
 async def test_request_of_a_client_that_disconnects_while_reading_is_paused_is_not_forwarded() -> None:
-    endpoint = await FakeEndpoint(answers(200)).start()
+    endpoint = await FakeEndpoint(respond_with(200)).start()
     policy = forwarding_policy()
     async with (
-        node(policy, endpoint) as client,
+        running_proxy(policy, endpoint) as client,
         client_with_unread_response(client, endpoint, 900_000) as sock,
     ):
         assert not transport_of(first_connection(client)).is_reading()
 
         sock.send(request("/read/abandoned"))
         half_close(sock)
-        while len(policy.of(RequestArrived)) < 2:  # the client reads on until the proxy does
+        while len(policy.events_of(RequestArrived)) < 2:  # the client reads on until the proxy does
             await asyncio.get_running_loop().sock_recv(sock, 1 << 16)
 
-        await until(lambda: policy.of(ClientDisconnected))
+        await wait_until(lambda: policy.events_of(ClientDisconnected))
         await assert_only_later_request_is_forwarded(endpoint, client, policy, received_before=1)
 
 
 @each_disconnect
 async def test_balancer_forwards_no_buffered_request_of_a_disconnected_client(disconnect: Disconnect) -> None:
-    endpoint = await FakeEndpoint(answers(200)).start()
-    balancer = Balancer(settings(), 1, time.monotonic_ns())
-    async with node(balancer, endpoint) as client, plain_socket(client) as sock:
+    endpoint = await FakeEndpoint(respond_with(200)).start()
+    balancer = Balancer(proxy_settings(), 1, time.monotonic_ns())
+    async with running_proxy(balancer, endpoint) as client, plain_socket(client) as sock:
         throttle = balancer.throttles.of("", time.monotonic_ns())
         # No token left, and none comes however long this takes: the next request waits for one.
         throttle.set_rate(0.001, time.monotonic_ns())
         throttle.bank.counter = throttle.bank.buffer_capacity
         sock.send(request("/read/abandoned"))
-        await until(lambda: throttle.buffer)
+        await wait_until(lambda: throttle.buffer)
 
         disconnect(sock)
 
-        await until(lambda: not throttle.buffer)
+        await wait_until(lambda: not throttle.buffer)
         throttle.on_token_due()  # what was scheduled for the token then is far away
         throttle.set_rate(4.0, time.monotonic_ns())
         await client.send(request("/read/stays"))
--- a/tests/scale_test/test_cluster.py
+++ b/tests/scale_test/test_cluster.py
@@ -11,7 +11,7 @@
 from scale_test.cluster import Cluster
 from scale_test.errors import ExperimentError
 from scale_test.plan import Plan
-from tests.support.sockets import PATIENCE_S
+from tests.support.sockets import WAIT_TIMEOUT_S
 
 PLAN = Plan(upstreams=4, zones=2, real=1, hollow=1, hollow_processes=1)
 
@@ -35,7 +35,7 @@
     cluster = Cluster(plan, tmp_path)
     try:
         await cluster.start()
-        assert await cluster.discovery.wait_settled(PATIENCE_S)
+        assert await cluster.discovery.wait_settled(WAIT_TIMEOUT_S)
         called = [
             {tuple(c.raddr) for c in psutil.Process(p.pid).net_connections("tcp") if c.raddr}
             for p in (*cluster.real, *(helper.process for helper in cluster.hollow))
--- a/tests/scale_test/test_fake_discovery.py
+++ b/tests/scale_test/test_fake_discovery.py
@@ -12,7 +12,7 @@
 from scale_test.fake_discovery import FakeDiscovery
 from scale_test.plan import Plan
 from scale_test.registry import Health, Registry
-from tests.support.sockets import PATIENCE_S, Json, until
+from tests.support.sockets import WAIT_TIMEOUT_S, Json, wait_until
 
 PLAN = Plan(upstreams=4, zones=2, real=1, hollow=1, hollow_processes=1)
 
@@ -28,7 +28,7 @@
         self.writer.write(f"GET /registry/instances{query} HTTP/1.1\r\nHost: d\r\n\r\n".encode())
 
     async def answer(self) -> Json:
-        async with asyncio.timeout(PATIENCE_S):
+        async with asyncio.timeout(WAIT_TIMEOUT_S):
             head = await self.reader.readuntil(b"\r\n\r\n")
             assert head.startswith(b"HTTP/1.1 200 ")
             body = await self.reader.readexactly(int(head.split(b"Content-Length: ")[1]))
@@ -58,7 +58,7 @@
         assert await first.answer() == {"seq": 1, "whole": False, "hosts": []}
         for watcher in (first, second):
             watcher.ask("?after=1&wait_ms=20000")
-        await until(lambda: [caller.calls for caller in discovery.callers] == [3, 1])
+        await wait_until(lambda: [caller.calls for caller in discovery.callers] == [3, 1])
         discovery.change([2], Health.DRAINING)
         for watcher in (first, second):
             answer = await watcher.answer()
@@ -83,7 +83,7 @@
 
         for number, watcher in ((1, second), (0, first)):
             watcher.ask("?after=1&wait_ms=20000")
-            await until(lambda n=number: discovery.callers[n].calls == 1)  # type: ignore[misc]
+            await wait_until(lambda n=number: discovery.callers[n].calls == 1)  # type: ignore[misc]
         asked = [asyncio.create_task(ask(0, first)), asyncio.create_task(ask(1, second))]
         discovery.change([0])
         await asyncio.gather(*asked)
@@ -95,7 +95,7 @@
     async with running_discovery() as (discovery, (first, second)):
         for watcher in (first, second):
             watcher.ask("?after=1&wait_ms=20000")
-        sending = asyncio.create_task(discovery.send_full_list(0, PATIENCE_S))
+        sending = asyncio.create_task(discovery.send_full_list(0, WAIT_TIMEOUT_S))
         assert (await first.answer())["whole"]
         assert not sending.done()
         first.ask(f"?after={after}&wait_ms=20000")  # it names that version, or has turned it down
@@ -110,7 +110,7 @@
 async def test_after_an_outage_all_get_the_full_list() -> None:
     async with running_discovery() as (discovery, (first, second)):
         first.ask("?after=1&wait_ms=20000")
-        await until(lambda: discovery.callers[0].calls)
+        await wait_until(lambda: discovery.callers[0].calls)
         discovery.begin_outage()
         with pytest.raises(asyncio.IncompleteReadError):
             await first.answer()
--- a/tests/support/clients.py
+++ b/tests/support/clients.py
@@ -12,7 +12,15 @@
 
 from loadbalancer.proxy.client_connection import ClientConnection
 from tests.support.scripted import forward_requests
-from tests.support.sockets import HOST, Client, FakeEndpoint, ScriptedPolicy, answers, request, until
+from tests.support.sockets import (
+    HOST,
+    Client,
+    FakeEndpoint,
+    ScriptedPolicy,
+    request,
+    respond_with,
+    wait_until,
+)
 
 Disconnect = Callable[[socket.socket], None]
 
@@ -49,7 +57,7 @@
 
 def first_connection(client: Client) -> ClientConnection:
     """The proxy's side of its only connection."""
-    return next(iter(client.node.downstream._connections))
+    return next(iter(client.proxy.downstream._connections))
 
 
 def transport_of(connection: ClientConnection) -> asyncio.Transport:
@@ -64,14 +72,16 @@
 ) -> AsyncIterator[socket.socket]:
     """A client that has not read its response: a good part of that is still the proxy's to write."""
     async with plain_socket(client, receive_buffer=2048) as sock:
-        await until(lambda: any(connection._transport for connection in client.node.downstream._connections))
+        await wait_until(
+            lambda: any(connection._transport for connection in client.proxy.downstream._connections)
+        )
         connection = first_connection(client)
         proxy_socket = transport_of(connection).get_extra_info("socket")
         proxy_socket.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
-        endpoint.answer = answers(200, b"x" * response_bytes)
+        endpoint.respond = respond_with(200, b"x" * response_bytes)
         sock.send(request("/read/large"))
-        await until(lambda: connection.has_unsent_data)
-        endpoint.answer = answers(200)
+        await wait_until(lambda: connection.has_unsent_data)
+        endpoint.respond = respond_with(200)
         yield sock
 
 
@@ -80,11 +90,11 @@
 ) -> None:
     """Assert that a later request of another client is served, and that it alone has come to the endpoint."""
     forward_requests(policy)
-    assert (await client.another().ask(request("/read/later"))).status == 200
+    assert (await client.new_client().exchange(request("/read/later"))).status == 200
     assert targets(endpoint)[received_before:] == ["/read/later"]
-    assert not client.node._pending_requests
+    assert not client.proxy._pending_requests
 
 
 def targets(endpoint: FakeEndpoint) -> list[str]:
     """The targets of the requests that came, in their order."""
-    return [received.first.split()[1] for received in endpoint.got]
+    return [received.start_line.split()[1] for received in endpoint.requests]
--- a/tests/support/discovery.py
+++ b/tests/support/discovery.py
@@ -9,7 +9,15 @@
 from loadbalancer.messages import EndpointStatus, EndpointUpdate
 from loadbalancer.proxy.endpoint_list import EndpointList
 from loadbalancer.proxy.endpoint_list_reader import EndpointListReader
-from tests.support.sockets import FakeDiscovery, Json, ReceivedRequest, ScriptedPolicy, Writer, entry, written
+from tests.support.sockets import (
+    FakeDiscovery,
+    Json,
+    ReceivedMessage,
+    ScriptedPolicy,
+    Writer,
+    entry,
+    format_response,
+)
 
 
 def read_list(raw: object, reader: EndpointListReader | None = None) -> EndpointList:
@@ -22,26 +30,28 @@
     return {"seq": version, "whole": whole, "hosts": hosts}
 
 
-def hold_first_list(registry: FakeDiscovery) -> asyncio.Event:
+def hold_first_list(discovery: FakeDiscovery) -> asyncio.Event:
     """Hold back the first complete list, as it was when it was asked for, until the event is set."""
-    release, heard = asyncio.Event(), registry.server.answer
+    release, respond_normally = asyncio.Event(), discovery.server.respond
 
-    async def answer(got: ReceivedRequest, writer: Writer) -> None:
-        if "after=" in got.first or release.is_set():
-            await heard(got, writer)
+    async def respond(received: ReceivedMessage, writer: Writer) -> None:
+        if "after=" in received.start_line or release.is_set():
+            await respond_normally(received, writer)
             return
-        body = json.dumps({"seq": registry.version, "whole": True, "hosts": list(registry.rows.values())})
-        registry.calls.append((time.monotonic(), got.first.split()[1]))
+        body = json.dumps(
+            {"seq": discovery.version, "whole": True, "hosts": list(discovery.entries.values())}
+        )
+        discovery.calls.append((time.monotonic(), received.start_line.split()[1]))
         await release.wait()
-        writer.write(written(200, body.encode()))
+        writer.write(format_response(200, body.encode()))
 
-    registry.server.answer = answer
+    discovery.server.respond = respond
     return release
 
 
 def reported_statuses(script: ScriptedPolicy) -> list[EndpointStatus]:
     """The statuses of the one endpoint that were reported to the policy, in order."""
-    return [u.status for e in script.of(EndpointUpdate) for u in e.endpoints]
+    return [u.status for e in script.events_of(EndpointUpdate) for u in e.endpoints]
 
 
 def complete_list(count: int, version: int = 1, first: int = 0, **more: object) -> Json:
--- a/tests/support/scripted.py
+++ b/tests/support/scripted.py
@@ -19,7 +19,7 @@
 )
 from loadbalancer.proxy.attempts import QUARANTINE_S
 from loadbalancer.proxy.proxy import Proxy
-from tests.support.sockets import Client, ReceivedRequest, ScriptedPolicy, known, listing
+from tests.support.sockets import Client, ReceivedMessage, ScriptedPolicy, list_of_ports, read_live_list
 
 READY_REQUEST = b"GET /health/ready HTTP/1.1\r\n\r\n"
 
@@ -56,7 +56,7 @@
 
 def forward_to_first(policy: ScriptedPolicy, event: Event) -> Iterable[Action]:
     """Forward each request that arrives to the first endpoint."""
-    return [Forward(event.request_id, policy.ids()[0])] if isinstance(event, RequestArrived) else ()
+    return [Forward(event.request_id, policy.endpoint_ids()[0])] if isinstance(event, RequestArrived) else ()
 
 
 def forward_requests(
@@ -66,7 +66,7 @@
 
     def react(event: Event) -> Iterable[Action]:
         if isinstance(event, RequestArrived):
-            return [Forward(event.request_id, policy.ids()[index], timeout_ns)]
+            return [Forward(event.request_id, policy.endpoint_ids()[index], timeout_ns)]
         return then(event)
 
     policy.react = react
@@ -81,12 +81,12 @@
 
 def results(policy: ScriptedPolicy) -> list[AttemptResult]:
     """Give the results of all attempts, in the order in which they ended."""
-    return [ended.result for ended in policy.of(AttemptEnded)]
+    return [ended.result for ended in policy.events_of(AttemptEnded)]
 
 
-async def connect(client: Client) -> ReceivedRequest:
+async def connect(client: Client) -> ReceivedMessage:
     """Open the client's connection, and give the proxy's answer on whether it is ready."""
-    return await client.ask(READY_REQUEST)
+    return await client.exchange(READY_REQUEST)
 
 
 def end_quarantine(proxy: Proxy) -> None:
@@ -97,8 +97,8 @@
 
 def update_first_endpoint(proxy: Proxy, version: int, **row: object) -> None:
     """Apply a change of the first endpoint at once, as discovery would send it."""
-    changed = {**known(1)["hosts"][0], **row}
-    proxy.list_applier.on_watch_result(listing({"seq": version, "whole": False, "hosts": [changed]}))
+    changed = {**list_of_ports(1)["hosts"][0], **row}
+    proxy.list_applier.on_watch_result(read_live_list({"seq": version, "whole": False, "hosts": [changed]}))
 
 
 def hold_connections(
