--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from tests.support.sockets import WAIT_TIMEOUT_S
+from tests.support.waiting import WAIT_TIMEOUT_S
 
 TEST_TIMEOUT_S = 3 * WAIT_TIMEOUT_S
 
--- a/tests/policy/test_disconnect.py
+++ b/tests/policy/test_disconnect.py
@@ -7,8 +7,8 @@
 from loadbalancer.messages import AttemptResult, CancelAttempt, ClientDisconnected, Event, TimerExpired
 from loadbalancer.policy.timers import AttemptOverdue
 from loadbalancer.settings import Limits
+from loadbalancer.units import NANOSECONDS_PER_MILLISECOND
 from tests.support import policy_harness as bench
-from tests.support.sockets import NANOSECONDS_PER_MILLISECOND
 
 
 def harness_with_slow_attempt(hedging: bool = True) -> bench.PolicyHarness:
--- a/tests/process/test_process.py
+++ b/tests/process/test_process.py
@@ -17,23 +17,19 @@
 import pytest
 
 from loadbalancer.startup import MAX_CPU_DEBT_S, THROTTLING_DELAY_S, cpu_debt_s
-from tests.support.sockets import (
+from tests.support.endpoint_lists import list_of_ports
+from tests.support.fake_discovery import FakeDiscovery
+from tests.support.fake_endpoint import FakeEndpoint, Responder, abort_connection, respond_with
+from tests.support.http_messages import (
     HOST,
-    WAIT_TIMEOUT_S,
-    FakeDiscovery,
-    FakeEndpoint,
+    READY_REQUEST,
     ReceivedMessage,
-    Responder,
-    abort_connection,
     format_response,
-    list_of_ports,
     read_message,
     request,
-    respond_with,
-    wait_until,
 )
+from tests.support.waiting import WAIT_TIMEOUT_S, wait_until
 
-READINESS_CHECK = b"GET /health/ready HTTP/1.1\r\n\r\n"
 SETTINGS = {
     "profiles": [{"name": "read", "repeat": "read_like", "aim_ns": 3_000_000_000}],
     "limits": {"send_cap": 2, "retry_after": True},
@@ -134,14 +130,14 @@
 
     upstream, second = await FakeEndpoint(respond).start(), await FakeEndpoint(respond).start()
     async with proxy_process(tmp_path, upstream.port, second.port) as (process, port):
-        assert (await exchange(port, READINESS_CHECK)).status == 200
+        assert (await exchange(port, READY_REQUEST)).status == 200
         idle_reader, idle_writer = await asyncio.open_connection(HOST, port)
-        idle_writer.write(READINESS_CHECK)
+        idle_writer.write(READY_REQUEST)
         assert (await read_message(idle_reader)).status == 200
         slow = asyncio.create_task(exchange(port, request("/read/slow", deadline_ms=3000)))
         await wait_until(lambda: upstream.requests or second.requests)
         process.send_signal(signal.SIGTERM)
-        while (await exchange(port, READINESS_CHECK)).status != 503:  # the signal may take a moment
+        while (await exchange(port, READY_REQUEST)).status != 503:  # the signal may take a moment
             pass
         late = await exchange(port, request("/read/late"))
         assert (late.status, late.headers["connection"]) == (200, "close")
@@ -160,7 +156,7 @@
     # Guards against clients that wait while the system stops a process that overspent its share at the start.
     upstream = await FakeEndpoint(respond_with(200)).start()
     async with proxy_process(tmp_path, upstream.port, cores=0.001) as (_, port):
-        while (response := await exchange(port, READINESS_CHECK)).status != 200:
+        while (response := await exchange(port, READY_REQUEST)).status != 200:
             assert response.status == 503
             assert (await exchange(port, request())).status == 200  # it serves meanwhile
     upstream.stop()
@@ -186,7 +182,7 @@
     path = tmp_path / "long.json"
     path.write_text(json.dumps(configuration(known=rows)))
     async with proxy_process(tmp_path, path=path) as (process, port):
-        assert (await exchange(port, READINESS_CHECK)).status == 200
+        assert (await exchange(port, READY_REQUEST)).status == 200
         assert [(await exchange(port, request())).status for _ in range(3)] == [200] * 3
         assert len(upstream.requests) == 3
         assert process.returncode is None
@@ -224,7 +220,7 @@
     upstream = await FakeEndpoint(respond_with(200)).start()
     async with proxy_process(tmp_path, upstream.port, descriptors=24) as (process, port):
         idle = [await asyncio.open_connection(HOST, port) for _ in range(40)]
-        assert (await exchange(port, READINESS_CHECK)).status == 200
+        assert (await exchange(port, READY_REQUEST)).status == 200
         for _, writer in idle:
             writer.close()
         answered = [(await exchange(port, request())).status for _ in range(3)]
@@ -242,7 +238,7 @@
 
     async def respond(received: ReceivedMessage, writer: asyncio.StreamWriter) -> None:
         if next(fails, None) is not None:
-            discovery.calls.append((0.0, received.start_line))
+            discovery.record_call(received)
             await abort_connection(received, writer)
         else:
             if "s0" not in discovery.entries:
--- a/tests/proxy/test_attempt_responses.py
+++ b/tests/proxy/test_attempt_responses.py
@@ -13,27 +13,25 @@
     AttemptResult,
 )
 from loadbalancer.proxy.exchange import start_exchange
-from tests.support.scripted import (
-    fail_unless_complete,
-    forwarding_policy,
-    hold_connections,
-    results,
-)
-from tests.support.sockets import (
-    HOST,
-    NANOSECONDS_PER_MILLISECOND,
+from loadbalancer.units import NANOSECONDS_PER_MILLISECOND
+from tests.support.endpoint_lists import list_of_ports
+from tests.support.fake_endpoint import (
     FakeEndpoint,
     Responder,
     abort_connection,
-    format_response,
-    list_of_ports,
     never_respond,
-    request,
     respond_raw,
     respond_with,
-    running_proxy,
-    wait_until,
 )
+from tests.support.http_messages import HOST, format_response, request
+from tests.support.running_proxy import running_proxy
+from tests.support.scripted import (
+    fail_unless_complete,
+    forwarding_policy,
+    hold_connections,
+    results,
+)
+from tests.support.waiting import wait_until
 
 DECLINED = "Srv-Declined: 1"
 
--- a/tests/proxy/test_attempts.py
+++ b/tests/proxy/test_attempts.py
@@ -24,6 +24,12 @@
     TimerExpired,
 )
 from loadbalancer.proxy.pending_requests import POLICY_DEADLINE_MARGIN_NS, PROXY_DEADLINE_MARGIN_NS
+from loadbalancer.units import NANOSECONDS_PER_MILLISECOND
+from tests.support.endpoint_lists import list_of_ports
+from tests.support.fake_endpoint import FakeEndpoint, never_respond
+from tests.support.fake_policies import ScriptedPolicy
+from tests.support.http_messages import HOST, ReceivedMessage, format_response, request
+from tests.support.running_proxy import running_proxy
 from tests.support.scripted import (
     connect,
     fail_unless_complete,
@@ -31,19 +37,7 @@
     hold_connections,
     results,
 )
-from tests.support.sockets import (
-    HOST,
-    NANOSECONDS_PER_MILLISECOND,
-    FakeEndpoint,
-    ReceivedMessage,
-    ScriptedPolicy,
-    format_response,
-    list_of_ports,
-    never_respond,
-    request,
-    running_proxy,
-    wait_until,
-)
+from tests.support.waiting import wait_until
 
 
 async def test_a_timed_out_attempt_closes_its_connection_and_drops_the_late_response() -> None:
--- a/tests/proxy/test_client_connection.py
+++ b/tests/proxy/test_client_connection.py
@@ -10,8 +10,11 @@
 
 from loadbalancer.messages import ClientDisconnected, Fail, RequestArrived, TimerExpired
 from tests.support.clients import first_connection, transport_of
-from tests.support.scripted import READY_REQUEST, fail_all
-from tests.support.sockets import ScriptedPolicy, request, running_proxy, wait_until
+from tests.support.fake_policies import ScriptedPolicy
+from tests.support.http_messages import READY_REQUEST, request
+from tests.support.running_proxy import running_proxy
+from tests.support.scripted import fail_all
+from tests.support.waiting import wait_until
 
 CHUNKED = "Transfer-Encoding: chunked"
 
--- a/tests/proxy/test_client_disconnect.py
+++ b/tests/proxy/test_client_disconnect.py
@@ -29,6 +29,7 @@
 )
 from loadbalancer.policy.balancer import Balancer
 from loadbalancer.proxy.proxy import Policy
+from loadbalancer.units import NANOSECONDS_PER_MILLISECOND
 from tests.support.clients import (
     Disconnect,
     assert_only_later_request_is_forwarded,
@@ -39,26 +40,19 @@
     targets,
     transport_of,
 )
-from tests.support.scripted import forwarding_policy
-from tests.support.sockets import (
-    HOST,
-    NANOSECONDS_PER_MILLISECOND,
-    WAIT_TIMEOUT_S,
-    Client,
+from tests.support.fake_endpoint import (
     FakeEndpoint,
-    ReceivedMessage,
     Responder,
-    ScriptedPolicy,
     Writer,
     abort_connection,
-    format_response,
     never_respond,
-    proxy_settings,
-    request,
     respond_with,
-    running_proxy,
-    wait_until,
 )
+from tests.support.fake_policies import ScriptedPolicy
+from tests.support.http_messages import HOST, ReceivedMessage, format_response, request
+from tests.support.running_proxy import Client, proxy_settings, running_proxy
+from tests.support.scripted import forwarding_policy
+from tests.support.waiting import WAIT_TIMEOUT_S, wait_until
 
 # An attempt that begins so long after the disconnect breaks the rule.
 MAX_NOTICE_S = 0.1
--- a/tests/proxy/test_discovery_handover.py
+++ b/tests/proxy/test_discovery_handover.py
@@ -16,20 +16,14 @@
     WatchEndpoints,
 )
 from loadbalancer.state.endpoint_ids import preferred_id
-from tests.support.discovery import hold_first_list, reported_statuses
-from tests.support.sockets import (
-    HOST,
-    Client,
-    FakeDiscovery,
-    ReceivedMessage,
-    ScriptedPolicy,
-    Writer,
-    entry,
-    format_response,
-    list_of_ports,
-    running_proxy,
-    wait_until,
-)
+from tests.support.endpoint_lists import entry, list_of_ports
+from tests.support.fake_discovery import FakeDiscovery, hold_first_list
+from tests.support.fake_endpoint import Writer
+from tests.support.fake_policies import ScriptedPolicy
+from tests.support.http_messages import HOST, ReceivedMessage, format_response
+from tests.support.running_proxy import Client, running_proxy
+from tests.support.scripted import reported_statuses
+from tests.support.waiting import wait_until
 
 
 def last_full_list(script: ScriptedPolicy) -> list[int]:
@@ -58,8 +52,8 @@
         left = client.proxy.discovery_client._target
         client.proxy.discovery_client.move_to((HOST, new.server.port))
         await wait_until(lambda: len(new.calls) == 2)
-        assert new.calls[0][1] == "/registry/instances"
-        assert new.calls[1][1].startswith("/registry/instances?after=3&")
+        assert new.calls[0].target == "/registry/instances"
+        assert new.calls[1].target.startswith("/registry/instances?after=3&")
         assert len(last_full_list(script)) == 2
         assert len(client.proxy.addresses.ready()) == 2
         assert left.pool.limits.open_connections == 0
@@ -93,7 +87,7 @@
         await wait_until(lambda: client.proxy.discovery_client._watch_call is None)
         assert client.proxy.discovery_client._watch_timer is None
         new.broken_response = b""
-        await wait_until(lambda: len(new.calls) > 1 and "after=3" in new.calls[-1][1])
+        await wait_until(lambda: len(new.calls) > 1 and "after=3" in new.calls[-1].target)
     new.server.stop()
 
 
@@ -194,7 +188,7 @@
         release.set()
         await wait_until(lambda: len(new.calls) == 2)
         assert last_full_list(script) == [preferred_id("s9")]
-        assert "after=3" in new.calls[1][1]
+        assert "after=3" in new.calls[1].target
         assert failed_updates(script) == 1
     new.server.stop()
 
--- a/tests/proxy/test_discovery_outage.py
+++ b/tests/proxy/test_discovery_outage.py
@@ -23,26 +23,21 @@
 from loadbalancer.policy.balancer import Balancer
 from loadbalancer.proxy.connection_pool import MAX_IDLE_CONNECTIONS_PER_ENDPOINT
 from loadbalancer.proxy.exchange import start_exchange
-from tests.support.policy_harness import NANOSECONDS_PER_SECOND, START, settings
-from tests.support.sockets import (
-    HOST,
-    FakeDiscovery,
+from tests.support.endpoint_lists import entry, list_of_ports
+from tests.support.fake_discovery import FakeDiscovery
+from tests.support.fake_endpoint import (
     FakeEndpoint,
-    ReceivedMessage,
     Responder,
-    ScriptedPolicy,
     Writer,
     abort_connection,
-    entry,
-    format_response,
-    list_of_ports,
     never_respond,
-    proxy_settings,
-    request,
     respond_with,
-    running_proxy,
-    wait_until,
 )
+from tests.support.fake_policies import ScriptedPolicy
+from tests.support.http_messages import HOST, ReceivedMessage, format_response, request
+from tests.support.policy_harness import NANOSECONDS_PER_SECOND, START, settings
+from tests.support.running_proxy import proxy_settings, running_proxy
+from tests.support.waiting import wait_until
 
 CHANGE_DUE_S = 6.0  # a change counts as told so long after discovery had it and could be reached
 ANSWER_S = 1.0  # of that, for the call that brings it, and as a margin
@@ -155,7 +150,7 @@
     async def respond(received: ReceivedMessage, writer: Writer) -> None:
         fails = next(bad, None)
         if fails is not None:
-            discovery.calls.append((time.monotonic(), received.start_line.split()[1]))
+            discovery.record_call(received)
             await fails(received, writer)
             return
         if "s0" not in discovery.entries:
@@ -285,7 +280,7 @@
         discovery.server.respond = {"breaks": abort_connection, "silent": never_respond}[kind]
     policy = Balancer(proxy_settings(polls=polls), 1, time.monotonic_ns())
     async with running_proxy(
-        policy, *endpoints, discovery=discovery, sockets=DESCRIPTORS, polls=polls
+        policy, *endpoints, discovery=discovery, max_sockets=DESCRIPTORS, polls=polls
     ) as client:
         hub, server, discovery_client = (
             client.proxy._connection_limits,
--- a/tests/proxy/test_discovery_watch.py
+++ b/tests/proxy/test_discovery_watch.py
@@ -18,21 +18,14 @@
     WatchEndpoints,
 )
 from loadbalancer.policy.balancer import Balancer
-from tests.support.discovery import hold_first_list, reported_statuses
-from tests.support.sockets import (
-    FakeDiscovery,
-    ReceivedMessage,
-    RecordingPolicy,
-    Responder,
-    ScriptedPolicy,
-    Writer,
-    entry,
-    format_response,
-    list_of_ports,
-    proxy_settings,
-    running_proxy,
-    wait_until,
-)
+from tests.support.endpoint_lists import entry, list_of_ports
+from tests.support.fake_discovery import FakeDiscovery, hold_first_list
+from tests.support.fake_endpoint import Responder, Writer
+from tests.support.fake_policies import RecordingPolicy, ScriptedPolicy
+from tests.support.http_messages import ReceivedMessage, format_response
+from tests.support.running_proxy import proxy_settings, running_proxy
+from tests.support.scripted import reported_statuses
+from tests.support.waiting import wait_until
 
 CHANGE_DUE_S = 6.0  # a change of the list counts as received after this at the latest
 
@@ -51,14 +44,14 @@
     async with running_proxy(script, discovery=discovery, initial_list=list_of_ports(5)) as client:
         assert script.events_of(EndpointUpdate)[0].kind is EndpointUpdateKind.CACHED
         await wait_until(lambda: discovery.calls)
-        assert discovery.calls[0][1].startswith("/registry/instances?after=1&wait_ms=")
+        assert discovery.calls[0].target.startswith("/registry/instances?after=1&wait_ms=")
         discovery.change("s9", dial="127.0.0.1:9")
         await wait_until(lambda: len(script.events_of(EndpointUpdate)) == 2 and len(discovery.calls) == 2)
         update = script.events_of(EndpointUpdate)[1]
         assert update.kind is EndpointUpdateKind.DELTA
         assert [u.zone for u in update.endpoints] == ["east"]
         assert asking == [True]
-        assert discovery.calls[1][1].startswith("/registry/instances?after=2&")
+        assert discovery.calls[1].target.startswith("/registry/instances?after=2&")
         assert len(client.proxy.addresses.by_id) == 2 == len(client.proxy.addresses.ready())
         discovery.change("s9", health="removed")
         await wait_until(lambda: len(script.events_of(EndpointUpdate)) == 3)
@@ -74,7 +67,7 @@
         if discovery.calls:
             await respond_normally(received, writer)
         else:
-            discovery.calls.append((time.monotonic(), received.start_line))
+            discovery.record_call(received)
 
     discovery.server.respond = first_is_lost
     async with running_proxy(script, discovery=discovery, initial_list=list_of_ports(5)):
@@ -82,7 +75,7 @@
         discovery.change("s0", health="draining")
         await wait_until(lambda: len(script.events_of(EndpointUpdate)) == 2)
         assert next(iter(script.events_of(EndpointUpdate)[1].endpoints)).status is EndpointStatus.DRAINING
-        assert time.monotonic() - discovery.calls[0][0] < CHANGE_DUE_S
+        assert time.monotonic() - discovery.calls[0].received_at_s < CHANGE_DUE_S
 
 
 async def test_a_silently_lost_watch_is_repeated_without_backoff_where_discovery_is_polled(
@@ -100,7 +93,7 @@
             await respond_normally(received, writer)
         else:
             discovery.change("s0", health="draining")
-            discovery.calls.append((time.monotonic(), received.start_line))
+            discovery.record_call(received)
 
     discovery.server.respond = first_is_lost
     policy = RecordingPolicy(Balancer(proxy_settings(polls=True), 1, time.monotonic_ns()))
@@ -128,7 +121,7 @@
     discovery.broken_response = broken_response
     async with running_proxy(script, discovery=discovery, initial_list=list_of_ports(5)) as client:
         await wait_until(lambda: len(discovery.calls) >= 3)
-        assert discovery.calls[2][0] - discovery.calls[0][0] > 0.1  # it backs off
+        assert discovery.calls[2].received_at_s - discovery.calls[0].received_at_s > 0.1  # it backs off
         assert len(script.events_of(EndpointUpdate)) == 1
         assert len(client.proxy.addresses.by_id) == 1
         discovery.broken_response = b""
@@ -162,7 +155,7 @@
         assert script.events_of(EndpointUpdate)[1].kind is EndpointUpdateKind.FULL
         assert not client.proxy.addresses.by_id
         assert not client.proxy.addresses.pools
-        assert discovery.calls[2][1] == "/registry/instances"
+        assert discovery.calls[2].target == "/registry/instances"
 
 
 async def test_an_older_list_that_was_fetched_does_not_undo_a_drain() -> None:
@@ -186,7 +179,7 @@
     discovery = FakeDiscovery()
 
     async def indented(received: ReceivedMessage, writer: Writer) -> None:
-        discovery.calls.append((time.monotonic(), received.start_line))
+        discovery.record_call(received)
         if len(discovery.calls) == 1:
             endpoint_list = {"seq": 2, "whole": True, "hosts": [entry("s8", 8), entry("s9", 9)]}
             writer.write(
--- a/tests/proxy/test_downstream.py
+++ b/tests/proxy/test_downstream.py
@@ -14,16 +14,11 @@
 from loadbalancer.proxy.connection_table import ConnectionTable
 from loadbalancer.proxy.downstream import DownstreamServer
 from tests.support.clients import plain_socket
-from tests.support.scripted import READY_REQUEST, fail_all
-from tests.support.sockets import (
-    HOST,
-    WAIT_TIMEOUT_S,
-    Client,
-    ScriptedPolicy,
-    request,
-    running_proxy,
-    wait_until,
-)
+from tests.support.fake_policies import ScriptedPolicy
+from tests.support.http_messages import HOST, READY_REQUEST, request
+from tests.support.running_proxy import Client, running_proxy
+from tests.support.scripted import fail_all
+from tests.support.waiting import WAIT_TIMEOUT_S, wait_until
 
 SOCKETS_FOR_EIGHT_CLIENTS = 32 + 16
 
@@ -131,7 +126,7 @@
 
 
 async def test_silent_connections_are_evicted_before_idle_ones() -> None:
-    async with running_proxy(ScriptedPolicy(), sockets=SOCKETS_FOR_EIGHT_CLIENTS) as client:
+    async with running_proxy(ScriptedPolicy(), max_sockets=SOCKETS_FOR_EIGHT_CLIENTS) as client:
         server = client.proxy.downstream
         assert (await client.exchange(READY_REQUEST)).status == 200
         silent_clients = [client.new_client() for _ in range(7)]
@@ -161,7 +156,7 @@
 
 async def test_idle_connections_are_evicted_and_busy_ones_stay() -> None:
     policy = ScriptedPolicy()
-    async with running_proxy(policy, sockets=SOCKETS_FOR_EIGHT_CLIENTS) as client:
+    async with running_proxy(policy, max_sockets=SOCKETS_FOR_EIGHT_CLIENTS) as client:
         idle = client.new_client()
         assert (await idle.exchange(READY_REQUEST)).status == 200
         busy_clients = [client.new_client() for _ in range(7)]
--- a/tests/proxy/test_endpoint_changes.py
+++ b/tests/proxy/test_endpoint_changes.py
@@ -12,6 +12,11 @@
     RequestArrived,
     TimerExpired,
 )
+from tests.support.endpoint_lists import list_of_ports
+from tests.support.fake_endpoint import FakeEndpoint, respond_with
+from tests.support.fake_policies import ScriptedPolicy
+from tests.support.http_messages import HOST, ReceivedMessage, format_response, request
+from tests.support.running_proxy import running_proxy
 from tests.support.scripted import (
     connect,
     fail_unless_complete,
@@ -23,18 +28,7 @@
     retry_unless_complete,
     update_first_endpoint,
 )
-from tests.support.sockets import (
-    HOST,
-    FakeEndpoint,
-    ReceivedMessage,
-    ScriptedPolicy,
-    format_response,
-    list_of_ports,
-    request,
-    respond_with,
-    running_proxy,
-    wait_until,
-)
+from tests.support.waiting import wait_until
 
 
 @pytest.mark.parametrize("health", ["draining", "removed"])
--- a/tests/proxy/test_endpoint_connections.py
+++ b/tests/proxy/test_endpoint_connections.py
@@ -16,6 +16,11 @@
     TimerExpired,
 )
 from loadbalancer.proxy.exchange import start_exchange
+from loadbalancer.units import NANOSECONDS_PER_MILLISECOND
+from tests.support.fake_endpoint import FakeEndpoint, never_respond, respond_raw, respond_with
+from tests.support.fake_policies import ScriptedPolicy
+from tests.support.http_messages import ReceivedMessage, format_response, request
+from tests.support.running_proxy import running_proxy
 from tests.support.scripted import (
     end_quarantine,
     fail_unless_complete,
@@ -24,19 +29,7 @@
     on_timer,
     results,
 )
-from tests.support.sockets import (
-    NANOSECONDS_PER_MILLISECOND,
-    FakeEndpoint,
-    ReceivedMessage,
-    ScriptedPolicy,
-    format_response,
-    never_respond,
-    request,
-    respond_raw,
-    respond_with,
-    running_proxy,
-    wait_until,
-)
+from tests.support.waiting import wait_until
 
 
 @pytest.mark.parametrize(
@@ -165,7 +158,7 @@
 async def test_connections_to_endpoints_are_limited() -> None:
     endpoint = await FakeEndpoint(never_respond).start()
     policy = forwarding_policy(fail_unless_complete)
-    async with running_proxy(policy, endpoint, sockets=32 + 16) as client:  # so eight on either side
+    async with running_proxy(policy, endpoint, max_sockets=32 + 16) as client:  # so eight on either side
         others = [client.new_client() for _ in range(8)]
         for other in others[:7]:
             await other.send(request())
--- a/tests/proxy/test_endpoint_ids.py
+++ b/tests/proxy/test_endpoint_ids.py
@@ -11,16 +11,12 @@
 from loadbalancer.proxy.errors import EndpointListError
 from loadbalancer.proxy.proxy import Proxy
 from loadbalancer.state.endpoint_ids import SEGMENTS, EndpointIdRegistry, preferred_id
-from tests.support.discovery import list_json, read_list
-from tests.support.sockets import (
-    HOST,
-    FakeDiscovery,
-    ScriptedPolicy,
-    entry,
-    list_of_ports,
-    running_proxy,
-    wait_until,
-)
+from tests.support.endpoint_lists import entry, list_json, list_of_ports, read_list
+from tests.support.fake_discovery import FakeDiscovery
+from tests.support.fake_policies import ScriptedPolicy
+from tests.support.http_messages import HOST
+from tests.support.running_proxy import running_proxy
+from tests.support.waiting import wait_until
 
 SHARED_ID = 7  # the id that all hosts prefer where they collide
 
--- a/tests/proxy/test_endpoint_list_applier.py
+++ b/tests/proxy/test_endpoint_list_applier.py
@@ -7,15 +7,10 @@
 from loadbalancer.messages import EndpointStatus, EndpointUpdate, EndpointUpdateKind
 from loadbalancer.proxy.endpoint_list_applier import SLICE_ENTRIES
 from loadbalancer.state.endpoint_ids import preferred_id
-from tests.support.discovery import complete_list, read_list
-from tests.support.sockets import (
-    ScriptedPolicy,
-    entry,
-    list_of_ports,
-    read_live_list,
-    running_proxy,
-    wait_until,
-)
+from tests.support.endpoint_lists import complete_list, entry, list_of_ports, read_list, read_live_list
+from tests.support.fake_policies import ScriptedPolicy
+from tests.support.running_proxy import running_proxy
+from tests.support.waiting import wait_until
 
 
 async def test_a_host_that_was_removed_is_forgotten() -> None:
--- a/tests/proxy/test_endpoint_list_parser.py
+++ b/tests/proxy/test_endpoint_list_parser.py
@@ -11,17 +11,12 @@
 from loadbalancer.proxy.endpoint_list_reader import EndpointListReader
 from loadbalancer.proxy.errors import EndpointListError
 from loadbalancer.state.endpoint_ids import preferred_id
-from tests.support.discovery import read_list
-from tests.support.sockets import (
-    HOST,
-    FakeDiscovery,
-    ScriptedPolicy,
-    entry,
-    format_response,
-    list_of_ports,
-    running_proxy,
-    wait_until,
-)
+from tests.support.endpoint_lists import entry, list_of_ports, read_list
+from tests.support.fake_discovery import FakeDiscovery
+from tests.support.fake_policies import ScriptedPolicy
+from tests.support.http_messages import HOST, format_response
+from tests.support.running_proxy import running_proxy
+from tests.support.waiting import wait_until
 
 
 def test_entries_are_converted_to_endpoints() -> None:
--- a/tests/proxy/test_endpoint_list_reader.py
+++ b/tests/proxy/test_endpoint_list_reader.py
@@ -29,22 +29,13 @@
 from loadbalancer.startup import freeze_heap
 from loadbalancer.state import endpoint_table, hash_ring
 from loadbalancer.state.endpoint_ids import preferred_id
-from tests.support.discovery import complete_list
-from tests.support.sockets import (
-    HOST,
-    WAIT_TIMEOUT_S,
-    FakeDiscovery,
-    FakeEndpoint,
-    Json,
-    ReceivedMessage,
-    ScriptedPolicy,
-    Writer,
-    entry,
-    format_response,
-    proxy_settings,
-    read_live_list,
-    wait_until,
-)
+from tests.support.endpoint_lists import Json, complete_list, entry, read_live_list
+from tests.support.fake_discovery import FakeDiscovery
+from tests.support.fake_endpoint import FakeEndpoint, Writer
+from tests.support.fake_policies import ScriptedPolicy
+from tests.support.http_messages import HOST, ReceivedMessage, format_response
+from tests.support.running_proxy import proxy_settings
+from tests.support.waiting import WAIT_TIMEOUT_S, wait_until
 
 
 def contents(read: EndpointList) -> object:
--- a/tests/proxy/test_faults.py
+++ b/tests/proxy/test_faults.py
@@ -8,22 +8,18 @@
 import pytest
 
 from loadbalancer.policy.balancer import Balancer
-from loadbalancer.units import NANOSECONDS_PER_SECOND
-from tests.support.sockets import (
-    NANOSECONDS_PER_MILLISECOND,
+from loadbalancer.units import NANOSECONDS_PER_MILLISECOND, NANOSECONDS_PER_SECOND
+from tests.support.fake_endpoint import (
     FakeEndpoint,
-    ReceivedMessage,
     Responder,
     Writer,
     abort_connection,
-    format_response,
     never_respond,
-    proxy_settings,
-    request,
     respond_with,
-    running_proxy,
-    wait_until,
 )
+from tests.support.http_messages import ReceivedMessage, format_response, request
+from tests.support.running_proxy import proxy_settings, running_proxy
+from tests.support.waiting import wait_until
 
 ENDPOINTS = 4
 
--- a/tests/proxy/test_gossip.py
+++ b/tests/proxy/test_gossip.py
@@ -13,12 +13,10 @@
 from loadbalancer.proxy.addresses import Address
 from loadbalancer.proxy.proxy import Proxy
 from loadbalancer.settings import Settings
+from tests.support.fake_policies import ScriptedPolicy
+from tests.support.http_messages import HOST
 from tests.support.scripted import on_timer
-from tests.support.sockets import (
-    HOST,
-    ScriptedPolicy,
-    wait_until,
-)
+from tests.support.waiting import wait_until
 
 
 async def free_datagram_addresses(count: int) -> list[Address]:
--- a/tests/proxy/test_health_checks.py
+++ b/tests/proxy/test_health_checks.py
@@ -10,20 +10,15 @@
     HealthCheckEnded,
     TimerExpired,
 )
+from tests.support.fake_endpoint import FakeEndpoint, never_respond, respond_with
+from tests.support.fake_policies import ScriptedPolicy
+from tests.support.http_messages import ReceivedMessage, request
+from tests.support.running_proxy import running_proxy
 from tests.support.scripted import (
     forward_requests,
     on_timer,
 )
-from tests.support.sockets import (
-    FakeEndpoint,
-    ReceivedMessage,
-    ScriptedPolicy,
-    never_respond,
-    request,
-    respond_with,
-    running_proxy,
-    wait_until,
-)
+from tests.support.waiting import wait_until
 
 
 async def test_health_checks_leave_connections_for_attempts() -> None:
--- a/tests/proxy/test_request_validation.py
+++ b/tests/proxy/test_request_validation.py
@@ -16,7 +16,7 @@
     validate_request,
 )
 from loadbalancer.settings import Idempotency, RequestClass
-from tests.support.sockets import NANOSECONDS_PER_MILLISECOND
+from loadbalancer.units import NANOSECONDS_PER_MILLISECOND
 
 CLASSES = {
     "read": RequestClass("read"),
--- a/tests/proxy/test_requests.py
+++ b/tests/proxy/test_requests.py
@@ -26,6 +26,11 @@
     TimerExpired,
 )
 from loadbalancer.policy.balancer import Balancer
+from loadbalancer.units import NANOSECONDS_PER_MILLISECOND
+from tests.support.fake_endpoint import FakeEndpoint, never_respond, respond_with
+from tests.support.fake_policies import ScriptedPolicy
+from tests.support.http_messages import HOST, ReceivedMessage, format_response, request
+from tests.support.running_proxy import proxy_settings, running_proxy
 from tests.support.scripted import (
     connect,
     fail_unless_complete,
@@ -33,20 +38,7 @@
     forwarding_policy,
     on_timer,
 )
-from tests.support.sockets import (
-    HOST,
-    NANOSECONDS_PER_MILLISECOND,
-    FakeEndpoint,
-    ReceivedMessage,
-    ScriptedPolicy,
-    format_response,
-    never_respond,
-    proxy_settings,
-    request,
-    respond_with,
-    running_proxy,
-    wait_until,
-)
+from tests.support.waiting import wait_until
 
 
 async def test_a_request_is_forwarded_unchanged() -> None:
--- a/tests/proxy/test_shutdown.py
+++ b/tests/proxy/test_shutdown.py
@@ -19,19 +19,13 @@
 )
 from loadbalancer.proxy.shutdown import shutdown_timeout_s
 from loadbalancer.settings import RequestClass
+from loadbalancer.units import NANOSECONDS_PER_MILLISECOND
+from tests.support.fake_endpoint import FakeEndpoint, never_respond, respond_with
+from tests.support.fake_policies import ScriptedPolicy
+from tests.support.http_messages import ReceivedMessage, format_response, request
+from tests.support.running_proxy import running_proxy
 from tests.support.scripted import connect, fail_all, forwarding_policy
-from tests.support.sockets import (
-    NANOSECONDS_PER_MILLISECOND,
-    FakeEndpoint,
-    ReceivedMessage,
-    ScriptedPolicy,
-    format_response,
-    never_respond,
-    request,
-    respond_with,
-    running_proxy,
-    wait_until,
-)
+from tests.support.waiting import wait_until
 
 
 def fail_all_also_earlier_ones(event: Event) -> Iterable[Action]:
@@ -74,7 +68,7 @@
 async def test_the_backlog_is_answered_in_a_shutdown(monkeypatch: pytest.MonkeyPatch) -> None:
     # Guards against an end of listening while clients that the system has accepted wait for a connection.
     policy = ScriptedPolicy()
-    async with running_proxy(policy, sockets=32 + 16) as client:  # so eight clients
+    async with running_proxy(policy, max_sockets=32 + 16) as client:  # so eight clients
         busy = [client.new_client() for _ in range(8)]
         for other in busy:
             await other.send(request())
--- a/tests/proxy/test_unread_disconnect.py
+++ b/tests/proxy/test_unread_disconnect.py
@@ -34,19 +34,12 @@
     targets,
     transport_of,
 )
+from tests.support.fake_endpoint import FakeEndpoint, Responder, Writer, respond_with
+from tests.support.fake_policies import ScriptedPolicy
+from tests.support.http_messages import ReceivedMessage, request
+from tests.support.running_proxy import proxy_settings, running_proxy
 from tests.support.scripted import forward_to_first, forwarding_policy
-from tests.support.sockets import (
-    FakeEndpoint,
-    ReceivedMessage,
-    Responder,
-    ScriptedPolicy,
-    Writer,
-    proxy_settings,
-    request,
-    respond_with,
-    running_proxy,
-    wait_until,
-)
+from tests.support.waiting import wait_until
 
 # Whether the policy acts before the loop has read the disconnect.
 unread_or_read = pytest.mark.parametrize("unread", [False, True])
--- a/tests/scale_test/test_cluster.py
+++ b/tests/scale_test/test_cluster.py
@@ -11,7 +11,7 @@
 from scale_test.cluster import Cluster
 from scale_test.errors import ExperimentError
 from scale_test.plan import Plan
-from tests.support.sockets import WAIT_TIMEOUT_S
+from tests.support.waiting import WAIT_TIMEOUT_S
 
 PLAN = Plan(upstreams=4, zones=2, real=1, hollow=1, hollow_processes=1)
 
--- a/tests/scale_test/test_fake_discovery.py
+++ b/tests/scale_test/test_fake_discovery.py
@@ -12,7 +12,8 @@
 from scale_test.fake_discovery import FakeDiscovery
 from scale_test.plan import Plan
 from scale_test.registry import Health, Registry
-from tests.support.sockets import WAIT_TIMEOUT_S, Json, wait_until
+from tests.support.endpoint_lists import Json
+from tests.support.waiting import WAIT_TIMEOUT_S, wait_until
 
 PLAN = Plan(upstreams=4, zones=2, real=1, hollow=1, hollow_processes=1)
 
--- a/tests/support/clients.py
+++ b/tests/support/clients.py
@@ -11,16 +11,12 @@
 import pytest
 
 from loadbalancer.proxy.client_connection import ClientConnection
+from tests.support.fake_endpoint import FakeEndpoint, respond_with
+from tests.support.fake_policies import ScriptedPolicy
+from tests.support.http_messages import HOST, request
+from tests.support.running_proxy import Client
 from tests.support.scripted import forward_requests
-from tests.support.sockets import (
-    HOST,
-    Client,
-    FakeEndpoint,
-    ScriptedPolicy,
-    request,
-    respond_with,
-    wait_until,
-)
+from tests.support.waiting import wait_until
 
 Disconnect = Callable[[socket.socket], None]
 
--- /dev/null
+++ b/tests/support/fake_discovery.py
@@ -0,0 +1,86 @@
+"""A fake discovery service on loopback."""
+
+from __future__ import annotations
+
+import asyncio
+import json
+import re
+import time
+from typing import NamedTuple
+
+from tests.support.endpoint_lists import Json, entry
+from tests.support.fake_endpoint import FakeEndpoint, Writer
+from tests.support.http_messages import ReceivedMessage, format_response
+
+
+class DiscoveryCall(NamedTuple):
+    """A call as it was received."""
+
+    received_at_s: float  # time.monotonic()
+    target: str
+
+
+class FakeDiscovery:
+    """A discovery whose list is changed by `change`, and which records each call."""
+
+    def __init__(self) -> None:
+        self.entries: dict[str, Json] = {}
+        self.version = 1
+        self.calls: list[DiscoveryCall] = []
+        self.broken_response = b""  # sent in place of a list, unless empty
+        self.server = FakeEndpoint(self._respond)
+        self._changed = asyncio.Event()
+        self._last_changes: dict[str, int] = {}  # version of a host's last change, the latest one last
+
+    def change(self, host: str, **attributes: object) -> None:
+        """Add an entry, or change attributes of one, in a new version of the list."""
+        self.entries[host] = {**entry(host), **self.entries.get(host, {}), **attributes}
+        self.version += 1
+        self._last_changes.pop(host, None)
+        self._last_changes[host] = self.version
+        self._changed.set()
+
+    def record_call(self, received: ReceivedMessage) -> None:
+        """Record a call; tests that replace `server.respond` call this themselves."""
+        self.calls.append(DiscoveryCall(time.monotonic(), received.target))
+
+    async def _respond(self, received: ReceivedMessage, writer: Writer) -> None:
+        self.record_call(received)
+        if self.broken_response:
+            writer.write(self.broken_response)
+            writer.close()
+            return
+        after = re.search(r"after=(\d+)", received.start_line)
+        if after is None:
+            hosts = list(self.entries.values())
+        else:
+            hosts = await self._changes_after(int(after[1]))
+        body = json.dumps({"seq": self.version, "whole": after is None, "hosts": hosts}).encode()
+        writer.write(format_response(200, body))
+
+    async def _changes_after(self, version: int) -> list[Json]:
+        """Wait for a newer version; return what changed since, also if an earlier response held it."""
+        while self.version <= version:
+            self._changed.clear()
+            await self._changed.wait()
+        changes = self._last_changes.items()
+        return [self.entries[host] for host, last_change in changes if last_change > version]
+
+
+def hold_first_list(discovery: FakeDiscovery) -> asyncio.Event:
+    """Hold back the first complete list, as it was when it was requested, until the event is set."""
+    release = asyncio.Event()
+    respond_normally = discovery.server.respond
+
+    async def respond(received: ReceivedMessage, writer: Writer) -> None:
+        if "after=" in received.start_line or release.is_set():
+            await respond_normally(received, writer)
+            return
+        hosts = list(discovery.entries.values())
+        body = json.dumps({"seq": discovery.version, "whole": True, "hosts": hosts})
+        discovery.record_call(received)
+        await release.wait()
+        writer.write(format_response(200, body.encode()))
+
+    discovery.server.respond = respond
+    return release
--- /dev/null
+++ b/tests/support/fake_policies.py
@@ -0,0 +1,72 @@
+"""Policies that stand in for the balancer's, or record what it does."""
+
+from __future__ import annotations
+
+from collections.abc import Callable, Iterable
+from dataclasses import dataclass, field
+from typing import TypeVar
+
+from loadbalancer.messages import Action, EndpointUpdate, EndpointUpdateKind, Event
+from loadbalancer.proxy.proxy import Policy
+
+EventType = TypeVar("EventType")
+
+
+@dataclass
+class ScriptedPolicy:
+    """A policy that records its events, and whose actions the test gives by `react`."""
+
+    react: Callable[[Event], Iterable[Action]] = lambda _event: ()
+    events: list[Event] = field(default_factory=list)
+    open_calls: int = 0
+    deepest_call: int = 0  # over 1: `handle` was called again before it returned
+
+    def handle(self, now_ns: int, events: Iterable[Event]) -> list[Action]:  # noqa: ARG002 - the signature of a policy
+        """Record the events; returns the reactions to each."""
+        self.open_calls += 1
+        self.deepest_call = max(self.deepest_call, self.open_calls)
+        self.events += events
+        actions = [action for event in events for action in self.react(event)]
+        self.open_calls -= 1
+        return actions
+
+    def events_of(self, kind: type[EventType]) -> list[EventType]:
+        """The events of one type, in the order in which they came."""
+        return [event for event in self.events if isinstance(event, kind)]
+
+    def endpoint_ids(self) -> list[int]:
+        """The ids of the endpoints in the last complete list."""
+        updates = self.events_of(EndpointUpdate)
+        complete = [update for update in updates if update.kind is not EndpointUpdateKind.DELTA]
+        return [endpoint.id for endpoint in complete[-1].endpoints]
+
+
+@dataclass
+class HandledBatch:
+    """A batch of events, and the actions that a policy returned for it."""
+
+    events: list[Event]
+    actions: list[Action]
+
+    def has_update(self, kind: EndpointUpdateKind) -> bool:
+        """Whether an endpoint update of this kind is among the events."""
+        return any(isinstance(event, EndpointUpdate) and event.kind is kind for event in self.events)
+
+
+@dataclass
+class RecordingPolicy:
+    """A policy that records what the one behind it does."""
+
+    policy: Policy
+    batches: list[HandledBatch] = field(default_factory=list)
+
+    def handle(self, now_ns: int, events: Iterable[Event]) -> list[Action]:
+        """Let the policy handle the events, and record both."""
+        batch = HandledBatch(list(events), [])
+        batch.actions = list(self.policy.handle(now_ns, batch.events))
+        self.batches.append(batch)
+        return batch.actions
+
+    def first_actions_after(self, kind: EndpointUpdateKind) -> list[Action] | None:
+        """The actions that followed the first endpoint update of a kind; None: there was none."""
+        return next((batch.actions for batch in self.batches if batch.has_update(kind)), None)
--- a/tests/support/scripted.py
+++ b/tests/support/scripted.py
@@ -11,6 +11,8 @@
     Action,
     AttemptEnded,
     AttemptResult,
+    EndpointStatus,
+    EndpointUpdate,
     Event,
     Fail,
     Forward,
@@ -19,9 +21,10 @@
 )
 from loadbalancer.proxy.attempts import QUARANTINE_S
 from loadbalancer.proxy.proxy import Proxy
-from tests.support.sockets import Client, ReceivedMessage, ScriptedPolicy, list_of_ports, read_live_list
-
-READY_REQUEST = b"GET /health/ready HTTP/1.1\r\n\r\n"
+from tests.support.endpoint_lists import list_of_ports, read_live_list
+from tests.support.fake_policies import ScriptedPolicy
+from tests.support.http_messages import READY_REQUEST, ReceivedMessage
+from tests.support.running_proxy import Client
 
 Reaction = Callable[[Event], Iterable[Action]]
 
@@ -36,14 +39,14 @@
 
 
 def fail_unless_complete(event: Event) -> Iterable[Action]:
-    """Fail a request whose attempt ended without a final answer."""
+    """Fail a request whose attempt ended without a final response."""
     if isinstance(event, AttemptEnded) and not event.request_complete:
         return [Fail(event.request_id)]
     return ()
 
 
 def retry_unless_complete(event: Event) -> Iterable[Action]:
-    """Forward a request whose attempt ended without a final answer to the same endpoint again."""
+    """Forward a request whose attempt ended without a final response to the same endpoint again."""
     if isinstance(event, AttemptEnded) and not event.request_complete:
         return [Forward(event.request_id, event.endpoint_id)]
     return ()
@@ -84,13 +87,18 @@
     return [ended.result for ended in policy.events_of(AttemptEnded)]
 
 
+def reported_statuses(policy: ScriptedPolicy) -> list[EndpointStatus]:
+    """The statuses that were reported to the policy, in order."""
+    return [endpoint.status for update in policy.events_of(EndpointUpdate) for endpoint in update.endpoints]
+
+
 async def connect(client: Client) -> ReceivedMessage:
-    """Open the client's connection, and give the proxy's answer on whether it is ready."""
+    """Open the client's connection; returns the proxy's response to whether it is ready."""
     return await client.exchange(READY_REQUEST)
 
 
 def end_quarantine(proxy: Proxy) -> None:
-    """Go on as if all idle connections had been left alone for long enough."""
+    """Let the quarantine of all idle connections be over."""
     for connection in proxy._connection_limits.idle_connections:
         connection.quarantined_until_s -= QUARANTINE_S
 
--- a/tests/support/start_cost.py
+++ b/tests/support/start_cost.py
@@ -1,8 +1,9 @@
-"""What a start costs: processor seconds from exec to the first 200 of /health/ready, by length of the list.
+"""Measures what a start costs, by the length of the endpoint list, until the proxy is ready.
 
     python -m tests.support.start_cost 200 10000 160000
 
-At a share c of a core a start takes about cpu / c, and the rest that `cpu_debt_s` adds.
+With a fraction of a core, a start takes about its processor time divided by that fraction, and the delay
+that `cpu_debt_s` adds.
 """
 
 from __future__ import annotations
@@ -14,76 +15,115 @@
 import sys
 import tempfile
 import time
+from asyncio.subprocess import DEVNULL, Process
+from dataclasses import dataclass
 from pathlib import Path
 
-from tests.support.sockets import HOST, entry
+from tests.support.endpoint_lists import complete_list
+from tests.support.http_messages import HOST, READY_REQUEST
 
-CORES = 1.0
-READY = b"GET /health/ready HTTP/1.1\r\n\r\n"
-TICKS = os.sysconf("SC_CLK_TCK")
+CPU_CORES = 1.0
+MAX_SOCKETS = 1024
+CONNECT_TIMEOUT_S = 30.0
+POLL_INTERVAL_S = 0.02
+BYTES_PER_MEGABYTE = 1e6
+DEFAULT_LENGTHS = ("200", "10000", "160000")
+CLOCK_TICKS_PER_S = os.sysconf("SC_CLK_TCK")
 
+USER_TICKS_FIELD = 11  # of /proc/PID/stat, counted after the command's name
+SYSTEM_TICKS_FIELD = 12
 
-def known(count: int) -> dict[str, object]:
-    return {"seq": 1, "whole": True, "hosts": [entry(f"s-{i:08x}", 1 + i % 60_000) for i in range(count)]}
 
+@dataclass(frozen=True)
+class StartCost:
+    """What a start cost."""
 
-def used_s(pid: int) -> float:
+    list_bytes: int
+    processor_s: float
+    ready_s: float
+
+    def __str__(self) -> str:
+        megabytes = self.list_bytes / BYTES_PER_MEGABYTE
+        return f"{megabytes:5.1f} MB: {self.processor_s:6.2f} s of processor, {self.ready_s:6.2f} s to ready"
+
+
+def processor_time_s(pid: int) -> float:
+    """The processor time that a process has used so far."""
     fields = Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()
-    return (int(fields[11]) + int(fields[12])) / TICKS
+    return (int(fields[USER_TICKS_FIELD]) + int(fields[SYSTEM_TICKS_FIELD])) / CLOCK_TICKS_PER_S
 
 
-def ready(port: int) -> bool:
+def is_ready(port: int) -> bool:
+    """Whether the proxy at this port reports that it is ready."""
     try:
-        with socket.create_connection((HOST, port), timeout=30) as mine:
-            mine.sendall(READY)
-            return mine.recv(64).startswith(b"HTTP/1.1 200")
+        with socket.create_connection((HOST, port), timeout=CONNECT_TIMEOUT_S) as connection:
+            connection.sendall(READY_REQUEST)
+            return connection.recv(64).startswith(b"HTTP/1.1 200")
     except OSError:
         return False
 
 
-async def start(count: int) -> tuple[float, float, float]:
-    """Megabytes of the list, processor seconds and seconds to ready."""
-    with socket.socket() as free, tempfile.TemporaryDirectory() as folder:
-        free.bind((HOST, 0))
-        port = free.getsockname()[1]
-        free.close()
+def free_port() -> int:
+    """A port that nothing listens on."""
+    with socket.socket() as unused:
+        unused.bind((HOST, 0))
+        port: int = unused.getsockname()[1]
+        return port
+
+
+def write_configuration(path: Path, port: int, endpoint_list: str) -> None:
+    """Write a configuration with an endpoint list that is JSON text."""
+    configuration = {
+        "name": "n0",
+        "listen": f"{HOST}:{port}",
+        "discovery": f"{HOST}:1",
+        "seed": "1",
+        "limits": {"cores": CPU_CORES, "sockets": MAX_SOCKETS},
+        "settings": {},
+        "known": None,
+    }
+    path.write_text(json.dumps(configuration).replace("null", endpoint_list))
+
+
+async def start_process(configuration: Path) -> Process:
+    """Start a proxy as a process of its own."""
+    return await asyncio.create_subprocess_exec(
+        sys.executable,
+        "-m",
+        "loadbalancer",
+        stderr=DEVNULL,
+        env={**os.environ, "RELAY_CONFIG": str(configuration)},
+    )
+
+
+async def measure_start(endpoint_count: int) -> StartCost:
+    """Start a proxy with a list of so many endpoints, and stop it once it is ready."""
+    endpoint_list = json.dumps(complete_list(endpoint_count))
+    port = free_port()
+    with tempfile.TemporaryDirectory() as folder:
         path = Path(folder) / "config.json"
-        text = json.dumps(known(count))
-        path.write_text(
-            json.dumps(
-                {
-                    "name": "n0",
-                    "listen": f"{HOST}:{port}",
-                    "discovery": f"{HOST}:1",
-                    "seed": "1",
-                    "limits": {"cores": CORES, "sockets": 1024},
-                    "settings": {},
-                    "known": None,
-                }
-            ).replace("null", text)
-        )
-        began = time.monotonic()
-        process = await asyncio.create_subprocess_exec(
-            sys.executable,
-            "-m",
-            "loadbalancer",
-            stderr=asyncio.subprocess.DEVNULL,
-            env={**os.environ, "RELAY_CONFIG": str(path)},
-        )
+        write_configuration(path, port, endpoint_list)
+        started_s = time.monotonic()
+        process = await start_process(path)
         try:
-            while not ready(port):
+            while not is_ready(port):
                 assert process.returncode is None, "it ended before it was ready"
-                await asyncio.sleep(0.02)
-            return len(text) / 1e6, used_s(process.pid), time.monotonic() - began
+                await asyncio.sleep(POLL_INTERVAL_S)
+            return StartCost(
+                list_bytes=len(endpoint_list),
+                processor_s=processor_time_s(process.pid),
+                ready_s=time.monotonic() - started_s,
+            )
         finally:
             process.kill()
             await process.wait()
 
 
+def main() -> None:
+    """Measure a start with each of the lengths given on the command line."""
+    for length in map(int, sys.argv[1:] or DEFAULT_LENGTHS):
+        print(f"{length:7d} endpoints, {asyncio.run(measure_start(length))}")
+
+
 if __name__ == "__main__":
-    for length in map(int, sys.argv[1:] or ("200", "10000", "160000")):
-        print(
-            "{:7d} upstreams, {:5.1f} MB: {:6.2f} s of processor, {:6.2f} s to ready".format(
-                length, *asyncio.run(start(length))
-            )
-        )
+    main()
--- /dev/null
+++ b/tests/support/waiting.py
@@ -0,0 +1,18 @@
+"""Waiting for a condition, with a bound on the time."""
+
+from __future__ import annotations
+
+import asyncio
+import time
+from collections.abc import Callable
+
+WAIT_TIMEOUT_S = 10.0
+POLL_INTERVAL_S = 0.001
+
+
+async def wait_until(condition: Callable[[], object]) -> None:
+    """Wait until a condition holds; fails the test after `WAIT_TIMEOUT_S`."""
+    end_s = time.monotonic() + WAIT_TIMEOUT_S
+    while not condition():
+        assert time.monotonic() < end_s, "never became true"
+        await asyncio.sleep(POLL_INTERVAL_S)
