--- a/tests/proxy/test_discovery_handover.py
+++ b/tests/proxy/test_discovery_handover.py
@@ -50,7 +50,7 @@
     async with running_proxy(script, discovery=old, initial_list=list_of_ports(5)) as client:
         await wait_until(lambda: old.calls)
         left = client.proxy.discovery_client._target
-        client.proxy.discovery_client.move_to((HOST, new.server.port))
+        client.proxy.discovery_client.hand_over_to((HOST, new.server.port))
         await wait_until(lambda: len(new.calls) == 2)
         assert new.calls[0].target == "/registry/instances"
         assert new.calls[1].target.startswith("/registry/instances?after=3&")
@@ -67,7 +67,7 @@
     new = await start_discovery("s9", broken_response=format_response(503))
     async with running_proxy(script, discovery=old, initial_list=list_of_ports(5)) as client:
         await wait_until(lambda: old.calls)
-        client.proxy.discovery_client.move_to((HOST, new.server.port))
+        client.proxy.discovery_client.hand_over_to((HOST, new.server.port))
         await wait_until(lambda: len(new.calls) == 2)
         old.change("s1")
         await wait_until(lambda: len(client.proxy.addresses.ready()) == 2)
@@ -81,7 +81,7 @@
     new = await start_discovery("s9", broken_response=format_response(503))
     async with running_proxy(script, discovery=old, initial_list=list_of_ports(5)) as client:
         await wait_until(lambda: old.calls)
-        client.proxy.discovery_client.move_to((HOST, new.server.port))
+        client.proxy.discovery_client.hand_over_to((HOST, new.server.port))
         old.broken_response = format_response(503)
         old.change("s1")  # the watch ends
         await wait_until(lambda: client.proxy.discovery_client._watch_call is None)
@@ -98,11 +98,11 @@
         await wait_until(lambda: old.calls)
         addresses = [(HOST, r.server.port) for r in (*new, old)]
         for address in addresses:
-            client.proxy.discovery_client.move_to(address)
+            client.proxy.discovery_client.hand_over_to(address)
         old.change("s1")
         await wait_until(lambda: len(client.proxy.addresses.ready()) == 2)
         for address in addresses[:2]:
-            client.proxy.discovery_client.move_to(address)
+            client.proxy.discovery_client.hand_over_to(address)
         await wait_until(lambda: len(new[1].calls) == 2)
         assert not new[0].calls
         assert client.proxy.discovery_client._handover is None
@@ -131,11 +131,11 @@
     answer_in_turn(new, 1.3)
     async with running_proxy(script, discovery=old, initial_list=list_of_ports(5)) as client:
         await wait_until(lambda: old.calls)
-        client.proxy.discovery_client.move_to((HOST, new.server.port))
+        client.proxy.discovery_client.hand_over_to((HOST, new.server.port))
         await wait_until(lambda: new.server.requests)
         handover = client.proxy.discovery_client._handover
         assert handover is not None
-        client.proxy.discovery_client.move_to((HOST, new.server.port))
+        client.proxy.discovery_client.hand_over_to((HOST, new.server.port))
         assert client.proxy.discovery_client._handover is handover
         await wait_until(lambda: client.proxy.discovery_client._handover is None)
         assert last_full_list(script) == [preferred_id("s9")]
@@ -161,7 +161,7 @@
     """Move the proxy to a new address while the old one ends its watch and listens no more."""
     client.proxy.dispatch(TimerExpired("watch"))
     await wait_until(lambda: old.calls)
-    client.proxy.discovery_client.move_to((HOST, new.server.port))
+    client.proxy.discovery_client.hand_over_to((HOST, new.server.port))
     await wait_until(lambda: new.server.requests)
     old.broken_response = format_response(503)
     old.server.stop()
@@ -226,7 +226,7 @@
         await close_old_address_in_handover(old, new, client, script)
         client.proxy.dispatch(TimerExpired(polls))
         await wait_until(lambda: client.proxy.discovery_client._target.refuses_connections)
-        client.proxy.discovery_client.move_to((HOST, old.server.port))
+        client.proxy.discovery_client.hand_over_to((HOST, old.server.port))
         await wait_until(lambda: failed_updates(script) >= 2)  # it is still closed, and is asked
     new.server.stop()
 
@@ -240,7 +240,7 @@
     release = hold_first_list(new)
     async with running_proxy(script, discovery=old, initial_list=list_of_ports(5)) as client:
         await wait_until(lambda: old.calls)
-        client.proxy.discovery_client.move_to((HOST, new.server.port))
+        client.proxy.discovery_client.hand_over_to((HOST, new.server.port))
         await wait_until(lambda: new.calls)
         old.change("s0", health="draining")
         await wait_until(lambda: reported_statuses(script)[-1] is EndpointStatus.DRAINING)
--- a/tests/proxy/test_endpoint_list_reader.py
+++ b/tests/proxy/test_endpoint_list_reader.py
@@ -27,7 +27,7 @@
 from loadbalancer.proxy.exchange import start_exchange
 from loadbalancer.proxy.proxy import Proxy
 from loadbalancer.startup import freeze_heap
-from loadbalancer.state import endpoint_table, hash_ring
+from loadbalancer.state import hash_ring, placement
 from loadbalancer.state.endpoint_ids import preferred_id
 from tests.support.endpoint_lists import Json, complete_list, entry, read_live_list
 from tests.support.fake_discovery import FakeDiscovery
@@ -239,7 +239,7 @@
         (endpoint_list_parser, "preferred_id"),
         (endpoint_list_parser, "parse_compact_address"),
         (addresses, "parse_compact_address"),
-        (endpoint_table, "mix64"),
+        (placement, "mix64"),
         (hash_ring, "mix64"),
     ):
         counted(module, name)
@@ -276,5 +276,5 @@
         assert read_configuration(str(path)).known_endpoints is None
     for bad in ({"seq": 1}, {"seq": 1, "whole": True, "hosts": {}}):
         path.write_text(json.dumps(CONFIG | {"known": bad}))
-        with pytest.raises(ConfigurationError, match="known: no "):
+        with pytest.raises(ConfigurationError, match="known: not an object with an array 'hosts'"):
             read_configuration(str(path))
