--- a/scale_test/fake_discovery.py
+++ b/scale_test/fake_discovery.py
@@ -158,9 +158,9 @@
 
     # -- what the experiment has it do --
 
-    def change(self, rows: Sequence[int], health: Health | None = None, restarted: bool = False) -> None:
+    def change(self, rows: Sequence[int], health: Health | None = None, *, restarted: bool = False) -> None:
         """Change rows of the list, and answer the watches."""
-        self.registry.change(rows, health, restarted)
+        self.registry.change(rows, health, restarted=restarted)
         if not self.down:
             for call in list(self._watches):
                 self._end_watch(call)
--- a/scale_test/registry.py
+++ b/scale_test/registry.py
@@ -52,7 +52,7 @@
             f'"health":"{self.health[number]}","share":{share},"born_ms":{self._born_ms[number]}}}'
         ).encode()
 
-    def change(self, rows: Iterable[int], health: Health | None = None, restarted: bool = False) -> None:
+    def change(self, rows: Iterable[int], health: Health | None = None, *, restarted: bool = False) -> None:
         """Make one version in which these rows changed: their health, their start, or only their share."""
         rows = list(rows)
         self.version += 1
--- a/scale_test/slopes/fakes.py
+++ b/scale_test/slopes/fakes.py
@@ -65,9 +65,9 @@
 
     def _list_after(self, after: int | None) -> Json:
         if after is None:
-            return endpoint_list(list(self.rows.values()), self.version, True)
+            return endpoint_list(list(self.rows.values()), self.version, full=True)
         hosts = dict.fromkeys(change.host for change in self._changes if change.version > after)
-        return endpoint_list([self.rows[host] for host in hosts], self.version, False)
+        return endpoint_list([self.rows[host] for host in hosts], self.version, full=False)
 
     async def serve_upstream(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         """Answer requests as an upstream, each after the delay."""
--- a/scale_test/slopes/inputs.py
+++ b/scale_test/slopes/inputs.py
@@ -29,12 +29,12 @@
     }
 
 
-def endpoint_list(rows: Sequence[Json], version: int = 1, full: bool = True) -> Json:
+def endpoint_list(rows: Sequence[Json], version: int = 1, *, full: bool = True) -> Json:
     """An answer of discovery: the full list, or only what changed."""
     return {"seq": version, "whole": full, "hosts": list(rows)}
 
 
-def raw_settings(tenants: int = 2, routes: int = 1, placed: bool = False) -> Json:
+def raw_settings(tenants: int = 2, routes: int = 1, *, placed: bool = False) -> Json:
     """Return the settings as the configuration file has them.
 
     Args:
--- a/scale_test/slopes/policy_harness.py
+++ b/scale_test/slopes/policy_harness.py
@@ -63,7 +63,14 @@
         """End an attempt well; nothing happens where there was none."""
         if attempt is None:
             return []
-        ended = AttemptEnded(attempt.request_id, 0, attempt.endpoint_id, AttemptResult.OK, ATTEMPT_NS, True)
+        ended = AttemptEnded(
+            request_id=attempt.request_id,
+            attempt=0,
+            endpoint_id=attempt.endpoint_id,
+            result=AttemptResult.OK,
+            elapsed_ns=ATTEMPT_NS,
+            request_complete=True,
+        )
         return self.handle(ended, later_ns=REQUEST_GAP_NS)
 
     def request_cpu_s(self, requests: int = 40) -> float:
--- a/scale_test/slopes/policy_subjects.py
+++ b/scale_test/slopes/policy_subjects.py
@@ -58,7 +58,7 @@
         self.version += 1
         health = "draining" if self.version % 2 == 0 else "up"
         changed = [{**row, "health": health} for row in rows]
-        text = orjson.dumps(endpoint_list(changed, self.version, False))
+        text = orjson.dumps(endpoint_list(changed, self.version, full=False))
 
         def apply() -> None:
             endpoints = read_endpoints(text, self.reader)
--- a/scale_test/slopes/process_subjects.py
+++ b/scale_test/slopes/process_subjects.py
@@ -165,7 +165,7 @@
     return asyncio.run(measure_rate(count, max(MIN_LOAD_S, MIN_LOAD_REQUESTS / count)))
 
 
-async def measure_connections(count: int, with_requests: bool) -> Figures:
+async def measure_connections(count: int, *, with_requests: bool) -> Figures:
     """Measure client connections, idle or each with a request that is open all the time."""
     services = fake_services(2 * count if with_requests else ENDPOINTS_UNDER_LOAD)
     services.upstream_delay_s = SLOW_UPSTREAM_S
--- a/scale_test/slopes/real_balancer.py
+++ b/scale_test/slopes/real_balancer.py
@@ -50,7 +50,7 @@
     return int(server.sockets[0].getsockname()[1])
 
 
-def configuration(services: FakeServices, discovery: str, settings: Json, known: bool) -> Json:
+def configuration(services: FakeServices, discovery: str, settings: Json, *, known: bool) -> Json:
     """The balancer's configuration file; with `known` it holds the full list."""
     config: Json = {
         "name": "n0",
@@ -67,7 +67,7 @@
 
 @asynccontextmanager
 async def running_balancer(
-    services: FakeServices, settings: Json, known: bool = False
+    services: FakeServices, settings: Json, *, known: bool = False
 ) -> AsyncIterator[RealBalancer]:
     """Start the fakes and a balancer, wait until it is ready, and end all afterwards.
 
@@ -78,7 +78,7 @@
     upstream = await asyncio.start_server(until_cancelled(services.serve_upstream), HOST, 0)
     for row in services.rows.values():
         row["dial"] = f"{HOST}:{port_of(upstream)}"
-    config = configuration(services, f"{HOST}:{port_of(discovery)}", settings, known)
+    config = configuration(services, f"{HOST}:{port_of(discovery)}", settings, known=known)
     with tempfile.TemporaryDirectory() as folder:
         log = Path(folder) / "log"
         process = start_process(Path(folder), log, config)
--- a/scale_test/subset_balance.py
+++ b/scale_test/subset_balance.py
@@ -40,7 +40,7 @@
     return sum(len(new - old) for old, new in zip(before, after, strict=False))
 
 
-def figures(upstreams: int, balancers: int, zoned: bool) -> dict[str, float]:
+def figures(upstreams: int, balancers: int, *, zoned: bool) -> dict[str, float]:
     """Count memberships over all balancers, and those moved by one balancer more or one upstream gone."""
     plan = Plan(upstreams=upstreams)
     zones = [zone_name(number) for number in range(plan.zones)] if zoned else []
@@ -87,7 +87,7 @@
     """Print the figures without zones and with them."""
     for zoned in (False, True):
         click.echo("in their zones" if zoned else "without zones")
-        for name, value in figures(upstreams, balancers, zoned).items():
+        for name, value in figures(upstreams, balancers, zoned=zoned).items():
             click.echo(f"  {name}: {value:,.4g}" if value % 1 else f"  {name}: {value:,.0f}")
 
 
