--- a/scale_test/__main__.py
+++ b/scale_test/__main__.py
@@ -21,13 +21,14 @@
 from scale_test.experiment import ExperimentResult, run_experiment
 from scale_test.plan import MAX_ZONES, Plan, Scenario
 
-EXIT_REFUSED, EXIT_INTERRUPTED = 2, 130
+EXIT_REFUSED = 2
+EXIT_INTERRUPTED = 130
 NOTES = """\
 'loaded' is the first real balancer, the one with clients; 'real' are the others. Of balancers, the median,
 99th and worst are over them; a hollow one's processor time and memory are its part of its process, and with
-a change it waits until those before it in its process have taken it in.
-'in force, by next call': until the balancer asks for what is newer than the change. It sends that call when
-it has read the answer, and that may be shortly before the module takes it in: see 'by module' for that.
+a change it waits until those before it in its process have applied it.
+'in force, by next call': until the balancer calls for what is newer than the change. It sends that call when
+it has read the response, and that may be shortly before the policy applies it: see 'by module' for that.
 What changed while discovery was down counts from its return."""
 POSITIVE = click.IntRange(min=1)
 COUNT = click.IntRange(min=0)
@@ -47,7 +48,7 @@
     "real": Option(COUNT, "Balancers run as the deploy file says; the first gets clients."),
     "hollow": Option(COUNT, "Balancers with no clients, many in a process."),
     "hollow_processes": Option(POSITIVE, "Processes for the hollow ones."),
-    "replicas": Option(COUNT, "replicas_of_me told to all; 0: as many as run."),
+    "replicas": Option(COUNT, "replicas_of_me in all settings; 0: as many as run."),
     "zones": Option(click.IntRange(1, MAX_ZONES), "Zones that the upstreams are in."),
     "duration": Option(SECONDS, "Seconds that the course takes."),
     "quiet": Option(SECONDS, "Seconds without changes, before the course."),
@@ -69,7 +70,7 @@
     "mode": Option(click.Choice(["ask", "push"]), "How the settings say that lists come."),
     "requests": Option(click.FloatRange(min=0.0, max=5000.0), "Requests a second to that balancer."),
     "known": Option(bool, "Whether the configuration holds the list."),
-    "held": Option(COUNT, "Bytes that a balancer holds for an upstream: for the estimate of memory."),
+    "held": Option(COUNT, "Bytes that a balancer uses for an upstream: for the estimate of memory."),
     "patience": Option(SECONDS, "Seconds until all have to be ready."),
     "seed": Option(int, "Seed of the course, of the clients and of the balancers."),
 }
@@ -77,14 +78,14 @@
 
 def current_commit() -> str:
     """The commit that is run, with a mark where files differ from it."""
-    done = subprocess.run(
+    completed = subprocess.run(
         ["git", "describe", "--always", "--dirty"], cwd=ROOT, capture_output=True, text=True, check=False
     )
-    return done.stdout.strip()
+    return completed.stdout.strip()
 
 
 async def run_until_signal(plan: Plan) -> ExperimentResult:
-    """Run an experiment; a signal ends it once: its end is not cut short by another one."""
+    """Run an experiment; the first signal cancels it, and further ones don't interrupt its cleanup."""
     task = asyncio.create_task(run_experiment(plan))
 
     def stop() -> None:
@@ -137,7 +138,7 @@
     plan.check()
     if path is not None and not path.parent.is_dir():
         raise PlanError(f"--json {path}: no such folder")
-    commit = current_commit()  # what is run, not what the folder holds when it ends
+    commit = current_commit()  # before the run: the folder may change meanwhile
     result = asyncio.run(run_until_signal(plan))
     click.echo(report.format_table(result.rows, [*result.notes, NOTES]))
     if path is not None:
--- a/scale_test/analysis.py
+++ b/scale_test/analysis.py
@@ -1,4 +1,4 @@
-"""From the processes' reports to times: how soon changes and full lists were in force, what requests took."""
+"""Times from the processes' reports: until changes and full lists were in force, and of requests."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 from scale_test.report import WeightedValue
 from scale_test.units import NS_PER_MS
 
-FULL_LIST_TAIL_NS = 250 * NS_PER_MS  # a full list may weigh on requests for so long after it is in force
+FULL_LIST_TAIL_NS = 250 * NS_PER_MS  # a full list may delay requests for so long after it is in force
 
 
 @dataclass(frozen=True)
@@ -52,7 +52,7 @@
 
 @dataclass(frozen=True)
 class AddedTimes:
-    """The time that the balancer added to each request, in ms, and how many weren't served."""
+    """The time that the balancer added to each request, in ms, and the number that were not served."""
 
     added_ms: list[float]
     not_served: int
@@ -75,7 +75,8 @@
 def delays_by_calls(versions: Sequence[ListVersion], caller: CallerRecord) -> ChangeDelays:
     """From each change to the balancer's next call that names its version or a newer one."""
     seen = caller.versions_seen
-    delays_ms, missing_rows = [], 0
+    delays_ms = []
+    missing_rows = 0
     for version in versions:
         index = bisect.bisect_left(seen, version.version, key=lambda entry: entry.version)
         if index < len(seen):
@@ -87,9 +88,9 @@
 
 
 def delays_by_policy(versions: Sequence[ListVersion], balancer: BalancerReport) -> list[WeightedValue]:
-    """From each change until it was in force, in ms, where an answer held it.
+    """From each change until it was in force, in ms, where a response held it.
 
-    A long answer is put in force in slices, and only its end counts; a later and shorter one may be in force
+    A long response is applied in slices, and only its end counts; a later and shorter one may be in force
     before that.
     """
     delays = []
@@ -101,7 +102,7 @@
 
 
 def in_force_ns(balancer: BalancerReport, version: int) -> int | None:
-    """When the first answer that holds this version was in force to its last row; None: never."""
+    """When the first response that holds this version was in force to its last row; None: never."""
     for answer in balancer.in_force:
         if answer.version >= version:
             return answer.at_ns if answer.at_ns < NEVER_NS else None
@@ -119,7 +120,7 @@
 
 
 def full_list_windows(answers: Iterable[FullListAnswer], tail_ns: int) -> list[Window]:
-    """From a full list's writing to the call that follows its reading, and beyond until it is in force."""
+    """From the start of sending a full list to the next call, and beyond until it is in force."""
     return [
         Window(answer.begun_ns, answer.next_call_ns + tail_ns + FULL_LIST_TAIL_NS)
         for answer in answers
@@ -129,7 +130,8 @@
 
 def added_times(samples: Iterable[RequestSample], windows: Sequence[Window]) -> AddedTimes:
     """What the balancer added to requests that were open in one of these spans."""
-    added_ms, not_served = [], 0
+    added_ms = []
+    not_served = 0
     for sample in samples:
         if not any(window.overlaps(sample) for window in windows):
             continue
--- a/scale_test/balancer_config.py
+++ b/scale_test/balancer_config.py
@@ -11,7 +11,8 @@
 from scale_test.plan import Plan, zone_name
 from scale_test.units import NS_PER_MS
 
-REQUEST_CLASS, TENANT = "reading", "ash"
+REQUEST_CLASS = "reading"
+TENANT = "ash"
 
 Json = dict[str, Any]
 Address = tuple[str, int]
@@ -69,7 +70,7 @@
         self._plan = plan
         self._folder = folder
         self._discovery_addresses = discovery_addresses
-        self._known_list = known_list  # JSON text: it is large, and the same for all
+        self._known_list = known_list  # JSON text, shared: it is large
 
     def configuration(self, number: int) -> Json:
         """A balancer's configuration, without its address and the endpoint list."""
@@ -91,7 +92,7 @@
         return path
 
     def hollow_balancer(self, number: int) -> Json:
-        """What a process of hollow balancers has to know of one, beside the configuration of them all."""
+        """What is a hollow balancer's own, beside the configuration that its process shares."""
         configuration = self.configuration(number)
         return {
             "name": configuration["name"],
--- a/scale_test/child_process.py
+++ b/scale_test/child_process.py
@@ -37,7 +37,7 @@
 
 
 class ChildProcess:
-    """A process that was started for the experiment, and its log."""
+    """A process started by the experiment, and its log."""
 
     def __init__(self, name: str, process: asyncio.subprocess.Process, log: Path) -> None:
         self.name = name
@@ -46,7 +46,7 @@
 
     @property
     def pid(self) -> int:
-        """The process's number."""
+        """The process id."""
         return self.process.pid
 
     @classmethod
@@ -78,7 +78,7 @@
     def ended_error(self) -> ExperimentError:
         """The error that says that it has ended, with the last line of its log."""
         lines = self.log.read_text(errors="replace").strip().splitlines()
-        return ExperimentError(f"{self.name} has ended: {lines[-1] if lines else 'it said nothing'}")
+        return ExperimentError(f"{self.name} has ended: {lines[-1] if lines else 'its log is empty'}")
 
     async def call(self, command: str, **arguments: object) -> Any:  # noqa: ANN401 - any JSON value
         """Give a helper one command, and wait for its result.
--- a/scale_test/cluster.py
+++ b/scale_test/cluster.py
@@ -19,8 +19,8 @@
 from scale_test.plan import Plan, memory_limit
 from scale_test.units import BYTES_PER_MB, NS_PER_S
 
-STARTS_AT_ONCE = 4  # balancers that start side by side: they share the machine
-WATCH_INTERVAL_S = 0.25  # how often memory is looked at
+MAX_CONCURRENT_STARTS = 4  # of balancers: they share the machine
+MEMORY_CHECK_INTERVAL_S = 0.25
 READY_POLL_S = 0.02
 HOSTS_PER_SUBNET = 250
 
@@ -42,7 +42,7 @@
 
 
 async def is_ready(address: Address) -> bool:
-    """Whether the balancer there answers that it is ready."""
+    """Whether the balancer at this address reports that it is ready."""
     try:
         reader, writer = await asyncio.open_connection(*address)
     except OSError:
@@ -69,7 +69,7 @@
         self.hollow: list[HollowHelper] = []
         self.discovery_addresses: list[Address] = []  # by the balancers' numbers: real ones first
         self.listen_addresses = [free_address(number) for number in range(plan.real)]
-        self._start_slots = asyncio.Semaphore(STARTS_AT_ONCE)
+        self._start_slots = asyncio.Semaphore(MAX_CONCURRENT_STARTS)
 
     async def start_helper(self, role: HelperRole, name: str) -> ChildProcess:
         """Start a helper that is watched and ended with the others."""
@@ -115,12 +115,12 @@
             await build.kill()
 
     async def _start_real(self, number: int, run: str, writer: ConfigurationWriter) -> StartedReal:
-        """Start a real balancer as the platform does, and wait until it says that it is ready."""
+        """Start a real balancer as the platform does, and wait until it reports that it is ready."""
         async with self._start_slots:
             address = self.listen_addresses[number]
             configuration = writer.configuration(number)
             path = writer.write(f"real{number}", number, format_address(address))
-            begun = time.monotonic()
+            started_s = time.monotonic()
             process = await ChildProcess.start(
                 f"real{number}",
                 self.folder,
@@ -136,10 +136,10 @@
             while not await is_ready(address):
                 await asyncio.sleep(READY_POLL_S)
             path.unlink()
-            return StartedReal(process, time.monotonic() - begun)
+            return StartedReal(process, time.monotonic() - started_s)
 
     async def _start_hollow(self, number: int, writer: ConfigurationWriter) -> StartedHollow:
-        """Start one process of hollow balancers: each of so many is in it."""
+        """Start one process of hollow balancers: those whose number is its own modulo the processes."""
         async with self._start_slots:
             plan = self.plan
             helper = HollowHelper(await self.start_helper(HelperRole.HOLLOW, f"hollow{number}"))
@@ -165,7 +165,7 @@
                 raise ExperimentError(
                     f"{used // BYTES_PER_MB} MB of memory used, but at most {limit // BYTES_PER_MB} MB may be"
                 )
-            await asyncio.sleep(WATCH_INTERVAL_S)
+            await asyncio.sleep(MEMORY_CHECK_INTERVAL_S)
 
     async def kill(self) -> None:
         """End all processes."""
--- a/scale_test/deployment.py
+++ b/scale_test/deployment.py
@@ -1,4 +1,4 @@
-"""How the platform builds and runs a balancer: the deploy file's commands."""
+"""The commands of the deploy file that build and run a balancer."""
 
 from __future__ import annotations
 
--- a/scale_test/discovery_process.py
+++ b/scale_test/discovery_process.py
@@ -21,7 +21,7 @@
     plan: Plan
 
     async def start(self, plan: dict[str, object], dials: list[str], known: str) -> object:
-        """Listen; returns an address for each balancer, and writes the list for the configurations."""
+        """Start listening, and write the list to a file; returns an address for each balancer."""
         self.plan = Plan(**plan)  # type: ignore[arg-type]
         registry = Registry(self.plan, dials)
         Path(known).write_bytes(registry.full_list() if self.plan.known else b"null")
@@ -48,7 +48,7 @@
         ]
 
     async def report(self) -> object:
-        """What discovery has seen so far."""
+        """What discovery has recorded so far."""
         discovery = self.discovery
         return DiscoveryReport(discovery.callers, discovery.registry.versions, discovery.outages)
 
--- a/scale_test/errors.py
+++ b/scale_test/errors.py
@@ -2,12 +2,12 @@
 
 
 class ScaleTestError(Exception):
-    """The experiment can't be done, or can't go on."""
+    """The experiment can't be started, or can't continue."""
 
 
 class PlanError(ScaleTestError):
-    """The plan is refused: its arguments don't fit each other, or the machine."""
+    """The plan is rejected: its arguments contradict each other, or exceed the machine."""
 
 
 class ExperimentError(ScaleTestError):
-    """The experiment can't go on: a process has ended, memory or time has run out."""
+    """The experiment can't continue: a process has ended, memory or time has run out."""
--- a/scale_test/experiment.py
+++ b/scale_test/experiment.py
@@ -18,8 +18,10 @@
 from scale_test.report import Phase, Row
 
 WARM_UP_S = 1.0  # of traffic before it counts
-FULL_LIST_PAUSE_S, ROWS_A_SECOND = 1.0, 80_000  # after a full list has been read, until it is in force
-NOTIFIED_WITHIN_S = 8.0  # a version that discovery has counts as notified after 6 s at the latest
+# After a full list has been read, until it is in force.
+FULL_LIST_PAUSE_S = 1.0
+ROWS_PER_SECOND = 80_000
+NOTIFIED_WITHIN_S = 8.0  # balancers count as notified of a version 6 s after discovery has it
 FULL_LIST_TIMEOUT_S = 30.0  # until the call that follows a full list
 
 
@@ -43,7 +45,7 @@
         """Run it, and end it early where something goes wrong; no process is left.
 
         Raises:
-            ExperimentError: It could not go on.
+            ExperimentError: It could not continue.
         """
         watching = asyncio.create_task(self._cluster.watch())
         running = asyncio.create_task(self._run_phases())
@@ -62,7 +64,8 @@
         return ExperimentResult(rows, self._measurements.notes)
 
     async def _run_phases(self) -> None:
-        plan, measurements = self._plan, self._measurements
+        plan = self._plan
+        measurements = self._measurements
         measurements.add_start_times(await self._cluster.start())
         discovery = self._cluster.discovery
         if not await discovery.wait_settled(plan.patience):
@@ -74,7 +77,7 @@
             await discovery.run_scenario()
         settled = await discovery.wait_settled(min(plan.patience, max(plan.duration, NOTIFIED_WITHIN_S)))
         if not settled:
-            measurements.notes.append("some balancers had not the newest list when the run ended")
+            measurements.notes.append("some balancers did not have the newest list when the run ended")
         await self._send_full_lists()
         measurements.add_memory()
         await self._gather_reports(clients)
@@ -92,22 +95,22 @@
     async def _send_full_lists(self) -> None:
         """Send full lists to the loaded balancer and to a hollow one.
 
-        A hollow one tells when a list is in force: a real one's next call follows its reading alone.
+        A hollow one records when a list is in force; a real one's next call shows only that it was read.
         """
         plan = self._plan
         numbers = list(range(plan.loaded))
         if plan.loaded and plan.hollow:
             numbers.append(plan.real)
         timeout_s = min(plan.patience, FULL_LIST_TIMEOUT_S)
-        pause_s = min(FULL_LIST_PAUSE_S + plan.upstreams / ROWS_A_SECOND, plan.quiet)
+        pause_s = min(FULL_LIST_PAUSE_S + plan.upstreams / ROWS_PER_SECOND, plan.quiet)
         for _, number in itertools.product(range(plan.wholes), numbers):
             if not await self._cluster.discovery.send_full_list(number, timeout_s):
-                self._measurements.notes.append(f"balancer {number} could not be told a whole list")
+                self._measurements.notes.append(f"balancer {number} could not be sent a full list")
                 break
             await asyncio.sleep(pause_s)
 
     async def _gather_reports(self, clients: LoadHelper | None) -> None:
-        """Ask the helpers for what they have seen, and add its figures."""
+        """Get the helpers' reports, and add their figures."""
         measurements = self._measurements
         discovery = await self._cluster.discovery.report()
         hollow = await self._hollow_reports()
@@ -118,17 +121,17 @@
             measurements.add_request_figures(await clients.report(), discovery, tail_ns)
 
     async def _hollow_reports(self) -> list[BalancerReport]:
-        """The hollow balancers' reports, by their numbers: they are dealt to their processes in turn."""
+        """The hollow balancers' reports, by their numbers: they are assigned to their processes in turn."""
         reports = [await helper.report() for helper in self._cluster.hollow]
-        dealt = itertools.chain.from_iterable(itertools.zip_longest(*reports))
-        return [report for report in dealt if report is not None]
+        in_turn = itertools.chain.from_iterable(itertools.zip_longest(*reports))
+        return [report for report in in_turn if report is not None]
 
 
 async def run_experiment(plan: Plan) -> ExperimentResult:
     """Run an experiment in a temporary folder.
 
     Raises:
-        ExperimentError: It could not go on.
+        ExperimentError: It could not continue.
     """
     with tempfile.TemporaryDirectory(prefix="scale-") as folder:
         return await Experiment(plan, Path(folder)).run()
--- a/scale_test/fake_discovery.py
+++ b/scale_test/fake_discovery.py
@@ -1,4 +1,4 @@
-"""A fake of discovery, as the protocol page has it: full lists, watches, changes; calls are answered in turn.
+"""A fake discovery service: full lists, watches, changes; calls get their responses in turn.
 
 Each balancer has an address of its own to call, so that its calls and bytes can be counted.
 """
@@ -19,25 +19,25 @@
 
 HOST = "127.0.0.1"
 MAX_WAIT_S = 60.0
-CHUNK_BYTES = 256 * 1024  # written at once
-MAX_TURN_S = 0.1  # a slow reader holds up the next call for so long; then its answer goes out beside others
+WRITE_CHUNK_BYTES = 256 * 1024
+MAX_WRITE_S = 0.1  # a slow reader delays the next call for so long at most
 UNAVAILABLE = b"HTTP/1.1 503 Down\r\nContent-Length: 0\r\nConnection: close\r\n\r\n"
 
 
 @dataclass(eq=False)
 class PendingCall:
-    """A balancer's call that has no answer yet."""
+    """A balancer's call that has no response yet."""
 
     caller: CallerRecord
     after: int | None  # the version that the balancer has
     writer: asyncio.StreamWriter
-    answered: asyncio.Event = field(default_factory=asyncio.Event)
+    completed: asyncio.Event = field(default_factory=asyncio.Event)
     wants_full_list: bool = False
     timer: asyncio.TimerHandle | None = None
 
 
 class FakeDiscovery:
-    """Listens for each balancer, and answers from a registry."""
+    """Listens for each balancer, and responds from a registry."""
 
     def __init__(self, registry: Registry, callers: int) -> None:
         self.registry = registry
@@ -54,14 +54,14 @@
 
     async def start(self) -> list[tuple[str, int]]:
         """Listen; returns an address for each balancer."""
-        self._worker = asyncio.create_task(self._answer_calls())
+        self._worker = asyncio.create_task(self._respond_to_calls())
         for caller in self.callers:
             serve = functools.partial(self._serve, caller)
             self._servers.append(await asyncio.start_server(serve, HOST, 0))
         return [server.sockets[0].getsockname()[:2] for server in self._servers]
 
     def close(self) -> None:
-        """End all at once."""
+        """Close all connections."""
         if self._worker is not None:
             self._worker.cancel()
         for server in self._servers:
@@ -106,7 +106,7 @@
             self._watches[call] = None
         else:
             self._queue.put_nowait(call)
-        await call.answered.wait()
+        await call.completed.wait()
 
     def _record_call(self, caller: CallerRecord, after: int | None) -> None:
         now_ns = time.monotonic_ns()
@@ -127,20 +127,20 @@
                 call.timer.cancel()
             self._queue.put_nowait(call)
 
-    async def _answer_calls(self) -> None:
+    async def _respond_to_calls(self) -> None:
         while True:
             call = await self._queue.get()
-            body = self._answer_to(call)
+            body = self._response_body(call)
             head = ok_head(len(body))
             call.caller.sent += len(head) + len(body)
-            if len(body) <= CHUNK_BYTES:
+            if len(body) <= WRITE_CHUNK_BYTES:
                 call.writer.write(head + body)
-                call.answered.set()
+                call.completed.set()
             else:
                 call.writer.write(head)
-                await asyncio.wait({asyncio.create_task(self._write_body(call, body))}, timeout=MAX_TURN_S)
+                await asyncio.wait({asyncio.create_task(self._write_body(call, body))}, timeout=MAX_WRITE_S)
 
-    def _answer_to(self, call: PendingCall) -> bytes:
+    def _response_body(self, call: PendingCall) -> bytes:
         after = call.after
         if call.wants_full_list or after is None or not self.registry.knows_changes_after(after):
             body = self.registry.full_list()
@@ -151,15 +151,15 @@
     async def _write_body(self, call: PendingCall, body: bytes) -> None:
         view = memoryview(body)
         with contextlib.suppress(OSError):
-            for start in range(0, len(body), CHUNK_BYTES):
-                call.writer.write(view[start : start + CHUNK_BYTES])
+            for start in range(0, len(body), WRITE_CHUNK_BYTES):
+                call.writer.write(view[start : start + WRITE_CHUNK_BYTES])
                 await call.writer.drain()
-        call.answered.set()
+        call.completed.set()
 
-    # -- what the experiment has it do --
+    # -- commands of the experiment --
 
     def change(self, rows: Sequence[int], health: Health | None = None, *, restarted: bool = False) -> None:
-        """Change rows of the list, and answer the watches."""
+        """Change rows of the list, and end the watches."""
         self.registry.change(rows, health, restarted=restarted)
         if not self.down:
             for call in list(self._watches):
@@ -172,11 +172,11 @@
         for writer in self._connections:
             writer.transport.abort()
         for call in self._watches:
-            call.answered.set()
+            call.completed.set()
         self._watches.clear()
 
     def end_outage(self) -> None:
-        """Come back with no memory of what changed when: whoever calls gets the full list."""
+        """Come back without the log of changes: each caller gets the full list."""
         self.registry.forget_changes()
         self.down = False
         self.outages.append(Outage(self._outage_begun_ns, time.monotonic_ns()))
@@ -195,7 +195,7 @@
         return bool(seen) and seen[-1].version >= self.registry.version
 
     async def send_full_list(self, number: int, timeout_s: float) -> bool:
-        """Change a row, and tell one balancer of it by the full list.
+        """Change a row, and send one balancer the full list in response to its watch.
 
         Returns:
             Whether its next call has come in time.
--- a/scale_test/helpers.py
+++ b/scale_test/helpers.py
@@ -19,7 +19,7 @@
         self.process = process
 
     async def start(self, plan: Plan, dials: Sequence[str], known: Path) -> list[Address]:
-        """Let it listen; returns an address for each balancer, and writes the list to a file."""
+        """Start listening, and write the list to a file; returns an address for each balancer."""
         addresses = await self.process.call("start", plan=asdict(plan), dials=dials, known=str(known))
         return [(host, port) for host, port in addresses]
 
@@ -40,7 +40,7 @@
         return [CallerTraffic(**caller) for caller in await self.process.call("traffic")]
 
     async def report(self) -> DiscoveryReport:
-        """What it has seen so far."""
+        """What it has recorded so far."""
         return DiscoveryReport.from_json(await self.process.call("report"))
 
 
@@ -51,11 +51,11 @@
         self.process = process
 
     async def upstreams(self) -> list[str]:
-        """Let it listen as the upstreams; returns their addresses."""
+        """Start listening as the upstreams; returns their addresses."""
         return [str(dial) for dial in await self.process.call("upstreams")]
 
     async def clients(self, address: Address, rate: float, seed: int) -> None:
-        """Let it send so many requests a second from now on."""
+        """Start sending so many requests a second."""
         await self.process.call("clients", address=address, rate=rate, seed=seed)
 
     async def report(self) -> list[RequestSample]:
@@ -75,5 +75,5 @@
         return [int(ns) for ns in await self.process.call("start", config=str(config), nodes=balancers)]
 
     async def report(self) -> list[BalancerReport]:
-        """End the balancers; returns what each saw."""
+        """Stop the balancers; returns what each recorded."""
         return [BalancerReport.from_json(balancer) for balancer in await self.process.call("report")]
--- a/scale_test/hollow.py
+++ b/scale_test/hollow.py
@@ -42,7 +42,7 @@
 
 
 class RecordingListApplier(EndpointListApplier):
-    """A list applier that records when each answer of discovery was in force, to its last row."""
+    """A list applier that records when each response of discovery was in force, to its last row."""
 
     def __init__(
         self,
@@ -51,11 +51,11 @@
         on_update: Callable[[EndpointUpdate], None],
     ) -> None:
         super().__init__(reader, addresses, on_update)
-        self.in_force: list[tuple[int, int]] = []  # version, time in ns; in the order in which they came
-        self._waits: set[asyncio.Task[None]] = set()
+        self.in_force: list[tuple[int, int]] = []  # version, time in ns; in order of arrival
+        self._waiting_tasks: set[asyncio.Task[None]] = set()
 
     def on_watch_result(self, result: WatchResult) -> None:
-        """Apply an answer as usual, and record it."""
+        """Apply a response as usual, and record it."""
         super().on_watch_result(result)
         if not isinstance(result, EndpointList) or not (result.complete or len(result)):
             return
@@ -63,12 +63,12 @@
         self.in_force.append((result.version, time.monotonic_ns()))
         if self.is_pending(result) and self.task is not None:
             wait = asyncio.get_running_loop().create_task(self._record_in_force(index, self.task))
-            self._waits.add(wait)
-            wait.add_done_callback(self._waits.discard)
+            self._waiting_tasks.add(wait)
+            wait.add_done_callback(self._waiting_tasks.discard)
 
     async def _record_in_force(self, index: int, applying: asyncio.Task[None]) -> None:
         self.in_force[index] = (self.in_force[index][0], NEVER_NS)
-        await asyncio.wait({applying})  # where others wait for their turn, it is the end of the last one
+        await asyncio.wait({applying})  # ends with the last of the lists that wait
         self.in_force[index] = (self.in_force[index][0], time.monotonic_ns())
 
 
@@ -102,7 +102,7 @@
         return started_ns
 
     async def report(self) -> object:
-        """End the balancers; returns what each has seen."""
+        """Stop the balancers; returns what each has recorded."""
         for proxy in self._proxies:
             proxy.close()
         return [
@@ -113,17 +113,17 @@
 
 def hollow_proxy(config: str, node: dict[str, Any]) -> HollowProxy:
     """A balancer of the configuration that all share, with what is its own."""
-    base = read_configuration(config)  # read anew each time: a real balancer shares no text with another
+    base = read_configuration(config)  # read again each time: real balancers share no text
     settings = replace(base.settings, proxy_index=node["me"], zone=node["zone"])
     policy = TimedPolicy(Balancer(settings, node["seed"], time.monotonic_ns()))
-    own = replace(
+    configuration = replace(
         base,
         name=node["name"],
         discovery=tuple(node["discovery"]),
         seed=node["seed"],
         settings=settings,
     )
-    return HollowProxy(own, policy)
+    return HollowProxy(configuration, policy)
 
 
 if __name__ == "__main__":
--- a/scale_test/http_messages.py
+++ b/scale_test/http_messages.py
@@ -1,4 +1,4 @@
-"""The little of HTTP that the fakes and the clients need."""
+"""HTTP messages of the fakes and the clients."""
 
 from __future__ import annotations
 
--- a/scale_test/load_generator.py
+++ b/scale_test/load_generator.py
@@ -15,7 +15,7 @@
 from scale_test.records import RequestSample
 
 LISTENERS = 8  # all upstreams of the list lead to one of them
-SERVICE_S = 0.004  # an upstream's time for a request
+SERVICE_TIME_S = 0.004  # of an upstream
 DEADLINE_MS = 2000
 
 
@@ -41,18 +41,18 @@
 
     @property
     def upstream_ns(self) -> int:
-        """The time that the request was at its upstream."""
+        """The time that the upstream took."""
         received, answered = self.body.split()
         return int(answered) - int(received)
 
 
 async def serve_upstream(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-    """Answer as an upstream: the body says when the request was received and when it was answered."""
+    """Respond as an upstream: the body holds the times of the request and of the response."""
     try:
         while True:
             await reader.readuntil(END_OF_HEAD)
             received_ns = time.monotonic_ns()
-            await asyncio.sleep(SERVICE_S)
+            await asyncio.sleep(SERVICE_TIME_S)
             body = b"%d %d" % (received_ns, time.monotonic_ns())
             writer.write(ok_response(body))
     except (OSError, asyncio.IncompleteReadError):
@@ -69,13 +69,13 @@
         self._tasks: set[asyncio.Task[None]] = set()
 
     async def upstreams(self) -> object:
-        """Listen; returns the addresses as discovery tells them."""
+        """Start listening; returns the addresses as in the endpoint list."""
         for number in range(LISTENERS):
             self._servers.append(await asyncio.start_server(serve_upstream, f"127.9.0.{number + 1}", 0))
         return ["{}:{}".format(*server.sockets[0].getsockname()[:2]) for server in self._servers]
 
     async def clients(self, address: tuple[str, int], rate: float, seed: int) -> object:
-        """Send so many requests a second from now on, at random times, whatever becomes of them."""
+        """Start sending so many requests a second, at random times, without waiting for responses."""
         self._create_task(self._send_all(address, rate, random.Random(seed)))
         return True
 
--- a/scale_test/measurements.py
+++ b/scale_test/measurements.py
@@ -81,7 +81,7 @@
 
     @contextlib.asynccontextmanager
     async def phase(self, phase: Phase) -> AsyncIterator[None]:
-        """Measure processor time and calls to discovery over what goes on inside."""
+        """Measure processor time and calls to discovery within the context."""
         traffic_before = await self._cluster.discovery.traffic()
         cpu_before = self._cpu_seconds()
         begun_ns = time.monotonic_ns()
@@ -107,7 +107,8 @@
 
     def _cpu_seconds(self) -> dict[Group, list[float]]:
         """Processor seconds of each balancer so far; a hollow one's are its part of its process."""
-        cluster, loaded = self._cluster, self._plan.loaded
+        cluster = self._cluster
+        loaded = self._plan.loaded
         return {
             Group.REAL: [cpu_seconds(process) for process in cluster.real[loaded:]],
             Group.LOADED: [cpu_seconds(process) for process in cluster.real[:loaded]],
@@ -138,7 +139,8 @@
         """A hollow balancer's part of its process, less what the process had before it held any."""
         found = []
         for helper, share in zip(self._cluster.hollow, self._plan.hollow_shares, strict=True):
-            used, empty = memory_of(helper.process), helper.empty_bytes / BYTES_PER_MB
+            used = memory_of(helper.process)
+            empty = helper.empty_bytes / BYTES_PER_MB
             found.append(Memory((used.now - empty) / share, (used.peak - empty) / share))
         return found
 
@@ -169,26 +171,27 @@
         self._add_policy_times(hollow)
 
     def _add_full_list_reading(self, discovery: DiscoveryReport, group: Group) -> None:
-        """Add how long full lists took to read since the scenario began, and how many were turned down."""
+        """Add how long full lists took to read since the scenario began, and how many were rejected."""
         begun_ns = self._windows[Phase.SCENARIO].begun_ns
-        read_ms, turned_down = [], []
+        read_ms = []
+        rejected_counts = []
         for number in self.balancer_groups[group]:
-            declined = 0
+            rejected = 0
             for answer in discovery.callers[number].full_lists:
                 if answer.begun_ns < begun_ns or answer.next_call_ns is None:
                     continue
                 if answer.accepted:
                     read_ms.append((answer.next_call_ns - answer.begun_ns) / NS_PER_MS)
                 else:
-                    declined += 1
-            turned_down.append(declined)
+                    rejected += 1
+            rejected_counts.append(rejected)
         self.add("whole list read", Phase.ALL, group, "ms", read_ms)
-        self.add("whole lists turned down", Phase.ALL, group, "", turned_down)
+        self.add("whole lists turned down", Phase.ALL, group, "", rejected_counts)
 
     def _add_policy_times(self, hollow: Sequence[BalancerReport]) -> None:
         """Add how long the policy took over changes.
 
-        A zone's rows or a full list come in one answer: what one row takes is seen in single changes.
+        The rows of a zone or a full list arrive in one response; single changes show the time of one row.
         """
         window = self._windows[Phase.SCENARIO]
         changes = [
--- a/scale_test/plan.py
+++ b/scale_test/plan.py
@@ -1,4 +1,4 @@
-"""The sizes of an experiment, and which of them are refused."""
+"""The sizes of an experiment, and their limits."""
 
 from __future__ import annotations
 
@@ -18,11 +18,14 @@
 MAX_ZONES = 40
 ZONES_PER_REGION = 10
 MEMORY_FRACTION = 0.5  # of the machine's, at most
-PROCESS_MB = 40  # a Python process with nothing to hold
-ROW_BYTES = 700  # of one row in the fake discovery: its text, in its place and in a full list that goes out
+PROCESS_MB = 40  # a Python process without data
+ROW_BYTES = 700  # of one row in the fake discovery: its text, also in a full list that is being sent
 
 # What changes on an ordinary day where there are TARGET_UPSTREAMS.
-TARGET_UPSTREAMS, CONFIGURED, RESTARTED, FAILED = 160_000, 84_000, 59_000, 300
+TARGET_UPSTREAMS = 160_000
+CONFIGURED_PER_DAY = 84_000
+RESTARTED_PER_DAY = 59_000
+FAILED_PER_DAY = 300
 
 
 class Scenario(StrEnum):
@@ -41,7 +44,7 @@
     FAILED = "failed"
 
 
-# A restart is a drain and a return, a failure is a loss and a return.
+# A restart is a drain and a return, a failure is a removal and a return.
 LIST_CHANGES = {ChangeKind.CONFIGURED: 1, ChangeKind.RESTARTED: 2, ChangeKind.FAILED: 2}
 
 
@@ -58,9 +61,9 @@
     duration: float = 30.0
     quiet: float = 15.0
     changes: float = 0.0
-    configured: int = CONFIGURED
-    restarted: int = RESTARTED
-    failed: int = FAILED
+    configured: int = CONFIGURED_PER_DAY
+    restarted: int = RESTARTED_PER_DAY
+    failed: int = FAILED_PER_DAY
     course: str = Scenario.CHURN.value
     wholes: int = 5
     mode: str = "ask"
@@ -92,7 +95,7 @@
 
     @property
     def memory(self) -> int:
-        """About how many bytes it will take; what it takes is watched all the time."""
+        """The estimated memory in bytes; the memory used is checked throughout the run."""
         held_bytes = self.upstreams * (ROW_BYTES + self.balancers * self.held)
         return self.processes * PROCESS_MB * BYTES_PER_MB + held_bytes
 
@@ -130,10 +133,10 @@
         return upstream * self.zones // self.upstreams
 
     def check(self) -> None:
-        """Refuse a plan that can't be carried out.
+        """Reject a plan that can't be carried out.
 
         Raises:
-            PlanError: Says the first thing that is wrong with it.
+            PlanError: Names the first problem.
         """
         for problem in self._problems():
             raise PlanError(problem)
--- a/scale_test/records.py
+++ b/scale_test/records.py
@@ -8,12 +8,12 @@
 
 Json = Mapping[str, Any]
 
-NEVER_NS = 2**62  # of an answer that was not in force when the experiment ended
+NEVER_NS = 2**62  # of a response that was not in force when the experiment ended
 
 
 @dataclass(frozen=True, slots=True)
 class VersionSeen:
-    """A balancer showed that it had a version, by asking for what is newer."""
+    """A balancer showed that it had a version, by calling for what is newer."""
 
     at_ns: int
     version: int
@@ -31,7 +31,7 @@
 
 @dataclass(slots=True)
 class CallerRecord:
-    """What one balancer has asked of discovery and got."""
+    """The calls of one balancer to discovery, and what was sent in response."""
 
     calls: int = 0
     rejected: int = 0
@@ -81,7 +81,7 @@
 
 @dataclass(frozen=True, slots=True)
 class DiscoveryReport:
-    """What discovery saw: its callers by the balancers' numbers, the list's versions, its outages."""
+    """What discovery recorded: its callers by the balancers' numbers, the list's versions, its outages."""
 
     callers: list[CallerRecord]
     versions: list[ListVersion]
@@ -99,7 +99,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PolicyChange:
-    """A change of the list that a policy took in."""
+    """A change of the list that a policy applied."""
 
     begun_ns: int
     done_ns: int
@@ -108,7 +108,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AnswerInForce:
-    """An answer of discovery, and when its last row was in force; NEVER_NS where it was not."""
+    """A response of discovery, and when its last row was in force; NEVER_NS where it was not."""
 
     version: int
     at_ns: int
@@ -116,7 +116,7 @@
 
 @dataclass(frozen=True, slots=True)
 class BalancerReport:
-    """What a hollow balancer saw of the list; answers are in the order in which they came."""
+    """What a hollow balancer recorded of the list; responses are in order of arrival."""
 
     changes: list[PolicyChange]
     in_force: list[AnswerInForce]
--- a/scale_test/registry.py
+++ b/scale_test/registry.py
@@ -1,4 +1,4 @@
-"""The endpoint list as discovery keeps it: rows ready to be sent, and a log of changes."""
+"""The endpoint list of the fake discovery: encoded rows, and a log of changes."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from scale_test.plan import Plan, zone_name
 from scale_test.records import ListVersion
 
-# A changed row's share is 1 and so much for each version: it tells when that row has come.
+# A changed row's share is 1 plus this for each version, so that the row shows its version.
 VERSION_MARK = 1e-6
 UPSTREAMS_PER_BLOCK = 100
 
@@ -28,7 +28,7 @@
 
 
 class Registry:
-    """Rows by number. A removed one stays known, and is in no full list."""
+    """Rows by number. A removed row is kept, but is not in full lists."""
 
     def __init__(self, plan: Plan, dials: Sequence[str]) -> None:
         self._plan = plan
@@ -68,17 +68,17 @@
         self._deltas.clear()
 
     def forget_changes(self) -> None:
-        """Lose the log: who asks for what is newer than an older version gets the full list."""
+        """Clear the log: a caller with an older version gets the full list."""
         self.first_version = self.version
         self._log.clear()
         self._deltas.clear()
 
     def knows_changes_after(self, version: int) -> bool:
-        """Whether the log tells what changed after a version."""
+        """Whether the log holds all changes after a version."""
         return self.first_version <= version <= self.version
 
     def full_list(self) -> bytes:
-        """The full list; it is put together once for a version."""
+        """The full list, encoded once for each version."""
         if not self._full_list:
             listed = (
                 row
--- a/scale_test/report.py
+++ b/scale_test/report.py
@@ -9,8 +9,9 @@
 
 from hdrh.histogram import HdrHistogram
 
-HISTOGRAM_STEPS = 1000  # a histogram counts thousandths of a unit
-HISTOGRAM_MAX, HISTOGRAM_DIGITS = 10**13, 3
+HISTOGRAM_STEPS_PER_UNIT = 1000
+HISTOGRAM_MAX_STEPS = 10**13
+HISTOGRAM_DIGITS = 3
 INTEGER_FROM = 100  # figures from here on are shown without decimals
 HEADER = ("figure", "phase", "of", "median", "99th", "worst", "unit", "count")
 RIGHT_ALIGNED = {"median", "99th", "worst", "count"}
@@ -62,11 +63,12 @@
     figure: str, phase: Phase, group: Group, unit: str, values: Iterable[float | WeightedValue]
 ) -> Row:
     """Summarize values as their median, 99th percentile and worst."""
-    histogram = HdrHistogram(1, HISTOGRAM_MAX, HISTOGRAM_DIGITS)
-    count, worst = 0, 0.0
+    histogram = HdrHistogram(1, HISTOGRAM_MAX_STEPS, HISTOGRAM_DIGITS)
+    count = 0
+    worst = 0.0
     for value in values:
         weighted = value if isinstance(value, WeightedValue) else WeightedValue(value, 1)
-        histogram.record_value(max(0, round(weighted.value * HISTOGRAM_STEPS)), weighted.count)
+        histogram.record_value(max(0, round(weighted.value * HISTOGRAM_STEPS_PER_UNIT)), weighted.count)
         count += weighted.count
         worst = max(worst, weighted.value)
 
@@ -74,7 +76,7 @@
         if not count:
             return 0.0
         steps: int = histogram.get_value_at_percentile(percent)
-        return min(steps / HISTOGRAM_STEPS, worst)
+        return min(steps / HISTOGRAM_STEPS_PER_UNIT, worst)
 
     return Row(figure, phase.value, group.value, unit, count, percentile(50), percentile(99), worst)
 
@@ -91,7 +93,7 @@
 
 
 def format_table(rows: Sequence[Row], notes: Sequence[str]) -> str:
-    """The report for people."""
+    """The report as a table with notes."""
     lines = [list(HEADER), *(format_row(row) for row in rows)]
     widths = [max(map(len, column)) for column in zip(*lines, strict=True)]
 
--- a/scale_test/scenarios.py
+++ b/scale_test/scenarios.py
@@ -15,8 +15,11 @@
 from scale_test.registry import Health
 
 RETURN_S = 4.0  # a restarted or failed upstream is back after this, or a fifth of the experiment
-ZONE_STEPS, ZONE_STEP_S = 10, 0.1  # a zone's upstreams change in so many steps
-OUTAGE_BEGINS, OUTAGE_LASTS = 0.2, 0.3  # of discovery, as fractions of the experiment
+ZONE_STEPS = 10  # in which a zone's upstreams change
+ZONE_STEP_S = 0.1
+# Of discovery's outage, as fractions of the experiment.
+OUTAGE_START_FRACTION = 0.2
+OUTAGE_DURATION_FRACTION = 0.3
 NEW_CHANGE = -1
 
 ScenarioFunction = Callable[[FakeDiscovery, Plan, random.Random], Coroutine[Any, Any, None]]
@@ -38,7 +41,7 @@
 
 @dataclass(frozen=True)
 class ZonePhase:
-    """What becomes of all upstreams of a zone, from a fraction of the experiment on."""
+    """The health of all upstreams of a zone from a fraction of the experiment on."""
 
     fraction: float
     health: Health
@@ -48,13 +51,14 @@
 
 
 async def churn(
-    discovery: FakeDiscovery, plan: Plan, rng: random.Random, spared: frozenset[int] = frozenset()
+    discovery: FakeDiscovery, plan: Plan, rng: random.Random, excluded_rows: frozenset[int] = frozenset()
 ) -> None:
-    """Change configurations, restart upstreams and let them fail, at random; rows may be spared."""
+    """Change configurations, restart upstreams and let them fail, at random, except for excluded rows."""
     start = now = time.monotonic()
     end = start + plan.duration
     away_s = min(RETURN_S, plan.duration / 5)
-    kinds, weights = list(plan.mix), list(plan.mix.values())
+    kinds = list(plan.mix)
+    weights = list(plan.mix.values())
     list_changes = sum(LIST_CHANGES[kind] * weight for kind, weight in plan.mix.items())
     rate = plan.changes_a_second * sum(weights) / list_changes
     schedule = [ScheduledChange(start + rng.expovariate(rate))]
@@ -66,8 +70,9 @@
             discovery.change([due.returning_row], Health.UP, restarted=True)
             continue
         heapq.heappush(schedule, ScheduledChange(due.at_s + rng.expovariate(rate)))
-        row, kind = rng.randrange(plan.upstreams), rng.choices(kinds, weights)[0]
-        if discovery.registry.health[row] is not Health.UP or row in spared:
+        row = rng.randrange(plan.upstreams)
+        kind = rng.choices(kinds, weights)[0]
+        if discovery.registry.health[row] is not Health.UP or row in excluded_rows:
             continue  # it is away already
         discovery.change([row], HEALTH_AFTER[kind])
         if kind is not ChangeKind.CONFIGURED:
@@ -76,7 +81,7 @@
 
 
 async def zone_outage(discovery: FakeDiscovery, plan: Plan, rng: random.Random) -> None:
-    """Beside the day's churn: one zone drains, vanishes and comes back cold."""
+    """Beside the day's churn: one zone drains, is removed and returns without warm-up."""
     lost = rng.randrange(plan.zones)
     rows = [row for row in range(plan.upstreams) if plan.zone_of(row) == lost]
     churning = asyncio.create_task(churn(discovery, plan, rng, frozenset(rows)))
@@ -94,9 +99,9 @@
 async def discovery_outage(discovery: FakeDiscovery, plan: Plan, rng: random.Random) -> None:
     """Beside the day's churn: discovery is down for three tenths of the time; then all get full lists."""
     churning = asyncio.create_task(churn(discovery, plan, rng))
-    await asyncio.sleep(OUTAGE_BEGINS * plan.duration)
+    await asyncio.sleep(OUTAGE_START_FRACTION * plan.duration)
     discovery.begin_outage()
-    await asyncio.sleep(OUTAGE_LASTS * plan.duration)
+    await asyncio.sleep(OUTAGE_DURATION_FRACTION * plan.duration)
     discovery.end_outage()
     await churning
 
--- a/scale_test/slopes/fakes.py
+++ b/scale_test/slopes/fakes.py
@@ -26,13 +26,13 @@
 
 
 class FakeServices:
-    """Upstreams (all at one address) and discovery; counts what comes and goes."""
+    """Upstreams (all at one address) and discovery; counts calls, bytes and connections."""
 
     def __init__(self, rows: Sequence[Json]) -> None:
         self.rows = {row["host"]: row for row in rows}
         self.version = 1
         self.discovery_bytes = 0
-        self.answers = 0
+        self.responses = 0
         self.watches = 0
         self.upstream_connections = 0
         self.upstream_delay_s = 0.0
@@ -40,7 +40,7 @@
         self._changed = asyncio.Event()
 
     def change(self, host: str, **fields: object) -> None:
-        """Make a version in which these fields of a host's row changed, and answer the watches."""
+        """Make a version in which these fields of a host's row changed, and end the watches."""
         self.version += 1
         self.rows[host] |= fields
         self._changes.append(ListChange(self.version, host))
@@ -48,7 +48,7 @@
         self._changed = asyncio.Event()
 
     async def serve_discovery(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        """Answer a balancer's calls for the list and its watches."""
+        """Respond to a balancer's calls for the list and its watches."""
         async for head in read_heads(reader):
             query = head.split(b" ", 2)[1].decode().partition("?")[2]
             parameters = dict(part.split("=") for part in query.split("&") if part)
@@ -60,7 +60,7 @@
                         await asyncio.wait_for(self._changed.wait(), int(parameters["wait_ms"]) / 1000)
             data = ok_response(orjson.dumps(self._list_after(after)))
             self.discovery_bytes += len(head) + len(data)
-            self.answers += 1
+            self.responses += 1
             writer.write(data)
 
     def _list_after(self, after: int | None) -> Json:
@@ -70,7 +70,7 @@
         return endpoint_list([self.rows[host] for host in hosts], self.version, full=False)
 
     async def serve_upstream(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        """Answer requests as an upstream, each after the delay."""
+        """Respond to requests as an upstream, each after the delay."""
         self.upstream_connections += 1
         async for _ in read_heads(reader):
             await asyncio.sleep(self.upstream_delay_s)
@@ -86,7 +86,7 @@
 
 
 def until_cancelled(handle: ConnectionHandler) -> ConnectionHandler:
-    """Let a handler end quietly with the event loop: the fakes are stopped in the middle of requests."""
+    """Let a handler end without an error when its task is cancelled, as at the end of the event loop."""
 
     async def handle_until_cancelled(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         with suppress(asyncio.CancelledError):
--- a/scale_test/slopes/fit.py
+++ b/scale_test/slopes/fit.py
@@ -10,7 +10,8 @@
 
 MILLISECOND_FROM_S = 1e-4  # shorter times are shown in microseconds
 WHOLE_NUMBER_FROM = 100
-NAME_WIDTH, FIGURE_WIDTH = 20, 11
+NAME_WIDTH = 20
+FIGURE_WIDTH = 11
 
 
 @dataclass(frozen=True)
@@ -56,7 +57,7 @@
 
 
 def format_figure(value: float, name: str) -> str:
-    """A figure with its unit, which the end of its name tells."""
+    """A figure with its unit, by the suffix of its name."""
     if name.endswith("_s"):
         if abs(value) >= MILLISECOND_FROM_S:
             return f"{value * 1e3:.3g} ms"
--- a/scale_test/slopes/inputs.py
+++ b/scale_test/slopes/inputs.py
@@ -1,4 +1,4 @@
-"""Endpoint lists and settings of any size, as discovery and the configuration file have them."""
+"""Endpoint lists and settings of any size, in the JSON of discovery and of the configuration file."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
 
 
 def endpoint_list(rows: Sequence[Json], version: int = 1, *, full: bool = True) -> Json:
-    """An answer of discovery: the full list, or only what changed."""
+    """A response of discovery: the full list, or only what changed."""
     return {"seq": version, "whole": full, "hosts": list(rows)}
 
 
--- a/scale_test/slopes/measuring.py
+++ b/scale_test/slopes/measuring.py
@@ -32,12 +32,12 @@
 
 def timed(work: Callable[[], T], times: int = 1) -> Timed[T]:
     """Run the work some times; returns the median processor time and the last result."""
-    taken = []
+    durations_s = []
     for _ in range(times):
-        begun = time.process_time()
+        started_s = time.process_time()
         result = work()
-        taken.append(time.process_time() - begun)
-    return Timed(statistics.median(taken), result)
+        durations_s.append(time.process_time() - started_s)
+    return Timed(statistics.median(durations_s), result)
 
 
 def build_cost(build: Callable[[], T], name: str, undo: Callable[[T], object] = id) -> Built[T]:
@@ -46,7 +46,7 @@
     Args:
         build: Makes the thing.
         name: The time's figure is called `<name>_s`.
-        undo: Takes back what the first run left behind outside the thing.
+        undo: Reverts side effects of the first run.
 
     Returns:
         The thing of the second run, with the time, the bytes and objects that stay, and the peak of bytes.
--- a/scale_test/slopes/policy_harness.py
+++ b/scale_test/slopes/policy_harness.py
@@ -20,7 +20,7 @@
 from scale_test.slopes.measuring import Figures, timed
 from scale_test.units import NS_PER_S
 
-LOAD_PROBING_NS = NS_PER_S // 2  # the policy probes loads once in this time
+LOAD_PROBING_INTERVAL_NS = NS_PER_S // 2
 TIMER_STEP_NS = NS_PER_S // 100
 PROBING_MARGIN_NS = NS_PER_S // 50  # the last part of the interval holds the probing alone
 EVENT_GAP_NS = 10**6
@@ -60,7 +60,7 @@
         return None
 
     def end(self, attempt: Forward | None) -> list[Action]:
-        """End an attempt well; nothing happens where there was none."""
+        """End an attempt with a response; None is ignored."""
         if attempt is None:
             return []
         ended = AttemptEnded(
@@ -86,13 +86,13 @@
 
     def load_probing_figures(self, times: int = 6) -> Figures:
         """Measure the load probing of each half second: its mean and its longest processor time."""
-        self.handle(later_ns=LOAD_PROBING_NS)  # from here on it comes each half second
-        taken = [self._load_probing_cpu_s() for _ in range(times)]
-        return {"look_s": statistics.mean(taken), "look_top_s": max(taken)}
+        self.handle(later_ns=LOAD_PROBING_INTERVAL_NS)  # starts the interval
+        durations_s = [self._load_probing_cpu_s() for _ in range(times)]
+        return {"look_s": statistics.mean(durations_s), "look_top_s": max(durations_s)}
 
     def _load_probing_cpu_s(self) -> float:
-        end = self.now_ns + LOAD_PROBING_NS
-        while self.now_ns < end - PROBING_MARGIN_NS:  # some traffic, and all timers on time
+        end_ns = self.now_ns + LOAD_PROBING_INTERVAL_NS
+        while self.now_ns < end_ns - PROBING_MARGIN_NS:  # some traffic, and all timers on time
             self.end(self.arrive(tenant=f"t{self.requests % SENDING_TENANTS}"))
             self.handle(later_ns=TIMER_STEP_NS)
-        return timed(lambda: self.handle(later_ns=end - self.now_ns)).cpu_s
+        return timed(lambda: self.handle(later_ns=end_ns - self.now_ns)).cpu_s
--- a/scale_test/slopes/policy_subjects.py
+++ b/scale_test/slopes/policy_subjects.py
@@ -32,7 +32,7 @@
 
 
 def read_endpoints(text: bytes, reader: EndpointListReader) -> list[Endpoint]:
-    """Read an answer of discovery, with the reader that read those before it."""
+    """Read a response of discovery, with the reader of earlier ones."""
     return [entry.endpoint for entry in reader.read(text).entries]
 
 
@@ -45,7 +45,7 @@
 
 
 class ListedPolicy:
-    """A policy that has read the full list, and the reader that is kept for what changes."""
+    """A policy that has read the full list, and the reader that reads its changes."""
 
     def __init__(self, text: bytes, settings: Settings) -> None:
         self.reader = EndpointListReader(0)
@@ -54,7 +54,7 @@
         self.version = 1
 
     def apply_delta(self, rows: Sequence[Json]) -> DeltaCost:
-        """Measure the reading and taking in of a change of these rows' health."""
+        """Measure reading and applying a change of these rows' health."""
         self.version += 1
         health = "draining" if self.version % 2 == 0 else "up"
         changed = [{**row, "health": health} for row in rows]
@@ -68,18 +68,18 @@
 
 
 def upstreams(count: int, routes: int = 1) -> Figures:
-    """Upstreams in the list: reading it, taking it in full, one change, a zone's change, load probing."""
+    """Upstreams in the list: reading it, applying it in full, one change, a zone's change, load probing."""
     rows = [endpoint_row(number, routes) for number in range(count)]
     text = orjson.dumps(endpoint_list(rows))
     settings = read_settings(raw_settings(2, routes, placed=routes > 1))
     read = timed(lambda: read_endpoints(text, EndpointListReader(0)))
-    take = timed(lambda: new_harness(settings).set_endpoints(read.result))
+    apply = timed(lambda: new_harness(settings).set_endpoints(read.result))
     started = build_cost(lambda: ListedPolicy(text, settings), "start")
     policy = started.result
     changes = [policy.apply_delta(rows[:1]) for _ in range(SINGLE_CHANGES)]
     figures = started.figures | {
         "read_s": read.cpu_s,
-        "take_s": take.cpu_s,
+        "take_s": apply.cpu_s,
         "list_b": len(text),
         "change_b": changes[0].list_bytes,
         "change_s": statistics.median(change.cpu_s for change in changes),
--- a/scale_test/slopes/process_subjects.py
+++ b/scale_test/slopes/process_subjects.py
@@ -11,19 +11,20 @@
 from scale_test.slopes.real_balancer import RealBalancer, running_balancer
 from scale_test.units import NS_PER_S
 
-QUIET_S = 4.0  # for which a real balancer is watched with nothing to do
-SETTLED_ROWS_A_SECOND = 20_000  # a start is over after half of QUIET_S and so much for each row
-CHANGED_ROWS_A_SECOND = 80_000  # a change is over after an eighth of QUIET_S and so much for each row
+QUIET_S = 4.0  # without requests or changes
+SETTLED_ROWS_PER_SECOND = 20_000  # after half of QUIET_S a start takes so long for each row
+CHANGED_ROWS_PER_SECOND = 80_000  # after an eighth of QUIET_S a change takes so long for each row
 LIST_POLL_S = 0.05
-LIST_ANSWERS = 3  # after so many answers without a watch, the balancer has turned the list down
+MAX_LIST_RESPONSES = 3  # after so many without a watch, the balancer has rejected the list
 CHANGED_ENDPOINTS = 6
 ENDPOINTS_UNDER_LOAD = 64
-ENDPOINTS_OF_SETTINGS = 100  # before a process with many tenants or routes
-MIN_LOAD_S, MIN_LOAD_REQUESTS = 5.0, 100
+ENDPOINTS_WITH_MANY_SETTINGS = 100  # tenants or routes
+MIN_LOAD_S = 5.0
+MIN_LOAD_REQUESTS = 100
 WARM_UP_REQUESTS = 30
 FIRST_REQUEST_ID = 100  # of those that count
-OPEN_FOR_S = 1.5
-SLOW_UPSTREAM_S = 2.0
+CONNECTIONS_OPEN_S = 1.5
+SLOW_UPSTREAM_DELAY_S = 2.0
 
 
 def fake_services(endpoints: int) -> FakeServices:
@@ -31,24 +32,24 @@
     return FakeServices([endpoint_row(number) for number in range(endpoints)])
 
 
-async def list_is_taken(services: FakeServices) -> bool:
-    """Wait until the balancer watches for changes; False where it keeps asking for the full list."""
-    while not services.watches and services.answers < LIST_ANSWERS:
+async def list_is_accepted(services: FakeServices) -> bool:
+    """Wait until the balancer watches for changes; False where it keeps requesting the full list."""
+    while not services.watches and services.responses < MAX_LIST_RESPONSES:
         await asyncio.sleep(LIST_POLL_S)
     return services.watches > 0
 
 
 async def measure_start(endpoints: int, settings: Json) -> Figures:
-    """Measure a whole process: its start, quiet time and single changes of the list.
+    """Measure a process: its start, quiet time and single changes of the list.
 
-    The list comes from discovery; where the balancer turns that down, from the configuration.
+    The list comes from discovery; where the balancer rejects it, from the configuration.
     """
     figures: Figures = {"taken": 1}
     while True:
         services = fake_services(endpoints)
         async with running_balancer(services, settings, known=not figures["taken"]) as balancer:
-            if not await list_is_taken(services):
-                figures |= {"taken": 0, "list_b": services.discovery_bytes / services.answers}
+            if not await list_is_accepted(services):
+                figures |= {"taken": 0, "list_b": services.discovery_bytes / services.responses}
                 continue
             figures.setdefault("list_b", services.discovery_bytes)
             figures |= await measure_quiet(services, balancer, endpoints)
@@ -57,10 +58,11 @@
 
 
 async def measure_quiet(services: FakeServices, balancer: RealBalancer, endpoints: int) -> Figures:
-    """Measure the start, and a time in which nothing happens."""
-    settle_s = QUIET_S / 2 + endpoints / SETTLED_ROWS_A_SECOND
+    """Measure the start, and a quiet period."""
+    settle_s = QUIET_S / 2 + endpoints / SETTLED_ROWS_PER_SECOND
     await asyncio.sleep(settle_s)
-    cpu_s, discovery_bytes = balancer.cpu_s(), services.discovery_bytes
+    cpu_s = balancer.cpu_s()
+    discovery_bytes = services.discovery_bytes
     await asyncio.sleep(QUIET_S)
     quiet_cores = (balancer.cpu_s() - cpu_s) / QUIET_S
     return {
@@ -74,9 +76,10 @@
 async def measure_changes(
     services: FakeServices, balancer: RealBalancer, endpoints: int, quiet_cores: float
 ) -> Figures:
-    """Measure changes of one endpoint each, less what a quiet time takes."""
-    cpu_s, discovery_bytes = balancer.cpu_s(), services.discovery_bytes
-    gap_s = QUIET_S / 8 + endpoints / CHANGED_ROWS_A_SECOND
+    """Measure changes of one endpoint each, less the processor time of a quiet period."""
+    cpu_s = balancer.cpu_s()
+    discovery_bytes = services.discovery_bytes
+    gap_s = QUIET_S / 8 + endpoints / CHANGED_ROWS_PER_SECOND
     for host in list(services.rows)[:CHANGED_ENDPOINTS]:
         services.change(host, health="draining")
         await asyncio.sleep(gap_s)
@@ -93,16 +96,16 @@
 
 def process_tenants(count: int) -> Figures:
     """A real process with so many tenants before 100 upstreams."""
-    return asyncio.run(measure_start(ENDPOINTS_OF_SETTINGS, raw_settings(tenants=count)))
+    return asyncio.run(measure_start(ENDPOINTS_WITH_MANY_SETTINGS, raw_settings(tenants=count)))
 
 
 def process_routes(count: int) -> Figures:
     """A real process with so many routes before 100 upstreams."""
-    return asyncio.run(measure_start(ENDPOINTS_OF_SETTINGS, raw_settings(routes=count)))
+    return asyncio.run(measure_start(ENDPOINTS_WITH_MANY_SETTINGS, raw_settings(routes=count)))
 
 
 class RequestLoad:
-    """Requests to a balancer, on connections that are kept between them."""
+    """Requests to a balancer, on connections that are reused."""
 
     def __init__(self, port: int) -> None:
         self.served = 0
@@ -168,16 +171,17 @@
 async def measure_connections(count: int, *, with_requests: bool) -> Figures:
     """Measure client connections, idle or each with a request that is open all the time."""
     services = fake_services(2 * count if with_requests else ENDPOINTS_UNDER_LOAD)
-    services.upstream_delay_s = SLOW_UPSTREAM_S
+    services.upstream_delay_s = SLOW_UPSTREAM_DELAY_S
     settings = raw_settings() | {"replicas_of_me": 1, "prices": {}, "zones": []}
     settings["profiles"][0]["aim_ns"] = 5 * NS_PER_S
     async with running_balancer(services, settings, known=True) as balancer:
-        memory_before, cpu_before_s = balancer.memory()["rss_b"], balancer.cpu_s()
+        memory_before = balancer.memory()["rss_b"]
+        cpu_before_s = balancer.cpu_s()
         clients = [await Client.connect(balancer.port) for _ in range(count)]
         requests: list[asyncio.Task[bool]] = []
         if with_requests:
             requests = [asyncio.create_task(client.get(number)) for number, client in enumerate(clients)]
-        await asyncio.sleep(OPEN_FOR_S)
+        await asyncio.sleep(CONNECTIONS_OPEN_S)
         figures: Figures = {
             "memory_b": balancer.memory()["rss_b"] - memory_before,
             "upstream_connections": services.upstream_connections,
--- a/scale_test/slopes/real_balancer.py
+++ b/scale_test/slopes/real_balancer.py
@@ -13,6 +13,7 @@
 import orjson
 
 from scale_test.deployment import ROOT, read_deployment
+from scale_test.errors import ScaleTestError
 from scale_test.process_memory import peak_resident_bytes, resident_bytes
 from scale_test.slopes.fakes import HOST, FakeServices, until_cancelled
 from scale_test.slopes.inputs import Json, endpoint_list
@@ -21,10 +22,10 @@
 
 READY_LINE = "ready on port "
 READY_POLL_S = 0.05
-LOG_TAIL = 500  # characters of the log in an error
+LOG_TAIL_CHARACTERS = 500
 
 
-class BalancerEndedError(Exception):
+class BalancerEndedError(ScaleTestError):
     """The balancer has ended before it was ready."""
 
 
@@ -69,7 +70,7 @@
 async def running_balancer(
     services: FakeServices, settings: Json, *, known: bool = False
 ) -> AsyncIterator[RealBalancer]:
-    """Start the fakes and a balancer, wait until it is ready, and end all afterwards.
+    """Start the fakes and a balancer, wait until it is ready, and stop all afterwards.
 
     Raises:
         BalancerEndedError: The balancer has ended before it was ready.
@@ -106,11 +107,11 @@
 
 
 async def ready_port(process: subprocess.Popen[bytes], log: Path) -> int:
-    """Wait until the balancer's log says that it is ready, and on which port."""
+    """Wait until the balancer logs that it is ready; returns its port."""
     while True:
         text = log.read_text()
         if READY_LINE in text:
             return int(text.partition(READY_LINE)[2].split()[0])
         if process.poll() is not None:
-            raise BalancerEndedError(f"the balancer has ended: {text[-LOG_TAIL:]}")
+            raise BalancerEndedError(f"the balancer has ended: {text[-LOG_TAIL_CHARACTERS:]}")
         await asyncio.sleep(READY_POLL_S)
--- a/scale_test/subset_balance.py
+++ b/scale_test/subset_balance.py
@@ -36,7 +36,7 @@
 
 
 def count_moved(before: Subsets, after: Subsets) -> int:
-    """Memberships that came; of balancers that were there before."""
+    """Memberships added to the subsets of balancers that existed before."""
     return sum(len(new - old) for old, new in zip(before, after, strict=False))
 
 
