--- a/loadbalancer/configuration.py
+++ b/loadbalancer/configuration.py
@@ -51,7 +51,7 @@
 
 
 def read_configuration_cooperatively(
-    path: str, keep_known_endpoints: bool = True
+    path: str, *, keep_known_endpoints: bool = True
 ) -> CooperativeWork[Configuration]:
     """Read a configuration file, yielding every `CHUNK_BYTES`; raise ConfigurationError if it can't be used.
 
--- a/loadbalancer/policy/attempt_results.py
+++ b/loadbalancer/policy/attempt_results.py
@@ -38,7 +38,7 @@
             # The report leaves this attempt out, and remove_attempt takes it off once more.
             state.record_load(event.load_report[IN_FLIGHT_COLUMN] + 1, now_ns)
         self._record_result(request, attempt, event, now_ns)
-        state.remove_attempt(attempt.overdue)
+        state.remove_attempt(overdue=attempt.overdue)
 
     def _record_result(self, request: Request, attempt: Attempt, event: AttemptEnded, now_ns: int) -> None:
         """Count an attempt for or against the rate, and eject an endpoint at fault."""
@@ -46,7 +46,7 @@
         result = event.result
         is_outlier = (
             result not in RESULTS_WITHOUT_CONNECTION_EVIDENCE
-            and self.outlier_detection.record_attempt_end(state, result is AttemptResult.RESET)
+            and self.outlier_detection.record_attempt_end(state, was_reset=result is AttemptResult.RESET)
         )
         match result:
             case AttemptResult.OK:
--- a/loadbalancer/policy/balancer.py
+++ b/loadbalancer/policy/balancer.py
@@ -70,7 +70,7 @@
             latency_model=self.latency_model,
             rng=self.rng,
         )
-        self.load_probing = LoadProbing(probes_load, self.selection, self.timers)
+        self.load_probing = LoadProbing(self.selection, self.timers, enabled=probes_load)
         self.attempt_results = AttemptResults(
             outliers=self.outlier_detection,
             limit=self.concurrency_limit,
@@ -195,4 +195,4 @@
                 self.request_admission.on_token_due(timer.throttle, now_ns)
             case PollDiscovery():
                 if self.discovery_retry.start_call(now_ns):
-                    self.actions.append(messages.WatchEndpoints(True))
+                    self.actions.append(messages.WatchEndpoints(watch=True))
--- a/loadbalancer/policy/draw_width.py
+++ b/loadbalancer/policy/draw_width.py
@@ -5,7 +5,7 @@
 EXTRA_ENDPOINTS_WHILE_BLOCKED = 1
 
 
-def draw_width(pool: EndpointPool, queue_is_blocked: bool) -> int:
+def draw_width(pool: EndpointPool, *, queue_is_blocked: bool) -> int:
     """Return how many of a pool's endpoints, its subset first, random choices are drawn from.
 
     A blocked queue may use one endpoint beyond the subset; more would cost too many connections.
--- a/loadbalancer/policy/fleet_updates.py
+++ b/loadbalancer/policy/fleet_updates.py
@@ -20,7 +20,7 @@
     """Applies endpoint lists to the fleet, and decides which endpoint states are stored."""
 
     def __init__(
-        self, settings: Settings, fleet: Fleet, live_weights: LiveWeights, draws_from_reserve: bool
+        self, settings: Settings, fleet: Fleet, live_weights: LiveWeights, *, draws_from_reserve: bool
     ) -> None:
         self.settings = settings
         self.fleet = fleet
--- a/loadbalancer/policy/load_probing.py
+++ b/loadbalancer/policy/load_probing.py
@@ -31,7 +31,7 @@
 class LoadProbing:
     """Sends health checks on behalf of queued requests, and records the loads that they report."""
 
-    def __init__(self, enabled: bool, selection: Selection, timers: TimerQueue[Timer]) -> None:
+    def __init__(self, selection: Selection, timers: TimerQueue[Timer], *, enabled: bool) -> None:
         self.enabled = enabled
         self._selection = selection
         self._timers = timers
--- a/loadbalancer/policy/outlier_detection.py
+++ b/loadbalancer/policy/outlier_detection.py
@@ -87,9 +87,9 @@
         ejected = sum(state.ejected_until_ns > now_ns for state in pool.endpoints[: pool.draw_width])
         return ejected < EJECTED_FRACTION_MAX * pool.draw_width
 
-    def record_attempt_end(self, state: EndpointState, was_reset: bool) -> bool:
+    def record_attempt_end(self, state: EndpointState, *, was_reset: bool) -> bool:
         """Count an attempt that has ended; tell whether it is a reset that is attributed to its endpoint."""
-        state.record_ended_attempt(was_reset)
+        state.record_ended_attempt(was_reset=was_reset)
         self.recent_attempts += 1
         if not was_reset:
             return False
--- a/loadbalancer/policy/queue_admission.py
+++ b/loadbalancer/policy/queue_admission.py
@@ -8,7 +8,7 @@
 THROTTLE_DELAY_MAX_FRACTION = 0.5
 
 
-def has_queue_capacity(queue_length: int, wait_max_ns: int, success_rate: float, over_quota: bool) -> bool:
+def has_queue_capacity(queue_length: int, wait_max_ns: int, success_rate: float, *, over_quota: bool) -> bool:
     """Tell whether a request should be served in time behind `queue_length` others.
 
     They may take a fraction of `wait_max_ns`, the time that the request can wait, at `success_rate`, the
--- a/loadbalancer/policy/rate_control.py
+++ b/loadbalancer/policy/rate_control.py
@@ -103,7 +103,7 @@
         self.interval.expired_in_queue += 1
 
     def adjust(
-        self, throttles: Collection[Throttle], now_ns: int, draw_width: int, is_loaded: bool = True
+        self, throttles: Collection[Throttle], now_ns: int, draw_width: int, *, is_loaded: bool = True
     ) -> None:
         """Set the rate and the tenants' rates by the interval's outcomes, once it is long enough.
 
--- a/loadbalancer/policy/request_admission.py
+++ b/loadbalancer/policy/request_admission.py
@@ -39,7 +39,7 @@
         self.lifecycle.requests.add(request)
         self.timers.schedule(request.queue_deadline_ns, QueueDeadline(request))
         self.rate_controller.record_arrival(now_ns)
-        admission = self._admit(request, throttle, event.is_retry, now_ns)
+        admission = self._admit(request, throttle, now_ns, is_retry=event.is_retry)
         if admission is Admission.FORWARD:
             self._enqueue(request, throttle, now_ns)
         elif admission is Admission.BUFFER:
@@ -66,7 +66,7 @@
         request.queue_deadline_ns = queue_deadline_ns(request, self.latency_model, now_ns)
         return request
 
-    def _admit(self, request: Request, throttle: Throttle, is_retry: bool, now_ns: int) -> Admission:
+    def _admit(self, request: Request, throttle: Throttle, now_ns: int, *, is_retry: bool) -> Admission:
         """Take a token; a client's retry gets only one that new requests leave, and is never buffered."""
         if not is_retry:
             return throttle.admit(request, now_ns)
@@ -89,7 +89,7 @@
     def _enqueue(self, request: Request, throttle: Throttle, now_ns: int) -> None:
         """Queue a request that has its token, unless its queue is blocked and too long."""
         request.leave_queue()
-        request.record_throttle_delay(was_delayed_by_throttle(request, now_ns))
+        request.record_throttle_delay(delayed=was_delayed_by_throttle(request, now_ns))
         queue = self.lifecycle.queues[request.pool]
         if queue.blocked_since_ns and not self._fits(request, throttle, len(queue.waiting), now_ns):
             self.lifecycle.reject_for_capacity(request)
--- a/loadbalancer/policy/request_lifecycle.py
+++ b/loadbalancer/policy/request_lifecycle.py
@@ -104,7 +104,7 @@
         attempt = request.attempt_in_flight(event.attempt, event.endpoint_id)
         if attempt is None:
             return
-        attempt.end(event.result, may_have_run(event.result, self.settings.rules))
+        attempt.end(event.result, may_have_run=may_have_run(event.result, self.settings.rules))
         self.attempt_results.record(request, attempt, event, now_ns)
         if event.request_complete:
             self._finish(request)
--- a/loadbalancer/policy/subsetting.py
+++ b/loadbalancer/policy/subsetting.py
@@ -33,8 +33,8 @@
     """Return this proxy's subset and reserve among the ready endpoints that a placement admits."""
     ring = _subset_ring(settings, placement)
     is_partial = len(ring) < len(placement.ring) or placement.allowed_zones is not None
-    sharing_proxies = _sharing_proxies(settings, is_partial)
-    position = _ring_position(settings, is_partial)
+    sharing_proxies = _sharing_proxies(settings, is_partial=is_partial)
+    position = _ring_position(settings, is_partial=is_partial)
     size = subset_size(settings, len(ring), sharing_proxies)
     first = _first_rank(
         settings=settings, ring=ring, position=position, proxies=sharing_proxies, is_partial=is_partial
@@ -87,7 +87,7 @@
     return zone_ring if len(zone_ring) >= FULL_SUBSET_SIZE else placement.ring
 
 
-def _sharing_proxies(settings: Settings, is_partial: bool) -> int:
+def _sharing_proxies(settings: Settings, *, is_partial: bool) -> int:
     """Return how many proxies have their subsets on the same ring.
 
     Which proxies use a part of the ready endpoints isn't known: they count as evenly spread over the zones.
@@ -100,7 +100,7 @@
     return max(1, len(settings.zones))
 
 
-def _ring_position(settings: Settings, is_partial: bool) -> float:
+def _ring_position(settings: Settings, *, is_partial: bool) -> float:
     """Return where on its ring this proxy's subset begins (0 to 1).
 
     Golden-ratio steps are even over most sets of proxies. Those of one zone may be every n-th proxy, for
@@ -114,7 +114,7 @@
 
 
 def _first_rank(
-    settings: Settings, ring: SortedList[RingKey], position: float, proxies: int, is_partial: bool
+    settings: Settings, ring: SortedList[RingKey], position: float, proxies: int, *, is_partial: bool
 ) -> int:
     """Return the rank on its ring at which this proxy's subset begins."""
     if is_large_deployment(settings):
--- a/loadbalancer/state/endpoint_state.py
+++ b/loadbalancer/state/endpoint_state.py
@@ -66,7 +66,7 @@
         self.in_flight -= 1
         self.overdue += 1
 
-    def remove_attempt(self, overdue: bool) -> None:
+    def remove_attempt(self, *, overdue: bool) -> None:
         """Count an attempt that has ended no longer."""
         if overdue:
             self.overdue -= 1
@@ -105,7 +105,7 @@
         """Eject the endpoint until this time at least."""
         self.ejected_until_ns = max(self.ejected_until_ns, until_ns)
 
-    def record_ended_attempt(self, was_reset: bool) -> None:
+    def record_ended_attempt(self, *, was_reset: bool) -> None:
         """Count an attempt that has ended, and whether its connection broke."""
         self.recent_attempts += 1
         if was_reset:
--- a/loadbalancer/state/endpoint_table.py
+++ b/loadbalancer/state/endpoint_table.py
@@ -27,7 +27,7 @@
     them at once. `index_zones` and `index_cells` tell whether the placements have rings by zone and by cell.
     """
 
-    def __init__(self, index_zones: bool, index_cells: bool) -> None:
+    def __init__(self, *, index_zones: bool, index_cells: bool) -> None:
         self.attributes: dict[int, EndpointAttributes] = {}  # by endpoint id
         self.placements: list[Placement] = []
         self._index_zones = index_zones
--- a/loadbalancer/state/request.py
+++ b/loadbalancer/state/request.py
@@ -36,7 +36,7 @@
     may_have_run: bool = True  # until its result proves the contrary
     overdue: bool = False  # its response is considered lost and no longer counts as in flight
 
-    def end(self, result: AttemptResult, may_have_run: bool) -> None:
+    def end(self, result: AttemptResult, *, may_have_run: bool) -> None:
         """Record how it ended."""
         self.result = result
         self.may_have_run = may_have_run
@@ -85,7 +85,7 @@
         """Record that it has its final response, or that its client has disconnected."""
         self.finished = True
 
-    def record_throttle_delay(self, delayed: bool) -> None:
+    def record_throttle_delay(self, *, delayed: bool) -> None:
         """Record whether its throttle delayed it so much that a late end proves nothing; a stall does too."""
         self.delayed_by_throttle = self.stalled or delayed
 
--- a/tests/policy/test_outlier_detection.py
+++ b/tests/policy/test_outlier_detection.py
@@ -25,11 +25,11 @@
     outlier_detection = harness.balancer.outlier_detection
     for state in endpoints.values():
         for _ in range(20):
-            outlier_detection.record_attempt_end(state, False)
+            outlier_detection.record_attempt_end(state, was_reset=False)
     outliers = set()
     for endpoint_id, count in resets.items():
         attributed = [
-            outlier_detection.record_attempt_end(endpoints[endpoint_id], True) for _ in range(count)
+            outlier_detection.record_attempt_end(endpoints[endpoint_id], was_reset=True) for _ in range(count)
         ]
         if attributed[-1]:
             outliers.add(endpoint_id)
--- a/tests/support/requests.py
+++ b/tests/support/requests.py
@@ -48,6 +48,6 @@
         endpoint_state=state, sent_ns=START, expected_ns=expected_ms * NANOSECONDS_PER_MILLISECOND, load=1.0
     )
     if result is not None:
-        attempt.end(result, may_have_run)
+        attempt.end(result, may_have_run=may_have_run)
     request.attempts.append(attempt)
     return attempt
