--- a/scale_test/slopes/inputs.py
+++ b/scale_test/slopes/inputs.py
@@ -1,4 +1,4 @@
-"""Endpoint lists and settings of any size, as discovery and the configuration file have them."""
+"""Endpoint lists and settings of any size, in the JSON of discovery and of the configuration file."""
 
 from __future__ import annotations
 
@@ -29,12 +29,12 @@
     }
 
 
-def endpoint_list(rows: Sequence[Json], version: int = 1, full: bool = True) -> Json:
-    """An answer of discovery: the full list, or only what changed."""
+def endpoint_list(rows: Sequence[Json], version: int = 1, *, full: bool = True) -> Json:
+    """A response of discovery: the full list, or only what changed."""
     return {"seq": version, "whole": full, "hosts": list(rows)}
 
 
-def raw_settings(tenants: int = 2, routes: int = 1, placed: bool = False) -> Json:
+def raw_settings(tenants: int = 2, routes: int = 1, *, placed: bool = False) -> Json:
     """Return the settings as the configuration file has them.
 
     Args:
