--- a/loadbalancer/policy/request_admission.py
+++ b/loadbalancer/policy/request_admission.py
@@ -44,7 +44,7 @@
         self.lifecycle.requests.add(request)
         self.timers.schedule(request.queue_deadline_ns, QueueDeadline(request))
         self.rate_controller.record_arrival(now_ns)
-        admission = self._admit(request, throttle, is_retry=event.is_retry, now_ns=now_ns)
+        admission = self._admit(request, throttle, now_ns=now_ns, is_retry=event.is_retry)
         if admission is Admission.ADMIT:
             self._enqueue(request, throttle, now_ns)
         elif admission is Admission.BUFFER:
--- a/tests/proxy/test_gossip.py
+++ b/tests/proxy/test_gossip.py
@@ -13,12 +13,10 @@
 from loadbalancer.proxy.addresses import Address
 from loadbalancer.proxy.proxy import Proxy
 from loadbalancer.settings import Settings
+from tests.support.fake_policies import ScriptedPolicy
+from tests.support.http_messages import HOST
 from tests.support.scripted import on_timer
-from tests.support.sockets import (
-    HOST,
-    ScriptedPolicy,
-    until,
-)
+from tests.support.waiting import wait_until
 
 
 async def free_datagram_addresses(count: int) -> list[Address]:
@@ -66,7 +64,7 @@
 
     proxies[0].dispatch(TimerExpired("now"))
 
-    await until(lambda: len(receiver.of(GossipReceived)) == 2)
-    assert set(receiver.of(GossipReceived)) == {GossipReceived(0, b"one"), GossipReceived(0, b"all")}
+    await wait_until(lambda: len(receiver.events_of(GossipReceived)) == 2)
+    assert set(receiver.events_of(GossipReceived)) == {GossipReceived(0, b"one"), GossipReceived(0, b"all")}
     for proxy in proxies:
         proxy.close()
--- a/tests/support/scripted.py
+++ b/tests/support/scripted.py
@@ -11,6 +11,8 @@
     Action,
     AttemptEnded,
     AttemptResult,
+    EndpointStatus,
+    EndpointUpdate,
     Event,
     Fail,
     Forward,
@@ -19,9 +21,10 @@
 )
 from loadbalancer.proxy.attempts import QUARANTINE_S
 from loadbalancer.proxy.proxy import Proxy
-from tests.support.sockets import Client, ReceivedRequest, ScriptedPolicy, known, listing
-
-READY_REQUEST = b"GET /health/ready HTTP/1.1\r\n\r\n"
+from tests.support.endpoint_lists import list_of_ports, read_live_list
+from tests.support.fake_policies import ScriptedPolicy
+from tests.support.http_messages import READY_REQUEST, ReceivedMessage
+from tests.support.running_proxy import Client
 
 Reaction = Callable[[Event], Iterable[Action]]
 
@@ -36,14 +39,14 @@
 
 
 def fail_unless_complete(event: Event) -> Iterable[Action]:
-    """Fail a request whose attempt ended without a final answer."""
+    """Fail a request whose attempt ended without a final response."""
     if isinstance(event, AttemptEnded) and not event.request_complete:
         return [Fail(event.request_id)]
     return ()
 
 
 def retry_unless_complete(event: Event) -> Iterable[Action]:
-    """Forward a request whose attempt ended without a final answer to the same endpoint again."""
+    """Forward a request whose attempt ended without a final response to the same endpoint again."""
     if isinstance(event, AttemptEnded) and not event.request_complete:
         return [Forward(event.request_id, event.endpoint_id)]
     return ()
@@ -56,7 +59,7 @@
 
 def forward_to_first(policy: ScriptedPolicy, event: Event) -> Iterable[Action]:
     """Forward each request that arrives to the first endpoint."""
-    return [Forward(event.request_id, policy.ids()[0])] if isinstance(event, RequestArrived) else ()
+    return [Forward(event.request_id, policy.endpoint_ids()[0])] if isinstance(event, RequestArrived) else ()
 
 
 def forward_requests(
@@ -66,7 +69,7 @@
 
     def react(event: Event) -> Iterable[Action]:
         if isinstance(event, RequestArrived):
-            return [Forward(event.request_id, policy.ids()[index], timeout_ns)]
+            return [Forward(event.request_id, policy.endpoint_ids()[index], timeout_ns)]
         return then(event)
 
     policy.react = react
@@ -81,24 +84,29 @@
 
 def results(policy: ScriptedPolicy) -> list[AttemptResult]:
     """Give the results of all attempts, in the order in which they ended."""
-    return [ended.result for ended in policy.of(AttemptEnded)]
+    return [ended.result for ended in policy.events_of(AttemptEnded)]
+
+
+def reported_statuses(policy: ScriptedPolicy) -> list[EndpointStatus]:
+    """The statuses that were reported to the policy, in order."""
+    return [endpoint.status for update in policy.events_of(EndpointUpdate) for endpoint in update.endpoints]
 
 
-async def connect(client: Client) -> ReceivedRequest:
-    """Open the client's connection, and give the proxy's answer on whether it is ready."""
-    return await client.ask(READY_REQUEST)
+async def connect(client: Client) -> ReceivedMessage:
+    """Open the client's connection; returns the proxy's response to whether it is ready."""
+    return await client.exchange(READY_REQUEST)
 
 
 def end_quarantine(proxy: Proxy) -> None:
-    """Go on as if all idle connections had been left alone for long enough."""
+    """Let the quarantine of all idle connections be over."""
     for connection in proxy._connection_limits.idle_connections:
         connection.quarantined_until_s -= QUARANTINE_S
 
 
 def update_first_endpoint(proxy: Proxy, version: int, **row: object) -> None:
     """Apply a change of the first endpoint at once, as discovery would send it."""
-    changed = {**known(1)["hosts"][0], **row}
-    proxy.list_applier.on_watch_result(listing({"seq": version, "whole": False, "hosts": [changed]}))
+    changed = {**list_of_ports(1)["hosts"][0], **row}
+    proxy.list_applier.on_watch_result(read_live_list({"seq": version, "whole": False, "hosts": [changed]}))
 
 
 def hold_connections(
