--- a/loadbalancer/policy/attempt_results.py
+++ b/loadbalancer/policy/attempt_results.py
@@ -10,9 +10,16 @@
 from loadbalancer.policy.rate_control import RateController
 from loadbalancer.state.endpoint_state import EndpointState
 from loadbalancer.state.request import Attempt, Request
+from loadbalancer.units import NANOSECONDS_PER_MILLISECOND
 
 RESULTS_WITHOUT_CONNECTION_EVIDENCE = (AttemptResult.CANCELLED, AttemptResult.NOT_SENT)
 TIMED_OUT_DURATION_FACTOR = 1.3
+EVENT_LOOP_STALL_NS = 20 * NANOSECONDS_PER_MILLISECOND
+
+
+def is_event_loop_stall(timer_delay_ns: int) -> bool:
+    """Tell whether a timer that fires this late, in ns, shows that the event loop was stalled."""
+    return timer_delay_ns > EVENT_LOOP_STALL_NS
 
 
 class AttemptResults:
--- a/loadbalancer/policy/balancer.py
+++ b/loadbalancer/policy/balancer.py
@@ -5,13 +5,14 @@
 from typing import Any
 
 from loadbalancer import messages
-from loadbalancer.policy.attempt_results import AttemptResults
+from loadbalancer.policy.attempt_results import AttemptResults, is_event_loop_stall
 from loadbalancer.policy.concurrency_limit import ConcurrencyLimit
 from loadbalancer.policy.discovery_retry import DiscoveryRetry
 from loadbalancer.policy.feedback import Feedback
 from loadbalancer.policy.fleet_updates import FleetUpdater
 from loadbalancer.policy.forwarding import Forwarding
 from loadbalancer.policy.latency_model import LatencyModel
+from loadbalancer.policy.latency_objectives import latency_objectives
 from loadbalancer.policy.live_weights import LiveWeights
 from loadbalancer.policy.load_probing import LoadProbing, is_probing_enabled
 from loadbalancer.policy.outlier_detection import OutlierDetection
@@ -29,17 +30,6 @@
 from loadbalancer.state.fleet import Fleet
 from loadbalancer.state.request import RequestTable
 from loadbalancer.state.timer_queue import TimerQueue
-from loadbalancer.units import NANOSECONDS_PER_MILLISECOND, NANOSECONDS_PER_SECOND
-
-EVENT_LOOP_STALL_NS = 20 * NANOSECONDS_PER_MILLISECOND
-DEFAULT_LATENCY_OBJECTIVE_NS = NANOSECONDS_PER_SECOND
-
-
-def _latency_objectives_ns(settings: Settings) -> list[int]:
-    objectives_ns = [
-        request_class.latency_objective_ns for request_class in settings.request_classes.values()
-    ]
-    return objectives_ns or [DEFAULT_LATENCY_OBJECTIVE_NS]
 
 
 class Balancer:
@@ -48,22 +38,32 @@
     def __init__(self, settings: Settings, seed: int, now_ns: int) -> None:
         self.settings = settings
         self.rng = random.Random(seed)
-        objectives_ns = _latency_objectives_ns(settings)
-        self.shortest_objective_ns = min(objectives_ns)
+        objectives = latency_objectives(settings)
+        self.shortest_objective_ns = objectives.shortest_ns
         probes_load = is_probing_enabled(settings)
         self.timers = TimerQueue[Timer]()
         self.rate_controller = RateController(total_tenant_weight(settings), now_ns)
-        self.throttles = TenantThrottles(settings, self.rate_controller, self.rng, self.shortest_objective_ns)
-        self.latency_model = LatencyModel(slowest_objective_ns=max(objectives_ns))
+        self.throttles = TenantThrottles(
+            settings=settings,
+            rate_controller=self.rate_controller,
+            rng=self.rng,
+            shortest_objective_ns=self.shortest_objective_ns,
+        )
+        self.latency_model = LatencyModel(slowest_objective_ns=objectives.longest_ns)
         self.concurrency_limit = ConcurrencyLimit(self.latency_model)
         self.fleet = Fleet(settings.request_classes, new_endpoint_table(settings))
         self.fleet_updater = FleetUpdater(
             settings, self.fleet, LiveWeights(settings), draws_from_reserve=probes_load
         )
         self.outlier_detection = OutlierDetection(
-            self.fleet, self.timers, self.rng, self.shortest_objective_ns
+            fleet=self.fleet,
+            timers=self.timers,
+            rng=self.rng,
+            shortest_objective_ns=self.shortest_objective_ns,
+        )
+        self.slow_start = SlowStart(
+            settings=settings, fleet=self.fleet, timers=self.timers, latency_model=self.latency_model
         )
-        self.slow_start = SlowStart(settings, self.fleet, self.timers, self.latency_model)
         self.selection = Selection(
             slow_start=self.slow_start,
             concurrency_limit=self.concurrency_limit,
@@ -150,7 +150,7 @@
         """Apply what has happened since the last call, in order; return what is to be done."""
         self.actions.clear()
         timers = self.timers
-        if now_ns - timers.first_due_ns > EVENT_LOOP_STALL_NS:
+        if is_event_loop_stall(now_ns - timers.first_due_ns):
             self.attempt_results.exclude_stalled_samples(
                 self.requests.values(), self.fleet.endpoints.values(), now_ns
             )
@@ -181,10 +181,8 @@
             self.discovery_retry.schedule_poll_after(event.kind, now_ns)
             return
         self.discovery_retry.record_list(event.kind)
-        for state in self.fleet_updater.apply(event, now_ns):
-            if self.slow_start.is_warming_up(state, now_ns):
-                # All proxies are notified of a start together: their first attempts must not come together.
-                self.slow_start.apply_pacing(state, now_ns, self.rng.random())
+        started = self.fleet_updater.apply(event, now_ns)
+        self.slow_start.pace_first_attempts(started, now_ns, self.rng)
 
     def _on_timer(self, timer: Timer, now_ns: int) -> None:
         match timer:  # ServeQueue needs no handler: the queues are served after each batch
--- a/loadbalancer/policy/concurrency_limit.py
+++ b/loadbalancer/policy/concurrency_limit.py
@@ -20,6 +20,7 @@
 
 
 def _relative_standard_error(count: float) -> float:
+    """Return the standard error of a count as a fraction of it."""
     error: float = max(1.0, count) ** STANDARD_ERROR_EXPONENT
     return error
 
--- a/loadbalancer/policy/feedback.py
+++ b/loadbalancer/policy/feedback.py
@@ -51,6 +51,7 @@
         self.throttles.drop_idle(now_ns)
 
     def _adjust_draw_widths(self) -> None:
+        """Let each pool draw from one endpoint more while its queue is blocked."""
         for pool, queue in self.queues.items():
             pool.set_draw_width(draw_width(pool, queue_is_blocked=queue.blocked_since_ns > 0))
 
--- a/loadbalancer/policy/fleet_updates.py
+++ b/loadbalancer/policy/fleet_updates.py
@@ -63,7 +63,8 @@
         self, entries: Iterable[Endpoint], unlisted: set[int], now_ns: int
     ) -> set[EndpointState]:
         """Record the entries of a list, take their ids off `unlisted`, return the restarted endpoints."""
-        table, states = self.fleet.table, self.fleet.endpoints
+        table = self.fleet.table
+        states = self.fleet.endpoints
         has_live_weights = self.live_weights.enabled
         restarted = set()
         for endpoint in entries:
@@ -90,7 +91,8 @@
 
     def _rebuild_pools(self, now_ns: int) -> None:
         """Choose all pools' subsets again; they depend on the ready endpoints alone, not on their history."""
-        fleet, pools = self.fleet, self.fleet.pools.values()
+        fleet = self.fleet
+        pools = fleet.pools.values()
         subsets = [choose_subset(self.settings, pool.placement) for pool in pools]
         if subsets == [pool.current_subset for pool in pools]:
             return
@@ -120,6 +122,7 @@
             state.join_subset()
 
     def _states_of_keys(self, keys: Iterable[RingKey], now_ns: int) -> list[EndpointState]:
+        """Return the states of the endpoints with these ring keys, which are stored from now on."""
         return [self._state(unmix64(key), now_ns) for key in keys]
 
     def _state(self, endpoint_id: int, now_ns: int) -> EndpointState:
--- a/loadbalancer/policy/rate_control.py
+++ b/loadbalancer/policy/rate_control.py
@@ -142,6 +142,7 @@
         return elapsed_ns >= FEEDBACK_INTERVAL_NS and self.interval.outcomes >= OUTCOMES_MIN
 
     def _measure_rates(self, elapsed_ns: int) -> None:
+        """Set the success rate and the attempt rate to those of the interval."""
         self.success_rate = self.interval.successes * NANOSECONDS_PER_SECOND / elapsed_ns
         self.attempt_rate = self.interval.attempts * NANOSECONDS_PER_SECOND / elapsed_ns
 
@@ -173,6 +174,7 @@
         self.rate = min(RATE_MAX_PER_S, self.rate * factor + INCREASE_STEP_PER_S)
 
     def _is_recovering(self) -> bool:
+        """Tell whether the rate is well below the one at which too many attempts failed last."""
         return self.rate < RECOVERY_OVERLOAD_RATE_FACTOR * self.last_overload_rate
 
     def _set_tenant_rates(self, throttles: Collection[Throttle], now_ns: int) -> None:
--- a/loadbalancer/policy/selection.py
+++ b/loadbalancer/policy/selection.py
@@ -81,6 +81,7 @@
         return [pool.endpoints[int(random_unit() * width)] for _ in range(SCANNED_ENDPOINTS_MAX)]
 
     def _random_choices(self, endpoints: list[EndpointState], count: int) -> list[EndpointState]:
+        """Return `count` random draws, with replacement; none if there are no endpoints."""
         if not endpoints:
             return []
         random_unit = self.rng.random
--- a/loadbalancer/policy/slow_start.py
+++ b/loadbalancer/policy/slow_start.py
@@ -3,6 +3,9 @@
 An endpoint that is overloaded while it warms up fails for good (`Rules.overload_factor`).
 """
 
+import random
+from collections.abc import Iterable
+
 from loadbalancer.policy.latency_model import LatencyModel
 from loadbalancer.policy.timers import ServeQueue, Timer
 from loadbalancer.settings import Settings
@@ -73,6 +76,15 @@
         state.extend_ejection(now_ns + pause_ns)
         self.timers.schedule(state.ejected_until_ns, ServeQueue())
 
+    def pace_first_attempts(self, states: Iterable[EndpointState], now_ns: int, rng: random.Random) -> None:
+        """Delay the first attempts at endpoints that have just started, by a random part of the interval.
+
+        All proxies are notified of a start together: their first attempts must not come together.
+        """
+        for state in states:
+            if self.is_warming_up(state, now_ns):
+                self.apply_pacing(state, now_ns, rng.random())
+
     def record_throughput(self, attempts_per_second: float) -> None:
         """Learn from the attempts per second that the subset carried, once each feedback tick."""
         throughput = attempts_per_second / max(1, self.fleet.subset_size)
--- a/loadbalancer/policy/subsetting.py
+++ b/loadbalancer/policy/subsetting.py
@@ -123,7 +123,7 @@
 ) -> int:
     """Return the rank on its ring at which this proxy's subset begins."""
     if is_large_deployment(settings):
-        return _first_rank_in_segment(settings, ring, position, proxies)
+        return _first_rank_in_segment(settings=settings, ring=ring, position=position, proxies=proxies)
     if is_partial:
         return int(position * len(ring))
     return settings.proxy_index * len(ring) // proxies
--- a/loadbalancer/policy/throttle.py
+++ b/loadbalancer/policy/throttle.py
@@ -50,6 +50,7 @@
 
 
 def _bank_capacity(rate_per_s: float) -> int:
+    """Return C_T, in tokens: those of BANK_CAPACITY_S, or the least capacity."""
     return max(BANK_CAPACITY_MIN_TOKENS, round(rate_per_s * BANK_CAPACITY_S))
 
 
@@ -92,6 +93,7 @@
         self._wake_up_scheduled = False
 
     def _buffer_capacity(self, rate_per_s: float) -> int:
+        """Return C_J, in requests: as many as get a token within the longest wait, one at least."""
         return max(1, round(rate_per_s * self.buffer_wait_max_s), len(self.buffer))
 
     def set_rate(self, rate_per_s: float, now_ns: int) -> None:
--- a/loadbalancer/proxy/downstream.py
+++ b/loadbalancer/proxy/downstream.py
@@ -70,7 +70,7 @@
         family = socket.AF_INET6 if ":" in host else socket.AF_INET
         self._socket = socket.socket(family, socket.SOCK_STREAM)
         self._socket.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
-        self._socket.setblocking(False)
+        self._socket.setblocking(False)  # noqa: FBT003 - takes no keyword
         self._socket.bind((host, port))
         self._socket.listen(LISTEN_BACKLOG)
         self._resume_accepting()
@@ -138,7 +138,7 @@
         return len(self._connections) >= self._max_connections
 
     def _start_connection(self, accepted: socket.socket) -> None:
-        accepted.setblocking(False)
+        accepted.setblocking(False)  # noqa: FBT003 - takes no keyword
         accepted.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         client = ClientConnection(self, self._handler)
         self._connections.add(client)
--- a/loadbalancer/state/running_regression.py
+++ b/loadbalancer/state/running_regression.py
@@ -44,4 +44,4 @@
         mean_y = self.sum_y / self.count
         variance_x = self.sum_xx / self.count - mean_x**2
         covariance = self.sum_xy / self.count - mean_x * mean_y
-        return Moments(mean_x, mean_y, variance_x, covariance)
+        return Moments(mean_x=mean_x, mean_y=mean_y, variance_x=variance_x, covariance=covariance)
