--- a/tests/process/test_configuration_reload.py
+++ b/tests/process/test_configuration_reload.py
@@ -77,6 +77,6 @@
 
 
 def test_a_reload_ignores_the_endpoint_list_of_the_file(tmp_path: Path) -> None:
-    # Guards against a list from the file, old by now, that undoes what discovery said since.
+    # The list in the file is older than what discovery has sent since.
     path = written(tmp_path, discovery="127.0.0.2:2", known={"seq": "no number"})
     assert reload(path, CONFIGURATION) == [OTHER_ADDRESS]
--- a/tests/process/test_process.py
+++ b/tests/process/test_process.py
@@ -153,7 +153,7 @@
 
 
 async def test_the_proxy_is_ready_once_the_processor_time_of_its_start_is_paid_for(tmp_path: Path) -> None:
-    # Guards against clients that wait while the system stops a process that overspent its share at the start.
+    # Clients would wait while the system throttles a process that exceeded its CPU limit at the start.
     upstream = await FakeEndpoint(respond_with(200)).start()
     async with proxy_process(tmp_path, upstream.port, cores=0.001) as (_, port):
         while (response := await exchange(port, READY_REQUEST)).status != 200:
--- a/tests/proxy/test_client_disconnect.py
+++ b/tests/proxy/test_client_disconnect.py
@@ -388,7 +388,7 @@
 async def test_unread_disconnect_opens_no_connection_and_closes_no_idle_one(
     monkeypatch: pytest.MonkeyPatch, disconnect: Disconnect, idle_connection: bool
 ) -> None:
-    # Guards against clients that disconnect in numbers costing endpoints a handshake each.
+    # Many clients that disconnect must not cost endpoints a handshake each.
     endpoint = await FakeEndpoint(respond_with(200)).start()
     script = forwarding_policy()
     policy = DisconnectInjector(script, DisconnectTime.DECIDED, request_id="2" if idle_connection else "1")
--- a/tests/proxy/test_discovery_handover.py
+++ b/tests/proxy/test_discovery_handover.py
@@ -124,8 +124,8 @@
 
 
 async def test_a_new_address_that_answers_in_turn_is_waited_for() -> None:
-    # Guards against a retry storm: a call given up after a second stays in the queue of that address, and
-    # each retry waits behind it. A second signal with the same address must not queue one either.
+    # An abandoned call stays in the queue of that address, and each retry waits behind it: no retry storm. A
+    # second signal with the same address must not queue another call either.
     old, script = FakeDiscovery(), ScriptedPolicy()
     new = await start_discovery("s9")
     answer_in_turn(new, 1.3)
@@ -171,7 +171,7 @@
 
 
 async def test_calls_while_the_old_address_is_closed_are_answered_by_the_new_one() -> None:
-    # Guards against failures of the old address that are reported to the policy, and against calls to it.
+    # Failures of the old address are not reported to the policy, and it is not called again.
     old, script = FakeDiscovery(), timer_driven_policy()
     new = await start_discovery("s9")
     release = hold_first_list(new)
@@ -194,7 +194,7 @@
 
 
 async def test_calls_while_both_addresses_fail_report_one_failure_each() -> None:
-    # Guards against a policy that waits for ever, and against failures of calls that it did not make.
+    # The policy must not wait for ever, nor be notified of failures of calls that it did not make.
     old, script = FakeDiscovery(), timer_driven_policy()
     new = await start_discovery("s9", broken_response=format_response(503))
     async with running_proxy(script, discovery=old, initial_list=list_of_ports(5), polls=True) as client:
--- a/tests/proxy/test_discovery_watch.py
+++ b/tests/proxy/test_discovery_watch.py
@@ -59,7 +59,7 @@
 
 
 async def test_a_silently_lost_watch_is_repeated_before_its_changes_are_due() -> None:
-    # Guards against sending to an endpoint whose drain was told on a connection that had died unseen.
+    # A drain is sent on a connection that has failed without notice.
     discovery, script = FakeDiscovery(), ScriptedPolicy()
     respond_normally: Responder = discovery.server.respond
 
@@ -81,8 +81,8 @@
 async def test_a_silently_lost_watch_is_repeated_without_backoff_where_discovery_is_polled(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    # Guards against a drain told on such a watch being unknown still when it counts as told: a pause as
-    # after a call that failed, of 0.5 to 1.5 s, is as long as all the time that is left then.
+    # The backoff after a failed call, 0.5 to 1.5 s, is as long as the time that is left until a drain that
+    # such a watch missed counts as notified.
     monkeypatch.setattr("loadbalancer.proxy.discovery_client.POLL_WAIT_MS", 20)
     monkeypatch.setattr("loadbalancer.proxy.discovery_call.TIMEOUT_MARGIN_S", 0.02)
     discovery = FakeDiscovery()
--- a/tests/proxy/test_downstream.py
+++ b/tests/proxy/test_downstream.py
@@ -221,7 +221,7 @@
 async def test_connection_with_an_unread_request_is_not_closed(
     had_request: bool, close_connections: Callable[[DownstreamServer], None]
 ) -> None:
-    # Guards against a close between requests that crosses a request: it has been taken, and would be lost.
+    # A request that crosses the close has been received by this machine, and would be lost.
     async with running_proxy(ScriptedPolicy(fail_all)) as client, plain_socket(client) as sock:
         server = client.proxy.downstream
         loop = asyncio.get_running_loop()
--- a/tests/proxy/test_endpoint_connections.py
+++ b/tests/proxy/test_endpoint_connections.py
@@ -129,7 +129,7 @@
     "unread", [b"", format_response(200, b"nobody's")], ids=["end of stream", "second response"]
 )
 async def test_an_idle_connection_with_unread_data_is_not_reused(unread: bytes) -> None:
-    # Guards against a close, or a second response, that comes in the turn of the next attempt.
+    # A close, or a second response, is received in the event loop turn of the next attempt.
     writers: list[asyncio.StreamWriter] = []
 
     async def respond(_received: ReceivedMessage, writer: asyncio.StreamWriter) -> None:
--- a/tests/proxy/test_endpoint_list_reader.py
+++ b/tests/proxy/test_endpoint_list_reader.py
@@ -159,7 +159,7 @@
 
 
 async def test_a_long_response_extends_its_timeout_by_what_has_come() -> None:
-    # Guards against a long list that never comes whole, and against an answer that drips for ever.
+    # A long list must be received completely, and a response that trickles in must end.
     go = asyncio.Event()
 
     async def part(_received: ReceivedMessage, writer: Writer) -> None:
@@ -260,7 +260,7 @@
 
 
 def test_what_a_start_made_is_not_gone_through_by_the_collector_again() -> None:
-    # Guards against a pause of all requests by ten milliseconds and more, each time that a long list is read.
+    # A garbage collection would pause all requests by ten milliseconds or more for each long list.
     kept = [[number] for number in range(5000)]
     try:
         freeze_heap()
--- a/tests/proxy/test_faults.py
+++ b/tests/proxy/test_faults.py
@@ -49,7 +49,7 @@
 
 
 async def test_resets_at_all_endpoints_eject_no_more_than_one(monkeypatch: pytest.MonkeyPatch) -> None:
-    # Guards against a bad network, whose resets strike all alike, taking most of a healthy fleet out of use.
+    # Resets by a bad network hit all endpoints alike, and must not eject most of a healthy fleet.
     upstreams = [await FakeEndpoint(reset_every(4)).start() for _ in range(ENDPOINTS)]
     balancer = Balancer(proxy_settings(), 1, time.monotonic_ns())
     # Resets alone count: on a busy machine a response may be overdue, which ejects its endpoint as well.
@@ -73,7 +73,7 @@
 
 
 async def test_load_probe_that_is_reset_is_retried(monkeypatch: pytest.MonkeyPatch) -> None:
-    # Guards against each broken probe costing a request the whole time a response would be waited for.
+    # A request must not wait for the load report of a health check whose connection broke.
     probes = 0
 
     async def respond(received: ReceivedMessage, writer: Writer) -> None:
@@ -99,7 +99,7 @@
 
 
 async def test_request_of_excessive_cost_ejects_no_endpoint(monkeypatch: pytest.MonkeyPatch) -> None:
-    # Guards against a few requests of many times the usual work barring endpoint after endpoint.
+    # A few requests of many times the usual cost must not eject one endpoint after another.
     a_minute_us = 60_000_000
     # A slow machine changes nothing here.
     monkeypatch.setattr(
@@ -118,8 +118,8 @@
 
 
 async def test_event_loop_stall_is_held_against_no_endpoint() -> None:
-    # Guards against a stopped process, such as one that has spent its share of the processor, taking all
-    # endpoints for dead when it goes on.
+    # A process that was stopped, for example throttled, must not consider all endpoints dead when it
+    # continues.
     upstreams = await start_upstreams(never_respond, ENDPOINTS)
     balancer = Balancer(proxy_settings(), 1, time.monotonic_ns())
     async with running_proxy(balancer, *upstreams) as client:
@@ -142,7 +142,7 @@
 async def test_retry_with_idempotency_key_on_a_late_connection_is_not_sent_after_its_window(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    # Guards against a second execution: by then the upstreams have forgotten the first one.
+    # The endpoints no longer recognise the key by then, so a retry would run a second time.
     upstream = await FakeEndpoint(abort_connection).start()
     balancer = Balancer(
         proxy_settings(connect_timeout_ns=1000 * NANOSECONDS_PER_MILLISECOND), 1, time.monotonic_ns()
--- a/tests/proxy/test_shutdown.py
+++ b/tests/proxy/test_shutdown.py
@@ -66,7 +66,7 @@
 
 @pytest.mark.usefixtures("no_late_connections")
 async def test_the_backlog_is_answered_in_a_shutdown(monkeypatch: pytest.MonkeyPatch) -> None:
-    # Guards against an end of listening while clients that the system has accepted wait for a connection.
+    # Clients in the listen backlog wait until the connection limit allows them.
     policy = ScriptedPolicy()
     async with running_proxy(policy, max_sockets=32 + 16) as client:  # so eight clients
         busy = [client.new_client() for _ in range(8)]
@@ -114,7 +114,7 @@
 async def test_pending_requests_are_answered_at_the_end_of_a_shutdown(
     caplog: pytest.LogCaptureFixture,
 ) -> None:
-    # Guards against leaving to SIGKILL what came late, where the longest deadline is short.
+    # With a short longest deadline, SIGKILL comes soon after requests that arrive late.
     endpoint = await FakeEndpoint(never_respond).start()
     policy = forwarding_policy()
     async with running_proxy(policy, endpoint, client_timeout_ns=100 * NANOSECONDS_PER_MILLISECOND) as client:
