--- a/loadbalancer/policy/outlier_detection.py
+++ b/loadbalancer/policy/outlier_detection.py
@@ -89,7 +89,10 @@
         )
 
     def _has_few_ejected(self, pool: EndpointPool, now_ns: int) -> bool:
-        """Tell whether fewer than EJECTED_FRACTION_MAX are ejected or paced, as in a pool of one endpoint."""
+        """Tell whether fewer than EJECTED_FRACTION_MAX of the endpoints are ejected or paced.
+
+        This lets a pool's only endpoint be ejected too.
+        """
         ejected = sum(state.ejected_until_ns > now_ns for state in pool.endpoints[: pool.draw_width])
         return ejected < EJECTED_FRACTION_MAX * pool.draw_width
 
--- a/loadbalancer/policy/rate_control.py
+++ b/loadbalancer/policy/rate_control.py
@@ -1,7 +1,7 @@
 """The proxy's adaptive rate, and the tenants' rates made of it (types: loadbalancer/messages.py).
 
 What bounds a tenant's rate: the proxy has one rate R, in requests a second. It falls when more than a tenth
-of the outcomes of a rate interval (0.5 to 2 s, the longer the less traffic) are failures that point to
+of the outcomes of a rate interval (0.5 s, with little traffic up to 2 s) are failures that point to
 overload, and rises when a throttle had no token for a request and failures were few. `fair_shares` divides R
 among the tenants that send, by demand and weight; each may also borrow all that the others leave unused. A
 tenant's throttle admits requests at that rate, or at the tenant's part of R by weight if that is more.
--- a/tests/policy/test_rate_control.py
+++ b/tests/policy/test_rate_control.py
@@ -45,7 +45,7 @@
         self.controller = RateController(self.throttle.weight, 0)
 
     def end_interval(self, successes: int, failures_by_endpoint: int) -> None:
-        """Let a feedback interval end with so many successes, and so many failures at each endpoint."""
+        """Let a rate interval end with so many successes, and so many failures at each endpoint."""
         self.now_ns += FEEDBACK_INTERVAL_NS
         self.throttle.arrivals = successes
         self.throttle.has_missed_token = True
--- a/tests/proxy/test_faults.py
+++ b/tests/proxy/test_faults.py
@@ -102,7 +102,9 @@
     # Guards against a few requests of many times the usual work barring endpoint after endpoint.
     a_minute_us = 60_000_000
     # A slow machine changes nothing here.
-    monkeypatch.setattr("loadbalancer.policy.attempt_results.EVENT_LOOP_STALL_NS", 60 * NANOSECONDS_PER_SECOND)
+    monkeypatch.setattr(
+        "loadbalancer.policy.attempt_results.EVENT_LOOP_STALL_NS", 60 * NANOSECONDS_PER_SECOND
+    )
     upstream = await FakeEndpoint(never_respond).start()
     balancer = Balancer(proxy_settings(), 1, time.monotonic_ns())
     async with running_proxy(balancer, upstream) as client:
