--- a/loadbalancer/policy/throttle.py
+++ b/loadbalancer/policy/throttle.py
@@ -1,11 +1,12 @@
-"""Admission of one tenant's requests at the rate allotted to it (types: loadbalancer/messages.py).
-
-What bounds a tenant's rate: its throttle admits a request for each token in the tenant's bank. Tokens come
-at the rate that `rate_control` sets after each rate interval: the tenant's max-min fair share of the proxy's
-rate, or more. A full bank allows a burst of half a second's tokens, or of BANK_CAPACITY_MIN_TOKENS if that is
-more. With the bank empty, a request waits in the buffer for a token. The buffer is sized for the requests of
-a quarter of the shortest latency objective, one at least; the queue deadline bounds the wait. With the buffer
-full, a request is rejected.
+"""Limits the request rate of one tenant with a token bank (types: loadbalancer/messages.py).
+
+The throttle admits one request for each token in the tenant's bank. Tokens accrue at the rate that
+`rate_control` sets after each rate interval: the tenant's max-min fair share of the proxy's rate, or more. A
+full bank allows a burst of half a second's tokens, or of BANK_CAPACITY_MIN_TOKENS if that is more.
+
+While the bank is empty, requests wait in the buffer for a token. The buffer holds as many requests as can get
+a token within a quarter of the shortest latency objective, and at least one; the queue deadline also bounds
+the wait. While the buffer is full, requests are rejected.
 """
 
 import random
@@ -17,9 +18,9 @@
 from loadbalancer.state.token_bank import TokenBank
 from loadbalancer.units import NANOSECONDS_PER_SECOND
 
-RATE_MAX_PER_S = 10_000.0  # above anything that a proxy carries
+RATE_MAX_PER_S = 10_000.0  # more than any proxy serves
 INITIAL_RATE_PER_S = RATE_MAX_PER_S
-BANK_CAPACITY_S = 0.5  # of tokens at the current rate
+BANK_CAPACITY_S = 0.5  # the bank holds the tokens of this many seconds at the current rate
 BANK_CAPACITY_MIN_TOKENS = 4
 BUFFER_WAIT_MAX_S = 0.5
 BUFFER_WAIT_MAX_OBJECTIVE_FRACTION = 0.25
@@ -30,17 +31,18 @@
 
 
 class Admission(Enum):
-    """What a throttle does with a request that arrives."""
+    """What a throttle does with a new request."""
 
-    ADMIT = auto()  # the bank had a token for it
-    BUFFER = auto()  # it waits for a token
+    ADMIT = auto()  # a token was available
+    BUFFER = auto()  # the request waits for a token
     REJECT = auto()  # the buffer is full
 
 
 def take_low_priority_token(bank: TokenBank, now_ns: int) -> bool:
-    """Take a token for a hedged request or a client's marked retry, if enough are left for new requests.
+    """Take a token for a hedged request or for a request that the client marked as a retry.
 
-    A retry by this proxy takes none.
+    Returns False, and takes none, if only the tokens reserved for new requests are left. Retries by this
+    proxy need no token.
     """
     bank.accrue(now_ns)
     if bank.balance <= NEW_REQUEST_RESERVE_BANK_FRACTION * bank.bank_capacity:
@@ -50,12 +52,12 @@
 
 
 def _bank_capacity(rate_per_s: float) -> int:
-    """Return C_T, in tokens: those of BANK_CAPACITY_S, or the least capacity."""
+    """Return C_T, in tokens: what accrues in BANK_CAPACITY_S, or the minimum capacity if that is more."""
     return max(BANK_CAPACITY_MIN_TOKENS, round(rate_per_s * BANK_CAPACITY_S))
 
 
 class Throttle:
-    """Admits, buffers or rejects the requests of one tenant, and measures how many it sends."""
+    """Admits, buffers or rejects the requests of one tenant, and measures the tenant's demand."""
 
     def __init__(
         self,
@@ -65,13 +67,13 @@
         now_ns: int,
         shortest_objective_ns: int = NANOSECONDS_PER_SECOND,
     ) -> None:
-        """Make a throttle with a full bank.
+        """Create a throttle with a full bank.
 
         Args:
             tenant: The tenant's name.
-            weight: Its part of the proxy's rate, relative to the weights of the other tenants.
-            rng: Draws when the first token comes, so that the proxies don't release requests in step.
-            now_ns: The time of the call.
+            weight: The tenant's share of the proxy's rate, relative to the weights of the other tenants.
+            rng: Draws when the first token accrues, so that proxies do not release requests in step.
+            now_ns: The current time.
             shortest_objective_ns: The shortest latency objective of all request classes.
         """
         self.tenant = tenant
@@ -87,17 +89,20 @@
             now_ns=now_ns,
         )
         self.demand_per_s = 0.0
-        self.exceeds_fair_share = False  # its demand exceeds its share of the success rate
-        self.has_missed_token = False  # a request found no token in this rate interval
-        self.arrivals = 0  # in this rate interval
+        self.exceeds_fair_share = False  # the demand exceeds the tenant's share of the success rate
+        self.has_missed_token = False  # the bank was empty for a request of this rate interval
+        self.arrivals = 0  # requests in this rate interval
         self._wake_up_scheduled = False
 
     def _buffer_capacity(self, rate_per_s: float) -> int:
-        """Return C_J, in requests: as many as get a token within the longest wait, one at least."""
+        """Return C_J, in requests: those that get a token within the longest wait; at least one.
+
+        The capacity never falls below the number of requests that are buffered now.
+        """
         return max(1, round(rate_per_s * self.buffer_wait_max_s), len(self.buffer))
 
     def set_rate(self, rate_per_s: float, now_ns: int) -> None:
-        """Change the rate and with it the capacities; tokens in the bank and buffered requests stay."""
+        """Change the rate and with it the capacities; the tokens and the buffered requests are kept."""
         self.bank.set_rate(
             rate_per_s=rate_per_s,
             bank_capacity=_bank_capacity(rate_per_s),
@@ -106,11 +111,14 @@
         )
 
     def set_fair_share(self, rate_per_s: float) -> None:
-        """Compare the demand with the tenant's share of the success rate; what exceeds it is shed first."""
+        """Set `exceeds_fair_share` by the tenant's share of the success rate.
+
+        A blocked queue rejects the requests of tenants over their share first (`queue_admission`).
+        """
         self.exceeds_fair_share = self.demand_per_s > OVER_FAIR_SHARE_DEMAND_FACTOR * rate_per_s
 
     def admit(self, request: Request, now_ns: int) -> Admission:
-        """Take a token for an arrival, buffer it, or reject it where the buffer is full."""
+        """Admit a new request if a token is available; else buffer it, or reject it if the buffer is full."""
         bank = self.bank
         bank.accrue(now_ns)
         self.arrivals += 1
@@ -125,20 +133,20 @@
         return Admission.BUFFER
 
     def release(self, now_ns: int) -> Iterable[Request]:
-        """Yield the buffered requests that have a token by now, the oldest first."""
+        """Remove and yield the buffered requests for which tokens have accrued, oldest first."""
         self.bank.accrue(now_ns)
         while len(self.buffer) > self.bank.waiting_requests:
             yield self.buffer.popleft()
 
     def remove_buffered(self, request: Request) -> None:
-        """Drop a buffered request that has ended, and return the token that it waited for."""
+        """Remove a buffered request that has ended, and return the token that it was waiting for."""
         self.buffer.remove(request)
         self.bank.return_token()
 
     def next_wake_up_ns(self, now_ns: int) -> int | None:
-        """Return when the caller must call `on_token_due`, once for each wake-up.
+        """Return when the caller must call `on_token_due`, and mark this wake-up as scheduled.
 
-        None: no request waits, or the wake-up is already scheduled.
+        Returns None if no request is buffered or a wake-up is already scheduled.
         """
         if not self.buffer or self._wake_up_scheduled:
             return None
@@ -146,18 +154,18 @@
         return now_ns + self.bank.time_to_next_token_ns()
 
     def on_token_due(self) -> None:
-        """Record that the scheduled wake-up has come."""
+        """Record that the scheduled wake-up has fired."""
         self._wake_up_scheduled = False
 
     def end_rate_interval(self, elapsed_ns: int) -> None:
-        """Update the demand at the end of a rate interval, and count the arrivals of the next one."""
+        """Update the demand from the arrivals of the rate interval, and start counting for the next one."""
         arrivals_per_s = self.arrivals * NANOSECONDS_PER_SECOND / elapsed_ns
         self.demand_per_s += DEMAND_SMOOTHING * (arrivals_per_s - self.demand_per_s)
         self.arrivals = 0
         self.has_missed_token = False
 
     def is_idle(self, now_ns: int) -> bool:
-        """Tell whether a new throttle would do the same: empty buffer, full bank, next to no demand."""
+        """Return whether a new throttle would behave the same: empty buffer, full bank, almost no demand."""
         self.bank.accrue(now_ns)
         if self.buffer or self._wake_up_scheduled or self.arrivals:
             return False
