--- a/loadbalancer/policy/tenant_throttles.py
+++ b/loadbalancer/policy/tenant_throttles.py
@@ -1,4 +1,4 @@
-"""Which tenants have a throttle, and with what weight (types: loadbalancer/messages.py)."""
+"""Throttles of the tenants that send requests, and tenant weights (types: loadbalancer/messages.py)."""
 
 import random
 from collections.abc import Collection, Mapping
@@ -11,7 +11,7 @@
 
 
 def _tenants(settings: Settings) -> Mapping[str, Tenant]:
-    """Return the configured tenants by name; where there are none, one with an empty name."""
+    """Return the configured tenants by name, or a single tenant with an empty name if there are none."""
     return settings.tenants or {"": Tenant("")}
 
 
@@ -25,10 +25,11 @@
 
 
 class TenantThrottles:
-    """The throttles of the tenants that send.
+    """The throttles of the tenants that send requests.
 
-    One is made at a tenant's first request, as if it had always been there, and dropped when it is idle:
-    tenants that send nothing cost nothing, however many are configured.
+    A throttle is created at the first request of its tenant, in the state that it would have if it had always
+    existed, and dropped when it is idle. Tenants that send nothing therefore take no memory or processor
+    time, however many are configured.
     """
 
     def __init__(
@@ -49,11 +50,11 @@
         return len(self._throttles)
 
     def values(self) -> Collection[Throttle]:
-        """Return the throttles of the tenants that send, in the order in which they were made."""
+        """Return the throttles of the tenants that send requests, in order of creation."""
         return self._throttles.values()
 
     def get_or_create(self, tenant: str, now_ns: int) -> Throttle:
-        """Return the throttle of a tenant, made if it has none; an unknown tenant uses the default one's."""
+        """Return a tenant's throttle, created if missing; unknown tenants share the default tenant's."""
         throttle = self._throttles.get(tenant)
         if throttle is not None:
             return throttle
@@ -71,11 +72,15 @@
         return throttle
 
     def get(self, tenant: str) -> Throttle:
-        """Return the throttle that a configured tenant has; KeyError if it has none."""
+        """Return the existing throttle of a configured tenant.
+
+        Raises:
+            KeyError: The tenant has no throttle now.
+        """
         return self._throttles[tenant]
 
     def drop_idle(self, now_ns: int) -> None:
-        """Drop the throttles that a new one could replace."""
+        """Drop the throttles that a new one can replace without any effect (`Throttle.is_idle`)."""
         for throttle in list(self._throttles.values()):
             if throttle.is_idle(now_ns):
                 del self._throttles[throttle.tenant]
