--- a/loadbalancer/policy/rate_control.py
+++ b/loadbalancer/policy/rate_control.py
@@ -1,10 +1,12 @@
-"""The proxy's adaptive rate, and the tenants' rates made of it (types: loadbalancer/messages.py).
+"""Adaptive rate of the proxy, and the tenant rates derived from it (types: loadbalancer/messages.py).
 
-What bounds a tenant's rate: the proxy has one rate R, in requests a second. It falls when more than a tenth
-of the outcomes of a rate interval (0.5 s, with little traffic up to 2 s) are failures that point to
-overload, and rises when a throttle had no token for a request and failures were few. `fair_shares` divides R
-among the tenants that send, by demand and weight; each may also borrow all that the others leave unused. A
-tenant's throttle admits requests at that rate, or at the tenant's part of R by weight if that is more.
+The proxy has one rate R, in requests per second. R is decreased when more than a tenth of the outcomes of a
+rate interval (0.5 s, up to 2 s with little traffic) are failures that indicate overload. It is increased when
+failures were few and a throttle had no token for a request.
+
+`fair_shares` divides R among the tenants that send requests, by demand and weight; each tenant may also
+borrow the whole rate that the others leave unused. A tenant's throttle admits requests at the resulting
+rate, or at the tenant's share of R by weight if that is more.
 """
 
 from collections import Counter
@@ -23,8 +25,8 @@
 IGNORED_ENDPOINTS_FRACTION = 0.5
 
 DECREASE_MAX_FRACTION = 0.3
-# A decrease starts from this multiple of the measured attempt rate, plus a margin in requests a second, where
-# the rate is higher.
+# If the rate is above this multiple of the measured attempt rate, plus a margin in requests per second, a
+# decrease starts from there.
 DECREASE_START_ATTEMPT_RATE_FACTOR = 1.2
 DECREASE_START_MARGIN_PER_S = 1
 SUCCESS_RATE_FLOOR_FACTOR = 0.9
@@ -32,9 +34,9 @@
 RATE_MIN_PER_S = 1.0
 
 INCREASE_FACTOR = 1.1
-INCREASE_STEP_PER_S = 0.5  # requests a second, added at each increase
+INCREASE_STEP_PER_S = 0.5  # requests per second, added at each increase
 RECOVERY_INCREASE_FACTOR = 1.5
-RECOVERY_OVERLOAD_RATE_FACTOR = 0.8  # of the last overload rate; the rate recovers faster below it
+RECOVERY_OVERLOAD_RATE_FACTOR = 0.8  # below this fraction of the last overload rate, the rate rises faster
 
 TENANT_RATE_MIN_PER_S = 0.05
 
@@ -43,53 +45,54 @@
 class RateInterval:
     """The outcomes of requests and attempts in one rate interval.
 
-    It ends with the first feedback tick (`Feedback.adjust`) at which it is long enough.
+    The interval ends with the first feedback tick (`Feedback.adjust`) at which it is long enough.
     """
 
     start_ns: int
-    has_begun: bool = False  # by its first request or outcome
-    successes: int = 0  # attempts that say nothing against the rate
-    rejected_for_capacity: int = 0  # requests: full queue, queue deadline, late endpoint
-    failures: Counter[int] = field(default_factory=Counter)  # attempts, by endpoint id
+    has_begun: bool = False  # a request or an outcome has been recorded
+    successes: int = 0  # ended attempts that do not indicate overload
+    rejected_for_capacity: int = 0  # requests: queue too long, queue deadline, endpoint too slow
+    failures: Counter[int] = field(default_factory=Counter)  # attempts that indicate overload, by endpoint id
 
     @property
     def attempts(self) -> int:
-        """How many attempts ended."""
+        """The number of attempts that ended and count for or against the rate."""
         return self.successes + self.failures.total()
 
     @property
     def outcomes(self) -> int:
-        """How many attempts ended and requests were rejected for want of capacity."""
+        """The number of counted attempts and of requests rejected for lack of capacity."""
         return self.attempts + self.rejected_for_capacity
 
 
 class RateController:
-    """Learns the proxy's rate from how attempts end, and sets the tenants' rates.
+    """Adapts the proxy's rate to the outcomes of attempts, and sets the tenants' rates.
 
-    All rates are in requests a second. `total_weight` is that of all configured tenants, sending or not.
+    All rates are in requests per second. `total_weight` is the sum over all configured tenants, including
+    those that send nothing.
     """
 
     def __init__(self, total_weight: float, now_ns: int) -> None:
         self.total_weight = total_weight
         self.rate = INITIAL_RATE_PER_S
-        self.unused_rate = INITIAL_RATE_PER_S  # what the tenants' demand leaves of it
-        self.last_overload_rate = 0.0  # at which too many attempts failed; decays with each decrease
-        self.attempt_rate = 0.0  # attempts that ended, in the last interval
-        self.success_rate = INITIAL_RATE_PER_S  # attempts not counted as failures, in the last interval
+        self.unused_rate = INITIAL_RATE_PER_S  # the rate less the demand of all tenants
+        self.last_overload_rate = 0.0  # rate at which too many attempts failed; decays with each decrease
+        self.attempt_rate = 0.0  # ended attempts per second, in the last interval
+        self.success_rate = INITIAL_RATE_PER_S  # of these, the ones not counted as failures
         self.interval = RateInterval(now_ns)
 
     def record_arrival(self, now_ns: int) -> None:
-        """Begin the interval with its first request.
+        """Start the interval at its first request.
 
-        Idle time before it, as ahead of a proxy's first clients, would lower the measured rates, and a
-        decrease would go far below what is served.
+        Counting the idle time before that request, such as the time until a new proxy has clients, would
+        lower the measured rates, and a decrease would take the rate far below what is served.
         """
         if not self.interval.has_begun:
             self.interval.start_ns = now_ns
             self.interval.has_begun = True
 
     def record_success(self) -> None:
-        """Count an attempt that says nothing against the rate."""
+        """Count an attempt that does not indicate overload."""
         self.interval.has_begun = True
         self.interval.successes += 1
 
@@ -99,13 +102,14 @@
         self.interval.failures[endpoint_id] += 1
 
     def record_late_not_attributed(self) -> None:
-        """Record an attempt that ended late, but not for its endpoint: it begins the interval, uncounted."""
+        """Start the interval at a late attempt whose endpoint is not at fault, without counting it."""
         self.interval.has_begun = True
 
     def record_capacity_rejection(self) -> None:
         """Count a request that is rejected because no endpoint has capacity for it in time.
 
-        Its queue was too long when it joined, its queue deadline came, or its endpoint would respond late.
+        Its queue was too long when it arrived there, it reached its queue deadline, no endpoint may take its
+        retry, or the selected endpoint would respond after the latency objective.
         """
         self.interval.has_begun = True
         self.interval.rejected_for_capacity += 1
@@ -113,13 +117,13 @@
     def adjust(
         self, throttles: Collection[Throttle], now_ns: int, draw_width: int, *, is_loaded: bool = True
     ) -> None:
-        """Set the rate and the tenants' rates by the interval's outcomes, once it is long enough.
+        """End the interval if it is long enough, and adjust the rate and the tenants' rates to its outcomes.
 
         Args:
-            throttles: Those of the tenants that send.
-            now_ns: The time of the call.
-            draw_width: How many endpoints requests are sent to.
-            is_loaded: Whether the endpoints have work enough for failures to be a sign of overload.
+            throttles: The throttles of the tenants that send requests.
+            now_ns: The current time.
+            draw_width: The number of endpoints that requests are sent to.
+            is_loaded: Whether the endpoints have enough load for failures to indicate overload.
         """
         elapsed_ns = now_ns - self.interval.start_ns
         if not self._is_long_enough(elapsed_ns):
@@ -136,20 +140,21 @@
         self.interval = RateInterval(now_ns)
 
     def _is_long_enough(self, elapsed_ns: int) -> bool:
-        """Tell whether enough outcomes have come in, or it has waited for them as long as it may."""
+        """Return whether the interval has enough outcomes or has reached its maximum length."""
         if elapsed_ns >= RATE_INTERVAL_MAX_NS:
             return True
         return elapsed_ns >= FEEDBACK_INTERVAL_NS and self.interval.outcomes >= OUTCOMES_MIN
 
     def _measure_rates(self, elapsed_ns: int) -> None:
-        """Set the success rate and the attempt rate to those of the interval."""
+        """Compute the success rate and the attempt rate of the interval."""
         self.success_rate = self.interval.successes * NANOSECONDS_PER_SECOND / elapsed_ns
         self.attempt_rate = self.interval.attempts * NANOSECONDS_PER_SECOND / elapsed_ns
 
     def _failed_fraction(self, draw_width: int) -> float:
-        """Return the fraction of the outcomes that are failures by overload.
+        """Return the fraction of the outcomes that are failures indicating overload.
 
-        The worse half of the endpoints does not count: one bad endpoint is no overload of the fleet.
+        The failures of the half of the endpoints that failed most are ignored: a few faulty endpoints do not
+        mean that the fleet is overloaded.
         """
         failures_by_endpoint = sorted(self.interval.failures.values(), reverse=True)
         ignored_endpoints = int(draw_width * IGNORED_ENDPOINTS_FRACTION)
@@ -157,10 +162,10 @@
         return failures / max(self.interval.outcomes, FAILED_FRACTION_OUTCOMES_MIN)
 
     def _decrease(self, failed_fraction: float) -> None:
-        """Lower the rate by the failed fraction beyond the tolerated one, at most by DECREASE_MAX_FRACTION.
+        """Lower the rate by the excess of the failed fraction over the tolerated one.
 
-        It starts from the rate, or from 1.2 times the attempt rate plus 1 if that is less. The result is no
-        less than 0.9 times the success rate.
+        The decrease is at most DECREASE_MAX_FRACTION. It starts from the rate, or from 1.2 times the attempt
+        rate plus 1 if that is less. The new rate is at least 0.9 times the success rate.
         """
         attempted_rate = DECREASE_START_ATTEMPT_RATE_FACTOR * self.attempt_rate + DECREASE_START_MARGIN_PER_S
         rate = min(self.rate, attempted_rate)
@@ -169,16 +174,16 @@
         self.rate = max(RATE_MIN_PER_S, SUCCESS_RATE_FLOOR_FACTOR * self.success_rate, rate * (1 - decrease))
 
     def _increase(self) -> None:
-        """Raise the rate, faster while it is well below the last overload rate."""
+        """Raise the rate, by a larger factor while it is well below the last overload rate."""
         factor = RECOVERY_INCREASE_FACTOR if self._is_recovering() else INCREASE_FACTOR
         self.rate = min(RATE_MAX_PER_S, self.rate * factor + INCREASE_STEP_PER_S)
 
     def _is_recovering(self) -> bool:
-        """Tell whether the rate is well below the one at which too many attempts failed last."""
+        """Return whether the rate is well below the last overload rate."""
         return self.rate < RECOVERY_OVERLOAD_RATE_FACTOR * self.last_overload_rate
 
     def _set_tenant_rates(self, throttles: Collection[Throttle], now_ns: int) -> None:
-        """Set each tenant's rate; mark tenants whose demand exceeds their share of the success rate."""
+        """Set each tenant's rate, and mark tenants whose demand exceeds their share of the success rate."""
         allotted = divide_rate(self.rate, throttles)
         served = divide_rate(self.success_rate, throttles)
         self.unused_rate = allotted.unused_rate
@@ -187,5 +192,8 @@
             throttle.set_fair_share(fair_share)
 
     def guaranteed_rate(self, weight: float) -> float:
-        """Return the least rate of a tenant, sending or not: its part of R by weight, or the unused rate."""
+        """Return the minimum rate of a tenant, active or idle.
+
+        It is the tenant's share of R by weight, or the unused rate if that is more.
+        """
         return max(TENANT_RATE_MIN_PER_S, self.rate * weight / self.total_weight, self.unused_rate)
