--- a/loadbalancer/policy/attempt_results.py
+++ b/loadbalancer/policy/attempt_results.py
@@ -105,7 +105,7 @@
     def _record_late(self, request: Request, endpoint_id: int) -> None:
         """Count a late end as a failure, unless it is attributed to the throttle or to a stall."""
         if request.delayed_by_throttle:
-            self.rate_controller.record_late_not_attributed()
+            self.rate_controller.record_unattributed_late_attempt()
         else:
             self.rate_controller.record_failure(endpoint_id)
 
--- a/loadbalancer/policy/rate_control.py
+++ b/loadbalancer/policy/rate_control.py
@@ -101,7 +101,7 @@
         self.interval.has_begun = True
         self.interval.failures[endpoint_id] += 1
 
-    def record_late_not_attributed(self) -> None:
+    def record_unattributed_late_attempt(self) -> None:
         """Start the interval at a late attempt whose endpoint is not at fault, without counting it."""
         self.interval.has_begun = True
 
