--- a/loadbalancer/policy/fair_shares.py
+++ b/loadbalancer/policy/fair_shares.py
@@ -1,6 +1,7 @@
-"""Max-min fair division of a rate among the tenants that send (types: loadbalancer/messages.py).
+"""Weighted max-min fair division of a rate among tenants (types: loadbalancer/messages.py).
 
-Each tenant gets its demand or, if that is less, its part by weight of what tenants with less demand leave.
+Tenants are served in order of demand per weight. Each gets its demand or, if that is less, its share by
+weight of the rate that the tenants before it leave.
 """
 
 from collections.abc import Collection
@@ -8,14 +9,14 @@
 
 from loadbalancer.policy.throttle import Throttle
 
-REMAINING_WEIGHT_MIN = 1e-9  # rounding may leave less than no weight: no division by it
+REMAINING_WEIGHT_MIN = 1e-9  # rounding errors may leave zero or a negative weight, which must not divide
 
 
 class Allocation(NamedTuple):
-    """A rate as it is divided among the tenants, in requests a second."""
+    """The division of a rate among tenants, in requests per second."""
 
-    rates: list[float]  # one for each tenant: its share and, on top, all of the unused rate
-    unused_rate: float  # what the demand of all tenants leaves
+    rates: list[float]  # by tenant: its share plus the whole unused rate, which each tenant may borrow
+    unused_rate: float  # the rate less the demand of all tenants, at least 0
 
 
 def _demand_by_weight(indexed_throttle: tuple[int, Throttle]) -> float:
@@ -24,7 +25,7 @@
 
 
 def divide_rate(rate: float, throttles: Collection[Throttle]) -> Allocation:
-    """Divide a rate by demand and weight, the tenants with the least demand for their weight first."""
+    """Divide a rate by demand and weight, starting with the tenants of the least demand per weight."""
     shares = [0.0] * len(throttles)
     available_rate = rate
     remaining_weight = sum(throttle.weight for throttle in throttles)
--- a/loadbalancer/policy/feedback.py
+++ b/loadbalancer/policy/feedback.py
@@ -1,6 +1,6 @@
-"""What is adjusted at each feedback tick (interface types: loadbalancer/messages.py).
+"""Periodic adjustment of rates, limits and draw widths (interface types: loadbalancer/messages.py).
 
-A feedback tick comes FEEDBACK_INTERVAL_NS after the one before, or with the first batch of events after that.
+A feedback tick runs with the first batch of events that is at least FEEDBACK_INTERVAL_NS after the last tick.
 """
 
 from dataclasses import dataclass
@@ -36,9 +36,11 @@
     request_admission: RequestAdmission
 
     def adjust(self, now_ns: int) -> None:
-        """Decay samples, set draw widths and rates, and queue requests that have a token at the new rates.
+        """Run a feedback tick.
 
-        The rates change only at the ticks that end a rate interval (`RateController.adjust`).
+        Decays samples, sets draw widths and rates, moves buffered requests that have a token at the new rates
+        to their queues, and drops unused endpoint states and idle throttles. The rates change only at the
+        ticks that end a rate interval (`RateController.adjust`).
         """
         self.due_ns = now_ns + FEEDBACK_INTERVAL_NS
         self.concurrency_limit.decay()
@@ -51,12 +53,12 @@
         self.throttles.drop_idle(now_ns)
 
     def _adjust_draw_widths(self) -> None:
-        """Let each pool draw from one endpoint more while its queue is blocked."""
+        """Let each pool draw from one more endpoint while its queue is blocked."""
         for pool, queue in self.queues.items():
             pool.set_draw_width(draw_width(pool, queue_is_blocked=queue.blocked_since_ns > 0))
 
     def _adjust_rates(self, now_ns: int) -> None:
-        """Adjust the proxy's and the tenants' rates, and the throughput that slow start counts on."""
+        """Adjust the proxy's and the tenants' rates, and the throughput that slow start assumes."""
         rate_controller = self.rate_controller
         rate_controller.adjust(
             throttles=self.throttles.values(),
@@ -64,5 +66,5 @@
             draw_width=self.fleet.default_pool.draw_width,
             is_loaded=is_loaded(self.fleet.endpoints.values(), now_ns),
         )
-        # Endpoints can't sustain the rate of attempts that they reject or finish late.
+        # Attempts that endpoints reject or finish late are not part of the throughput that they can sustain.
         self.slow_start.record_throughput(min(rate_controller.attempt_rate, rate_controller.success_rate))
