--- a/loadbalancer/policy/queue_admission.py
+++ b/loadbalancer/policy/queue_admission.py
@@ -1,4 +1,4 @@
-"""Whether a blocked queue takes one more request (interface types: loadbalancer/messages.py)."""
+"""Admission of requests to a blocked queue (interface types: loadbalancer/messages.py)."""
 
 from loadbalancer.state.request import Request
 from loadbalancer.units import NANOSECONDS_PER_SECOND
@@ -11,11 +11,11 @@
 def has_queue_capacity(
     queue_length: int, wait_max_ns: int, success_rate: float, *, exceeds_fair_share: bool
 ) -> bool:
-    """Tell whether a request should be served in time behind `queue_length` others.
+    """Return whether a new request behind `queue_length` others is expected to be served in time.
 
     At `success_rate`, in attempts per second that are not counted as failures, the others must be served
-    within a fraction of `wait_max_ns` (`queue_wait_max_ns`). The fraction is smaller for a tenant over its
-    fair share: its traffic is rejected first.
+    within a fraction of `wait_max_ns` (see `queue_wait_max_ns`). The fraction is smaller for a tenant over
+    its fair share, so that its requests are rejected first.
     """
     fraction = OVER_FAIR_SHARE_QUEUE_WAIT_MAX_FRACTION if exceeds_fair_share else QUEUE_WAIT_MAX_FRACTION
     served_in_time = success_rate * wait_max_ns * fraction
@@ -23,18 +23,19 @@
 
 
 def queue_wait_max_ns(request: Request, shortest_objective_ns: int, now_ns: int) -> int:
-    """Return how long, in ns, the requests ahead of a new one may take to be served.
+    """Return the longest time, in ns, that a new request may wait in its queue.
 
-    It is the time until its queue deadline, and no more than the shortest latency objective of all classes:
-    a class with a long objective must not make the queue too long for the others.
+    This is the time until the queue deadline, limited to the shortest latency objective of all request
+    classes: a class with a long objective must not make the queue too long for the other classes.
     """
     return min(request.queue_deadline_ns - now_ns, shortest_objective_ns)
 
 
 def was_delayed_by_throttle(request: Request, now_ns: int) -> bool:
-    """Tell whether a request waited so long for a token that a late end is not the endpoint's fault.
+    """Return whether a request waited so long for a token that a late response is not the endpoint's fault.
 
-    It did if less than half of its class's latency objective remains when it joins the queue.
+    This is the case if less than half of the class's latency objective remains when the request joins the
+    queue.
     """
     remaining_ns = request.objective_ns - now_ns
     return remaining_ns < THROTTLE_DELAY_MAX_FRACTION * request.request_class.latency_objective_ns
--- a/loadbalancer/policy/queue_deadline.py
+++ b/loadbalancer/policy/queue_deadline.py
@@ -1,4 +1,4 @@
-"""When a request stops waiting for an endpoint (interface types: loadbalancer/messages.py)."""
+"""Time limit of a request's wait in queues (interface types: loadbalancer/messages.py)."""
 
 from loadbalancer.policy.latency_model import LatencyModel
 from loadbalancer.state.request import Request
@@ -7,11 +7,11 @@
 
 
 def queue_deadline_ns(request: Request, latency_model: LatencyModel, now_ns: int) -> int:
-    """Return the time, in ns, after which a request that arrives now is no longer queued.
+    """Return the time, in ns, at which a request that arrives now is rejected if it is still queued.
 
-    It is the latest start that should still meet the latency objective: the expected duration in ns, and
-    its mean relative deviation, before it. A request may always wait for a quarter of the time until its
-    deadline, so that a long expected duration alone does not reject it.
+    This is the latest start that is expected to meet the latency objective: the objective less the expected
+    duration, which is increased by the mean relative deviation. A request may always wait for a quarter of
+    the time until its deadline, so that it is not rejected for a long expected duration alone.
     """
     expected_ns = latency_model.expected_ns(request) * (1 + latency_model.deviation)
     latest_start_ns = request.objective_ns - int(expected_ns)
