--- a/loadbalancer/policy/request_admission.py
+++ b/loadbalancer/policy/request_admission.py
@@ -1,4 +1,4 @@
-"""A request from its arrival to its pool's queue (interface types: loadbalancer/messages.py)."""
+"""Handling of a request from its arrival to its pool's queue (types: loadbalancer/messages.py)."""
 
 from dataclasses import dataclass
 
@@ -24,10 +24,10 @@
 
 @dataclass(slots=True, eq=False)
 class RequestAdmission:
-    """Admits, buffers or rejects requests as their tenant's throttle and their pool's queue say."""
+    """Admits, buffers or rejects requests, as decided by the tenant's throttle and the pool's queue."""
 
     settings: Settings
-    shortest_objective_ns: int  # of all classes
+    shortest_objective_ns: int  # shortest latency objective of all request classes
     fleet: Fleet
     timers: TimerQueue[Timer]
     throttles: TenantThrottles
@@ -36,7 +36,7 @@
     lifecycle: RequestLifecycle
 
     def on_request_arrived(self, event: RequestArrived, now_ns: int) -> None:
-        """Admit, buffer or reject a new request; an id that is in use is ignored."""
+        """Admit, buffer or reject a new request; a request whose id is in use is ignored."""
         if event.request_id in self.lifecycle.requests:
             return
         throttle = self.throttles.get_or_create(event.tenant, now_ns)
@@ -54,7 +54,7 @@
             self.lifecycle.reject(request)
 
     def _new_request(self, event: RequestArrived, throttle: Throttle, now_ns: int) -> Request:
-        """Return the record of a request; one of an unknown class is not idempotent."""
+        """Return the record of a new request; an unknown request class is taken as not idempotent."""
         request_class = self.settings.request_classes.get(event.class_name)
         if request_class is None:
             request_class = RequestClass(event.class_name, Idempotency.NON_IDEMPOTENT)
@@ -72,19 +72,22 @@
         return request
 
     def _admit(self, request: Request, throttle: Throttle, now_ns: int, *, is_retry: bool) -> Admission:
-        """Take a token; a client's retry gets only one that new requests leave, and is never buffered."""
+        """Ask the throttle for a token.
+
+        A client's retry gets no token that is reserved for new requests, and is never buffered.
+        """
         if not is_retry:
             return throttle.admit(request, now_ns)
         has_token = take_low_priority_token(throttle.bank, now_ns)
         return Admission.ADMIT if has_token else Admission.REJECT
 
     def on_token_due(self, throttle: Throttle, now_ns: int) -> None:
-        """Release the buffered requests that have a token by now."""
+        """Handle the timer for a throttle's next token: queue the buffered requests that have one."""
         throttle.on_token_due()
         self.release_buffered(throttle, now_ns)
 
     def release_buffered(self, throttle: Throttle, now_ns: int) -> None:
-        """Queue the buffered requests that have a token, and set a timer for the next token."""
+        """Queue the buffered requests for which tokens have accrued, and set a timer for the next token."""
         for request in throttle.release(now_ns):
             self._enqueue(request, throttle, now_ns)
         token_due_ns = throttle.next_wake_up_ns(now_ns)
@@ -92,18 +95,20 @@
             self.timers.schedule(token_due_ns, TokenDue(throttle))
 
     def _enqueue(self, request: Request, throttle: Throttle, now_ns: int) -> None:
-        """Queue a request that has its token, unless its queue is blocked and too long."""
+        """Queue a request that has its token, or reject it if its queue is blocked and too long."""
         request.leave_queue()
         request.record_throttle_delay(delayed=was_delayed_by_throttle(request, now_ns))
         queue = self.lifecycle.queues[request.pool]
-        if queue.blocked_since_ns and not self._fits(queue, request, throttle, now_ns=now_ns):
+        if queue.blocked_since_ns and not self._queue_has_capacity(queue, request, throttle, now_ns=now_ns):
             self.lifecycle.reject_for_capacity(request)
             return
         queue.append(request)
         self.lifecycle.probe_loads(request, now_ns)
 
-    def _fits(self, queue: RequestQueue, request: Request, throttle: Throttle, now_ns: int) -> bool:
-        """Tell whether a blocked queue takes one more request."""
+    def _queue_has_capacity(
+        self, queue: RequestQueue, request: Request, throttle: Throttle, now_ns: int
+    ) -> bool:
+        """Return whether a blocked queue accepts one more request."""
         return has_queue_capacity(
             queue_length=len(queue.waiting),
             wait_max_ns=queue_wait_max_ns(request, self.shortest_objective_ns, now_ns),
