--- a/loadbalancer/policy/request_lifecycle.py
+++ b/loadbalancer/policy/request_lifecycle.py
@@ -1,4 +1,4 @@
-"""A request from its pool's queue to its final response (interface types: loadbalancer/messages.py)."""
+"""Handling of a request from its pool's queue to its final response (types: loadbalancer/messages.py)."""
 
 import random
 from dataclasses import dataclass
@@ -25,9 +25,9 @@
 
 @dataclass(slots=True, eq=False)
 class RequestLifecycle:
-    """Forwards, retries and hedges queued requests, and gives each its final response.
+    """Forwards, retries and hedges queued requests, and produces the final response of each.
 
-    What is to be done is appended to `actions`.
+    The resulting actions are appended to `actions`.
     """
 
     settings: Settings
@@ -45,30 +45,30 @@
     attempt_results: AttemptResults
 
     def on_client_disconnected(self, event: ClientDisconnected, _now_ns: int) -> None:
-        """End a request that needs no response any more."""
+        """End a request whose client has disconnected; it needs no response."""
         request = self.requests.get(event.request_id)
         if request is not None:
             self._finish(request)
 
     def on_response_started(self, event: ResponseStarted, _now_ns: int) -> None:
-        """Record that a response is streamed: the request is not forwarded again."""
+        """Record that a streamed response has begun; the request is not forwarded again."""
         request = self.requests.get(event.request_id)
         if request is not None:
             request.start_streaming()
 
     def probe_loads(self, request: Request, now_ns: int) -> None:
-        """Start load probing for a request that was queued, where loads are probed."""
+        """Start load probing for a request that was just queued, if load probing is enabled."""
         if self.load_probing.enabled:
             self.actions.extend(self.load_probing.start(request, now_ns))
 
     def serve_queues(self, now_ns: int) -> None:
-        """Serve all queues."""
+        """Forward or reject queued requests of all pools, as far as endpoints are available."""
         for queue in self.queues.values():
             if queue.waiting or queue.blocked_since_ns:
                 self._serve_queue(queue, now_ns)
 
     def _serve_queue(self, queue: RequestQueue, now_ns: int) -> None:
-        """Serve a queue in order while an endpoint is available."""
+        """Forward or reject the requests of a queue, in order, while an endpoint is available."""
         while queue.waiting:
             request = queue.waiting[0]
             if request.probed_endpoints and self.load_probing.is_waiting(request, now_ns):
@@ -81,8 +81,8 @@
                 if not self.concurrency_limit.increase(now_ns):
                     break
             elif state is None or self.selection.would_respond_late(request, state, now_ns):
-                # A retry without a candidate must not block the requests behind it, which may use other
-                # endpoints; a response after the objective is not worth its load.
+                # A retry without an available candidate must not block the requests behind it, which may use
+                # other endpoints. A response after the latency objective is not worth its load.
                 self.reject_for_capacity(request)
             else:
                 queue.remove(request)
@@ -91,14 +91,14 @@
             queue.mark_unblocked()
 
     def _forward_or_reject(self, request: Request, state: EndpointState, now_ns: int) -> None:
-        """Start an attempt at the chosen endpoint, if that is still safe."""
+        """Start an attempt at the selected endpoint, or reject the request if it may not be forwarded."""
         if may_forward(request, state.endpoint, now_ns=now_ns, limits=self.settings.limits):
             self.actions.append(self.forwarding.start_attempt(request, state, now_ns))
         else:
             self.reject(request)
 
     def on_attempt_ended(self, event: AttemptEnded, now_ns: int) -> None:
-        """Record the end of an attempt, and finish, retry or reject its request."""
+        """Record the end of an attempt, then finish, retry or reject its request."""
         request = self.requests.get(event.request_id)
         if request is None:
             return
@@ -119,9 +119,9 @@
             self._retry_or_reject(request, now_ns)
 
     def _retry_or_reject(self, request: Request, now_ns: int) -> None:
-        """Queue a request again whose attempts have all failed, or give its final response."""
-        # Without candidates one endpoint of the pool is enough: the check gives the same result for all of
-        # them, where any may be used (None) and where none may (an empty list).
+        """Queue a request whose attempts have all failed again, or reject it."""
+        # Without a list of candidates, any one endpoint of the pool is enough: the check has the same result
+        # for all of them, both if every endpoint may be used (None) and if none may (an empty list).
         candidates = self.retry_candidates.find(request, now_ns) or request.pool.endpoints[:1]
         if should_retry(request, candidates, now_ns=now_ns, limits=self.settings.limits):
             self.queues[request.pool].append_first(request)
@@ -130,7 +130,7 @@
             self.reject(request)
 
     def on_attempt_overdue(self, request: Request, attempt: Attempt, now_ns: int) -> None:
-        """Eject the endpoint of an overdue attempt, which may be hung, and hedge the request."""
+        """Eject the endpoint of an overdue attempt, as it may hang, and hedge the request if worthwhile."""
         if attempt.result is not None or request.stalled:
             return
         self.attempt_results.record_overdue(attempt, now_ns)
@@ -144,7 +144,7 @@
             self._hedge(request, now_ns)
 
     def _hedge(self, request: Request, now_ns: int) -> None:
-        """Forward a request a second time, if an endpoint is available and its tenant has a token left."""
+        """Start a second attempt, if an endpoint is available and the tenant has a token to spare."""
         candidates = self.retry_candidates.find(request, now_ns)
         state = self.selection.pick(request.pool, now_ns, candidates)
         if state is None:
@@ -154,25 +154,28 @@
             self.actions.append(self.forwarding.start_attempt(request, state, now_ns))
 
     def on_queue_deadline(self, request: Request) -> None:
-        """Reject a request that is still queued."""
+        """Reject a request that is still queued at its queue deadline."""
         if request.queued_in is Queue.POOL_QUEUE:
             self.reject_for_capacity(request)
         elif request.queued_in is Queue.THROTTLE_BUFFER:
             self.reject(request)
 
     def reject_for_capacity(self, request: Request) -> None:
-        """Reject a request for which no endpoint has capacity in time."""
+        """Reject a request for which no endpoint has capacity in time, and count that for rate control.
+
+        It is not counted if the request's throttle, or a stall of the event loop, caused the delay.
+        """
         if not request.delayed_by_throttle:
             self.rate_controller.record_capacity_rejection()
         self.reject(request)
 
     def reject(self, request: Request) -> None:
-        """Give the final response of a request that is not served, and finish it."""
+        """Send the final response of a request that is not served, and finish it."""
         self.actions.append(final_response(request, self.settings.limits, self.rng))
         self._finish(request)
 
     def _finish(self, request: Request) -> None:
-        """End a request that needs no further response, and cancel its attempts in flight."""
+        """End a request that needs no further response; cancel its attempts in flight, if allowed."""
         if request.queued_in is not None:
             self._leave_queue(request)
         request.finish()
@@ -183,7 +186,7 @@
         self.requests.remove_if_over(request)
 
     def _leave_queue(self, request: Request) -> None:
-        """Take a request out of its pool's queue, or its tenant's buffer, and return the token."""
+        """Remove a request from its pool's queue, or from its tenant's buffer, returning its token."""
         if request.queued_in is Queue.POOL_QUEUE:
             self.queues[request.pool].remove(request)
         elif request.queued_in is Queue.THROTTLE_BUFFER:
