--- a/loadbalancer/policy/request_lifecycle.py
+++ b/loadbalancer/policy/request_lifecycle.py
@@ -124,7 +124,7 @@
         # for all of them, both if every endpoint may be used (None) and if none may (an empty list).
         candidates = self.retry_candidates.find(request, now_ns) or request.pool.endpoints[:1]
         if should_retry(request, candidates, now_ns=now_ns, limits=self.settings.limits):
-            self.queues[request.pool].append_first(request)
+            self.queues[request.pool].prepend(request)
             self.probe_loads(request, now_ns)
         else:
             self.reject(request)
--- a/loadbalancer/policy/request_queue.py
+++ b/loadbalancer/policy/request_queue.py
@@ -19,7 +19,7 @@
         self.waiting.append(request)
         request.join_queue(Queue.POOL_QUEUE)
 
-    def append_first(self, request: Request) -> None:
+    def prepend(self, request: Request) -> None:
         """Put a request that is retried at the head."""
         self.waiting.appendleft(request)
         request.join_queue(Queue.POOL_QUEUE)
--- a/tests/policy/test_request_queue.py
+++ b/tests/policy/test_request_queue.py
@@ -18,7 +18,7 @@
     first, second, retried = (make_request(request_id=f"r{i}") for i in range(3))
     queue.append(first)
     queue.append(second)
-    queue.append_first(retried)
+    queue.prepend(retried)
     assert list(queue.waiting) == [retried, first, second]
     assert {request.queued_in for request in queue.waiting} == {Queue.POOL_QUEUE}
 
