--- a/loadbalancer/policy/latency_objectives.py
+++ b/loadbalancer/policy/latency_objectives.py
@@ -1,4 +1,4 @@
-"""The range of latency objectives of all request classes (interface types: loadbalancer/messages.py)."""
+"""Range of the latency objectives of all request classes (interface types: loadbalancer/messages.py)."""
 
 from typing import NamedTuple
 
@@ -16,7 +16,7 @@
 
 
 def latency_objectives(settings: Settings) -> LatencyObjectives:
-    """Return the range of the classes' objectives; the default one where no class is configured."""
+    """Return the range of the classes' objectives, or the default objective if no class is configured."""
     objectives_ns = [
         request_class.latency_objective_ns for request_class in settings.request_classes.values()
     ] or [DEFAULT_LATENCY_OBJECTIVE_NS]
--- a/loadbalancer/policy/request_queue.py
+++ b/loadbalancer/policy/request_queue.py
@@ -1,4 +1,4 @@
-"""The requests that wait for an endpoint of one pool (interface types: loadbalancer/messages.py)."""
+"""Queue of the requests that wait for an endpoint of one pool (types: loadbalancer/messages.py)."""
 
 from collections import deque
 
@@ -7,32 +7,32 @@
 
 
 class RequestQueue:
-    """The requests of one placement that have their token and wait for an endpoint, in order of service."""
+    """The requests of one pool that have their token and wait for an endpoint, in order of service."""
 
     def __init__(self, pool: EndpointPool) -> None:
         self.pool = pool
         self.waiting: deque[Request] = deque()
-        self.blocked_since_ns = 0  # since when it has found no endpoint; 0: it is not blocked
+        self.blocked_since_ns = 0  # when no endpoint was first available; 0: the queue is not blocked
 
     def append(self, request: Request) -> None:
-        """Put a request at the end."""
+        """Add a request at the end."""
         self.waiting.append(request)
         request.join_queue(Queue.POOL_QUEUE)
 
     def prepend(self, request: Request) -> None:
-        """Put a request that is retried at the head."""
+        """Add a request that is retried at the head."""
         self.waiting.appendleft(request)
         request.join_queue(Queue.POOL_QUEUE)
 
     def remove(self, request: Request) -> None:
-        """Take a request out, wherever it is."""
+        """Remove a request from any position."""
         self.waiting.remove(request)
         request.leave_queue()
 
     def mark_blocked(self, now_ns: int) -> None:
-        """Record that no endpoint is available to the request at the head."""
+        """Record that no endpoint is available for the request at the head; an earlier time is kept."""
         self.blocked_since_ns = self.blocked_since_ns or now_ns
 
     def mark_unblocked(self) -> None:
-        """Record that no request waits any more."""
+        """Record that the queue is empty, and so not blocked."""
         self.blocked_since_ns = 0
