--- a/loadbalancer/policy/balancer.py
+++ b/loadbalancer/policy/balancer.py
@@ -49,7 +49,7 @@
             rng=self.rng,
             shortest_objective_ns=self.shortest_objective_ns,
         )
-        self.latency_model = LatencyModel(slowest_objective_ns=objectives.longest_ns)
+        self.latency_model = LatencyModel(longest_objective_ns=objectives.longest_ns)
         self.concurrency_limit = ConcurrencyLimit(self.latency_model)
         self.fleet = Fleet(settings.request_classes, new_endpoint_table(settings))
         self.fleet_updater = FleetUpdater(
--- a/loadbalancer/policy/latency_model.py
+++ b/loadbalancer/policy/latency_model.py
@@ -34,10 +34,10 @@
 class LatencyModel:
     """Learns from the latencies of attempts how long a request takes, alone and behind others."""
 
-    def __init__(self, slowest_objective_ns: int) -> None:
+    def __init__(self, longest_objective_ns: int) -> None:
         self.base_ns = 0.0  # of a request that waits for no other
         self.per_request_ns = INITIAL_PER_REQUEST_NS  # for each request in flight at the endpoint
-        self.service_interval_ns = slowest_objective_ns / OBJECTIVE_TO_INITIAL_LATENCY_RATIO
+        self.service_interval_ns = longest_objective_ns / OBJECTIVE_TO_INITIAL_LATENCY_RATIO
         self.mean_ns = INITIAL_MEAN_NS  # over all classes
         self.deviation = INITIAL_DEVIATION  # mean relative deviation from the expected latency
         self._latency_over_load = RunningRegression(REGRESSION_SAMPLE_DECAY)
