--- a/loadbalancer/policy/latency_model.py
+++ b/loadbalancer/policy/latency_model.py
@@ -1,8 +1,8 @@
-"""How long requests take, by request class and by load of the endpoint (types: loadbalancer/messages.py).
+"""Expected latency by request class and by endpoint load (interface types: loadbalancer/messages.py).
 
-The latencies of successful attempts give the mean of each class, the relative latency of each endpoint, and a
-line over the load: base_ns + per_request_ns * load. All durations are in nanoseconds; a load is the requests
-in flight at an endpoint.
+The latencies of successful attempts are used to estimate the mean latency of each class, the relative latency
+of each endpoint, and a linear model of latency over load: base_ns + per_request_ns * load. The load is the
+number of requests in flight at an endpoint. All durations are in nanoseconds.
 """
 
 from loadbalancer.state.request import Attempt, Request
@@ -26,26 +26,27 @@
 
 
 def _updated_mean(mean: float, sample: float) -> float:
-    """Move a running mean towards a sample, an outlier counting as a multiple of the mean."""
+    """Return a running mean moved towards a sample; outliers are clipped to a multiple of the mean."""
     clipped = min(sample, SAMPLE_MAX_TO_MEAN_RATIO * mean)
     return mean + MEAN_SMOOTHING * (clipped - mean)
 
 
 class LatencyModel:
-    """Learns from the latencies of attempts how long a request takes, alone and behind others."""
+    """Estimates from the latencies of attempts how long a request takes, alone and behind others."""
 
     def __init__(self, longest_objective_ns: int) -> None:
-        self.base_ns = 0.0  # of a request that waits for no other
-        self.per_request_ns = INITIAL_PER_REQUEST_NS  # for each request in flight at the endpoint
+        self.base_ns = 0.0  # latency that does not depend on the load
+        self.per_request_ns = INITIAL_PER_REQUEST_NS  # added by each request in flight at the endpoint
+        # Mean latency by mean load: the time between two completions at a busy endpoint.
         self.service_interval_ns = longest_objective_ns / OBJECTIVE_TO_INITIAL_LATENCY_RATIO
-        self.mean_ns = INITIAL_MEAN_NS  # over all classes
+        self.mean_ns = INITIAL_MEAN_NS  # mean latency over all classes
         self.deviation = INITIAL_DEVIATION  # mean relative deviation from the expected latency
         self._latency_over_load = RunningRegression(REGRESSION_SAMPLE_DECAY)
         self._mean_ns_by_class: dict[str, float] = {}  # of requests without a cost hint
         self._cost_hint_factor: float | None = None  # mean latency as a multiple of the cost hint
 
     def expected_ns(self, request: Request) -> float:
-        """Return what a request should take at an average endpoint, from its cost hint or its class."""
+        """Return the expected latency of a request at an average endpoint, by its cost hint or its class."""
         if request.cost_hint_ns:
             factor = INITIAL_COST_HINT_FACTOR if self._cost_hint_factor is None else self._cost_hint_factor
             return factor * request.cost_hint_ns
@@ -54,11 +55,11 @@
         return self._mean_ns_by_class.get(request_class.name, initial_ns)
 
     def latency_at(self, load: float) -> float:
-        """Return what a request takes at an endpoint with `load` in flight, this one included."""
+        """Return the latency of a request at an endpoint with `load` in flight, including this request."""
         return self.base_ns + self.per_request_ns * load
 
     def record_success(self, request: Request, attempt: Attempt, latency_ns: int) -> None:
-        """Learn from an attempt that succeeded."""
+        """Update all estimates with the latency of a successful attempt."""
         if request.cost_hint_ns:
             self._record_cost_hint_factor(latency_ns / request.cost_hint_ns)
         else:
@@ -77,7 +78,7 @@
         self._mean_ns_by_class[class_name] = updated_ns
 
     def _record_relative_latency(self, attempt: Attempt, ratio: float) -> None:
-        """Learn from the ratio of a latency to the expected one: its deviation, and the endpoint's mean."""
+        """Update the deviation and the endpoint's relative latency with a ratio of latency to expectation."""
         endpoint = attempt.endpoint_state
         deviation = min(DEVIATION_SAMPLE_MAX, abs(ratio / endpoint.relative_latency - 1))
         self.deviation += MEAN_SMOOTHING * (deviation - self.deviation)
@@ -85,9 +86,9 @@
         endpoint.adjust_relative_latency(clipped_ratio, RELATIVE_LATENCY_SMOOTHING)
 
     def record_latency(self, load: float, latency_ns: float) -> None:
-        """Fit the line to one more sample.
+        """Update the linear model of latency over load with one more sample.
 
-        With little variance in the load, all of the latency is attributed to the requests in flight.
+        If the load hardly varies, all of the latency is attributed to the requests in flight.
         """
         self._latency_over_load.add(load, latency_ns)
         mean_load, mean_latency_ns, variance, covariance = self._latency_over_load.moments()
--- a/loadbalancer/policy/request_queue.py
+++ b/loadbalancer/policy/request_queue.py
@@ -12,7 +12,7 @@
     def __init__(self, pool: EndpointPool) -> None:
         self.pool = pool
         self.waiting: deque[Request] = deque()
-        self.blocked_since_ns = 0  # when no endpoint was first available; 0: the queue is not blocked
+        self.blocked_since_ns = 0  # when it first found no available endpoint; 0: it is not blocked
 
     def append(self, request: Request) -> None:
         """Add a request at the end."""
