--- a/loadbalancer/state/running_regression.py
+++ b/loadbalancer/state/running_regression.py
@@ -1,4 +1,4 @@
-"""Least-squares fit of a line, with older samples decaying."""
+"""Linear least-squares regression in which older samples lose weight exponentially."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 class Moments(NamedTuple):
-    """The moments of weighted samples that a least-squares fit of y over x needs."""
+    """The moments of the weighted samples, from which a least-squares fit of y over x is computed."""
 
     mean_x: float
     mean_y: float
@@ -15,9 +15,9 @@
 
 
 class RunningRegression:
-    """Keeps the sums of a least-squares fit of y over x.
+    """Maintains the sums of a least-squares fit of y over x.
 
-    Each new sample multiplies the weight of the earlier ones by `decay`.
+    Each new sample multiplies the weights of all earlier samples by `decay`.
     """
 
     __slots__ = ("count", "decay", "sum_x", "sum_xx", "sum_xy", "sum_y")
@@ -39,7 +39,11 @@
         self.sum_xy = self.decay * self.sum_xy + x * y
 
     def moments(self) -> Moments:
-        """Return the means, the variance of x and the covariance; ZeroDivisionError without a sample."""
+        """Return the means, the variance of x and the covariance.
+
+        Raises:
+            ZeroDivisionError: No sample has been added.
+        """
         mean_x = self.sum_x / self.count
         mean_y = self.sum_y / self.count
         variance_x = self.sum_xx / self.count - mean_x**2
--- a/loadbalancer/state/throughput_samples.py
+++ b/loadbalancer/state/throughput_samples.py
@@ -1,15 +1,15 @@
-"""Throughput of endpoints at each level of concurrency."""
+"""Samples of the throughput of endpoints at each level of concurrency."""
 
 from __future__ import annotations
 
-BUSY_SECONDS_MIN = 1e-3  # the clock may stand still between batches of events: no division by zero
+BUSY_SECONDS_MIN = 1e-3  # avoids a division by zero if the clock has not advanced between batches of events
 
 
 class ThroughputSamples:
-    """The seconds that endpoints spent at each level of concurrency, and the requests finished at it.
+    """The seconds that endpoints spent at each level of concurrency, and the requests finished at that level.
 
-    A level is a number of requests in flight at one endpoint, from 1 to `top_level`; higher ones count as the
-    top one. Fewer completions than `min_completions` give no throughput.
+    A level is a number of requests in flight at one endpoint, from 1 to `top_level`; higher numbers count as
+    `top_level`. The throughput of a level is unknown until it has `min_completions` completions.
     """
 
     def __init__(self, top_level: int, min_completions: float) -> None:
@@ -23,17 +23,17 @@
         self.busy_seconds[min(level, self.top_level)] += seconds
 
     def add_completion(self, level: int) -> None:
-        """Add a request that finished at a level."""
+        """Count a request that finished at a level."""
         self.completions[min(level, self.top_level)] += 1
 
     def decay(self, factor: float) -> None:
-        """Multiply all samples by a factor below 1."""
+        """Multiply all samples by a factor below 1, so that old samples lose weight."""
         for level in range(1, self.top_level + 1):
             self.busy_seconds[level] *= factor
             self.completions[level] *= factor
 
     def throughput(self, level: int) -> float:
-        """Return the requests that an endpoint finishes a second at a level, 0 with too few completions."""
+        """Return the requests per second that an endpoint finishes at a level; 0 with too few completions."""
         if self.completions[level] < self.min_completions:
             return 0.0
         return self.completions[level] / max(BUSY_SECONDS_MIN, self.busy_seconds[level])
