--- a/loadbalancer/policy/timers.py
+++ b/loadbalancer/policy/timers.py
@@ -1,4 +1,4 @@
-"""What the policy sets timers for (interface types: loadbalancer/messages.py)."""
+"""Timers that the policy sets (interface types: loadbalancer/messages.py)."""
 
 from dataclasses import dataclass
 
@@ -8,14 +8,14 @@
 
 @dataclass(slots=True, eq=False)
 class QueueDeadline:
-    """A request that is still queued at its queue deadline is rejected."""
+    """The queue deadline of a request, at which it is rejected if it is still queued."""
 
     request: Request
 
 
 @dataclass(slots=True, eq=False)
 class AttemptOverdue:
-    """An attempt that is still in flight at this time is overdue: its endpoint may be hung."""
+    """The time at which an attempt is overdue if it is still in flight: its endpoint may hang."""
 
     request: Request
     attempt_number: int
@@ -23,19 +23,22 @@
 
 @dataclass(slots=True, eq=False)
 class TokenDue:
-    """A throttle has the next token for its buffered requests."""
+    """The time at which a throttle has the next token for its buffered requests."""
 
     throttle: Throttle
 
 
 @dataclass(slots=True, eq=False)
 class ServeQueue:
-    """An endpoint may be available again; the queues are served after each batch of events."""
+    """The time at which an endpoint may be available again.
+
+    It needs no handler, as the queues are served after each batch of events and timers.
+    """
 
 
 @dataclass(slots=True, eq=False)
 class PollDiscovery:
-    """Discovery is to be polled for the endpoint list."""
+    """The time at which discovery is polled for the endpoint list."""
 
 
 Timer = QueueDeadline | AttemptOverdue | TokenDue | ServeQueue | PollDiscovery
--- a/loadbalancer/state/request.py
+++ b/loadbalancer/state/request.py
@@ -1,4 +1,4 @@
-"""The record of one request and of its attempts."""
+"""Record of one request and its attempts, and the table of requests."""
 
 from __future__ import annotations
 
@@ -18,33 +18,33 @@
 
 
 class Queue(Enum):
-    """Where a request waits."""
+    """The queue in which a request waits."""
 
-    THROTTLE_BUFFER = auto()  # for a token of its tenant
-    POOL_QUEUE = auto()  # for an endpoint of its pool
+    THROTTLE_BUFFER = auto()  # waits for a token of its tenant
+    POOL_QUEUE = auto()  # waits for an endpoint of its pool
 
 
 @dataclass(slots=True, eq=False)
 class Attempt:
-    """One request forwarded to one endpoint."""
+    """One attempt to serve a request, at one endpoint."""
 
     endpoint_state: EndpointState
     sent_ns: int
-    expected_ns: float  # its expected duration
-    load: float  # estimated requests in flight at the endpoint when it was sent, this one included
-    result: AttemptResult | None = None  # None while it is in flight
-    may_have_run: bool = True  # until its result proves the contrary
-    overdue: bool = False  # its response is considered lost and no longer counts as in flight
-    counts: bool = True  # towards `Limits.max_attempts`
+    expected_ns: float  # expected duration
+    load: float  # estimated requests in flight at the endpoint when it was sent, including this one
+    result: AttemptResult | None = None  # None: in flight
+    may_have_run: bool = True  # True until the result proves that it never ran
+    overdue: bool = False  # the response is considered lost, and it no longer counts as in flight
+    counts: bool = True  # counts towards `Limits.max_attempts`
 
     def end(self, result: AttemptResult, *, may_have_run: bool, counts: bool = True) -> None:
-        """Record how it ended."""
+        """Record the result of the attempt."""
         self.result = result
         self.may_have_run = may_have_run
         self.counts = counts
 
     def mark_overdue(self) -> None:
-        """Consider its response lost: it no longer counts as in flight at its endpoint."""
+        """Consider the response lost: the attempt no longer counts as in flight at its endpoint."""
         self.overdue = True
         self.endpoint_state.mark_overdue()
 
@@ -55,44 +55,49 @@
 
     id: str
     request_class: RequestClass
-    pool: EndpointPool  # the endpoints that its class may use
-    tenant: str  # whose throttle admits it
+    pool: EndpointPool  # the endpoints that the request class may use
+    tenant: str  # the tenant whose throttle admits the request
     token_bank: TokenBank  # of that throttle, which may have been dropped since
     deadline_ns: int
-    objective_ns: int  # a response by this time earns the full priority weight
+    objective_ns: int  # the latency objective as a time: a response by then has the full priority weight
     cost_hint_ns: int
     attempts: list[Attempt] = field(default_factory=list)
-    finished: bool = False  # it has its final response, or its client has disconnected
-    streaming: bool = False  # its streamed response has begun
-    delayed_by_throttle: bool = False  # a late end is not attributed to the endpoints
-    stalled: bool = False  # the event loop stalled while it was pending: none of its durations is valid
-    queued_in: Queue | None = None
-    queue_deadline_ns: int = 0  # it is rejected if it is still queued at this time
-    probed_endpoints: list[EndpointState] = field(default_factory=list)  # load probed on its behalf
-    probed_ns: int = 0
+    finished: bool = False  # the final response was given, or the client has disconnected
+    streaming: bool = False  # the streamed response has begun
+    delayed_by_throttle: bool = False  # a late response is not attributed to the endpoints
+    stalled: bool = False  # the event loop stalled while the request was pending: its durations are invalid
+    queued_in: Queue | None = None  # None: the request is not queued
+    queue_deadline_ns: int = 0  # the request is rejected if it is still queued at this time
+    probed_endpoints: list[EndpointState] = field(
+        default_factory=list
+    )  # whose load is probed for the request
+    probed_ns: int = 0  # when load probing started
 
     def join_queue(self, queue: Queue) -> None:
-        """Record where it waits from now on."""
+        """Record the queue in which the request waits."""
         self.queued_in = queue
 
     def leave_queue(self) -> None:
-        """Record that it waits no longer."""
+        """Record that the request is no longer queued."""
         self.queued_in = None
 
     def start_streaming(self) -> None:
-        """Record that its streamed response has begun."""
+        """Record that the streamed response has begun."""
         self.streaming = True
 
     def finish(self) -> None:
-        """Record that it has its final response, or that its client has disconnected."""
+        """Record that the final response was given, or that the client has disconnected."""
         self.finished = True
 
     def record_throttle_delay(self, *, delayed: bool) -> None:
-        """Record whether its throttle delayed it so much that a late end proves nothing; a stall does too."""
+        """Record whether the throttle delayed the request too much for a late response to blame endpoints.
+
+        A request that was pending during a stall of the event loop counts as delayed in any case.
+        """
         self.delayed_by_throttle = self.stalled or delayed
 
     def attempt_in_flight(self, number: int, endpoint_id: int) -> Attempt | None:
-        """Return an attempt in flight; None where it was never made, or elsewhere, or has ended."""
+        """Return an attempt in flight; None if it was never started, has another endpoint, or has ended."""
         if not 0 <= number < len(self.attempts):
             return None
         attempt = self.attempts[number]
@@ -101,37 +106,40 @@
         return attempt
 
     def start_probing(self, endpoints: list[EndpointState], now_ns: int) -> None:
-        """Wait for the loads of these endpoints."""
+        """Record that the loads of these endpoints are probed for the request."""
         self.probed_endpoints = endpoints
         self.probed_ns = now_ns
 
     def end_probing(self) -> None:
-        """Wait for no loads any more."""
+        """Record that the request no longer waits for load probes."""
         self.probed_endpoints = []
 
     @property
     def attempts_in_flight(self) -> int:
-        """How many of its attempts have not ended."""
+        """The number of attempts that have not ended."""
         return [attempt.result for attempt in self.attempts].count(None)
 
     @property
     def uncounted_attempts(self) -> int:
-        """How many of its attempts do not count towards `Limits.max_attempts`: the proxy never began them."""
+        """The number of attempts that the proxy never began; they don't count for `Limits.max_attempts`."""
         return [attempt.counts for attempt in self.attempts].count(False)
 
     @property
     def is_over(self) -> bool:
-        """Whether it has its final response and no attempt in flight."""
+        """Whether the request is finished and has no attempt in flight."""
         return self.finished and not self.attempts_in_flight
 
     def mark_stalled(self) -> None:
-        """Record that the event loop stalled while it was pending: its late end proves nothing."""
+        """Record that the event loop stalled while the request was pending.
+
+        Its durations are invalid, and a late response is not attributed to the endpoints.
+        """
         self.stalled = True
         self.delayed_by_throttle = True
 
 
 class RequestTable:
-    """The requests, by id, that have no final response yet or still have an attempt in flight."""
+    """The requests, by id, that are not finished or still have an attempt in flight."""
 
     def __init__(self) -> None:
         self._requests: dict[str, Request] = {}
@@ -143,18 +151,18 @@
         return request_id in self._requests
 
     def get(self, request_id: str) -> Request | None:
-        """Return a request, or None."""
+        """Return the request with an id, or None."""
         return self._requests.get(request_id)
 
     def values(self) -> Iterable[Request]:
-        """Return all requests, the oldest first."""
+        """Return all requests, oldest first."""
         return self._requests.values()
 
     def add(self, request: Request) -> None:
-        """Add a request, whose id is new."""
+        """Add a request; its id must not be in use."""
         self._requests[request.id] = request
 
     def remove_if_over(self, request: Request) -> None:
-        """Remove a request that has its final response and no attempt in flight."""
+        """Remove a request if it is finished and has no attempt in flight."""
         if request.is_over:
             self._requests.pop(request.id, None)
--- a/loadbalancer/state/timer_queue.py
+++ b/loadbalancer/state/timer_queue.py
@@ -1,4 +1,4 @@
-"""The timers of one proxy, by due time, and the one wake-up that its caller keeps for them."""
+"""Timers of one proxy, ordered by due time, and the single wake-up that the caller sets for them."""
 
 from __future__ import annotations
 
@@ -11,24 +11,24 @@
 
 TimerT = TypeVar("TimerT")
 
-NEVER_NS = sys.maxsize  # later than any clock
+NEVER_NS = sys.maxsize  # later than any time
 WAKE_UP_DELAY_MIN_NS = 1
 
 
 class TimerQueue(Generic[TimerT]):
-    """A heap of timers. Those due at the same time come in the order in which they were scheduled.
+    """A heap of timers; those due at the same time are returned in the order in which they were scheduled.
 
-    The caller keeps one wake-up for all of them: it is named by a number that rises with each one set, and
-    only the last one set counts.
+    The caller sets one wake-up for all timers. Each wake-up is named by the next higher number, and only the
+    last one set is valid: it replaces the earlier ones.
     """
 
     def __init__(self) -> None:
         self._heap: list[tuple[int, int, TimerT]] = []  # due time, sequence number, timer
         self._last_sequence_number = 0
         self.first_due_ns = NEVER_NS  # when the first timer is due
-        self._wake_up_due_ns = 0  # when the last wake-up is due; 0: none is set
+        self._wake_up_due_ns = 0  # when the current wake-up is due; 0: none is set
         self._wake_up_number = 0
-        self.wake_up_name = "0"  # of the last wake-up
+        self.wake_up_name = "0"  # name of the last wake-up set
 
     def __len__(self) -> int:
         return len(self._heap)
@@ -44,18 +44,25 @@
         self.first_due_ns = self._heap[0][0]
 
     def pop(self) -> TimerT:
-        """Remove and return the first timer; IndexError if there is none."""
+        """Remove and return the first timer.
+
+        Raises:
+            IndexError: There is no timer.
+        """
         _, _, timer = heapq.heappop(self._heap)
         self.first_due_ns = self._heap[0][0] if self._heap else NEVER_NS
         return timer
 
     def on_wake_up(self, name: str) -> None:
-        """Record that a wake-up has come. Its name decides, not the clock: it may come a little early."""
+        """Record that a wake-up has fired; one that was replaced is ignored.
+
+        Its name decides, not the current time, because a wake-up may fire slightly early.
+        """
         if name == self.wake_up_name:
             self._wake_up_due_ns = 0
 
     def next_wake_up(self, now_ns: int) -> SetTimer | None:
-        """Return the wake-up to set, if the first timer is due before the one that is set."""
+        """Return the wake-up to set, or None if the current one is due no later than the first timer."""
         first_due_ns = self.first_due_ns
         if first_due_ns >= (self._wake_up_due_ns or NEVER_NS):
             return None
