--- a/loadbalancer/policy/rate_control.py
+++ b/loadbalancer/policy/rate_control.py
@@ -52,7 +52,7 @@
     has_begun: bool = False  # a request or an outcome has been recorded
     successes: int = 0  # ended attempts that do not indicate overload
     rejected_for_capacity: int = 0  # requests: queue too long, queue deadline, endpoint too slow
-    failures: Counter[int] = field(default_factory=Counter)  # attempts that indicate overload, by endpoint id
+    failures: Counter[int] = field(default_factory=Counter)  # failed or late attempts, by endpoint id
 
     @property
     def attempts(self) -> int:
--- a/loadbalancer/state/timer_queue.py
+++ b/loadbalancer/state/timer_queue.py
@@ -62,7 +62,7 @@
             self._wake_up_due_ns = 0
 
     def next_wake_up(self, now_ns: int) -> SetTimer | None:
-        """Return the wake-up to set, or None if the current one is due no later than the first timer."""
+        """Return the wake-up to set; None if there is no timer or the current wake-up is early enough."""
         first_due_ns = self.first_due_ns
         if first_due_ns >= (self._wake_up_due_ns or NEVER_NS):
             return None
