--- a/tests/policy/test_throttle.py
+++ b/tests/policy/test_throttle.py
@@ -1,4 +1,4 @@
-"""The throttle, against the recursion (2.5)-(2.11) and Theorem 3.1 of the paper on token banks."""
+"""The throttle compared with the recursion (2.5)-(2.11) and Theorem 3.1 of the paper on token banks."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
 
 def make_throttle(bank_capacity: int, buffer_capacity: int, counter: int) -> Throttle:
-    """Return a throttle that gets one token a second."""
+    """Return a throttle that gets one token per second, with these capacities and this counter."""
     throttle = Throttle("ash", 1.0, random.Random(1), 0)
     throttle.bank.bank_capacity = bank_capacity
     throttle.bank.buffer_capacity = buffer_capacity
@@ -37,7 +37,7 @@
 
 
 def make_request(number: int, throttle: Throttle) -> Request:
-    """Return a request whose id ends in a number."""
+    """Return a request of the throttle's tenant, with the id `r<number>`."""
     pool = EndpointPool(Placement(None, None))
     return Request(
         id=f"r{number}",
@@ -53,15 +53,15 @@
 
 @dataclass
 class Trace:
-    """The state of a throttle at the end of each second, and the requests that it forwarded."""
+    """The state of a throttle at the end of each second, and the requests that it admitted or released."""
 
     counters: list[int] = field(default_factory=list)  # U
-    rejections: list[int] = field(default_factory=list)  # since the start
-    forwarded: list[int] = field(default_factory=list)  # numbers of requests, in order
+    rejections: list[int] = field(default_factory=list)  # total since the start
+    forwarded: list[int] = field(default_factory=list)  # request numbers, in order
 
 
 def run_throttle(throttle: Throttle, arrivals_by_second: list[int]) -> Trace:
-    """Give the throttle one token each second, and then so many requests."""
+    """Let one token accrue each second, and then send that second's number of requests."""
     trace = Trace()
     rejections = 0
     request_number = 0
@@ -81,7 +81,7 @@
 
 
 def compute_recursion(capacity: int, counter: int, arrivals_by_second: list[int]) -> Trace:
-    """Compute (2.8) and (2.10): a token each second and then the requests one by one."""
+    """Compute (2.8) and (2.10): one token each second, then that second's requests one by one."""
     trace = Trace()
     rejections = 0
     for arrivals in arrivals_by_second:
@@ -156,21 +156,21 @@
     assert list(throttle.release(20 * NANOSECONDS_PER_MILLISECOND)) == [request]
 
 
-def test_throttles_start_with_a_full_bank_and_get_tokens_at_different_times() -> None:
+def test_throttles_start_with_a_full_bank_and_staggered_tokens() -> None:
     banks = [Throttle("ash", 1.0, random.Random(seed), 0).bank for seed in range(20)]
     for bank in banks:
         assert bank.counter == bank.bank_capacity + bank.buffer_capacity
     assert len({round(bank.fractional_token, 3) for bank in banks}) > 10
 
 
-def test_retries_leave_a_quarter_of_the_bank_to_fresh_requests() -> None:
+def test_retries_leave_a_quarter_of_the_bank_to_new_requests() -> None:
     bank = make_throttle(8, 2, 10).bank
     assert [take_low_priority_token(bank, 0) for _ in range(8)] == [True] * 6 + [False] * 2
     assert bank.balance == 2
 
 
 @pytest.mark.parametrize("objective_ms", [100, 150, 400])
-def test_no_request_is_buffered_for_more_than_a_quarter_of_the_shortest_objective(objective_ms: int) -> None:
+def test_buffer_wait_is_at_most_a_quarter_of_the_shortest_objective(objective_ms: int) -> None:
     classes = {
         "read": RequestClass("read", latency_objective_ns=objective_ms * NANOSECONDS_PER_MILLISECOND),
         "slow": RequestClass("slow"),
