--- a/tests/policy/test_tenant_throttles.py
+++ b/tests/policy/test_tenant_throttles.py
@@ -1,4 +1,4 @@
-"""The throttles of the tenants that send, however many tenants there are."""
+"""Creation and removal of tenants' throttles, and their cost with many configured tenants."""
 
 from __future__ import annotations
 
@@ -15,52 +15,52 @@
 
 
 def make_tenants(count: int) -> dict[str, Tenant]:
-    """Return tenants t0, t1, ... of equal quotas."""
+    """Return tenants t0, t1, ... with equal quotas."""
     return {f"t{i}": Tenant(f"t{i}", 1 / count) for i in range(count)}
 
 
 @dataclass
 class Cost:
-    """The work and memory that the throttles of a proxy take."""
+    """Measures of the memory and processor time that the throttles of a proxy take."""
 
-    throttles: int  # at the end
-    accruals: int  # calls of `TokenBank.accrue`
+    throttles: int  # number of throttles at the end
+    accruals: int  # number of calls of `TokenBank.accrue`
 
 
-def cost_of_tenants(count: int, monkeypatch: pytest.MonkeyPatch) -> Cost:
-    """Serve 10 seconds of requests from twenty tenants, where so many are configured."""
+def measure_cost(count: int, monkeypatch: pytest.MonkeyPatch) -> Cost:
+    """Serve 10 seconds of requests from 20 tenants while `count` tenants are configured; return the cost."""
     balancer = Balancer(settings(tenants=make_tenants(count)), 1, START)
     now_ns = START
     accruals = 0
     accrue = TokenBank.accrue
 
-    def counted(bank: TokenBank, now_ns: int) -> None:
+    def count_and_accrue(bank: TokenBank, now_ns: int) -> None:
         nonlocal accruals
         accruals += 1
         accrue(bank, now_ns)
 
-    monkeypatch.setattr(TokenBank, "accrue", counted)
+    monkeypatch.setattr(TokenBank, "accrue", count_and_accrue)
     balancer.handle(now_ns, [EndpointUpdate(EndpointUpdateKind.FULL, make_endpoints(6))])
     for i in range(200):
         now_ns += FEEDBACK_INTERVAL_NS // 10
         for action in balancer.handle(now_ns, [arrival(i, now_ns, tenant=f"t{i % 20}")]):
             if isinstance(action, Forward):
-                served = AttemptEnded(action.request_id, 0, action.endpoint_id, AttemptResult.OK, 1, True)
-                balancer.handle(now_ns, [served])
+                ended = AttemptEnded(action.request_id, 0, action.endpoint_id, AttemptResult.OK, 1, True)
+                balancer.handle(now_ns, [ended])
     monkeypatch.undo()
     return Cost(len(balancer.throttles), accruals)
 
 
 def test_tenants_that_send_nothing_cost_nothing(monkeypatch: pytest.MonkeyPatch) -> None:
-    few = cost_of_tenants(100, monkeypatch)
-    many = cost_of_tenants(100_000, monkeypatch)
+    few = measure_cost(100, monkeypatch)
+    many = measure_cost(100_000, monkeypatch)
     assert few == many
     assert many.throttles == 20
 
 
 def test_a_tenant_that_sends_again_has_a_full_bank() -> None:
     harness = PolicyHarness(settings(tenants=make_tenants(3)))
-    for i in range(60):  # t1 empties part of its bank, then only t0 sends
+    for i in range(60):  # t1 takes tokens from its bank, then only t0 sends requests
         tenant = "t1" if i < 10 else "t0"
         harness.give(arrival(i, harness.now_ns, tenant=tenant))
         harness.finish(f"r{i}")
@@ -68,13 +68,13 @@
     throttles = harness.balancer.throttles
     assert {throttle.tenant for throttle in throttles.values()} == {"t0"}
 
-    returned = throttles.get_or_create("t1", harness.now_ns)
+    recreated = throttles.get_or_create("t1", harness.now_ns)
 
-    assert returned.bank.counter == returned.bank.bank_capacity + returned.bank.buffer_capacity
-    assert returned.bank.rate_per_s == harness.balancer.rate_controller.guaranteed_rate(returned.weight)
+    assert recreated.bank.counter == recreated.bank.bank_capacity + recreated.bank.buffer_capacity
+    assert recreated.bank.rate_per_s == harness.balancer.rate_controller.guaranteed_rate(recreated.weight)
 
 
-def test_an_unknown_tenant_has_the_throttle_of_the_first() -> None:
+def test_an_unknown_tenant_uses_the_throttle_of_the_first_tenant() -> None:
     throttles = PolicyHarness(settings(tenants=make_tenants(3))).balancer.throttles
     assert throttles.get_or_create("nobody", START) is throttles.get_or_create("t0", START)
 
