--- a/tests/policy/test_rate_control.py
+++ b/tests/policy/test_rate_control.py
@@ -1,4 +1,4 @@
-"""The adaptive rate and its max-min fair shares."""
+"""The adaptive rate of the proxy, and the tenants' rates derived from it."""
 
 from __future__ import annotations
 
@@ -45,7 +45,7 @@
         self.controller = RateController(self.throttle.weight, 0)
 
     def end_interval(self, successes: int, failures_by_endpoint: int) -> None:
-        """Let a rate interval end with so many successes, and so many failures at each endpoint."""
+        """End a rate interval with these numbers of successes, and of failures at each endpoint."""
         self.now_ns += FEEDBACK_INTERVAL_NS
         self.throttle.arrivals = successes
         self.throttle.has_missed_token = True
@@ -70,22 +70,22 @@
     assert controller.rate > 230
 
 
-def test_the_time_before_the_first_request_is_no_part_of_the_attempt_rate() -> None:
+def test_idle_time_before_the_first_request_does_not_lower_attempt_rate() -> None:
     harness = PolicyHarness(settings(tenants={"ash": Tenant("ash")}), endpoint_count=1)
     controller = harness.balancer.rate_controller
-    harness.advance(NANOSECONDS_PER_SECOND)  # without requests
+    harness.advance(NANOSECONDS_PER_SECOND)  # idle time
 
     for i in range(100):
         harness.give(arrival(i, harness.now_ns))
         harness.finish(f"r{i}")
         harness.advance(5 * NANOSECONDS_PER_MILLISECOND)
         if i % 4 == 0:
-            controller.record_capacity_rejection()  # a fifth of the outcomes: more than is tolerated
+            controller.record_capacity_rejection()  # a fifth of the outcomes, more than is tolerated
     harness.give(arrival("last", harness.now_ns))
 
-    sent = 200.0  # a second, one each 5 ms
-    assert 0.85 * sent < controller.attempt_rate < 1.15 * sent
-    assert sent < controller.rate < 2 * sent  # decreased, to about what is sent
+    sent_per_s = 200.0  # one request each 5 ms
+    assert 0.85 * sent_per_s < controller.attempt_rate < 1.15 * sent_per_s
+    assert sent_per_s < controller.rate < 2 * sent_per_s  # decreased, to about the rate of requests
 
 
 def test_one_failure_of_few_outcomes_does_not_hold_the_rate_down() -> None:
@@ -103,23 +103,23 @@
     assert controller.rate > 12
 
 
-def listed_balancer(config: Settings) -> Balancer:
-    """Return a balancer that has been given six endpoints."""
+def make_balancer(config: Settings) -> Balancer:
+    """Return a balancer with six endpoints."""
     balancer = Balancer(config, 1, START)
     balancer.handle(START, [EndpointUpdate(EndpointUpdateKind.FULL, make_endpoints(6))])
     return balancer
 
 
 def due_time_ns(due_event: tuple[int, Event]) -> int:
-    """Return the time of an event that is due."""
+    """Return the time at which an event is due."""
     return due_event[0]
 
 
-def failures_after_timeout(tokens_a_second: float) -> int:
-    """Return the failures recorded when a request waits for a token and its only attempt times out."""
-    balancer = listed_balancer(settings(tenants={"ash": Tenant("ash")}, limits=Limits(max_attempts=1)))
+def failures_after_timeout(tokens_per_s: float) -> int:
+    """Return the failures recorded when a buffered request gets a token and its only attempt times out."""
+    balancer = make_balancer(settings(tenants={"ash": Tenant("ash")}, limits=Limits(max_attempts=1)))
     throttle = balancer.throttles.get_or_create("ash", START)
-    throttle.set_rate(tokens_a_second, START)
+    throttle.set_rate(tokens_per_s, START)
     throttle.bank.counter = throttle.bank.buffer_capacity
     throttle.bank.fractional_token = 0.0
     due_events: list[tuple[int, Event]] = [(START, arrival(1, START))]
@@ -138,13 +138,13 @@
 
 
 def test_a_request_delayed_by_its_throttle_does_not_count_against_the_rate() -> None:
-    assert failures_after_timeout(100.0) == 1  # it was buffered for 10 ms of its 300
-    assert failures_after_timeout(5.0) == 0  # for 200
+    assert failures_after_timeout(100.0) == 1  # buffered for 10 ms of its objective of 300 ms
+    assert failures_after_timeout(5.0) == 0  # buffered for 200 ms
 
 
 def is_rate_decreased(load: float | None) -> bool:
-    """Tell whether the rate falls when half the attempts fail and endpoints report a load, or none."""
-    balancer = listed_balancer(settings())
+    """Return whether the rate is decreased when half the attempts fail at endpoints with this load report."""
+    balancer = make_balancer(settings())
     for endpoint in balancer.fleet.endpoints.values():
         endpoint.record_load(load, START)
     controller = balancer.rate_controller
@@ -159,7 +159,7 @@
 def test_failures_at_endpoints_with_little_load_do_not_decrease_the_rate() -> None:
     assert is_rate_decreased(2.0)
     assert not is_rate_decreased(0.5)
-    assert is_rate_decreased(None)  # an unknown load may be overload
+    assert is_rate_decreased(None)  # without load reports, overload is possible
 
 
 @given(
@@ -170,23 +170,27 @@
 )
 @hypothesis_settings(max_examples=100, deadline=None, derandomize=True)
 def test_rates_are_the_same_with_and_without_throttles_of_idle_tenants(
-    senders: list[tuple[int, int]], idle_count: int, rate: float, success_rate: float
+    active_tenants: list[tuple[int, int]], idle_count: int, rate: float, success_rate: float
 ) -> None:
-    weights = [float(weight) for _, weight in senders] + [1.0 + i % 3 for i in range(idle_count)]
-    every = [Throttle(f"t{i}", weight, random.Random(i), 0) for i, weight in enumerate(weights)]
-    sending = [Throttle(f"t{i}", float(weight), random.Random(i), 0) for i, (_, weight) in enumerate(senders)]
-    full = RateController(sum(weights), 0)
-    sparse = RateController(sum(weights), 0)
-
-    for controller, throttles in ((full, every), (sparse, sending)):
+    weights = [float(weight) for _, weight in active_tenants] + [1.0 + i % 3 for i in range(idle_count)]
+    all_throttles = [Throttle(f"t{i}", weight, random.Random(i), 0) for i, weight in enumerate(weights)]
+    active = [
+        Throttle(f"t{i}", float(weight), random.Random(i), 0) for i, (_, weight) in enumerate(active_tenants)
+    ]
+    controller_of_all = RateController(sum(weights), 0)
+    controller_of_active = RateController(sum(weights), 0)
+
+    for controller, throttles in ((controller_of_all, all_throttles), (controller_of_active, active)):
         controller.rate, controller.success_rate = rate, success_rate
-        for throttle, (demand, _) in zip(throttles, senders, strict=False):
+        for throttle, (demand, _) in zip(throttles, active_tenants, strict=False):
             throttle.demand_per_s = float(demand)
         controller._set_tenant_rates(throttles, 0)
 
-    same, idle = every[: len(sending)], every[len(sending) :]
-    assert [t.bank.rate_per_s for t in sending] == pytest.approx([t.bank.rate_per_s for t in same], rel=1e-9)
-    assert [t.exceeds_fair_share for t in sending] == [t.exceeds_fair_share for t in same]
-    # A new throttle has the rate of one that was there all the time.
-    new_rates = [sparse.guaranteed_rate(t.weight) for t in idle]
+    active_of_all, idle = all_throttles[: len(active)], all_throttles[len(active) :]
+    assert [t.bank.rate_per_s for t in active] == pytest.approx(
+        [t.bank.rate_per_s for t in active_of_all], rel=1e-9
+    )
+    assert [t.exceeds_fair_share for t in active] == [t.exceeds_fair_share for t in active_of_all]
+    # A new throttle has the same rate as one that has always existed.
+    new_rates = [controller_of_active.guaranteed_rate(t.weight) for t in idle]
     assert new_rates == pytest.approx([t.bank.rate_per_s for t in idle], rel=1e-9)
