--- a/tests/policy/test_fair_shares.py
+++ b/tests/policy/test_fair_shares.py
@@ -1,4 +1,4 @@
-"""The max-min fair division of a rate."""
+"""The weighted max-min fair division of a rate among tenants."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
     return throttle
 
 
-def test_tenants_that_ask_for_more_divide_the_remainder_by_weight() -> None:
+def test_tenants_with_more_demand_divide_the_remainder_by_weight() -> None:
     throttles = [make_throttle(2.0, 100.0), make_throttle(1.0, 10.0), make_throttle(1.0, 100.0)]
 
     allocation = divide_rate(100.0, throttles)
--- a/tests/policy/test_queue.py
+++ b/tests/policy/test_queue.py
@@ -1,4 +1,4 @@
-"""How long requests wait for an endpoint, and which are rejected."""
+"""Waiting for an endpoint: length of the queue, rejections, concurrency limit and fair shares."""
 
 from __future__ import annotations
 
@@ -25,7 +25,8 @@
 
 
 def test_short_deadline_is_answered_though_the_queue_is_blocked() -> None:
-    # A wake-up that comes a little early is not one that was replaced: the next one has to be set.
+    # Here each wake-up fires slightly early. The policy must not take it for a wake-up that was replaced, but
+    # set the next one, or requests are not answered by their deadline.
     harness = PolicyHarness(endpoint_count=1)
     harness.give(arrival(1, harness.now_ns))
     for i in range(2, 40):
@@ -37,8 +38,8 @@
     assert len(harness.answers) == 39
 
 
-def test_concurrency_limit_does_not_rise_before_the_first_answers() -> None:
-    # Incident i4eb9e9: while the queue waited at the start, the limit rose before any request was finished.
+def test_concurrency_limit_does_not_rise_before_the_first_responses() -> None:
+    # Incident i4eb9e9: at the start, the limit rose while requests were queued and none had been finished.
     harness = PolicyHarness()
     for i in range(300):
         harness.give(arrival(i, harness.now_ns))
@@ -47,7 +48,7 @@
 
 
 def test_class_with_a_long_objective_keeps_the_queue_short_for_others() -> None:
-    # Incident i31aba8: requests with a long objective filled the queue, and the others were all rejected.
+    # Incident i31aba8: requests with a long objective filled the queue, and all others were rejected.
     slow = RequestClass("slow", Idempotency.IDEMPOTENT, latency_objective_ns=20 * NANOSECONDS_PER_SECOND)
     harness = PolicyHarness(settings(request_classes={"slow": slow, "read": READ}), endpoint_count=1)
     for i in range(200):
--- a/tests/policy/test_queue_admission.py
+++ b/tests/policy/test_queue_admission.py
@@ -1,4 +1,4 @@
-"""Whether a blocked queue takes one more request."""
+"""Admission of requests to a blocked queue, and delay by the throttle."""
 
 from __future__ import annotations
 
@@ -13,10 +13,11 @@
     ("queue_length", "exceeds_fair_share", "admitted"),
     [(10, False, True), (11, False, False), (2, True, True), (3, True, False)],
 )
-def test_the_requests_ahead_may_take_a_fraction_of_the_wait(
+def test_requests_ahead_must_be_served_within_a_fraction_of_the_wait(
     queue_length: int, exceeds_fair_share: bool, admitted: bool
 ) -> None:
-    # At 100 a second, 20 are served in 200 ms: half of them within the quota, a tenth beyond it.
+    # At 100 requests per second, 20 are served in 200 ms. Half of these may be ahead of a request, or a tenth
+    # if its tenant exceeds its fair share.
     wait_max_ns = 200 * NANOSECONDS_PER_MILLISECOND
     capacity = has_queue_capacity(
         queue_length, wait_max_ns, success_rate=100.0, exceeds_fair_share=exceeds_fair_share
@@ -24,7 +25,7 @@
     assert capacity is admitted
 
 
-def test_an_empty_queue_takes_a_request_though_nothing_is_served() -> None:
+def test_an_empty_queue_accepts_a_request_even_if_nothing_is_served() -> None:
     assert has_queue_capacity(0, NANOSECONDS_PER_MILLISECOND, success_rate=0.0, exceeds_fair_share=True)
 
 
