--- a/tests/policy/test_disconnect.py
+++ b/tests/policy/test_disconnect.py
@@ -1,4 +1,4 @@
-"""The policy is given a disconnect and other events in one batch."""
+"""A client disconnects while its request has attempts in flight, also in one batch with other events."""
 
 from __future__ import annotations
 
@@ -8,18 +8,18 @@
 from loadbalancer.policy.timers import AttemptOverdue
 from loadbalancer.settings import Limits
 from loadbalancer.units import NANOSECONDS_PER_MILLISECOND
-from tests.support import policy_harness as bench
+from tests.support import policy_harness
 
 
-def harness_with_slow_attempt(hedging: bool = True) -> bench.PolicyHarness:
-    """One attempt is in flight; its endpoint has been known to respond sooner than this one will."""
+def harness_with_slow_attempt(hedging: bool = True) -> policy_harness.PolicyHarness:
+    """Return a harness with an attempt that will be overdue: 20 requests before it took 10 ms each."""
     limits = Limits(max_attempts=4, hedging=hedging, cancellation=True)
-    harness = bench.PolicyHarness(bench.settings(limits=limits))
+    harness = policy_harness.PolicyHarness(policy_harness.settings(limits=limits))
     for i in range(20):
-        harness.give(bench.arrival(i, harness.now_ns))
+        harness.give(policy_harness.arrival(i, harness.now_ns))
         harness.now_ns += 10 * NANOSECONDS_PER_MILLISECOND
         harness.finish(f"r{i}")
-    harness.give(bench.arrival("slow", harness.now_ns))
+    harness.give(policy_harness.arrival("slow", harness.now_ns))
     return harness
 
 
@@ -37,8 +37,8 @@
 
     harness.now_ns = due
     disconnect: list[Event] = [ClientDisconnected("rslow")] if disconnected else []
-    wake = TimerExpired(harness.balancer.timers.wake_up_name)
-    actions = harness.give(*([*disconnect, wake] if disconnect_first else [wake, *disconnect]))
+    wake_up = TimerExpired(harness.balancer.timers.wake_up_name)
+    actions = harness.give(*([*disconnect, wake_up] if disconnect_first else [wake_up, *disconnect]))
 
     assert (CancelAttempt("rslow", 0) in actions) == disconnected
     harness.advance(600 * NANOSECONDS_PER_MILLISECOND)
@@ -54,12 +54,12 @@
     harness = harness_with_slow_attempt(hedging)
     harness.now_ns += 10 * NANOSECONDS_PER_MILLISECOND
     disconnect = ClientDisconnected("rslow")
-    end = harness.attempt_ended("rslow", 0, result)
+    attempt_ended = harness.attempt_ended("rslow", 0, result)
 
     if disconnect_first:
-        harness.give(disconnect, end)
+        harness.give(disconnect, attempt_ended)
     else:
-        harness.give(end, disconnect)
+        harness.give(attempt_ended, disconnect)
 
     harness.advance(600 * NANOSECONDS_PER_MILLISECOND)
     assert len(harness.attempts["rslow"]) == 1
--- a/tests/policy/test_latency_model.py
+++ b/tests/policy/test_latency_model.py
@@ -1,4 +1,4 @@
-"""The latency model with few samples, and with a latency that does not depend on the load."""
+"""The latency model with few samples, and with a part of the latency that does not depend on the load."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
     assert abs(per_request_ns - 100 * NANOSECONDS_PER_MILLISECOND) < 10 * NANOSECONDS_PER_MILLISECOND
 
 
-def test_latency_without_load_is_not_attributed_to_requests_in_flight() -> None:
+def test_base_latency_is_not_attributed_to_requests_in_flight() -> None:
     latency_model = Balancer(settings(), 1, START).latency_model
     for i in range(200):
         load = 1.0 + i % 4
--- a/tests/policy/test_request.py
+++ b/tests/policy/test_request.py
@@ -1,4 +1,4 @@
-"""Which attempts of a request are in flight, and when it is over."""
+"""Look-up of a request's attempts in flight, and removal of requests from the table."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 from tests.support.requests import add_attempt, make_request, make_state
 
 
-def test_an_attempt_is_found_by_its_number_and_its_endpoint_until_it_ends() -> None:
+def test_an_attempt_in_flight_is_found_by_its_number_and_endpoint() -> None:
     request, state = make_request(), make_state()
     attempt = add_attempt(request, state)
     assert request.attempt_in_flight(0, state.id) is attempt
--- a/tests/policy/test_request_queue.py
+++ b/tests/policy/test_request_queue.py
@@ -1,4 +1,4 @@
-"""The order of the requests of a pool, and what they know of their queue."""
+"""The order of requests in a pool's queue, and the queue that each request has recorded."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
     return RequestQueue(EndpointPool(Placement(None, None)))
 
 
-def test_a_retried_request_comes_first() -> None:
+def test_a_prepended_request_is_first_in_the_queue() -> None:
     queue = make_queue()
     first, second, retried = (make_request(request_id=f"r{i}") for i in range(3))
     queue.append(first)
@@ -23,7 +23,7 @@
     assert {request.queued_in for request in queue.waiting} == {Queue.POOL_QUEUE}
 
 
-def test_a_request_that_is_removed_is_not_queued() -> None:
+def test_a_removed_request_is_not_queued() -> None:
     queue = make_queue()
     first, second = make_request(request_id="r1"), make_request(request_id="r2")
     queue.append(first)
@@ -33,7 +33,7 @@
     assert second.queued_in is None
 
 
-def test_a_queue_is_blocked_since_it_first_found_no_endpoint() -> None:
+def test_a_queue_keeps_the_time_at_which_it_was_first_blocked() -> None:
     queue = make_queue()
     queue.mark_blocked(5)
     queue.mark_blocked(9)
--- a/tests/policy/test_running_regression.py
+++ b/tests/policy/test_running_regression.py
@@ -1,4 +1,4 @@
-"""The running least-squares fit."""
+"""The moments of the least-squares regression, with and without decay."""
 
 from __future__ import annotations
 
--- a/tests/policy/test_throughput_samples.py
+++ b/tests/policy/test_throughput_samples.py
@@ -1,4 +1,4 @@
-"""The throughput by level of concurrency."""
+"""Throughput by level of concurrency."""
 
 from __future__ import annotations
 
@@ -8,12 +8,12 @@
 
 
 def add_completions(samples: ThroughputSamples, level: int, count: int) -> None:
-    """Add so many requests that finished at a level."""
+    """Add a number of requests that finished at a level."""
     for _ in range(count):
         samples.add_completion(level)
 
 
-def test_throughput_is_completions_by_time_at_the_level() -> None:
+def test_throughput_is_completions_per_second_at_the_level() -> None:
     samples = ThroughputSamples(4, 8)
     samples.add_time(2, 1.5)
     samples.add_time(2, 0.5)
--- a/tests/policy/test_timer_queue.py
+++ b/tests/policy/test_timer_queue.py
@@ -1,4 +1,4 @@
-"""The order of timers, and the one wake-up that is set for them."""
+"""The order of timers, and the single wake-up that is set for all of them."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 from loadbalancer.state.timer_queue import NEVER_NS, TimerQueue
 
 
-def test_timers_come_by_due_time_and_then_in_the_order_of_scheduling() -> None:
+def test_timers_are_popped_by_due_time_then_in_order_of_scheduling() -> None:
     queue = TimerQueue[Timer]()
     later, first, second = ServeQueue(), ServeQueue(), PollDiscovery()
     queue.schedule(20, later)
@@ -19,7 +19,7 @@
     assert queue.first_due_ns == NEVER_NS
 
 
-def test_a_timer_that_is_due_when_scheduled_comes_in_the_same_walk() -> None:
+def test_a_timer_due_when_scheduled_is_popped_in_the_same_pass() -> None:
     queue = TimerQueue[Timer]()
     first, second = ServeQueue(), ServeQueue()
     queue.schedule(10, first)
@@ -50,5 +50,5 @@
     queue.next_wake_up(0)
     queue.on_wake_up("1")
     assert queue.next_wake_up(9) is None
-    queue.on_wake_up("2")  # a little early
+    queue.on_wake_up("2")  # slightly early
     assert queue.next_wake_up(9) == SetTimer(1, "3")
