--- a/tests/policy/test_disconnect.py
+++ b/tests/policy/test_disconnect.py
@@ -54,12 +54,12 @@
     harness = harness_with_slow_attempt(hedging)
     harness.now_ns += 10 * NANOSECONDS_PER_MILLISECOND
     disconnect = ClientDisconnected("rslow")
-    attempt_ended = harness.attempt_ended("rslow", 0, result)
+    end_event = harness.attempt_ended("rslow", 0, result)
 
     if disconnect_first:
-        harness.give(disconnect, attempt_ended)
+        harness.give(disconnect, end_event)
     else:
-        harness.give(attempt_ended, disconnect)
+        harness.give(end_event, disconnect)
 
     harness.advance(600 * NANOSECONDS_PER_MILLISECOND)
     assert len(harness.attempts["rslow"]) == 1
