--- a/loadbalancer/proxy/__init__.py
+++ b/loadbalancer/proxy/__init__.py
@@ -1,5 +1,5 @@
-"""The proxy: the process that serves clients, with its sockets, clock and timers.
+"""The proxy: the process that serves clients. It owns the sockets, the clock and the timers.
 
-`proxy` joins the parts: it passes events to the policy (`loadbalancer.policy`) and carries out its actions.
-Nothing here chooses an endpoint or decides on retries.
+The module `proxy` connects the components: it passes events to the policy (`loadbalancer.policy`) and
+executes the actions that the policy returns. Nothing here chooses an endpoint or decides on retries.
 """
--- a/loadbalancer/proxy/parts.py
+++ b/loadbalancer/proxy/parts.py
@@ -1,4 +1,4 @@
-"""Builds the parts of a proxy from its configuration."""
+"""Builds the components of a proxy from its configuration."""
 
 from __future__ import annotations
 
@@ -14,23 +14,25 @@
 from loadbalancer.proxy.gossip import Gossip
 from loadbalancer.units import NANOSECONDS_PER_SECOND
 
-# File descriptors for the event loop, listening, discovery, peers, logs, and sockets being closed.
+# File descriptors for the event loop, the listening socket, discovery, gossip, logs and closing sockets.
 RESERVED_DESCRIPTORS = 32
 
-# To clients, and to endpoints, however few descriptors there are.
+# Lower bound of the limit on connections to clients, and of that to endpoints, however few descriptors there
+# are.
 MIN_CONNECTIONS = 8
 
-# Discovery's backoff draws from a generator of its own; the policy's is seeded with the seed itself.
+# Added to the seed for the random generator of discovery's backoff. The policy's generator is separate, and
+# uses the seed itself.
 DISCOVERY_SEED_OFFSET = 1
 
 
 def max_connections(max_sockets: int) -> int:
-    """Return how many connections to clients may be open, and how many to endpoints."""
+    """Return the limit on open connections to clients, which is also the limit on those to endpoints."""
     return max(MIN_CONNECTIONS, (max_sockets - RESERVED_DESCRIPTORS) // 2)
 
 
 def make_connection_limits(config: Configuration) -> ConnectionLimits:
-    """Return the limits that the connections to all endpoints share."""
+    """Return the limits shared by the connections to all endpoints."""
     limits = config.settings.limits
     return ConnectionLimits(
         max_connections=max_connections(config.max_sockets),
@@ -40,7 +42,7 @@
 
 
 def make_list_reader(config: Configuration) -> EndpointListReader:
-    """Return the reader of endpoint lists; the ids of a known list stay in use."""
+    """Return the reader of endpoint lists; it continues to use the endpoint ids of a known list."""
     known = config.known_endpoints
     return EndpointListReader(unix_offset_ns(), None if known is None else known.id_registry)
 
@@ -48,7 +50,7 @@
 def make_discovery_client(
     config: Configuration, reader: EndpointListReader, on_result: OnResult
 ) -> DiscoveryClient:
-    """Return the client of discovery, which makes no call yet."""
+    """Return the discovery client, which makes no call yet."""
     return DiscoveryClient(
         address=config.discovery,
         reader=reader,
@@ -60,7 +62,7 @@
 
 
 def make_gossip(config: Configuration, on_message: Callable[[int, bytes], None]) -> Gossip:
-    """Return the sender and receiver of gossip, which has no socket yet."""
+    """Return the sender and receiver of gossip messages, which has no socket yet."""
     return Gossip(
         peers=config.gossip_peers,
         all_peers=config.gossip_broadcast,
--- a/loadbalancer/proxy/proxy.py
+++ b/loadbalancer/proxy/proxy.py
@@ -1,7 +1,7 @@
-"""The proxy: passes events to the policy and carries out its actions.
+"""The proxy: passes events to the policy and executes the actions that it returns.
 
-The parts that carry them out each have a module: `pending_requests`, `attempts`, `health_checks`, `gossip`,
-`discovery_client`, `endpoint_list_applier` and `downstream`.
+The components that execute them each have a module: `pending_requests`, `attempts`, `health_checks`,
+`gossip`, `discovery_client`, `endpoint_list_applier` and `downstream`.
 """
 
 from __future__ import annotations
@@ -45,17 +45,17 @@
 
 log = logging.getLogger(__name__)
 
-# Of idle connections, empty pools and the ids of removed hosts.
+# How often expired idle connections, empty connection pools and the ids of removed hosts are released.
 SWEEP_INTERVAL_S = 1.0
 
 MAX_LOGGED_EVENTS_CHARACTERS = 200
 
 
 class Policy(Protocol):
-    """The decisions: the `Balancer` of `loadbalancer/policy/balancer.py`."""
+    """Makes the decisions; implemented by `Balancer` in `loadbalancer/policy/balancer.py`."""
 
     def handle(self, now_ns: int, events: Iterable[Event]) -> list[Action]:
-        """Handle events at a time of the monotonic clock, and return the actions that follow from them."""
+        """Handle events at `now_ns` on the monotonic clock, and return the resulting actions."""
         ...
 
 
@@ -66,15 +66,15 @@
     list_applier: EndpointListApplier
 
     def __init__(self, config: Configuration, policy: Policy) -> None:
-        """Set up all parts inside a running event loop; nothing is sent or accepted before `start`."""
+        """Set up all components in a running event loop; nothing is sent or accepted before `start`."""
         self.config = config
         self._loop = asyncio.get_running_loop()
         self._policy = policy
         self._queued_events: list[Event] = []
         self._dispatching = False
-        self._decision_time_ns = 0  # of the last call of the policy; its delays count from then
+        self._decision_time_ns = 0  # of the last call to the policy; its delays and timeouts count from then
         self._draining = False
-        self._ready_at_s = 0.0  # by the event loop's clock
+        self._ready_at_s = 0.0  # on the event loop's clock
         self._sweep_timer: asyncio.TimerHandle | None = None
 
         self.downstream = DownstreamServer(self, parts.max_connections(config.max_sockets))
@@ -113,13 +113,13 @@
     # -- start and shutdown --
 
     async def start(self, ready_delay_s: float = 0.0) -> int:
-        """Apply the known endpoint list, then listen; ready only after a delay.
+        """Apply the known endpoint list, and start to listen; the proxy is ready only after a delay.
 
         Args:
-            ready_delay_s: How long the proxy serves without reporting that it is ready.
+            ready_delay_s: How long the proxy serves requests before it reports that it is ready.
 
         Returns:
-            The port on which it listens.
+            The port on which the proxy listens.
 
         Raises:
             OSError: A socket can't be opened.
@@ -147,7 +147,7 @@
 
     @property
     def ready(self) -> bool:
-        """Whether clients should send new requests here: not while starting or draining."""
+        """Whether clients should send new requests to this proxy: not while it starts or drains."""
         return not self._draining and self._loop.time() >= self._ready_at_s
 
     async def drain(self) -> None:
@@ -164,15 +164,15 @@
                 len(self._pending_requests),
             )
         self.close()
-        await asyncio.sleep(0)  # closed transports end in the event loop's next turn
+        await asyncio.sleep(0)  # transports complete their close in the next event loop iteration
 
     def _is_drained(self) -> bool:
-        """Whether all responses are written, also to requests of the backlog or half received before."""
+        """Whether all responses are written, also to requests in the backlog or partially received."""
         none_open = self.downstream.continue_shutdown()
         return none_open and not self._pending_requests and not self.downstream.flushing
 
     def close(self) -> None:
-        """Stop everything at once; pending requests fail."""
+        """Stop immediately; pending requests fail."""
         self._pending_requests.fail_all()
         self.discovery_client.stop()
         self.list_applier.close()
@@ -185,7 +185,7 @@
     # -- events and actions --
 
     def dispatch(self, *events: Event) -> None:
-        """Pass events to the policy; those raised while actions are carried out are queued."""
+        """Pass events to the policy and execute the resulting actions; events raised meanwhile are queued."""
         self._queued_events += events
         if self._dispatching:
             return
@@ -203,7 +203,7 @@
         self._decision_time_ns = time.monotonic_ns()
         try:
             return self._policy.handle(self._decision_time_ns, batch)
-        except Exception:  # a fault in the policy costs these requests their time, not the process
+        except Exception:  # these requests time out, but the process continues
             log.exception(
                 "%s: policy: error, events dropped: %.*r",
                 self.config.name,
@@ -256,7 +256,8 @@
         self.dispatch(GossipReceived(sender, data))
 
     def _on_endpoint_update(self, update: EndpointUpdate) -> None:
-        # First the update: a cancelled attempt is retried at once, at an endpoint that is ready by the list.
+        # The policy must have the update before the attempts end: it retries them at once, and could
+        # otherwise choose an endpoint that is no longer ready.
         self.dispatch(update)
         self._attempts.cancel_unsent()
 
