--- a/loadbalancer/proxy/proxy.py
+++ b/loadbalancer/proxy/proxy.py
@@ -30,7 +30,7 @@
     TimerExpired,
     WatchEndpoints,
 )
-from loadbalancer.proxy import parts, shutdown
+from loadbalancer.proxy import components, shutdown
 from loadbalancer.proxy.attempts import Attempts
 from loadbalancer.proxy.client_connection import ClientConnection
 from loadbalancer.proxy.configuration import Configuration
@@ -77,20 +77,20 @@
         self._ready_at_s = 0.0  # on the event loop's clock
         self._sweep_timer: asyncio.TimerHandle | None = None
 
-        self.downstream = DownstreamServer(self, parts.max_connections(config.max_sockets))
+        self.downstream = DownstreamServer(self, components.max_connections(config.max_sockets))
         self._pending_requests = PendingRequests(self.dispatch, config.settings.limits.max_pending_requests)
-        self._gossip = parts.make_gossip(config, self._on_gossip)
+        self._gossip = components.make_gossip(config, self._on_gossip)
 
-        self._connection_limits = parts.make_connection_limits(config)
+        self._connection_limits = components.make_connection_limits(config)
         self.addresses = EndpointAddresses(self._connection_limits)
         self._attempts = self._make_attempts()
         self._health_checks = self._make_health_checks()
 
-        self._list_reader = parts.make_list_reader(config)
+        self._list_reader = components.make_list_reader(config)
         self.list_applier = self.list_applier_class(
             self._list_reader, self.addresses, self._on_endpoint_update
         )
-        self.discovery_client = parts.make_discovery_client(
+        self.discovery_client = components.make_discovery_client(
             config, self._list_reader, self.list_applier.on_watch_result
         )
 
