--- a/loadbalancer/proxy/proxy.py
+++ b/loadbalancer/proxy/proxy.py
@@ -168,8 +168,8 @@
 
     def _is_drained(self) -> bool:
         """Whether all responses are written, also to requests in the backlog or partially received."""
-        none_open = self.downstream.continue_shutdown()
-        return none_open and not self._pending_requests and not self.downstream.flushing
+        no_more_requests = self.downstream.continue_shutdown()
+        return no_more_requests and not self._pending_requests and not self.downstream.flushing
 
     def close(self) -> None:
         """Stop immediately; pending requests fail."""
