--- a/loadbalancer/proxy/attempts.py
+++ b/loadbalancer/proxy/attempts.py
@@ -1,7 +1,7 @@
 """Attempts: forwards pending requests to endpoints, and reports how each attempt ended.
 
 A request has at most one attempt in flight. Each `Forward` of the policy is followed by exactly one
-`AttemptEnded`, also if nothing was sent.
+`AttemptEnded`, even if nothing was sent.
 """
 
 from __future__ import annotations
@@ -30,7 +30,7 @@
 # next request. A connection is not reused for this time after a response; data received meanwhile closes it.
 QUARANTINE_S = 0.01
 
-# Statuses of an endpoint that has rejected a request, if the response is marked as declined.
+# Response statuses with which an endpoint rejects a request, if the response also has the declined header.
 DECLINED_STATUSES = (SERVICE_UNAVAILABLE, GATEWAY_TIMEOUT)
 
 MIN_FORWARDED_DEADLINE_MS = 1
@@ -52,10 +52,10 @@
 
         Args:
             pending_requests: The requests that may be forwarded.
-            connection_pool: Returns the connections to an endpoint, None if it takes no new requests.
-            on_ended: Is called once for each `Forward`.
-            max_attempts: How often one request may be forwarded; attempts never begun do not count.
-            read_load_reports: Whether endpoints send load reports in their responses.
+            connection_pool: Returns the connection pool of an endpoint; None if it accepts no new requests.
+            on_ended: Called once for each `Forward`.
+            max_attempts: Maximum number of attempts of one request; attempts that never started do not count.
+            read_load_reports: Whether endpoints include load reports in their responses.
         """
         self.pending_requests = pending_requests
         self._connection_pool = connection_pool
@@ -69,7 +69,7 @@
         Args:
             action: The decision of the policy.
             decided_ns: The time of that decision, on the monotonic clock. The attempt's timeout counts from
-                then, so that an event loop stall does not extend it past the deadline.
+                then, so that an event loop stall after the decision does not extend it past the deadline.
         """
         now_ns = time.monotonic_ns()
         pending = self.pending_requests.get(action.request_id)
@@ -110,7 +110,7 @@
     def cancel_unsent(self) -> None:
         """Cancel the attempts that wait for a connection to an endpoint that is draining or removed.
 
-        No first byte may be sent there, even if the connection is already established.
+        No request may be started there any more, even if the connection has been established meanwhile.
         """
         for pending in self.pending_requests.snapshot():
             exchange = pending.exchange
@@ -189,7 +189,7 @@
         exchange.start(self.deadline_ns / NANOSECONDS_PER_SECOND)
 
     def serialize(self) -> bytes:
-        """Return the request as it is written now, with the time that is left until the deadline."""
+        """Serialize the request with the time that remains until the deadline, as of now."""
         request = self.pending_request.request
         left_ms = (self.deadline_ns - time.monotonic_ns()) // NANOSECONDS_PER_MILLISECOND
         headers = [header for header in request.end_to_end() if header[0] != DEADLINE_MS_HEADER]
@@ -197,9 +197,10 @@
         return write_request(request.method, request.target, headers, request.body)
 
     def is_wanted(self) -> bool:
-        """Whether the client still waits, also if its disconnect has not been read yet.
+        """Whether the client still waits for a response; a disconnect that is still unread counts.
 
-        The disconnect is unread if it came in the present turn of the event loop, or while reading is paused.
+        A disconnect is unread if it arrived during the current event loop iteration, or while reading is
+        paused.
         """
         client = self.pending_request.client
         if client.has_disconnected:
@@ -213,9 +214,9 @@
 
 
 def response_result(response: Message) -> AttemptResult:
-    """Return the result of a response: a rejection only if it is a 503 or 504 marked as declined.
+    """Return the result that a response stands for; only a 503 or 504 marked as declined is a rejection.
 
-    That the request never ran follows from it unless `Rules.rejected_may_have_run`.
+    A request that was rejected never ran, unless `Rules.rejected_may_have_run` is set.
     """
     if response.status == OK:
         return AttemptResult.OK
--- a/loadbalancer/proxy/exchange.py
+++ b/loadbalancer/proxy/exchange.py
@@ -11,10 +11,10 @@
 from loadbalancer.proxy.http import Message
 
 OnExchangeEnded = Callable[[AttemptResult, Message | None], None]
-"""Is called with OK and the response, whatever its status, or with the failure and None."""
+"""Called with OK and the response, whatever its status, or with the failure and None."""
 
 RequestSerializer = Callable[[], bytes]
-"""Builds a request at the moment it is written."""
+"""Serializes a request at the moment it is written."""
 
 
 class Exchange:
@@ -33,13 +33,13 @@
 
         Args:
             pool: The connections to the endpoint.
-            serialize: Builds the request when it is written, which is up to the connect timeout after the
-                start, so that a remaining time in it is still right.
-            on_ended: Is called once at the end, unless the exchange is abandoned.
-            reserved_connections: Connections of the limit that it must leave to others.
-            is_wanted: Is called before a connection is taken and before the first byte; may abandon the
-                exchange. The exchange does not continue if it returns False.
-            quarantine_s: How long its connection is not reused afterwards.
+            serialize: Serializes the request when it is written. That may be later than the start by the
+                connect timeout, and a remaining time in the request must still be right.
+            on_ended: Called once at the end, unless the exchange is abandoned.
+            reserved_connections: How many connections within the limit it must leave to other exchanges.
+            is_wanted: Called before a connection is taken and before the first byte is written; the exchange
+                does not continue if it returns False. It may end the exchange itself.
+            quarantine_s: How long the connection is not reused after the response.
         """
         self.pool = pool
         self.reserved_connections = reserved_connections
@@ -47,7 +47,7 @@
         self.serialize = serialize
         self.finished = False
         self.response_too_large = False
-        """It has ended because its response was larger than allowed."""
+        """Whether it failed because its response was larger than allowed."""
         self._on_ended = on_ended
         self._is_wanted = is_wanted
         self._connection: EndpointConnection | None = None
@@ -57,19 +57,19 @@
 
     @property
     def unsent(self) -> bool:
-        """Whether it still waits for its connection: no byte of it has been sent."""
+        """Whether it still waits for a connection: no byte of the request has been sent."""
         return not self.finished and self._connection is None
 
     @property
     def request_written(self) -> bool:
-        """Whether its last byte has been handed to the system: before that, nothing can have run."""
+        """Whether the last byte of the request was passed to the kernel; until then it can't have run."""
         return self._connection is not None and self._connection.request_written
 
     def start(self, deadline_s: float | None) -> None:
         """Send the request as soon as there is a connection.
 
         Args:
-            deadline_s: When it times out, by the event loop's clock; None for never.
+            deadline_s: When it times out, on the event loop's clock; None for never.
         """
         if not self._is_wanted():
             return
@@ -79,7 +79,7 @@
         if connection is not None:
             self._send_on(connection)
             return
-        # Reserved now and not when it is established: other exchanges of this turn count it.
+        # Reserved before it is established, so that exchanges in the same event loop iteration count it.
         connection = self.pool.reserve_connection(self.reserved_connections)
         if connection is not None:
             self._connect(connection)
@@ -106,7 +106,7 @@
             return
         self._connect_task = None
         self._connecting = None
-        if self._is_wanted():  # the client may have disconnected, unread, while it was being established
+        if self._is_wanted():  # the client may have disconnected meanwhile, and that may be unread
             self._send_on(connection)
         else:
             connection.close()
@@ -116,7 +116,7 @@
         connection.send(self)
 
     def extend_timeout(self, size_bytes: int) -> None:
-        """Extend the timeout by what `size_bytes` of the response take at the least rate, if one is set."""
+        """Extend the timeout by the time for `size_bytes` at the minimum response rate, if one is set."""
         min_bytes_per_s = self.pool.limits.min_response_bytes_per_s
         if min_bytes_per_s and self._timeout_timer is not None:
             deadline_s = self._timeout_timer.when() + size_bytes / min_bytes_per_s
@@ -124,21 +124,21 @@
             self._set_timeout(deadline_s)
 
     def on_response_too_large(self) -> None:
-        """Record why the exchange is about to fail."""
+        """Record that the exchange is about to fail because of the size of its response."""
         self.response_too_large = True
 
     def finish(self, result: AttemptResult, response: Message | None = None) -> None:
-        """End the exchange and report how, once; without effect on one that has ended."""
+        """End the exchange and report its result; has no effect once it has ended."""
         if not self.finished:
             self._release(close_connection=response is None)
             self._on_ended(result, response)
 
     def abandon(self) -> None:
-        """End the exchange without a report; the connection on which its response is due is closed."""
+        """End the exchange without reporting a result, and close its connection."""
         self._release(close_connection=True)
 
     def _release(self, *, close_connection: bool) -> None:
-        """Mark it as finished and release all that it holds."""
+        """Mark it as finished, and release its timer, its connect task and its connection."""
         self.finished = True
         if self._timeout_timer is not None:
             self._timeout_timer.cancel()
@@ -157,14 +157,14 @@
     on_ended: OnExchangeEnded,
     reserved_connections: int = 0,
 ) -> Exchange:
-    """Start an exchange whose request names no remaining time, so that it may be built beforehand.
+    """Start an exchange whose request contains no remaining time, and can be serialized in advance.
 
     Args:
         pool: The connections to the endpoint.
-        data: The request.
+        data: The serialized request.
         timeout_s: After which it times out; None for never.
-        on_ended: Is called at the end, see `Exchange`.
-        reserved_connections: Connections of the limit that it must leave to others.
+        on_ended: Called at the end, see `Exchange`.
+        reserved_connections: How many connections within the limit it must leave to other exchanges.
     """
     exchange = Exchange(pool, lambda: data, on_ended, reserved_connections)
     deadline_s = None if timeout_s is None else asyncio.get_running_loop().time() + timeout_s
