--- a/loadbalancer/proxy/attempts.py
+++ b/loadbalancer/proxy/attempts.py
@@ -182,7 +182,7 @@
             pool=pool,
             serialize=self.serialize,
             on_ended=self.on_exchange_ended,
-            is_wanted=self.is_wanted,
+            is_still_needed=self.is_still_needed,
             quarantine_s=QUARANTINE_S,
         )
         self.pending_request.set_exchange(exchange)
@@ -196,7 +196,7 @@
         headers.append((FORWARDED_DEADLINE_MS_HEADER, b"%d" % max(MIN_FORWARDED_DEADLINE_MS, left_ms)))
         return write_request(request.method, request.target, headers, request.body)
 
-    def is_wanted(self) -> bool:
+    def is_still_needed(self) -> bool:
         """Whether the client still waits for a response; a disconnect that is still unread counts.
 
         A disconnect is unread if it arrived during the current event loop iteration, or while reading is
--- a/loadbalancer/proxy/exchange.py
+++ b/loadbalancer/proxy/exchange.py
@@ -26,7 +26,7 @@
         serialize: RequestSerializer,
         on_ended: OnExchangeEnded,
         reserved_connections: int = 0,
-        is_wanted: Callable[[], bool] = lambda: True,
+        is_still_needed: Callable[[], bool] = lambda: True,
         quarantine_s: float = 0.0,
     ) -> None:
         """Prepare an exchange; `start` begins it.
@@ -37,8 +37,8 @@
                 connect timeout, and a remaining time in the request must still be right.
             on_ended: Called once at the end, unless the exchange is abandoned.
             reserved_connections: How many connections within the limit it must leave to other exchanges.
-            is_wanted: Called before a connection is taken and before the first byte is written; the exchange
-                does not continue if it returns False. It may end the exchange itself.
+            is_still_needed: Called before a connection is taken and before the first byte is written; the
+                exchange does not continue if it returns False. It may end the exchange itself.
             quarantine_s: How long the connection is not reused after the response.
         """
         self.pool = pool
@@ -49,7 +49,7 @@
         self.response_too_large = False
         """Whether it failed because its response was larger than allowed."""
         self._on_ended = on_ended
-        self._is_wanted = is_wanted
+        self._is_still_needed = is_still_needed
         self._connection: EndpointConnection | None = None
         self._connecting: EndpointConnection | None = None
         self._connect_task: asyncio.Task[None] | None = None
@@ -71,7 +71,7 @@
         Args:
             deadline_s: When it times out, on the event loop's clock; None for never.
         """
-        if not self._is_wanted():
+        if not self._is_still_needed():
             return
         if deadline_s is not None:
             self._set_timeout(deadline_s)
@@ -106,7 +106,7 @@
             return
         self._connect_task = None
         self._connecting = None
-        if self._is_wanted():  # the client may have disconnected meanwhile, and that may be unread
+        if self._is_still_needed():  # the client may have disconnected meanwhile, and that may be unread
             self._send_on(connection)
         else:
             connection.close()
