--- a/loadbalancer/proxy/attempts.py
+++ b/loadbalancer/proxy/attempts.py
@@ -191,9 +191,9 @@
     def serialize(self) -> bytes:
         """Serialize the request with the time that remains until the deadline, as of now."""
         request = self.pending_request.request
-        left_ms = (self.deadline_ns - time.monotonic_ns()) // NANOSECONDS_PER_MILLISECOND
+        remaining_ms = (self.deadline_ns - time.monotonic_ns()) // NANOSECONDS_PER_MILLISECOND
         headers = [header for header in request.end_to_end() if header[0] != DEADLINE_MS_HEADER]
-        headers.append((FORWARDED_DEADLINE_MS_HEADER, b"%d" % max(MIN_FORWARDED_DEADLINE_MS, left_ms)))
+        headers.append((FORWARDED_DEADLINE_MS_HEADER, b"%d" % max(MIN_FORWARDED_DEADLINE_MS, remaining_ms)))
         return write_request(request.method, request.target, headers, request.body)
 
     def is_still_needed(self) -> bool:
