--- a/loadbalancer/proxy/client_connection.py
+++ b/loadbalancer/proxy/client_connection.py
@@ -1,4 +1,4 @@
-"""One client's connection: reads its requests, writes the responses, and closes it without losing either."""
+"""A client's connection: reads requests, writes responses, and closes without losing either."""
 
 from __future__ import annotations
 
@@ -11,8 +11,8 @@
 from loadbalancer.proxy.socket_state import has_peer_closed, has_unread_input
 from loadbalancer.proxy.wire_names import READY_PATH
 
-# Read and discarded after a rejection: closing a socket with unread data resets the connection, and the
-# client could lose the response.
+# Limit of the bytes that are read and discarded after a rejection. Closing a socket with unread data resets
+# the connection, and the client could lose the response.
 LINGERING_CLOSE_MAX_BYTES = 256 * 1024
 
 
@@ -21,42 +21,42 @@
 
     @property
     def ready(self) -> bool:
-        """Whether the response to the readiness check is 200."""
+        """Whether the response to a readiness check is 200."""
 
     def handle_request(self, client: ClientConnection, request: Message, received_ns: int) -> None:
-        """A request whose last byte was read at `received_ns`; `client.respond` is called for it."""
+        """Handle a request whose last byte was read at `received_ns`, and call `client.respond` for it."""
 
     def handle_disconnect(self, client: ClientConnection) -> None:
-        """The client has disconnected while its request was being handled."""
+        """Handle the disconnect of a client whose request is being handled."""
 
 
 class ConnectionOwner(Protocol):
-    """Holds the connections and limits their number and the time in each state."""
+    """Holds the connections, and limits their number and the time that they spend in each state."""
 
     draining: bool
 
     @property
     def nearly_full(self) -> bool:
-        """Whether responses close their connections, since the limit of connections is near."""
+        """Whether the connection limit is so near that each response closes its connection."""
 
     def mark_busy(self, client: ClientConnection) -> None:
-        """A request of the client is being handled."""
+        """Record that a request of the client is being handled."""
 
     def mark_idle(self, client: ClientConnection) -> None:
-        """The response is written, and the connection is kept alive."""
+        """Record that the response is written and the connection is kept alive."""
 
     def expect_request(self, client: ClientConnection) -> None:
-        """The first part of a request has been received: the rest is due."""
+        """Record that the first part of a request has been received, and that the rest is due."""
 
     def start_closing(self, client: ClientConnection, *, flushing: bool = False) -> None:
-        """The connection is closing; `flushing` if part of a response is still to be written."""
+        """Record that the connection is closing; `flushing` if part of a response is still to be written."""
 
     def remove(self, client: ClientConnection) -> None:
-        """The connection is lost."""
+        """Remove a connection that is lost."""
 
 
 class ClientConnection(asyncio.Protocol):
-    """A client's connection with one request at a time.
+    """A client's connection, which carries one request at a time.
 
     Pipelining is not supported: a request that is sent before the response to an earlier one is rejected, and
     the connection is closed.
@@ -78,7 +78,7 @@
 
     @property
     def has_disconnected(self) -> bool:
-        """Whether the client has closed, half-closed or reset the connection, also if that is unread."""
+        """Whether the client has closed, half-closed or reset the connection, even if that is unread."""
         return self._transport is None or self._transport.is_closing() or has_peer_closed(self._transport)
 
     @property
@@ -90,7 +90,7 @@
 
     @property
     def request_started(self) -> bool:
-        """Whether part of a request has been received."""
+        """Whether a request has been received in part."""
         return self._reader.message_started
 
     @property
@@ -101,13 +101,13 @@
     # -- asyncio.Protocol --
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Keep the transport, or abort it if the connection was evicted before it was established."""
+        """Store the transport, or abort it if the connection was evicted before it was established."""
         self._transport = cast(asyncio.Transport, transport)
         if self._ended:
             self._transport.abort()
 
     def data_received(self, data: bytes) -> None:
-        """Read on, and handle a request that is complete."""
+        """Parse the data, and handle the request once it is complete."""
         if self._ended:
             self._discard(data)
             return
@@ -115,7 +115,7 @@
         had_started = self._reader.message_started
         requests = self._reader.feed(data)
         if self.busy:
-            # An empty line is allowed.
+            # Anything but an empty line is the start of another request.
             if requests or self._reader.message_started or self._reader.error_status:
                 self._reject_pipelined()
         elif self._reader.error_status:
@@ -133,18 +133,18 @@
         self.close()
 
     def connection_lost(self, error: Exception | None) -> None:  # noqa: ARG002 - asyncio.Protocol's signature
-        """Remove the connection from its owner, and drop the current request."""
+        """Remove the connection from its owner, and abandon the current request."""
         self._ended = True
         self._owner.remove(self)
         self._abandon_request()
 
     def pause_writing(self) -> None:
-        """Read no more requests of a client that does not read its responses."""
+        """Stop reading requests from a client that does not read its responses."""
         if self._transport is not None and not self._ended:
             self._transport.pause_reading()
 
     def resume_writing(self) -> None:
-        """Read requests again."""
+        """Resume reading requests."""
         if self._transport is not None and not self._ended:
             self._transport.resume_reading()
 
@@ -172,7 +172,7 @@
             self._owner.mark_idle(self)
 
     def _reject_pipelined(self) -> None:
-        """Reject a request that was sent while another is being handled, and drop that one too."""
+        """Reject a request that was sent while another is being handled, and abandon that one as well."""
         self._abandon_request()
         self.reject(BAD_REQUEST)
 
@@ -185,7 +185,7 @@
     # -- close --
 
     def reject(self, status: int) -> None:
-        """Respond with an error, and end the connection by a lingering close."""
+        """Respond with an error, and close the connection with a lingering close."""
         if self._ended:
             return
         self._ended = True
@@ -193,12 +193,12 @@
         if self._transport is None:
             return
         self._transport.write(write_response(status, (), b"", close=True))
-        # Closed only when the client has read the response, see LINGERING_CLOSE_MAX_BYTES.
+        # Only half-closed, so that the client can read the response, see LINGERING_CLOSE_MAX_BYTES.
         if self._transport.can_write_eof():
             self._transport.write_eof()
 
     def _discard(self, data: bytes) -> None:
-        """Drop what a rejected client continues to send, up to a limit."""
+        """Discard what a rejected client continues to send, and stop reading at a limit."""
         self._discarded_bytes += len(data)
         if self._discarded_bytes > LINGERING_CLOSE_MAX_BYTES and self._transport is not None:
             self._transport.pause_reading()
@@ -211,7 +211,7 @@
             self._transport.close()
 
     def abort(self) -> None:
-        """Close the connection at once."""
+        """Close the connection at once; unsent data is lost."""
         self._ended = True
         if self._transport is not None:
             self._transport.abort()
--- a/loadbalancer/proxy/pending_requests.py
+++ b/loadbalancer/proxy/pending_requests.py
@@ -38,7 +38,7 @@
 # The policy's deadline precedes the client's, so that the final response reaches the client in time.
 POLICY_DEADLINE_MARGIN_NS = 4 * NANOSECONDS_PER_MILLISECOND
 
-# The proxy's own deadline comes between the two, for requests that the policy has left open.
+# The proxy's own deadline lies between the two: it fails the requests that the policy has not finished.
 PROXY_DEADLINE_MARGIN_NS = 3 * NANOSECONDS_PER_MILLISECOND // 2
 
 
@@ -53,8 +53,8 @@
     deadline_ns: int  # the proxy's own, on the monotonic clock
     deadline_timer: asyncio.TimerHandle
     attempt_count: int = 0
-    uncounted_attempt_count: int = 0  # of these, the ones that do not count towards the limit
-    exchange: Exchange | None = None  # that of the attempt in flight
+    uncounted_attempt_count: int = 0  # of these, the ones that do not count towards `Limits.max_attempts`
+    exchange: Exchange | None = None  # of the attempt in flight
     finished: bool = False
 
     def count_attempt(self) -> int:
@@ -64,15 +64,15 @@
         return number
 
     def exclude_attempt(self) -> None:
-        """Record that one of its attempts does not count towards the limit, since it was never begun."""
+        """Record that an attempt does not count towards the limit, since it was never started."""
         self.uncounted_attempt_count += 1
 
     def set_exchange(self, exchange: Exchange) -> None:
-        """Record the exchange of the attempt that starts."""
+        """Record the exchange of the attempt that is starting."""
         self.exchange = exchange
 
     def mark_finished(self) -> None:
-        """Record that it needs no response any more, and stop its deadline timer."""
+        """Record that the request needs no response any more, and cancel its deadline timer."""
         self.finished = True
         self.deadline_timer.cancel()
 
@@ -85,11 +85,11 @@
     """All pending requests, by their ids and by their clients."""
 
     def __init__(self, on_event: Callable[[Event], None], max_pending: int) -> None:
-        """Start with none pending.
+        """Set up the table of pending requests.
 
         Args:
-            on_event: Is called for arrivals and for clients that no longer wait.
-            max_pending: How many may be pending at once; 0 for any number.
+            on_event: Called for each arrival, and when a client no longer waits for the response.
+            max_pending: Maximum number of requests that are pending at once; 0 for no limit.
         """
         self._on_event = on_event
         self._max_pending = max_pending
@@ -106,17 +106,17 @@
         return request_id in self._by_id
 
     def get(self, request_id: str) -> PendingRequest | None:
-        """Return the request of that id while it is pending."""
+        """Return the pending request with this id, if there is one."""
         return self._by_id.get(request_id)
 
     def snapshot(self) -> list[PendingRequest]:
-        """Return all of them, in the order of their arrival; they may be finished while the list is read."""
+        """Return a copy of the list, in order of arrival: iterating over it may finish requests."""
         return list(self._by_id.values())
 
     def register(
         self, client: ClientConnection, request: Message, valid_request: ValidRequest, received_ns: int
     ) -> ErrorResponse | None:
-        """Add a request to the pending ones and report its arrival.
+        """Add a request to the pending ones, and report its arrival to the policy.
 
         Args:
             client: The connection on which it was received.
@@ -125,7 +125,7 @@
             received_ns: When its last byte was read, on the monotonic clock.
 
         Returns:
-            None, or the response if the request is not added.
+            None if the request was added; otherwise the response to it.
         """
         if valid_request.client_request_id in self._client_request_ids:
             return DUPLICATE_ID
@@ -163,13 +163,13 @@
         headers: Headers = (),
         body: bytes | bytearray = b"",
     ) -> None:
-        """Send the final response to a request, unless it has had one."""
+        """Send the final response to a request, unless it has been sent already."""
         if not pending.finished:
             self._remove(pending)
             pending.client.respond(status, headers, body)
 
     def reject(self, action: Reject) -> None:
-        """Respond that the request was rejected and may be sent again, with Retry-After if it is set."""
+        """Respond that the request was rejected and may be sent again, with Retry-After if that is set."""
         pending = self._by_id.get(action.request_id)
         if pending is None:
             return
@@ -186,7 +186,7 @@
             self.finish(pending, GATEWAY_TIMEOUT)
 
     def fail_all(self) -> None:
-        """Fail whatever is still pending."""
+        """Fail all requests that are still pending."""
         for pending in self.snapshot():
             self.finish(pending, GATEWAY_TIMEOUT)
 
@@ -199,11 +199,11 @@
 
     def _expire(self, request_id: str) -> None:
         self.fail(request_id)
-        # For the policy this is the same as a disconnect: the request needs no response any more.
+        # To the policy this is the same as a disconnect: the request needs no response any more.
         self._on_event(ClientDisconnected(request_id))
 
     def _remove(self, pending: PendingRequest) -> None:
-        """Remove a request and cancel its attempt in flight."""
+        """Remove a request, and cancel its attempt in flight if there is one."""
         pending.mark_finished()
         del self._by_id[pending.id]
         del self._by_client[pending.client]
--- a/loadbalancer/proxy/request_validation.py
+++ b/loadbalancer/proxy/request_validation.py
@@ -26,21 +26,21 @@
 # Longer deadlines are reduced to this.
 MAX_DEADLINE_MS = 600_000
 
-# For a client whose request is rejected because too many are pending.
+# Sent as Retry-After when a request is rejected because too many are pending.
 TOO_MANY_PENDING_RETRY_AFTER_S = 1
 
 
 @dataclass(frozen=True, slots=True)
 class ErrorResponse:
-    """The response to a request that is invalid, or that the proxy can't add to the pending ones."""
+    """The response to a request that is invalid or can't be added to the pending ones."""
 
     status: int
     headers: Headers = ()
 
 
-@dataclass(slots=True)  # not frozen: one is made for each request, and that takes several times as long
+@dataclass(slots=True)  # not frozen: each request creates one, and a frozen one takes several times as long
 class ValidRequest:
-    """What the proxy needs of a request that can be admitted."""
+    """The values that the proxy needs from a valid request."""
 
     class_name: str
     client_request_id: bytes
@@ -53,10 +53,10 @@
 }
 MALFORMED = ErrorResponse(BAD_REQUEST)
 
-# An endpoint does not read the body of a GET, and would take it for the next request.
+# An endpoint does not read the body of a GET, and would parse it as the next request.
 BODY_NOT_ALLOWED = ErrorResponse(BAD_REQUEST)
 
-# With two pending requests of one id, their responses could not be told apart.
+# The responses to two pending requests with the same id could not be told apart.
 DUPLICATE_ID = ErrorResponse(CONFLICT)
 TOO_MANY_PENDING = ErrorResponse(
     SERVICE_UNAVAILABLE, ((RETRY_AFTER_HEADER, b"%d" % TOO_MANY_PENDING_RETRY_AFTER_S),)
@@ -64,10 +64,10 @@
 
 
 def validate_request(request: Message, classes: Mapping[str, RequestClass]) -> ValidRequest | ErrorResponse:
-    """Check a request by itself.
+    """Validate a request without regard to other requests.
 
-    The first segment of the path must name a request class, whose method is required. There must be exactly
-    one request id, and the deadline must be a positive whole number.
+    The first segment of the path must name a request class, and the method must be the one of that class.
+    There must be exactly one request id, and the deadline must be a positive integer.
     """
     if request.method not in ALLOWED_METHODS:
         return UNKNOWN_METHOD
