--- a/loadbalancer/proxy/pending_requests.py
+++ b/loadbalancer/proxy/pending_requests.py
@@ -134,7 +134,7 @@
         client_deadline_ns = received_ns + valid_request.timeout_ns
         pending = self._add(client, request, valid_request.client_request_id, client_deadline_ns)
         policy_deadline_ns = client_deadline_ns - POLICY_DEADLINE_MARGIN_NS
-        self._on_event(_arrival(pending.id, valid_request.class_name, policy_deadline_ns, request))
+        self._on_event(_arrival_event(pending.id, valid_request.class_name, policy_deadline_ns, request))
         return None
 
     def _add(
@@ -212,7 +212,7 @@
             pending.exchange.finish(AttemptResult.CANCELLED)
 
 
-def _arrival(request_id: str, class_name: str, deadline_ns: int, request: Message) -> RequestArrived:
+def _arrival_event(request_id: str, class_name: str, deadline_ns: int, request: Message) -> RequestArrived:
     cost_us = parse_decimal(request.header(COST_US_HEADER)) or 0
     return RequestArrived(
         request_id=request_id,
