--- a/loadbalancer/proxy/client_connection.py
+++ b/loadbalancer/proxy/client_connection.py
@@ -45,7 +45,7 @@
     def mark_idle(self, client: ClientConnection) -> None:
         """Record that the response is written and the connection is kept alive."""
 
-    def expect_request(self, client: ClientConnection) -> None:
+    def mark_receiving(self, client: ClientConnection) -> None:
         """Record that the first part of a request has been received, and that the rest is due."""
 
     def start_closing(self, client: ClientConnection, *, flushing: bool = False) -> None:
@@ -125,7 +125,7 @@
         elif requests:
             self._handle(requests[0], received_ns)
         elif self._reader.message_started and not had_started:
-            self._owner.expect_request(self)
+            self._owner.mark_receiving(self)
 
     def eof_received(self) -> None:
         """Treat a half-close as a disconnect; a response that is being written is completed."""
--- a/loadbalancer/proxy/downstream.py
+++ b/loadbalancer/proxy/downstream.py
@@ -187,7 +187,7 @@
         self._idle.add(client)
         self._resume_accepting()
 
-    def expect_request(self, client: ClientConnection) -> None:
+    def mark_receiving(self, client: ClientConnection) -> None:
         """Record that a request has started, and that the rest is due."""
         if client in self._idle:  # for the first request, the time runs from connecting
             self._idle.discard(client)
