--- a/loadbalancer/proxy/attempts.py
+++ b/loadbalancer/proxy/attempts.py
@@ -199,8 +199,8 @@
     def is_still_needed(self) -> bool:
         """Whether the client still waits for a response; a disconnect that is still unread counts.
 
-        A disconnect is unread if it arrived during the current event loop iteration, or while reading is
-        paused.
+        A disconnect is unread if it arrived in the current turn of the event loop, or while reading
+        is paused.
         """
         client = self.pending_request.client
         if client.has_disconnected:
--- a/loadbalancer/proxy/client_eviction.py
+++ b/loadbalancer/proxy/client_eviction.py
@@ -1,4 +1,4 @@
-"""Which client connection is evicted for a new one when the limit of connections is reached."""
+"""Chooses the client connection that is evicted for a new one when the connection limit is reached."""
 
 from __future__ import annotations
 
@@ -6,10 +6,10 @@
 from loadbalancer.proxy.client_timeouts import REQUEST_RECEIVE_TIMEOUT_S
 from loadbalancer.proxy.connection_table import ConnectionTable
 
-# A younger connection without a request is not evicted: its first request may be on the way.
+# A younger connection without a request is not evicted: its first request may be in transit.
 MIN_EVICTION_AGE_S = 0.05
 
-# While clients connect and send no request, a younger idle connection is not evicted: they time out first.
+# While other connections await a request, a younger idle connection is not evicted: they time out first.
 MIN_IDLE_EVICTION_AGE_S = REQUEST_RECEIVE_TIMEOUT_S
 
 
@@ -18,12 +18,12 @@
 ) -> ClientConnection | None:
     """Return the connection to abort for a new one, if any may be aborted.
 
-    The oldest one that is closing comes first, then one whose request is due, then an idle one.
+    A closing connection is chosen first, then one that awaits a request, then an idle one; always the oldest.
 
     Args:
-        closing: Connections that are closed or rejected.
-        awaiting_request: Connections whose first request is due or half received.
-        idle: Connections between requests.
+        closing: Connections that are being closed, also after a rejection.
+        awaiting_request: Connections whose first request is due, or whose request is partially received.
+        idle: Connections that are kept alive between requests.
     """
     closing_client = closing.oldest()
     if closing_client is not None:
--- a/loadbalancer/proxy/downstream.py
+++ b/loadbalancer/proxy/downstream.py
@@ -22,20 +22,20 @@
 
 LISTEN_BACKLOG = 1024
 
-# Connections accepted in one turn of the event loop.
+# Maximum number of connections accepted in one turn of the event loop.
 MAX_ACCEPTS_PER_TURN = 16
 
-# Pause of accepting after the system had no file descriptor left.
+# How long accepting is paused after the system had no file descriptor left.
 ACCEPT_BACKOFF_S = 0.05
 
-# Part of the limit; with more connections open, responses close their connections.
+# Fraction of the connection limit; while more connections are open, each response closes its connection.
 KEEP_ALIVE_MAX_OCCUPANCY = 0.6
 
 
 class DownstreamServer:
-    """Listens for clients, and limits the number of connections and the time in each of their states.
+    """Listens for clients, and limits the number of connections and the time that they spend in each state.
 
-    Its tables hold the connections by state. A connection whose request is being handled is in none of them.
+    There is one table for each state. A connection whose request is being handled is in none of them.
     """
 
     def __init__(self, handler: RequestHandler, max_connections: int) -> None:
@@ -43,7 +43,7 @@
 
         Args:
             handler: Responds to the requests.
-            max_connections: How many may be open at once.
+            max_connections: Maximum number of connections that are open at once.
         """
         self._handler = handler
         self._max_connections = max_connections
@@ -79,12 +79,12 @@
 
     @property
     def nearly_full(self) -> bool:
-        """Whether so many connections are open that they are no longer kept alive."""
+        """Whether so many connections are open that none is kept alive after a response."""
         return len(self._connections) > KEEP_ALIVE_MAX_OCCUPANCY * self._max_connections
 
     @property
     def flushing(self) -> bool:
-        """Whether part of any response is still to be written."""
+        """Whether part of at least one response is still to be written."""
         return bool(self._flushing) or any(client.has_unsent_data for client in self._connections)
 
     # -- admission --
@@ -95,7 +95,7 @@
             asyncio.get_running_loop().add_reader(self._socket, self._accept)
 
     def _pause_accepting(self, duration_s: float | None = None) -> None:
-        """Leave new connections in the listen queue, for a time or until one ends or becomes idle."""
+        """Leave new connections in the listen backlog for a time, or until one ends or becomes idle."""
         if self._socket is not None and self._accepting:
             self._accepting = False
             asyncio.get_running_loop().remove_reader(self._socket)
@@ -103,10 +103,10 @@
                 asyncio.get_running_loop().call_later(duration_s, self._resume_accepting)
 
     def _accept(self) -> bool:
-        """Accept connections from the listen queue as far as the limit allows.
+        """Accept connections from the listen backlog as far as the connection limit allows.
 
         Returns:
-            Whether the listen queue was found empty.
+            Whether the listen backlog was found empty.
         """
         assert self._socket is not None
         for _ in range(MAX_ACCEPTS_PER_TURN):
@@ -119,13 +119,13 @@
                 return True
             except (InterruptedError, ConnectionAbortedError):
                 return False
-            except OSError as error:  # no descriptor left: asyncio's own server would stop for a second
+            except OSError as error:  # no descriptor left; asyncio's own server would pause for 1 s
                 log.warning("accept: %s", error)
                 self._evict_one()
                 self._pause_accepting(ACCEPT_BACKOFF_S)
                 return False
             if self._full:
-                self._evict_one()  # only now: the listen queue might have been empty
+                self._evict_one()  # not before the accept: the listen backlog might have been empty
             self._start_connection(accepted)
         return False
 
@@ -189,7 +189,7 @@
 
     def mark_receiving(self, client: ClientConnection) -> None:
         """Record that a request has started, and that the rest is due."""
-        if client in self._idle:  # for the first request, the time runs from connecting
+        if client in self._idle:  # for the first request, the timeout counts from the connect
             self._idle.discard(client)
             self._awaiting_request.add(client)
 
@@ -201,7 +201,7 @@
             (self._flushing if flushing else self._closing).add(client)
 
     def remove(self, client: ClientConnection) -> None:
-        """Remove a connection that has ended, and accept others in its place."""
+        """Remove a connection that has ended, and resume accepting."""
         self._connections.discard(client)
         for table in (self._idle, self._awaiting_request, self._closing, self._flushing):
             table.discard(client)
@@ -210,7 +210,7 @@
     # -- timeouts --
 
     def _enforce_timeouts(self) -> None:
-        """End the connections that have timed out, now and at intervals."""
+        """Close the connections that have timed out, and schedule the next check."""
         for client in self._awaiting_request.closeable(REQUEST_RECEIVE_TIMEOUT_S):
             if client.request_started:
                 client.reject(REQUEST_TIMEOUT)
@@ -232,14 +232,14 @@
     # -- shutdown --
 
     def start_draining(self) -> None:
-        """Close each connection with its next response."""
+        """From now on, close each connection with its next response."""
         self.draining = True
 
     def continue_shutdown(self) -> bool:
         """Take the next step of the graceful shutdown; called repeatedly.
 
-        The listening socket is closed once the listen queue is empty, and connections on which no request has
-        started are closed.
+        The listening socket is closed once the listen backlog is empty, and connections on which no request
+        has started are closed.
 
         Returns:
             Whether the listener is closed and no connection is left that may still send a request.
@@ -260,7 +260,7 @@
             self._socket = None
 
     def abort(self) -> None:
-        """Stop listening and close all connections, at the end of the process."""
+        """Stop listening and close all connections, when the process ends."""
         self.stop_listening()
         if self._timeout_timer is not None:
             self._timeout_timer.cancel()
--- a/loadbalancer/proxy/exchange.py
+++ b/loadbalancer/proxy/exchange.py
@@ -79,7 +79,7 @@
         if connection is not None:
             self._send_on(connection)
             return
-        # Reserved before it is established, so that exchanges in the same event loop iteration count it.
+        # Reserved before it is established, so that other exchanges of this event loop turn count it.
         connection = self.pool.reserve_connection(self.reserved_connections)
         if connection is not None:
             self._connect(connection)
--- a/loadbalancer/proxy/proxy.py
+++ b/loadbalancer/proxy/proxy.py
@@ -164,7 +164,7 @@
                 len(self._pending_requests),
             )
         self.close()
-        await asyncio.sleep(0)  # transports complete their close in the next event loop iteration
+        await asyncio.sleep(0)  # transports complete their close in the event loop's next turn
 
     def _is_drained(self) -> bool:
         """Whether all responses are written, also to requests in the backlog or partially received."""
