--- a/loadbalancer/proxy/configuration.py
+++ b/loadbalancer/proxy/configuration.py
@@ -15,12 +15,12 @@
 
     name: str  # of this proxy, in log lines
     listen: Address  # where clients connect
-    discovery: Address  # of the service that provides the endpoint list
-    seed: int  # of all random draws
-    max_sockets: int  # open sockets of all kinds together
-    settings: Settings  # of the decisions
+    discovery: Address  # address of the service that provides the endpoint list
+    seed: int  # of all random generators
+    max_sockets: int  # limit on open sockets of all kinds together
+    settings: Settings  # of the policy
     known_endpoints: EndpointList | None = None  # the list as last known before the start; None: not given
-    gossip_listen: Address | None = None  # where messages of other proxies arrive; None: gossip is off
+    gossip_listen: Address | None = None  # receives messages of other proxies; None: gossip is off
     gossip_peers: list[Address] = field(default_factory=list)  # by proxy index
     gossip_broadcast: Address | None = None  # reaches all peers
     cpu_cores: float = 0.0  # CPU limit of the process, in cores; 0: not given
--- a/loadbalancer/proxy/http.py
+++ b/loadbalancer/proxy/http.py
@@ -1,4 +1,4 @@
-"""HTTP/1.1 messages without I/O: an incremental reader with limits, and the serialization of messages."""
+"""HTTP/1.1 messages without I/O: an incremental parser with limits, and serialization."""
 
 from __future__ import annotations
 
@@ -15,22 +15,22 @@
     REQUEST_HEADER_FIELDS_TOO_LARGE,
 )
 
-# Of a request.
 MAX_REQUEST_BODY_BYTES = 64 * 1024
 
-# Of a response: some endpoints send 400 KB, though 64 KB are specified.
+# Some endpoints send responses of 400 KB, although 64 KB are specified.
 MAX_RESPONSE_BODY_BYTES = 1024 * 1024
 
-# Of a message's start line and headers, or of the trailers together with them.
+# Limit of a message's start line, headers and trailers together.
 MAX_HEADER_BYTES = 16 * 1024
 
-# Bytes of a chunked message for each byte that its body may have: one in a chunk of its own takes six.
+# Limit of a chunked message's size, as a multiple of the maximum body size. A body byte in a chunk of its own
+# takes six bytes.
 MAX_FRAMING_FACTOR = 8
 
-# 1xx responses ahead of a final one.
+# Limit of 1xx responses before a final one.
 MAX_INTERIM_RESPONSES = 16
 
-# Digits of a number in a header.
+# Longer numbers in headers are invalid.
 MAX_DECIMAL_DIGITS = 15
 
 # Headers that apply to one connection, or to the framing of one message: a proxy does not forward them.
@@ -71,7 +71,7 @@
         self._first_values = dict(reversed(self.headers))
 
     def header(self, name: bytes) -> bytes:
-        """Return the first value of a header, given in lower case; empty if there is none."""
+        """Return the first value of the header with this lower-case name; empty if there is none."""
         return self._first_values.get(name, b"")
 
     def end_to_end(self) -> list[tuple[bytes, bytes]]:
@@ -86,18 +86,18 @@
 
 
 class MessageReader:
-    """Splits the bytes of a connection into messages; `error_status` is set when that fails."""
+    """Parses the bytes of a connection into messages; sets `error_status` if they are invalid."""
 
     def __init__(self, *, responses: bool = False, max_body_bytes: int = MAX_REQUEST_BODY_BYTES) -> None:
         self._parser = httptools.HttpResponseParser(self) if responses else httptools.HttpRequestParser(self)
         self._max_body_bytes = max_body_bytes
         self._complete: list[Message] = []
-        self._message_bytes = 0  # of a message that is not complete yet, with its framing
-        self._interim_responses = 0  # 1xx responses ahead of the final one
+        self._message_bytes = 0  # of the incomplete message, including its framing
+        self._interim_responses = 0  # 1xx responses before the final one
         self.message_started = False
-        """Part of a message has been received that is not complete yet."""
+        """Whether part of a message has been received, and the rest is due."""
         self.error_status = 0
-        """The status for a peer that violated HTTP or exceeded a limit; 0 if it did not."""
+        """The status to send to a peer that violated HTTP or exceeded a limit; 0 if it did neither."""
         self._reset_message()
 
     def _reset_message(self) -> None:
@@ -108,7 +108,7 @@
         self._in_body = False
 
     def feed(self, data: bytes) -> list[Message]:
-        """Return the messages that are complete now; set `error_status` if invalid data follows them."""
+        """Return the messages that this data completes; set `error_status` if invalid data follows them."""
         self._message_bytes += len(data)
         try:
             self._parser.feed_data(data)
@@ -125,31 +125,31 @@
         return complete
 
     def _check_message_size(self) -> None:
-        """Limit the memory for the head of an endless message, and the time for parsing it."""
+        """Limit the memory for the headers of an endless message, and the time for parsing it."""
         if not self._in_body and self._message_bytes > MAX_HEADER_BYTES:
             self._set_error(REQUEST_HEADER_FIELDS_TOO_LARGE)
         elif self._message_bytes > MAX_HEADER_BYTES + MAX_FRAMING_FACTOR * self._max_body_bytes:
-            self._set_error(CONTENT_TOO_LARGE)  # for example endless chunk extensions
+            self._set_error(CONTENT_TOO_LARGE)  # for example by endless chunk extensions
 
     def _set_error(self, status: int) -> None:
-        """Set the error, unless there was one before."""
+        """Set the error status, unless there is one already."""
         self.error_status = self.error_status or status
 
     # -- callbacks of httptools --
 
     def on_message_begin(self) -> None:
-        """A message starts."""
+        """Record that a message has started."""
         self.message_started = True
 
     def on_url(self, url: bytes) -> None:
-        """Part of the request's target."""
+        """Append a part of the request target."""
         self._target += url
         self._count_header_bytes(len(url))
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """A header, or a trailer after a chunked body."""
+        """Store a header, or drop a trailer of a chunked body."""
         self._count_header_bytes(len(name) + len(value) + len(b": \r\n"))
-        # Trailers are dropped: they must not be taken for headers.
+        # A trailer must not be mistaken for a header.
         if not self._in_body and not self.error_status:
             self._headers.append((name.lower(), value))
 
@@ -159,7 +159,7 @@
             self._set_error(REQUEST_HEADER_FIELDS_TOO_LARGE)
 
     def on_headers_complete(self) -> None:
-        """Check the head of a message."""
+        """Check the HTTP version and the framing headers of a message."""
         self._in_body = True
         if self._parser.get_http_version() not in ("1.0", "1.1"):
             self._set_error(BAD_REQUEST)
@@ -170,14 +170,14 @@
                 self._set_error(BAD_REQUEST)  # an encoding that is not supported
 
     def on_body(self, data: bytes) -> None:
-        """Part of the body."""
+        """Append a part of the body."""
         if len(self._body) + len(data) > self._max_body_bytes:
             self._set_error(CONTENT_TOO_LARGE)
         if not self.error_status:
             self._body += data
 
     def on_message_complete(self) -> None:
-        """A message is complete."""
+        """Store the complete message, unless it is invalid or an interim response."""
         if self.error_status:
             return
         message = self._build_message()
@@ -198,7 +198,7 @@
         return Message(self._headers, self._body, keep_alive, status=self._parser.get_status_code())
 
     def _count_interim_response(self) -> None:
-        """Drop a 1xx response, which precedes the final one."""
+        """Count a 1xx response, which is dropped, and limit how many precede the final one."""
         self._interim_responses += 1
         if self._interim_responses > MAX_INTERIM_RESPONSES:
             self._set_error(BAD_REQUEST)
@@ -228,5 +228,5 @@
 
 
 def parse_decimal(text: bytes) -> int | None:
-    """Return a header's decimal number; None for anything else, and for over `MAX_DECIMAL_DIGITS` digits."""
+    """Parse a decimal number in a header; None for anything else, or beyond `MAX_DECIMAL_DIGITS` digits."""
     return int(text) if text.isdigit() and len(text) <= MAX_DECIMAL_DIGITS else None
--- a/loadbalancer/proxy/http_status.py
+++ b/loadbalancer/proxy/http_status.py
@@ -1,4 +1,4 @@
-"""The status codes of HTTP that the proxy sends or checks, and their reason phrases."""
+"""The HTTP status codes that the proxy sends or checks, and their reason phrases."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 SERVICE_UNAVAILABLE = 503
 GATEWAY_TIMEOUT = 504
 
-# Lower ones are interim responses, ahead of the final one.
+# Lower status codes (1xx) are those of interim responses, which precede the final one.
 FIRST_FINAL_STATUS = 200
 
 REASON_PHRASES = {
--- a/loadbalancer/proxy/load_report.py
+++ b/loadbalancer/proxy/load_report.py
@@ -1,4 +1,4 @@
-"""Load reports: the figures that an endpoint sends with responses or to health checks."""
+"""Load reports: the figures that an endpoint sends with its responses or in response to health checks."""
 
 from __future__ import annotations
 
@@ -39,4 +39,4 @@
 def _is_load_figure(value: object) -> bool:
     if isinstance(value, bool) or not isinstance(value, int | float):
         return False
-    return 0 <= value <= MAX_LOAD_FIGURE  # NaN is not either
+    return 0 <= value <= MAX_LOAD_FIGURE  # also False for NaN
--- a/loadbalancer/proxy/shutdown.py
+++ b/loadbalancer/proxy/shutdown.py
@@ -1,6 +1,6 @@
-"""Graceful shutdown: how long a proxy continues after SIGTERM, and the wait until it is drained.
+"""Graceful shutdown: its timeout after SIGTERM, and the wait until the proxy is drained.
 
-A proxy that drains still accepts connections and requests; each response closes its connection.
+While it drains, the proxy still accepts connections and requests; each response closes its connection.
 """
 
 from __future__ import annotations
@@ -11,21 +11,21 @@
 from loadbalancer.settings import RequestClass
 from loadbalancer.units import NANOSECONDS_PER_SECOND
 
-# After SIGTERM, clients still open new connections for this time.
+# How long clients continue to open new connections after SIGTERM.
 LATE_CONNECTIONS_S = 0.5
 
 DRAINED_CHECK_INTERVAL_S = 0.01
 
-# SIGKILL follows SIGTERM after the longest client timeout, which is this at most, and the grace period.
+# SIGKILL follows SIGTERM after the longest client timeout, which is at most this, plus the grace period.
 MAX_CLIENT_TIMEOUT_S = 3.0
 KILL_GRACE_PERIOD_S = 0.7
 
-# Before SIGKILL, for the responses to pending requests to be sent.
+# Time left before SIGKILL for sending the final responses to pending requests.
 FINAL_RESPONSES_S = 0.2
 
 
 def shutdown_timeout_s(request_classes: Iterable[RequestClass]) -> float:
-    """Return how long after SIGTERM a proxy may continue, in time for its last responses before SIGKILL."""
+    """Return how long after SIGTERM a proxy may drain, so that it can send final responses before SIGKILL."""
     longest_s = max(
         (c.client_timeout_ns / NANOSECONDS_PER_SECOND or MAX_CLIENT_TIMEOUT_S for c in request_classes),
         default=MAX_CLIENT_TIMEOUT_S,
@@ -37,8 +37,8 @@
     """Wait until all requests have their responses.
 
     Args:
-        is_drained: Whether that is so; called repeatedly after the time for late connections.
-        deadline_s: When to stop waiting, by the event loop's clock.
+        is_drained: Whether all are sent; called repeatedly once no more late connections are expected.
+        deadline_s: When to stop waiting, on the event loop's clock.
 
     Returns:
         Whether the proxy was drained in time.
--- a/loadbalancer/proxy/socket_state.py
+++ b/loadbalancer/proxy/socket_state.py
@@ -1,4 +1,4 @@
-"""The state of a socket in the kernel, before the event loop has read it."""
+"""Reads the state of a socket from the kernel, ahead of the event loop."""
 
 from __future__ import annotations
 
@@ -7,12 +7,12 @@
 
 
 def has_peer_closed(transport: asyncio.Transport) -> bool:
-    """Return whether the peer has closed, half-closed or reset the connection, also behind unread bytes."""
+    """Return whether the peer has closed, half-closed or reset the connection, even after unread bytes."""
     return _poll(transport, select.POLLRDHUP)
 
 
 def has_unread_input(transport: asyncio.Transport) -> bool:
-    """Return whether a read would return at once, with bytes, the end of the stream or an error."""
+    """Return whether a read would return at once with data, the end of the stream or an error."""
     return _poll(transport, select.POLLIN)
 
 
