--- a/tests/proxy/test_attempts.py
+++ b/tests/proxy/test_attempts.py
@@ -86,7 +86,7 @@
 
         def check_closed(event: Event) -> Iterable[Action]:
             if isinstance(event, AttemptEnded) and event.result is AttemptResult.TIMEOUT:
-                ended.append(accepted[0].recv(65536))  # empty at the end of the stream
+                ended.append(accepted[0].recv(65536))  # empty if the connection is closed
                 return [Fail(event.request_id)]
             return ()
 
@@ -124,7 +124,7 @@
     def react(event: Event) -> Iterable[Action]:
         if isinstance(event, RequestArrived):
             timeout = event.deadline_ns - time.monotonic_ns()
-            time.sleep(0.02)  # the process gets no processor for a while
+            time.sleep(0.02)  # simulates a process that is not scheduled for a while
             return [Forward(event.request_id, policy.endpoint_ids()[0], timeout), SetTimer(timeout, "end")]
         if isinstance(event, AttemptEnded) and event.result is AttemptResult.TIMEOUT:
             return [Reject(event.request_id)]
@@ -146,8 +146,8 @@
     monkeypatch: pytest.MonkeyPatch, attempts: int, timeout_ns: int
 ) -> None:
     connect_ns = 40 * NANOSECONDS_PER_MILLISECOND
-    ends: list[int] = []  # of the attempts, by the clock
-    received: list[int] = []  # when the last one had come
+    ends: list[int] = []  # when the attempts time out, on the monotonic clock
+    received: list[int] = []  # when the attempts arrived at the endpoint
 
     async def respond(_received: ReceivedMessage, writer: asyncio.StreamWriter) -> None:
         received.append(time.monotonic_ns())
@@ -176,12 +176,12 @@
         up.set()
         assert (await client.read()).status == 200
         told_ns = int(endpoint.requests[0].headers["req-deadline-ms"]) * NANOSECONDS_PER_MILLISECOND
-        # It was written between these two times, and what it tells is in whole milliseconds.
+        # The header was written between these two times, and is in whole milliseconds.
         assert ends[-1] - received[0] - NANOSECONDS_PER_MILLISECOND < told_ns <= ends[-1] - opened
 
 
 async def test_attempts_that_are_never_begun_do_not_use_up_the_attempts_of_a_request() -> None:
-    # Guards against a hedged request, or one to a drained endpoint, that takes the place of a retry.
+    # Guards against a hedged attempt, or one at a drained endpoint, that leaves no attempt for a retry.
     release = asyncio.Event()
 
     async def reset_when_released(_received: ReceivedMessage, writer: asyncio.StreamWriter) -> None:
@@ -221,7 +221,7 @@
 
 
 async def test_a_request_of_which_no_byte_was_sent_is_rejected_and_not_failed_at_its_timeout() -> None:
-    # Guards against a request that is not idempotent and fails although its client may send it again.
+    # Guards against failing a request that is not idempotent although its client could safely send it again.
     unreachable = await Machine(respond_with(200), refuses=False).start()
     policy = RecordingPolicy(Balancer(proxy_settings(max_attempts=2), 1, time.monotonic_ns()))
     async with running_proxy(policy, unreachable, max_attempts=2) as client:
@@ -236,7 +236,7 @@
 async def test_a_request_that_the_system_took_in_part_never_ends_once_its_client_has_left(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    # Guards against a late last byte: the endpoint would run a request that nobody waits for.
+    # Guards against sending the last byte after the disconnect: the endpoint would run an abandoned request.
     loop = asyncio.get_running_loop()
     with socket.socket() as listener:
         listener.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, SMALL_BUFFER_BYTES)
