--- a/tests/proxy/test_attempts.py
+++ b/tests/proxy/test_attempts.py
@@ -47,7 +47,7 @@
 LARGE_BODY_BYTES = 60_000
 
 
-async def test_a_timed_out_attempt_closes_its_connection_and_drops_the_late_response() -> None:
+async def test_timed_out_attempt_closes_its_connection_and_drops_late_response() -> None:
     release = asyncio.Event()
 
     async def late(_received: ReceivedMessage, writer: asyncio.StreamWriter) -> None:
@@ -77,7 +77,7 @@
         ]
 
 
-async def test_a_timed_out_attempt_has_closed_before_the_policy_is_told() -> None:
+async def test_timed_out_attempt_is_closed_before_the_policy_is_notified() -> None:
     with socket.create_server((HOST, 0)) as listener:
         listener.setblocking(False)
         accepted: list[socket.socket] = []
@@ -142,7 +142,7 @@
     "timeout_ns", [0, 2000 * NANOSECONDS_PER_MILLISECOND], ids=["to the deadline", "to its timeout"]
 )
 @pytest.mark.parametrize("attempts", [1, 2])
-async def test_a_late_connection_shortens_the_forwarded_deadline(
+async def test_slow_connect_shortens_the_forwarded_deadline(
     monkeypatch: pytest.MonkeyPatch, attempts: int, timeout_ns: int
 ) -> None:
     connect_ns = 40 * NANOSECONDS_PER_MILLISECOND
@@ -180,7 +180,7 @@
         assert ends[-1] - received[0] - NANOSECONDS_PER_MILLISECOND < told_ns <= ends[-1] - opened
 
 
-async def test_attempts_that_are_never_begun_do_not_use_up_the_attempts_of_a_request() -> None:
+async def test_attempts_that_never_start_do_not_count_towards_the_limit() -> None:
     # Guards against a hedged attempt, or one at a drained endpoint, that leaves no attempt for a retry.
     release = asyncio.Event()
 
@@ -220,7 +220,7 @@
     ]
 
 
-async def test_a_request_of_which_no_byte_was_sent_is_rejected_and_not_failed_at_its_timeout() -> None:
+async def test_unsent_request_is_rejected_instead_of_failed_at_its_timeout() -> None:
     # Guards against failing a request that is not idempotent although its client could safely send it again.
     unreachable = await Machine(respond_with(200), refuses=False).start()
     policy = RecordingPolicy(Balancer(proxy_settings(max_attempts=2), 1, time.monotonic_ns()))
@@ -233,7 +233,7 @@
     assert [(ended.result, ended.was_written) for ended in ends] == [(AttemptResult.TIMEOUT, False)]
 
 
-async def test_a_request_that_the_system_took_in_part_never_ends_once_its_client_has_left(
+async def test_partially_sent_request_is_not_completed_after_a_disconnect(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     # Guards against sending the last byte after the disconnect: the endpoint would run an abandoned request.
