--- a/tests/proxy/test_attempts.py
+++ b/tests/proxy/test_attempts.py
@@ -71,7 +71,7 @@
         assert (await client.exchange(request())).body == b"fresh"
         assert endpoint.opened_connections == 2
         await wait_until(lambda: endpoint.closed_connections == 1)
-        assert [(o.result, o.attempt) for o in policy.events_of(AttemptEnded)] == [
+        assert [(end.result, end.attempt) for end in policy.events_of(AttemptEnded)] == [
             (AttemptResult.TIMEOUT, 0),
             (AttemptResult.OK, 1),
         ]
@@ -146,38 +146,48 @@
     monkeypatch: pytest.MonkeyPatch, attempts: int, timeout_ns: int
 ) -> None:
     connect_ns = 40 * NANOSECONDS_PER_MILLISECOND
-    ends: list[int] = []  # when the attempts time out, on the monotonic clock
-    received: list[int] = []  # when the attempts arrived at the endpoint
+    deadlines_ns: list[int] = []  # when the attempts time out, on the monotonic clock
+    received_ns: list[int] = []  # when the attempts arrived at the endpoint
 
     async def respond(_received: ReceivedMessage, writer: asyncio.StreamWriter) -> None:
-        received.append(time.monotonic_ns())
+        received_ns.append(time.monotonic_ns())
         writer.write(format_response(200))
 
     def forward(event: Event) -> Iterable[Action]:
-        if isinstance(event, (RequestArrived, AttemptEnded)) and len(ends) < attempts:
+        if isinstance(event, (RequestArrived, AttemptEnded)) and len(deadlines_ns) < attempts:
             arrival = policy.events_of(RequestArrived)[0]
             deadline = arrival.deadline_ns + POLICY_DEADLINE_MARGIN_NS - PROXY_DEADLINE_MARGIN_NS
-            ends.append(client.proxy._decision_time_ns + timeout_ns if timeout_ns else deadline)
+            deadlines_ns.append(client.proxy._decision_time_ns + timeout_ns if timeout_ns else deadline)
             endpoints = policy.endpoint_ids()
-            return [Forward(arrival.request_id, endpoints[-1 if len(ends) == attempts else 0], timeout_ns)]
+            return [
+                Forward(
+                    arrival.request_id,
+                    endpoints[-1 if len(deadlines_ns) == attempts else 0],
+                    timeout_ns,
+                )
+            ]
         return ()
 
     refusing, endpoint = await FakeEndpoint(never_respond).start(), await FakeEndpoint(respond).start()
     refusing.stop()
-    policy, up = ScriptedPolicy(forward), asyncio.Event()
+    policy, may_connect = ScriptedPolicy(forward), asyncio.Event()
     async with running_proxy(policy, refusing, endpoint) as client:
         await connect(client)
-        hold_connections(monkeypatch, up, endpoint.port)
+        hold_connections(monkeypatch, may_connect, endpoint.port)
         await client.send(request())
-        await wait_until(lambda: len(ends) == attempts)
-        begun = time.monotonic_ns()
-        await wait_until(lambda: time.monotonic_ns() - begun >= connect_ns)
-        opened = time.monotonic_ns()
-        up.set()
+        await wait_until(lambda: len(deadlines_ns) == attempts)
+        started_ns = time.monotonic_ns()
+        await wait_until(lambda: time.monotonic_ns() - started_ns >= connect_ns)
+        connected_ns = time.monotonic_ns()
+        may_connect.set()
         assert (await client.read()).status == 200
-        told_ns = int(endpoint.requests[0].headers["req-deadline-ms"]) * NANOSECONDS_PER_MILLISECOND
+        forwarded_ns = int(endpoint.requests[0].headers["req-deadline-ms"]) * NANOSECONDS_PER_MILLISECOND
         # The header was written between these two times, and is in whole milliseconds.
-        assert ends[-1] - received[0] - NANOSECONDS_PER_MILLISECOND < told_ns <= ends[-1] - opened
+        assert (
+            deadlines_ns[-1] - received_ns[0] - NANOSECONDS_PER_MILLISECOND
+            < forwarded_ns
+            <= deadlines_ns[-1] - connected_ns
+        )
 
 
 async def test_attempts_that_never_start_do_not_count_towards_the_limit() -> None:
