--- a/tests/proxy/test_attempt_responses.py
+++ b/tests/proxy/test_attempt_responses.py
@@ -1,4 +1,4 @@
-"""Results of attempts: what a response or a broken connection means to the policy."""
+"""Results of attempts: the result that the policy gets for a response or a broken connection."""
 
 from __future__ import annotations
 
@@ -78,7 +78,7 @@
         response = await client.exchange(request())
         assert response.status == (200 if result is AttemptResult.OK else 504)
         assert results(policy) == [result]
-        assert len(endpoint.requests) == 1  # nothing is retried without the policy
+        assert len(endpoint.requests) == 1  # the proxy retries nothing on its own
 
 
 @pytest.mark.parametrize(
@@ -128,7 +128,7 @@
     held: list[asyncio.StreamWriter] = []
 
     async def serve(_reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        held.append(writer)  # reads nothing: what is sent stays with the sender
+        held.append(writer)  # reads nothing, so that the sender can't write everything
 
     server = await asyncio.start_server(serve, HOST, 0, limit=1)
     policy = forwarding_policy(fail_unless_complete)
