--- a/tests/proxy/test_client_connection.py
+++ b/tests/proxy/test_client_connection.py
@@ -1,4 +1,4 @@
-"""One client's connection over loopback sockets: bad input, pipelining, keep-alive and flow control."""
+"""Client connections over loopback sockets: invalid input, pipelining, keep-alive and flow control."""
 
 from __future__ import annotations
 
@@ -98,7 +98,7 @@
         assert (await client.new_client().exchange(request(request_id="one"))).status == 409
 
         client.proxy.dispatch(TimerExpired("now"))
-        assert (await client.read()).status == 504  # the pending one goes on as if nothing had come
+        assert (await client.read()).status == 504  # the pending request is not affected
 
         await client.send(request(request_id="one"))
         await wait_until(lambda: len(policy.events_of(RequestArrived)) == 2)
@@ -170,7 +170,7 @@
 async def test_lingering_close_reads_a_bounded_number_of_bytes() -> None:
     async with running_proxy(ScriptedPolicy()) as client:
         await client.send(request("/pay", "Content-Length: 60000000", method="POST"))
-        assert (await client.read()).status == 413  # before the body comes
+        assert (await client.read()).status == 413  # before the body is received
         transport = transport_of(first_connection(client))
         await client.send(b"x" * 300_000)
         await wait_until(lambda: not transport.is_reading())
