--- a/tests/proxy/test_downstream.py
+++ b/tests/proxy/test_downstream.py
@@ -1,4 +1,4 @@
-"""The listener over loopback sockets: time-outs, admission and eviction of connections."""
+"""The listener over loopback sockets: timeouts, admission and eviction of connections."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
 
 
 def age(table: ConnectionTable, seconds: float) -> None:
-    """Act as if all connections in the table had been there for so much longer."""
+    """Make all connections in the table appear older by `seconds`."""
     for client in table:
         table._entered_at_s[client] -= seconds
 
@@ -38,7 +38,7 @@
     return await asyncio.wait_for(client.reader.read(), WAIT_TIMEOUT_S)
 
 
-# -- time-outs --
+# -- timeouts --
 
 HALF_A_HEAD = b"GET /re"
 HALF_A_BODY = request("/pay", method="POST", body=b"abc")[:-1]
@@ -91,7 +91,7 @@
         assert (await client.exchange(READY_REQUEST)).status == 200
         age(server._idle, 1.8)
         server._enforce_timeouts()
-        assert (await client.exchange(READY_REQUEST)).status == 200  # which begins its time anew
+        assert (await client.exchange(READY_REQUEST)).status == 200  # this restarts the idle timeout
         age(server._idle, 2.0)
         server._enforce_timeouts()
         assert await client.is_closed_by_proxy()
@@ -137,7 +137,7 @@
         age(server._awaiting_request, 1.0)
         assert (await client.new_client().exchange(READY_REQUEST)).status == 200
         assert await silent_clients[0].is_closed_by_proxy()
-        assert (await client.exchange(READY_REQUEST)).status == 200  # idle for longer, and still there
+        assert (await client.exchange(READY_REQUEST)).status == 200  # idle for longer, but still open
         for silent_client in silent_clients:
             silent_client.close()
 
@@ -150,7 +150,7 @@
             while not server._awaiting_request:
                 server._accept()
             age(server._awaiting_request, 1.0)
-            assert server._evict_one()  # its transport is not made yet
+            assert server._evict_one()  # its transport does not exist yet
             end_of_stream = asyncio.get_running_loop().sock_recv(sock, 1)
             assert await asyncio.wait_for(end_of_stream, WAIT_TIMEOUT_S) == b""
 
@@ -165,7 +165,7 @@
             await busy.send(request())
         await wait_until(lambda: len(policy.events_of(RequestArrived)) == 7)
 
-        # With most places taken, the answer ends its connection.
+        # Near the connection limit, a response closes its connection.
         response = await client.new_client().exchange(READY_REQUEST)
         assert response.status == 200
         assert response.headers["connection"] == "close"
@@ -174,7 +174,7 @@
         await client.send(request())
         await wait_until(lambda: len(policy.events_of(RequestArrived)) == 8)
         last = client.new_client()
-        await last.send(READY_REQUEST)  # waits in the listen queue until one has its answer
+        await last.send(READY_REQUEST)  # waits in the listen backlog until another request has its response
         policy.react = lambda event: [Fail("3")] if isinstance(event, TimerExpired) else ()
         client.proxy.dispatch(TimerExpired("now"))
         assert (await last.read()).status == 200
@@ -199,7 +199,7 @@
         assert not failures_left
 
 
-# -- a close between requests that crosses a request --
+# -- requests that arrive while their idle connection is being closed --
 
 
 def drain(server: DownstreamServer) -> None:
@@ -221,7 +221,7 @@
 async def test_connection_with_an_unread_request_is_not_closed(
     had_request: bool, close_connections: Callable[[DownstreamServer], None]
 ) -> None:
-    # A request that crosses the close has been received by this machine, and would be lost.
+    # Guards against losing a request that the kernel has received and the proxy has not read yet.
     async with running_proxy(ScriptedPolicy(fail_all)) as client, plain_socket(client) as sock:
         server = client.proxy.downstream
         loop = asyncio.get_running_loop()
@@ -231,7 +231,7 @@
             assert (await loop.sock_recv(sock, 4096)).startswith(b"HTTP/1.1 200 ")
             await wait_until(lambda: server._idle)
 
-        sock.send(request())  # it lies in the socket: no turn of the loop from here on
+        sock.send(request())  # stays unread in the socket: the event loop does not run from here on
         for table in (server._idle, server._awaiting_request):
             age(table, 3.0)
         close_connections(server)
