--- a/tests/proxy/test_requests.py
+++ b/tests/proxy/test_requests.py
@@ -1,4 +1,4 @@
-"""Requests over loopback sockets: from their arrival to the one final answer."""
+"""Requests over loopback sockets, from their arrival to their one final response."""
 
 from __future__ import annotations
 
@@ -101,7 +101,7 @@
         response = await client.exchange(request())
         assert response.status == 503
         assert response.headers["retry-after"] == "0.437"
-        assert time.monotonic() - begun < 2.5  # of the five seconds that the client would wait
+        assert time.monotonic() - begun < 2.5  # well within the 5 s that the client waits
 
 
 async def test_a_proxy_within_its_ready_delay_is_not_ready_but_serves() -> None:
@@ -141,7 +141,7 @@
         }
         assert len(endpoint.requests) == 1
         assert policy.deepest_call == 1
-        assert (await connect(client)).status == 200  # one answer only
+        assert (await connect(client)).status == 200  # one response only
 
 
 async def test_a_client_disconnect_cancels_its_request() -> None:
@@ -227,7 +227,7 @@
                 )
             else:
                 client_socket.shutdown(socket.SHUT_WR)
-        time.sleep(0.15)  # the attempt's timeout expires too, all in one turn
+        time.sleep(0.15)  # the attempt's timeout expires too: all events are handled in one turn of the loop
         await wait_until(lambda: policy.events_of(AttemptEnded))
         await wait_until(lambda: not client.proxy._pending_requests)
         assert len(policy.events_of(AttemptEnded)) == 1
