--- a/tests/proxy/test_shutdown.py
+++ b/tests/proxy/test_shutdown.py
@@ -1,4 +1,4 @@
-"""Graceful shutdown: everything that comes until its end is answered."""
+"""Graceful shutdown: all requests that arrive before its end get a response."""
 
 from __future__ import annotations
 
@@ -37,7 +37,7 @@
 
 @pytest.fixture
 def no_late_connections(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Let the shutdown not wait for late connections."""
+    """Make the shutdown not wait for late connections."""
     monkeypatch.setattr("loadbalancer.proxy.shutdown.LATE_CONNECTIONS_S", 0.0)
 
 
@@ -54,7 +54,7 @@
     async with running_proxy(policy, endpoint) as client:
         draining = asyncio.create_task(client.proxy.drain())
         await wait_until(lambda: not client.proxy.ready)
-        assert (await client.exchange(request())).status == 200  # for a moment none is pending
+        assert (await client.exchange(request())).status == 200  # no request is pending for a moment
         assert not client.proxy._pending_requests
         late = client.new_client()
         await late.send(request("/read/late"))
@@ -66,9 +66,9 @@
 
 @pytest.mark.usefixtures("no_late_connections")
 async def test_the_backlog_is_answered_in_a_shutdown(monkeypatch: pytest.MonkeyPatch) -> None:
-    # Clients in the listen backlog wait until the connection limit allows them.
+    # Clients in the listen backlog wait until the connection limit admits them.
     policy = ScriptedPolicy()
-    async with running_proxy(policy, max_sockets=32 + 16) as client:  # so eight clients
+    async with running_proxy(policy, max_sockets=32 + 16) as client:  # allows eight clients
         busy = [client.new_client() for _ in range(8)]
         for other in busy:
             await other.send(request())
@@ -79,7 +79,7 @@
         paused = asyncio.Event()
         monkeypatch.setattr(client.proxy.downstream, "_pause_accepting", lambda _for_s=None: paused.set())
         draining = asyncio.create_task(client.proxy.drain())
-        await paused.wait()  # the shutdown has come to the backlog
+        await paused.wait()  # the shutdown has reached the backlog
         monkeypatch.undo()
         policy.react = fail_all_also_earlier_ones
         client.proxy.dispatch(TimerExpired("now"))
@@ -114,7 +114,7 @@
 async def test_pending_requests_are_answered_at_the_end_of_a_shutdown(
     caplog: pytest.LogCaptureFixture,
 ) -> None:
-    # With a short longest deadline, SIGKILL comes soon after requests that arrive late.
+    # If the longest client timeout is short, SIGKILL comes soon after a request that arrives late.
     endpoint = await FakeEndpoint(never_respond).start()
     policy = forwarding_policy()
     async with running_proxy(policy, endpoint, client_timeout_ns=100 * NANOSECONDS_PER_MILLISECOND) as client:
@@ -123,7 +123,9 @@
         begun = time.monotonic()
         draining = asyncio.create_task(client.proxy.drain())
         assert (await client.read()).status == 504
-        assert time.monotonic() - begun < 2.5  # soon after 0.6 s; a fixed time for all settings is 3.4 s
+        assert (
+            time.monotonic() - begun < 2.5
+        )  # about 0.6 s; a timeout that ignores the settings would be 3.4 s
         await draining
     assert "n: graceful shutdown: timeout after 0.60 s, failing 1 pending requests" in caplog.text
 
@@ -145,7 +147,7 @@
         await client.send(data[:-3])
         await wait_until(lambda: any(c.request_started for c in client.proxy.downstream._connections))
         draining = asyncio.create_task(client.proxy.drain())
-        assert await idle.is_closed_by_proxy()  # the shutdown has come to connections between requests
+        assert await idle.is_closed_by_proxy()  # the shutdown has reached the connections between requests
         await client.send(data[-3:])
         response = await client.read()
         assert (response.body, response.headers["connection"]) == (b"it", "close")
@@ -173,7 +175,10 @@
         await wait_until(lambda: client.proxy.downstream._flushing)
         await wait_until(lambda: client.proxy.downstream._socket is None)
         assert not draining.done()
-        for transport in (client_side, server_side._transport):  # small buffers would take long
+        for transport in (
+            client_side,
+            server_side._transport,
+        ):  # the transfer would take long with small buffers
             for option in (socket.SO_RCVBUF, socket.SO_SNDBUF):
                 transport.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, option, 1 << 20)
         client_side.resume_reading()
