--- a/tests/proxy/test_request_validation.py
+++ b/tests/proxy/test_request_validation.py
@@ -1,4 +1,4 @@
-"""Validation of requests, without sockets."""
+"""Validation of client requests, without sockets."""
 
 from __future__ import annotations
 
