--- a/tests/proxy/test_client_connection.py
+++ b/tests/proxy/test_client_connection.py
@@ -81,7 +81,7 @@
         assert (await client.exchange(request("/pay", method="POST", body=b"x" * 64 * 1024))).status == 504
 
 
-async def test_request_beyond_the_maximum_of_pending_ones_is_rejected() -> None:
+async def test_request_beyond_the_maximum_of_pending_requests_is_rejected() -> None:
     async with running_proxy(ScriptedPolicy(), max_pending_requests=1) as client:
         await client.send(request())
         await wait_until(lambda: client.proxy._pending_requests)
@@ -90,7 +90,7 @@
         assert float(response.headers["retry-after"]) > 0
 
 
-async def test_id_of_a_pending_request_is_rejected() -> None:
+async def test_request_with_the_id_of_a_pending_one_is_rejected() -> None:
     policy = ScriptedPolicy(lambda event: [Fail("1")] if isinstance(event, TimerExpired) else ())
     async with running_proxy(policy) as client:
         await client.send(request(request_id="one"))
@@ -147,7 +147,7 @@
         assert await client.is_closed_by_proxy()
 
 
-async def test_client_that_reads_no_response_is_not_read_from() -> None:
+async def test_proxy_stops_reading_from_a_client_that_reads_no_responses() -> None:
     async with running_proxy(ScriptedPolicy()) as client:
         await client.exchange(READY_REQUEST)
         assert client.writer is not None
