--- a/tests/proxy/test_downstream.py
+++ b/tests/proxy/test_downstream.py
@@ -98,7 +98,7 @@
         await wait_until(lambda: not server._connections)
 
 
-async def test_first_byte_does_not_restart_the_time_since_connecting() -> None:
+async def test_first_byte_does_not_restart_the_receive_timeout() -> None:
     async with running_proxy(ScriptedPolicy()) as client:
         server = client.proxy.downstream
         await client.send(b"")
@@ -142,7 +142,7 @@
             silent_client.close()
 
 
-async def test_connection_that_is_evicted_before_it_is_set_up_is_closed() -> None:
+async def test_connection_evicted_before_it_is_established_is_closed() -> None:
     async with running_proxy(ScriptedPolicy()) as client:
         server = client.proxy.downstream
         with socket.create_connection((HOST, client.port)) as sock:
@@ -182,7 +182,9 @@
             other.close()
 
 
-async def test_accept_survives_a_lack_of_file_descriptors(monkeypatch: pytest.MonkeyPatch) -> None:
+async def test_accept_continues_after_running_out_of_file_descriptors(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     async with running_proxy(ScriptedPolicy()) as client:
         accept = socket.socket.accept
         failures_left = 2
