--- a/tests/proxy/test_requests.py
+++ b/tests/proxy/test_requests.py
@@ -80,7 +80,7 @@
     assert ended.elapsed_ns > 0
 
 
-async def test_a_proxy_with_the_real_policy_serves() -> None:
+async def test_a_proxy_with_the_real_policy_serves_requests() -> None:
     endpoint = await FakeEndpoint(respond_with(200, b'{"inflight": 1}')).start()
     async with running_proxy(
         Balancer(proxy_settings(health_checks=True), 1, time.monotonic_ns()), endpoint
@@ -90,7 +90,7 @@
     assert sum(g.start_line.startswith("GET /read") for g in endpoint.requests) == 3
 
 
-async def test_a_rejection_is_answered_at_once_with_retry_after() -> None:
+async def test_a_rejection_is_sent_at_once_with_retry_after() -> None:
     policy = ScriptedPolicy(
         lambda e: (
             [Reject(e.request_id, 437 * NANOSECONDS_PER_MILLISECOND)] if isinstance(e, RequestArrived) else ()
@@ -114,7 +114,7 @@
         assert (await connect(client)).status == 200
 
 
-async def test_one_attempt_at_a_time_and_none_after_the_final_answer() -> None:
+async def test_one_attempt_at_a_time_and_none_after_the_final_response() -> None:
     endpoint = await FakeEndpoint(never_respond).start()
     policy = ScriptedPolicy()
 
@@ -160,7 +160,7 @@
         assert not client.proxy._pending_requests._by_client
 
 
-async def test_a_request_that_the_policy_leaves_open_fails_at_its_deadline() -> None:
+async def test_a_request_that_the_policy_ignores_fails_at_its_deadline() -> None:
     policy = ScriptedPolicy()
     async with running_proxy(policy) as client:
         begun = time.monotonic()
@@ -204,7 +204,7 @@
 @pytest.mark.parametrize(
     "order", [("response", "disconnect"), ("disconnect", "response"), ("disconnect",), ("response",)]
 )
-async def test_timeout_disconnect_and_late_response_in_one_turn_end_a_request_once(
+async def test_simultaneous_timeout_disconnect_and_response_end_a_request_once(
     order: tuple[str, ...],
 ) -> None:
     writers: list[asyncio.StreamWriter] = []
