--- a/tests/proxy/test_request_validation.py
+++ b/tests/proxy/test_request_validation.py
@@ -43,13 +43,13 @@
         (message(b"POST", b"/book"), "book"),
     ],
 )
-def test_the_first_part_of_the_path_names_the_class(request_message: Message, class_name: str) -> None:
+def test_the_first_path_segment_names_the_class(request_message: Message, class_name: str) -> None:
     assert validate_request(request_message, CLASSES) == ValidRequest(
         class_name, b"7", 250 * NANOSECONDS_PER_MILLISECOND
     )
 
 
-def test_a_long_deadline_is_cut() -> None:
+def test_a_long_deadline_is_reduced_to_the_maximum() -> None:
     request_message = message(b"GET", b"/read", ID, (b"req-deadline-ms", b"%d" % (MAX_DEADLINE_MS + 1)))
 
     assert validate_request(request_message, CLASSES) == ValidRequest(
@@ -76,7 +76,7 @@
         (message(body=b"x"), BODY_NOT_ALLOWED),
     ],
 )
-def test_a_bad_request_is_rejected(request_message: Message, rejected: ErrorResponse) -> None:
+def test_an_invalid_request_is_rejected(request_message: Message, rejected: ErrorResponse) -> None:
     assert validate_request(request_message, CLASSES) is rejected
 
 
