--- a/tests/proxy/test_shutdown.py
+++ b/tests/proxy/test_shutdown.py
@@ -41,7 +41,7 @@
     monkeypatch.setattr("loadbalancer.proxy.shutdown.LATE_CONNECTIONS_S", 0.0)
 
 
-async def test_requests_that_come_late_in_a_shutdown_are_answered() -> None:
+async def test_requests_that_arrive_late_in_a_shutdown_are_served() -> None:
     release = asyncio.Event()
 
     async def respond(received: ReceivedMessage, writer: asyncio.StreamWriter) -> None:
@@ -65,7 +65,7 @@
 
 
 @pytest.mark.usefixtures("no_late_connections")
-async def test_the_backlog_is_answered_in_a_shutdown(monkeypatch: pytest.MonkeyPatch) -> None:
+async def test_the_listen_backlog_is_served_in_a_shutdown(monkeypatch: pytest.MonkeyPatch) -> None:
     # Clients in the listen backlog wait until the connection limit admits them.
     policy = ScriptedPolicy()
     async with running_proxy(policy, max_sockets=32 + 16) as client:  # allows eight clients
@@ -103,7 +103,7 @@
         ([220, 4600], 3.5),
     ],
 )
-def test_a_shutdown_ends_before_the_earliest_kill(timeouts_ms: list[int], shutdown_s: float) -> None:
+def test_a_shutdown_ends_before_the_earliest_sigkill(timeouts_ms: list[int], shutdown_s: float) -> None:
     classes = [
         RequestClass(str(ms), client_timeout_ns=ms * NANOSECONDS_PER_MILLISECOND) for ms in timeouts_ms
     ]
@@ -111,7 +111,7 @@
 
 
 @pytest.mark.usefixtures("no_late_connections")
-async def test_pending_requests_are_answered_at_the_end_of_a_shutdown(
+async def test_pending_requests_fail_at_the_end_of_a_shutdown(
     caplog: pytest.LogCaptureFixture,
 ) -> None:
     # If the longest client timeout is short, SIGKILL comes soon after a request that arrives late.
@@ -132,7 +132,7 @@
 
 @pytest.mark.usefixtures("no_late_connections")
 @pytest.mark.parametrize("kept", [False, True], ids=["new connection", "kept-alive connection"])
-async def test_a_half_read_request_is_answered_in_a_shutdown(
+async def test_a_partially_received_request_is_served_in_a_shutdown(
     monkeypatch: pytest.MonkeyPatch, kept: bool
 ) -> None:
     monkeypatch.setattr("loadbalancer.proxy.client_eviction.MIN_EVICTION_AGE_S", 0.0)
