--- a/tests/proxy/test_attempt_responses.py
+++ b/tests/proxy/test_attempt_responses.py
@@ -100,7 +100,7 @@
         for number in (1, 2):
             assert (await client.exchange(request())).body == b"it"
             await wait_until(lambda number=number: len(policy.events_of(AttemptEnded)) == number)  # type: ignore[misc]
-        assert [(o.result, o.load_report) for o in policy.events_of(AttemptEnded)] == [
+        assert [(end.result, end.load_report) for end in policy.events_of(AttemptEnded)] == [
             (AttemptResult.OK, expected)
         ] * 2
 
@@ -153,11 +153,11 @@
     with socket.create_server((HOST, 0)) as listener:
 
         async def create_connection(*args: object, **options: object) -> object:
-            made = await original(*args, **options)  # type: ignore[call-overload]
+            connection = await original(*args, **options)  # type: ignore[call-overload]
             accepted, _ = listener.accept()
             accepted.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
             accepted.close()
-            return made
+            return connection
 
         policy = forwarding_policy(fail_unless_complete)
         async with running_proxy(policy, initial_list=list_of_ports(listener.getsockname()[1])) as client:
