--- a/tests/proxy/test_client_connection.py
+++ b/tests/proxy/test_client_connection.py
@@ -104,12 +104,14 @@
         await wait_until(lambda: len(policy.events_of(RequestArrived)) == 2)
 
 
-@pytest.mark.parametrize("sent_apart", [False, True])
+@pytest.mark.parametrize("sent_separately", [False, True])
 @pytest.mark.parametrize("more", [request(), request() * 300, request()[:20], b"nonsense\r\n\r\n"])
-async def test_pipelined_request_is_rejected_and_ends_the_connection(more: bytes, sent_apart: bool) -> None:
+async def test_pipelined_request_is_rejected_and_ends_the_connection(
+    more: bytes, sent_separately: bool
+) -> None:
     policy = ScriptedPolicy()
     async with running_proxy(policy) as client:
-        if sent_apart:
+        if sent_separately:
             await client.send(request())
             await wait_until(lambda: policy.events_of(RequestArrived))
             await client.send(more)
@@ -117,8 +119,8 @@
             await client.send(request() + more)
         assert (await client.read()).status == 400
         assert await client.is_closed_by_proxy()
-        assert len(policy.events_of(RequestArrived)) == int(sent_apart)
-        assert len(policy.events_of(ClientDisconnected)) == int(sent_apart)
+        assert len(policy.events_of(RequestArrived)) == int(sent_separately)
+        assert len(policy.events_of(ClientDisconnected)) == int(sent_separately)
         assert not client.proxy._pending_requests
         assert not client.proxy._pending_requests._client_request_ids
 
