--- a/tests/proxy/test_downstream.py
+++ b/tests/proxy/test_downstream.py
@@ -40,26 +40,26 @@
 
 # -- timeouts --
 
-HALF_A_HEAD = b"GET /re"
-HALF_A_BODY = request("/pay", method="POST", body=b"abc")[:-1]
+PARTIAL_HEAD = b"GET /re"
+PARTIAL_BODY = request("/pay", method="POST", body=b"abc")[:-1]
 
 
 @pytest.mark.parametrize(
-    ("on_retained_connection", "data", "response_start"),
+    ("kept_alive", "data", "response_start"),
     [
         (False, b"", b""),
-        (False, HALF_A_HEAD, b"HTTP/1.1 408 "),
-        (False, HALF_A_BODY, b"HTTP/1.1 408 "),
-        (True, HALF_A_HEAD, b"HTTP/1.1 408 "),
-        (True, HALF_A_BODY, b"HTTP/1.1 408 "),
+        (False, PARTIAL_HEAD, b"HTTP/1.1 408 "),
+        (False, PARTIAL_BODY, b"HTTP/1.1 408 "),
+        (True, PARTIAL_HEAD, b"HTTP/1.1 408 "),
+        (True, PARTIAL_BODY, b"HTTP/1.1 408 "),
     ],
 )
 async def test_request_that_is_not_received_in_time_ends_the_connection(
-    on_retained_connection: bool, data: bytes, response_start: bytes
+    kept_alive: bool, data: bytes, response_start: bytes
 ) -> None:
     async with running_proxy(ScriptedPolicy()) as client:
         server = client.proxy.downstream
-        if on_retained_connection:
+        if kept_alive:
             await client.exchange(READY_REQUEST)
         await client.send(data)
         await wait_until(
