--- a/tests/proxy/test_requests.py
+++ b/tests/proxy/test_requests.py
@@ -87,7 +87,7 @@
     ) as client:
         for _ in range(3):
             assert (await client.exchange(request())).status == 200
-    assert sum(g.start_line.startswith("GET /read") for g in endpoint.requests) == 3
+    assert sum(message.start_line.startswith("GET /read") for message in endpoint.requests) == 3
 
 
 async def test_a_rejection_is_sent_at_once_with_retry_after() -> None:
@@ -97,11 +97,11 @@
         )
     )
     async with running_proxy(policy) as client:
-        begun = time.monotonic()
+        started_s = time.monotonic()
         response = await client.exchange(request())
         assert response.status == 503
         assert response.headers["retry-after"] == "0.437"
-        assert time.monotonic() - begun < 2.5  # well within the 5 s that the client waits
+        assert time.monotonic() - started_s < 2.5  # well within the 5 s that the client waits
 
 
 async def test_a_proxy_within_its_ready_delay_is_not_ready_but_serves() -> None:
@@ -133,7 +133,7 @@
         client.proxy.dispatch(TimerExpired("now"))
         assert (await client.read()).status == 504
         await wait_until(lambda: endpoint.closed_connections == 1)
-        ended = {(o.attempt, o.result, o.request_complete) for o in policy.events_of(AttemptEnded)}
+        ended = {(end.attempt, end.result, end.request_complete) for end in policy.events_of(AttemptEnded)}
         assert ended == {
             (1, AttemptResult.NOT_SENT, False),
             (0, AttemptResult.CANCELLED, True),
@@ -153,7 +153,7 @@
         client.close()
         await wait_until(lambda: endpoint.closed_connections == 1)
         assert policy.events_of(ClientDisconnected) == [ClientDisconnected("1")]
-        assert [(o.result, o.request_complete) for o in policy.events_of(AttemptEnded)] == [
+        assert [(end.result, end.request_complete) for end in policy.events_of(AttemptEnded)] == [
             (AttemptResult.CANCELLED, True)
         ]
         assert not client.proxy._pending_requests
@@ -163,9 +163,9 @@
 async def test_a_request_that_the_policy_ignores_fails_at_its_deadline() -> None:
     policy = ScriptedPolicy()
     async with running_proxy(policy) as client:
-        begun = time.monotonic()
+        started_s = time.monotonic()
         assert (await client.exchange(request(deadline_ms=80))).status == 504
-        assert time.monotonic() - begun > 0.05
+        assert time.monotonic() - started_s > 0.05
         assert policy.events_of(ClientDisconnected) == [ClientDisconnected("1")]
 
 
