--- a/tests/proxy/test_shutdown.py
+++ b/tests/proxy/test_shutdown.py
@@ -28,7 +28,7 @@
 from tests.support.waiting import wait_until
 
 
-def fail_all_also_earlier_ones(event: Event) -> Iterable[Action]:
+def fail_all_and_earlier_requests(event: Event) -> Iterable[Action]:
     """Fail each request that arrives, and all earlier ones when a timer expires."""
     if isinstance(event, TimerExpired):
         return [Fail(str(number)) for number in range(1, 9)]
@@ -81,7 +81,7 @@
         draining = asyncio.create_task(client.proxy.drain())
         await paused.wait()  # the shutdown has reached the backlog
         monkeypatch.undo()
-        policy.react = fail_all_also_earlier_ones
+        policy.react = fail_all_and_earlier_requests
         client.proxy.dispatch(TimerExpired("now"))
         for other in (*busy, *late):
             response = await other.read()
@@ -120,26 +120,24 @@
     async with running_proxy(policy, endpoint, client_timeout_ns=100 * NANOSECONDS_PER_MILLISECOND) as client:
         await client.send(request(deadline_ms=600_000))
         await wait_until(lambda: endpoint.requests)
-        begun = time.monotonic()
+        started_s = time.monotonic()
         draining = asyncio.create_task(client.proxy.drain())
         assert (await client.read()).status == 504
-        assert (
-            time.monotonic() - begun < 2.5
-        )  # about 0.6 s; a timeout that ignores the settings would be 3.4 s
+        assert time.monotonic() - started_s < 2.5  # about 0.6 s; 3.4 s if the settings were ignored
         await draining
     assert "n: graceful shutdown: timeout after 0.60 s, failing 1 pending requests" in caplog.text
 
 
 @pytest.mark.usefixtures("no_late_connections")
-@pytest.mark.parametrize("kept", [False, True], ids=["new connection", "kept-alive connection"])
+@pytest.mark.parametrize("kept_alive", [False, True], ids=["new connection", "kept-alive connection"])
 async def test_a_partially_received_request_is_served_in_a_shutdown(
-    monkeypatch: pytest.MonkeyPatch, kept: bool
+    monkeypatch: pytest.MonkeyPatch, kept_alive: bool
 ) -> None:
     monkeypatch.setattr("loadbalancer.proxy.client_eviction.MIN_EVICTION_AGE_S", 0.0)
     endpoint = await FakeEndpoint(respond_with(200, b"it")).start()
     policy = forwarding_policy()
     async with running_proxy(policy, endpoint) as client:
-        if kept:
+        if kept_alive:
             assert (await client.exchange(request())).status == 200
         idle = client.new_client()
         assert (await connect(idle)).status == 200
