--- a/tests/proxy/test_client_disconnect.py
+++ b/tests/proxy/test_client_disconnect.py
@@ -1,8 +1,8 @@
-"""A client that has disconnected, in every state its request can be in: no attempt begins for it any more.
+"""Client disconnects in every state of a request: no attempt starts after the disconnect.
 
-Each state meets each kind of close (FIN, half-close, RST) at three times, see `DisconnectTime`.
-`test_unread_disconnect.py` has the states of a buffered request and of a scripted policy's retries, and
-`tests/policy/test_disconnect.py` those of the policy alone.
+Each state is tested with each kind of close (FIN, half-close, RST) at three times, see `DisconnectTime`.
+`test_unread_disconnect.py` covers buffered requests and the retries of a scripted policy, and
+`tests/policy/test_disconnect.py` the states of the policy alone.
 """
 
 from __future__ import annotations
@@ -54,13 +54,13 @@
 from tests.support.scripted import forwarding_policy
 from tests.support.waiting import WAIT_TIMEOUT_S, wait_until
 
-# An attempt that begins so long after the disconnect breaks the rule.
+# No attempt may start this long after the disconnect.
 MAX_NOTICE_S = 0.1
 
-# Longer than a full garbage collection on a busy machine: the request must reach the endpoint before it.
+# Longer than a full garbage collection on a busy machine: the request must reach the endpoint before.
 ATTEMPT_TIMEOUT_NS = 250 * NANOSECONDS_PER_MILLISECOND
 
-# How an attempt can end without success.
+# The responses with which an attempt fails, by its result.
 ATTEMPT_ENDS: dict[str, Responder] = {
     "rejected": respond_with(503, b"", "Srv-Declined: 1"),
     "error": respond_with(500),
@@ -73,20 +73,20 @@
     """When a client disconnects."""
 
     READ = "read"
-    """Before the request would be forwarded, and the loop has read it."""
+    """Before the request would be forwarded; the event loop has read the disconnect."""
 
     DECIDED = "decided"
-    """Unread, between the decision to forward and its carrying out on an idle connection."""
+    """Unread, after the decision to forward and before the request is written to an idle connection."""
 
     CONNECTED = "connected"
-    """Unread, between a new connection's coming up and its first byte."""
+    """Unread, after a new connection is established and before its first byte."""
 
 
 each_time = pytest.mark.parametrize("when", list(DisconnectTime), ids=lambda when: when.value)
 
 
 class DisconnectInjector:
-    """A policy, and a disconnect at the last moment before the first byte of one of its attempts."""
+    """Wraps a policy, and disconnects a client right before the first byte of one of its attempts."""
 
     def __init__(self, policy: Policy, when: DisconnectTime, request_id: str = "1", attempt: int = 0) -> None:
         self._policy = policy
@@ -95,7 +95,7 @@
         self._attempt = attempt
         self._pending_disconnect: Callable[[], None] | None = None
         self.attempts: Counter[str] = Counter()
-        """Attempts that the policy has begun, by the request's id."""
+        """How many attempts the policy has started, by request id."""
 
     @property
     def done(self) -> bool:
@@ -103,7 +103,7 @@
         return self._pending_disconnect is None
 
     def handle(self, now_ns: int, events: Iterable[Event]) -> list[Action]:
-        """Let the policy decide, and disconnect before what it decided is carried out."""
+        """Let the policy decide, and disconnect before its actions are executed."""
         actions = list(self._policy.handle(now_ns, events))
         for action in actions:
             if isinstance(action, Forward):
@@ -119,7 +119,7 @@
             self._pending_disconnect = None
 
     def watch_connections(self, monkeypatch: pytest.MonkeyPatch, *endpoints: FakeEndpoint) -> None:
-        """Make the attempts use idle connections or new ones, as the time of the disconnect wants it."""
+        """Make the attempts use idle connections or new ones, as the time of the disconnect requires."""
         quarantine_s = 0.0 if self._when is DisconnectTime.DECIDED else 60.0
         monkeypatch.setattr("loadbalancer.proxy.attempts.QUARANTINE_S", quarantine_s)
         if self._when is not DisconnectTime.CONNECTED:
@@ -137,7 +137,7 @@
         monkeypatch.setattr(loop, "create_connection", create_connection)
 
     async def disconnect(self, disconnect: Disconnect, sock: socket.socket, client: Client) -> None:
-        """Disconnect now, and wait until that is read; or arrange it for when the request is forwarded."""
+        """Disconnect now and wait until that is read, or schedule it for when the request is forwarded."""
         if self._when is DisconnectTime.READ:
             disconnect(sock)
             await wait_until(lambda: self._request_id not in client.proxy._pending_requests)
@@ -150,12 +150,12 @@
 
 
 def forwarded(endpoint: FakeEndpoint) -> list[str]:
-    """The targets of the forwarded requests; those of health checks are left out."""
+    """Return the targets of the forwarded requests, without those of health checks."""
     return [target for target in targets(endpoint) if "/read/" in target]
 
 
 async def ask_until_served(client: Client) -> None:
-    """Have a later request served, though its endpoint may be ejected for a while first."""
+    """Send a later request until it is served: its endpoint may be ejected for a while."""
 
     async def ask() -> None:
         while (await client.new_client().exchange(request("/read/later"))).status != 200:
@@ -185,12 +185,12 @@
         await first.send(request("/read/first"))
         await wait_until(lambda: endpoint.requests)
         sock.send(request("/read/abandoned"))
-        # The only endpoint has no capacity for a second request.
+        # The only endpoint has no capacity for a second request, so that it is queued.
         await wait_until(lambda: balancer.queues[balancer.fleet.default_pool].waiting)
 
         await policy.disconnect(disconnect, sock, client)
         may_respond.set()
-        assert (await first.read()).status == 200  # now it would have
+        assert (await first.read()).status == 200  # now there would be capacity for it
 
         await ask_until_served(client)
         assert forwarded(endpoint) == ["/read/first", "/read/later"]
@@ -225,7 +225,7 @@
     policy.watch_connections(monkeypatch, endpoint)
     async with running_proxy(policy, endpoint, health_checks=True) as client, plain_socket(client) as sock:
         sock.send(request("/read/abandoned"))
-        await wait_until(lambda: endpoint.requests)  # a load probe, and the request waits for its result
+        await wait_until(lambda: endpoint.requests)  # the request waits for the result of a load probe
         assert balancer.queues[balancer.fleet.default_pool].waiting
         assert not forwarded(endpoint)
 
@@ -258,7 +258,7 @@
         sock.send(request("/read/abandoned"))
         await wait_until(lambda: endpoint.requests)
 
-        await policy.disconnect(disconnect, sock, client)  # where it is read: while the first one is out
+        await policy.disconnect(disconnect, sock, client)  # READ: while the first attempt is in flight
         may_respond.set()
 
         await wait_until(lambda: not client.proxy._pending_requests)
@@ -292,7 +292,7 @@
     policy = DisconnectInjector(script, when, request_id="2", attempt=1)
     policy.watch_connections(monkeypatch, endpoint, other)
     async with running_proxy(policy, endpoint, other) as client:
-        # Its connection is left to others.
+        # Its connection stays open for later attempts.
         assert (await client.exchange(request("/read/first"))).status == 200
         if end == "refused":
             endpoint.stop()
@@ -330,7 +330,7 @@
     async with running_proxy(policy, endpoint) as client:
         if idle_connection:
             assert (await client.exchange(request("/read/first"))).status == 200
-        # No turn of the loop from connecting to the disconnect.
+        # The event loop does not run between the connect and the disconnect.
         with socket.create_connection((HOST, client.port)) as sock:
             sock.send(request("/read/abandoned"))
             disconnect(sock)
@@ -358,7 +358,9 @@
             sock.send(request("/read/first"))
         await wait_until(lambda: len(endpoint.requests) == 6)
         all_received.set()
-        await wait_until(lambda: len(policy.events_of(AttemptEnded)) == 6)  # an idle connection for each
+        await wait_until(
+            lambda: len(policy.events_of(AttemptEnded)) == 6
+        )  # leaves an idle connection for each
         policy.react = lambda _event: ()
         for i, sock in enumerate(socks):
             sock.send(request(f"/read/{i}"))
@@ -369,7 +371,7 @@
                 return ()
             for sock in socks[::2]:
                 disconnect(sock)
-            time.sleep(1.2 * MAX_NOTICE_S)  # the batch: nothing is read meanwhile
+            time.sleep(1.2 * MAX_NOTICE_S)  # the batch takes this long, and nothing is read meanwhile
             endpoint_id = policy.endpoint_ids()[0]
             return [
                 Forward(arrived.request_id, endpoint_id) for arrived in policy.events_of(RequestArrived)[6:]
@@ -388,7 +390,7 @@
 async def test_unread_disconnect_opens_no_connection_and_closes_no_idle_one(
     monkeypatch: pytest.MonkeyPatch, disconnect: Disconnect, idle_connection: bool
 ) -> None:
-    # Many clients that disconnect must not cost endpoints a handshake each.
+    # Guards against a handshake with an endpoint for each of many clients that disconnect.
     endpoint = await FakeEndpoint(respond_with(200)).start()
     script = forwarding_policy()
     policy = DisconnectInjector(script, DisconnectTime.DECIDED, request_id="2" if idle_connection else "1")
@@ -410,7 +412,7 @@
 
 @each_disconnect
 async def test_disconnect_while_reading_is_paused(disconnect: Disconnect) -> None:
-    # Unread responses make a full close a reset. Its request lies in the socket, and is not forwarded.
+    # With an unread response, a full close is a reset. The request stays unread in the socket.
     endpoint = await FakeEndpoint(respond_with(200)).start()
     policy = forwarding_policy()
     async with (
@@ -423,7 +425,7 @@
 
         disconnect(sock)
 
-        assert connection.has_disconnected  # the kernel knows, the loop does not
+        assert connection.has_disconnected  # known to the kernel, but not yet to the event loop
         if sock.fileno() != -1:  # a half-close: the client still reads
             while len(policy.events_of(RequestArrived)) < 2:
                 await asyncio.get_running_loop().sock_recv(sock, 1 << 16)
@@ -437,8 +439,8 @@
 async def test_disconnect_while_a_hedged_request_is_due(
     disconnect: Disconnect, when: DisconnectTime, hedging: bool
 ) -> None:
-    # A proxy has one attempt in flight at a time, also where the settings allow two: a hedged request is
-    # not sent at all.
+    # The proxy sends no hedged requests: it has one attempt of a request in flight at a time, even if the
+    # settings allow two.
     endpoint = await FakeEndpoint(never_respond).start()
     other = await FakeEndpoint(respond_with(200)).start()
     script = forwarding_policy()
@@ -465,5 +467,5 @@
         await assert_only_later_request_is_forwarded(endpoint, client, script, received_before=1)
         assert forwarded(endpoint) == ["/read/abandoned", "/read/later"]
         assert not other.requests
-        # The attempt that was in flight has been cancelled.
+        # The attempt in flight was cancelled.
         await wait_until(lambda: endpoint.closed_connections)
