--- a/tests/proxy/test_unread_disconnect.py
+++ b/tests/proxy/test_unread_disconnect.py
@@ -1,7 +1,7 @@
 """Clients that disconnect while their request waits: it must not be forwarded afterwards.
 
-The bad order is made to happen: a client's disconnect is put into its socket without a turn of the loop, so
-that it lies there unread when the token or the connection comes.
+The tests force the race: the client disconnects while the event loop does not run, so that the disconnect is
+still unread when the token or the connection becomes available.
 """
 
 from __future__ import annotations
@@ -41,12 +41,12 @@
 from tests.support.scripted import forward_to_first, forwarding_policy
 from tests.support.waiting import wait_until
 
-# Whether the policy acts before the loop has read the disconnect.
+# Whether the policy acts before the event loop has read the disconnect.
 unread_or_read = pytest.mark.parametrize("unread", [False, True])
 
 
 def forward_at_timer(policy: ScriptedPolicy, request_id: str) -> None:
-    """Buffer what arrives, and forward the request when a timer expires: its token has come."""
+    """Buffer arriving requests, and forward the given one when a timer expires, as if its token were due."""
     policy.react = lambda event: (
         [Forward(request_id, policy.endpoint_ids()[0])] if isinstance(event, TimerExpired) else ()
     )
@@ -162,12 +162,12 @@
 
 
 async def test_disconnect_is_notified_while_an_earlier_response_is_unwritten() -> None:
-    # The transport ends only when its last byte is out: the client's disconnect must not wait for that.
+    # Guards against a disconnect that is noticed only when the transport has written its last byte.
     endpoint = await FakeEndpoint(respond_with(200)).start()
     policy = forwarding_policy()
     async with (
         running_proxy(policy, endpoint) as client,
-        client_with_unread_response(client, endpoint, 50_000) as sock,  # too little to pause reading
+        client_with_unread_response(client, endpoint, 50_000) as sock,  # not enough to pause reading
     ):
         connection = first_connection(client)
         policy.react = lambda _event: ()
@@ -193,7 +193,7 @@
 
         sock.send(request("/read/abandoned"))
         half_close(sock)
-        while len(policy.events_of(RequestArrived)) < 2:  # the client reads on until the proxy does
+        while len(policy.events_of(RequestArrived)) < 2:  # the client reads until the proxy reads again
             await asyncio.get_running_loop().sock_recv(sock, 1 << 16)
 
         await wait_until(lambda: policy.events_of(ClientDisconnected))
@@ -206,7 +206,7 @@
     balancer = Balancer(proxy_settings(), 1, time.monotonic_ns())
     async with running_proxy(balancer, endpoint) as client, plain_socket(client) as sock:
         throttle = balancer.throttles.get_or_create("", time.monotonic_ns())
-        # No token left, and none comes however long this takes: the next request waits for one.
+        # No token is left or becomes due during the test: the next request waits for one.
         throttle.set_rate(0.001, time.monotonic_ns())
         throttle.bank.counter = throttle.bank.buffer_capacity
         sock.send(request("/read/abandoned"))
@@ -215,8 +215,8 @@
         disconnect(sock)
 
         await wait_until(lambda: not throttle.buffer)
-        throttle.on_token_due()  # what was scheduled for the token then is far away
+        throttle.on_token_due()  # the timer of that token is far in the future
         throttle.set_rate(4.0, time.monotonic_ns())
         await client.send(request("/read/stays"))
-        assert (await client.read()).status == 200  # the next token is its own
+        assert (await client.read()).status == 200  # it gets the next token
         assert targets(endpoint) == ["/read/stays"]
