--- a/tests/proxy/test_drain_with_queued_requests.py
+++ b/tests/proxy/test_drain_with_queued_requests.py
@@ -1,4 +1,4 @@
-"""A drain while an attempt waits for its connection and further requests are queued."""
+"""Endpoints that drain while an attempt waits for a connection to them and more requests are queued."""
 
 from __future__ import annotations
 
@@ -111,7 +111,7 @@
     ],
 )
 async def test_requests_queued_at_any_end_of_an_address_are_served(apply_change: ApplyChange) -> None:
-    # Guards against attempts that are cancelled, and retried there, before the policy is notified.
+    # Guards against cancelled attempts that are retried at the same endpoint before the policy is notified.
     release = asyncio.Event()
 
     async def respond_when_released(_request: ReceivedMessage, writer: Writer) -> None:
@@ -136,13 +136,13 @@
 
 
 def port_being_connected(proxy: Proxy) -> int | None:
-    """The port of the endpoint to which a connection is being established; None if there is none."""
+    """Return the port of the endpoint to which a connection is being established; None if there is none."""
     pools = proxy.addresses.pools.values()
     return next((pool.address[1] for pool in pools if pool.open_connections), None)
 
 
 async def test_a_request_that_was_never_sent_survives_drains_one_after_another() -> None:
-    # Guards against drains that use up the attempts of a request of which no byte was sent.
+    # Guards against drains that use up the attempts of a request although no byte of it was sent.
     unreachable = [await Machine(respond_with(200), refuses=False).start() for _ in range(DRAINS)]
     reachable = await FakeEndpoint(respond_with(200)).start()
     hosts = {machine.port: f"s{number}" for number, machine in enumerate(unreachable)}
@@ -166,7 +166,7 @@
 async def test_a_drain_that_comes_during_a_dispatch_is_notified_before_the_attempts_that_it_ends(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    # Guards against a retry at the drained endpoint, whatever the list interrupts.
+    # Guards against a retry at the drained endpoint when the update arrives while actions are executed.
     endpoint = await FakeEndpoint(respond_with(200)).start()
     policy = ScriptedPolicy()
 
