--- a/tests/proxy/test_faults.py
+++ b/tests/proxy/test_faults.py
@@ -1,4 +1,4 @@
-"""The policy and the proxy together, over loopback sockets, while endpoints are at fault."""
+"""The policy and the proxy together, over loopback sockets, with faulty endpoints."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
 
 
 def reset_every(nth: int) -> Responder:
-    """Reset the connection under the second request, and under every nth one from there."""
+    """Reset the connection at the second request, and at every nth request after it."""
     count = 0
 
     async def respond(_received: ReceivedMessage, writer: Writer) -> None:
@@ -52,7 +52,7 @@
 
 
 class EjectionsByReset:
-    """Records which endpoints are ejected for resets, and not for overdue or late responses."""
+    """Records which endpoints are ejected for resets, as opposed to overdue or late responses."""
 
     def __init__(self, detection: OutlierDetection, monkeypatch: pytest.MonkeyPatch) -> None:
         self._states: set[EndpointState] = set()
@@ -78,24 +78,24 @@
         self._for_overload = False
 
     def count(self) -> int:
-        """How many are ejected for resets now."""
+        """Return how many endpoints are currently ejected for resets."""
         now_ns = time.monotonic_ns()
         return sum(state.ejected_until_ns > now_ns for state in self._states)
 
 
 async def test_resets_at_all_endpoints_eject_no_more_than_one(monkeypatch: pytest.MonkeyPatch) -> None:
-    # Resets by a bad network hit all endpoints alike, and must not eject most of a healthy fleet.
+    # Guards against a network fault, which resets connections to all endpoints, ejecting most of the fleet.
     endpoints = [await FakeEndpoint(reset_every(4)).start() for _ in range(ENDPOINTS)]
     balancer = Balancer(proxy_settings(), 1, time.monotonic_ns())
-    # On a busy machine a response may be overdue, which ejects its endpoint as well: that is another cause.
+    # On a busy machine a response may be overdue and eject its endpoint: such ejections are not counted.
     ejections = EjectionsByReset(balancer.outlier_detection, monkeypatch)
     most_ejected = 0
     async with running_proxy(balancer, *endpoints) as client:
         for _ in range(60):
             assert (await client.exchange(request())).status == 200  # idempotent: retried at once
             most_ejected = max(most_ejected, ejections.count())
-    assert sum(len(endpoint.requests) for endpoint in endpoints) >= 70  # so many were reset
-    assert most_ejected <= 1  # the first reset of all has no other to be compared with
+    assert sum(len(endpoint.requests) for endpoint in endpoints) >= 70  # at least 10 retries after resets
+    assert most_ejected <= 1  # the first reset has no other endpoint's to compare with
 
 
 async def test_endpoint_that_alone_resets_connections_is_ejected_at_once() -> None:
@@ -108,7 +108,7 @@
 
 
 async def test_load_probe_that_is_reset_is_retried(monkeypatch: pytest.MonkeyPatch) -> None:
-    # A request must not wait for the load report of a health check whose connection broke.
+    # Guards against a request that waits for the load report of a health check whose connection broke.
     probes = 0
 
     async def respond(received: ReceivedMessage, writer: Writer) -> None:
@@ -134,9 +134,9 @@
 
 
 async def test_request_of_excessive_cost_ejects_no_endpoint(monkeypatch: pytest.MonkeyPatch) -> None:
-    # A few requests of many times the usual cost must not eject one endpoint after another.
+    # Guards against a few requests of many times the usual cost that eject one endpoint after another.
     a_minute_us = 60_000_000
-    # A slow machine changes nothing here.
+    # Keeps a slow machine from influencing the result.
     monkeypatch.setattr(
         "loadbalancer.policy.attempt_results.EVENT_LOOP_STALL_NS", 60 * NANOSECONDS_PER_SECOND
     )
@@ -153,8 +153,8 @@
 
 
 async def test_event_loop_stall_is_held_against_no_endpoint() -> None:
-    # A process that was stopped, for example throttled, must not consider all endpoints dead when it
-    # continues.
+    # Guards against a process that was stopped, for example by CPU throttling, and then treats all
+    # endpoints as failed.
     endpoints = await start_endpoints(never_respond, ENDPOINTS)
     balancer = Balancer(proxy_settings(), 1, time.monotonic_ns())
     async with running_proxy(balancer, *endpoints) as client:
@@ -164,7 +164,7 @@
         await wait_until(lambda: sum(len(endpoint.requests) for endpoint in endpoints) == ENDPOINTS)
         per_request_ns = balancer.latency_model.per_request_ns
 
-        time.sleep(0.7)  # the whole loop stands still
+        time.sleep(0.7)  # stalls the event loop
 
         for other in clients:
             assert (await other.read()).status in (503, 504)
@@ -177,7 +177,7 @@
 async def test_retry_with_idempotency_key_on_a_late_connection_is_not_sent_after_its_window(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    # The endpoints no longer recognise the key by then, so a retry would run a second time.
+    # After the window the endpoints no longer recognise the key, and a retry would run a second time.
     endpoint = await FakeEndpoint(abort_connection).start()
     balancer = Balancer(
         proxy_settings(connect_timeout_ns=1000 * NANOSECONDS_PER_MILLISECOND), 1, time.monotonic_ns()
@@ -188,7 +188,7 @@
 
     async def create_connection(*args: object, **options: object) -> object:
         connects_at.append(time.monotonic())
-        if len(connects_at) > 1:  # up in time, but only once the window of 1 s is over
+        if len(connects_at) > 1:  # established before the connect timeout, but after the window of 1 s
             await wait_until(lambda: time.monotonic() > connects_at[0] + 1.05)
         return await original(*args, **options)  # type: ignore[call-overload]
 
