--- a/tests/proxy/test_client_disconnect.py
+++ b/tests/proxy/test_client_disconnect.py
@@ -57,7 +57,7 @@
 # No attempt may start this long after the disconnect.
 MAX_NOTICE_S = 0.1
 
-# Longer than a full garbage collection on a busy machine: the request must reach the endpoint before.
+# Longer than a full garbage collection on a busy machine: the request has to arrive before the timeout.
 ATTEMPT_TIMEOUT_NS = 250 * NANOSECONDS_PER_MILLISECOND
 
 # The responses with which an attempt fails, by its result.
@@ -190,7 +190,7 @@
 
         await policy.disconnect(disconnect, sock, client)
         may_respond.set()
-        assert (await first.read()).status == 200  # now there would be capacity for it
+        assert (await first.read()).status == 200  # there is capacity for a second request now
 
         await ask_until_served(client)
         assert forwarded(endpoint) == ["/read/first", "/read/later"]
@@ -358,9 +358,7 @@
             sock.send(request("/read/first"))
         await wait_until(lambda: len(endpoint.requests) == 6)
         all_received.set()
-        await wait_until(
-            lambda: len(policy.events_of(AttemptEnded)) == 6
-        )  # leaves an idle connection for each
+        await wait_until(lambda: len(policy.events_of(AttemptEnded)) == 6)  # leaves six idle connections
         policy.react = lambda _event: ()
         for i, sock in enumerate(socks):
             sock.send(request(f"/read/{i}"))
--- a/tests/proxy/test_drain_with_queued_requests.py
+++ b/tests/proxy/test_drain_with_queued_requests.py
@@ -111,7 +111,7 @@
     ],
 )
 async def test_requests_queued_at_any_end_of_an_address_are_served(apply_change: ApplyChange) -> None:
-    # Guards against cancelled attempts that are retried at the same endpoint before the policy is notified.
+    # Guards against cancelled attempts that are retried there before the policy has the update.
     release = asyncio.Event()
 
     async def respond_when_released(_request: ReceivedMessage, writer: Writer) -> None:
