--- a/tests/proxy/test_client_disconnect.py
+++ b/tests/proxy/test_client_disconnect.py
@@ -166,7 +166,7 @@
 
 @each_disconnect
 @each_time
-async def test_disconnect_in_the_queue(
+async def test_queued_request_is_not_forwarded_after_a_disconnect(
     monkeypatch: pytest.MonkeyPatch, disconnect: Disconnect, when: DisconnectTime
 ) -> None:
     may_respond = asyncio.Event()
@@ -201,7 +201,7 @@
 
 @each_disconnect
 @each_time
-async def test_disconnect_during_load_probing(
+async def test_request_awaiting_load_probe_is_not_forwarded_after_a_disconnect(
     monkeypatch: pytest.MonkeyPatch, disconnect: Disconnect, when: DisconnectTime
 ) -> None:
     may_respond = asyncio.Event()
@@ -241,7 +241,7 @@
 @each_disconnect
 @each_time
 @pytest.mark.parametrize("end", ["rejected", "error", "reset"])
-async def test_disconnect_between_two_attempts_of_the_balancer(
+async def test_balancer_does_not_retry_a_request_after_a_disconnect(
     monkeypatch: pytest.MonkeyPatch, disconnect: Disconnect, when: DisconnectTime, end: str
 ) -> None:
     may_respond = asyncio.Event()
@@ -270,7 +270,7 @@
 @each_disconnect
 @each_time
 @pytest.mark.parametrize("end", [*ATTEMPT_ENDS, "refused"])
-async def test_disconnect_after_an_attempt_with_any_result(
+async def test_request_is_not_retried_after_a_disconnect_whatever_the_result(
     monkeypatch: pytest.MonkeyPatch, disconnect: Disconnect, when: DisconnectTime, end: str
 ) -> None:
     endpoint = await FakeEndpoint(ATTEMPT_ENDS.get(end, never_respond)).start()
@@ -321,7 +321,7 @@
 
 @each_disconnect
 @pytest.mark.parametrize("idle_connection", [False, True])
-async def test_request_and_disconnect_in_the_listen_backlog(
+async def test_request_in_the_backlog_is_not_forwarded_after_a_disconnect(
     monkeypatch: pytest.MonkeyPatch, disconnect: Disconnect, idle_connection: bool
 ) -> None:
     monkeypatch.setattr("loadbalancer.proxy.attempts.QUARANTINE_S", 0.0)
@@ -340,7 +340,7 @@
 
 
 @each_disconnect
-async def test_disconnects_during_a_long_batch(
+async def test_requests_are_not_forwarded_after_disconnects_during_a_long_batch(
     monkeypatch: pytest.MonkeyPatch, disconnect: Disconnect
 ) -> None:
     monkeypatch.setattr("loadbalancer.proxy.attempts.QUARANTINE_S", 0.0)
@@ -409,7 +409,9 @@
 
 
 @each_disconnect
-async def test_disconnect_while_reading_is_paused(disconnect: Disconnect) -> None:
+async def test_request_is_not_forwarded_after_a_disconnect_while_reading_paused(
+    disconnect: Disconnect,
+) -> None:
     # With an unread response, a full close is a reset. The request stays unread in the socket.
     endpoint = await FakeEndpoint(respond_with(200)).start()
     policy = forwarding_policy()
@@ -434,7 +436,7 @@
 @each_disconnect
 @pytest.mark.parametrize("when", [DisconnectTime.READ, DisconnectTime.DECIDED], ids=lambda when: when.value)
 @pytest.mark.parametrize("hedging", [False, True])
-async def test_disconnect_while_a_hedged_request_is_due(
+async def test_hedged_request_is_not_sent_after_a_disconnect(
     disconnect: Disconnect, when: DisconnectTime, hedging: bool
 ) -> None:
     # The proxy sends no hedged requests: it has one attempt of a request in flight at a time, even if the
