--- a/tests/proxy/test_unread_disconnect.py
+++ b/tests/proxy/test_unread_disconnect.py
@@ -54,7 +54,7 @@
 
 @each_disconnect
 @unread_or_read
-async def test_buffered_request_of_a_disconnected_client_is_not_forwarded(
+async def test_buffered_request_is_not_forwarded_after_a_disconnect(
     disconnect: Disconnect, unread: bool
 ) -> None:
     endpoint = await FakeEndpoint(respond_with(200)).start()
@@ -75,7 +75,7 @@
 
 
 @each_disconnect
-async def test_buffered_request_of_a_disconnected_client_is_not_forwarded_on_an_idle_connection(
+async def test_buffered_request_is_not_sent_on_idle_connection_after_disconnect(
     disconnect: Disconnect,
 ) -> None:
     endpoint = await FakeEndpoint(respond_with(200)).start()
@@ -95,7 +95,7 @@
 
 @each_disconnect
 @unread_or_read
-async def test_request_of_a_client_that_disconnects_during_connect_is_not_forwarded(
+async def test_request_is_not_forwarded_after_a_disconnect_during_connect(
     monkeypatch: pytest.MonkeyPatch, disconnect: Disconnect, unread: bool
 ) -> None:
     endpoint = await FakeEndpoint(respond_with(200)).start()
@@ -129,7 +129,7 @@
 
 @each_disconnect
 @unread_or_read
-async def test_request_of_a_client_that_disconnects_between_two_attempts_is_not_retried(
+async def test_request_is_not_retried_after_a_disconnect_between_two_attempts(
     disconnect: Disconnect, unread: bool
 ) -> None:
     responses: list[Responder] = [respond_with(503, b"", "Srv-Declined: 1"), respond_with(200)]
@@ -182,7 +182,7 @@
         await assert_only_later_request_is_forwarded(endpoint, client, policy, received_before=1)
 
 
-async def test_request_of_a_client_that_disconnects_while_reading_is_paused_is_not_forwarded() -> None:
+async def test_request_is_not_forwarded_after_a_half_close_while_reading_paused() -> None:
     endpoint = await FakeEndpoint(respond_with(200)).start()
     policy = forwarding_policy()
     async with (
@@ -201,7 +201,7 @@
 
 
 @each_disconnect
-async def test_balancer_forwards_no_buffered_request_of_a_disconnected_client(disconnect: Disconnect) -> None:
+async def test_balancer_forwards_no_buffered_request_after_a_disconnect(disconnect: Disconnect) -> None:
     endpoint = await FakeEndpoint(respond_with(200)).start()
     balancer = Balancer(proxy_settings(), 1, time.monotonic_ns())
     async with running_proxy(balancer, endpoint) as client, plain_socket(client) as sock:
