--- a/tests/proxy/test_drain_with_queued_requests.py
+++ b/tests/proxy/test_drain_with_queued_requests.py
@@ -110,7 +110,7 @@
         hand_over_discovery,
     ],
 )
-async def test_requests_queued_at_any_end_of_an_address_are_served(apply_change: ApplyChange) -> None:
+async def test_requests_queued_when_an_address_is_lost_are_served(apply_change: ApplyChange) -> None:
     # Guards against cancelled attempts that are retried there before the policy has the update.
     release = asyncio.Event()
 
@@ -141,7 +141,7 @@
     return next((pool.address[1] for pool in pools if pool.open_connections), None)
 
 
-async def test_a_request_that_was_never_sent_survives_drains_one_after_another() -> None:
+async def test_an_unsent_request_survives_successive_drains() -> None:
     # Guards against drains that use up the attempts of a request although no byte of it was sent.
     unreachable = [await Machine(respond_with(200), refuses=False).start() for _ in range(DRAINS)]
     reachable = await FakeEndpoint(respond_with(200)).start()
@@ -163,7 +163,7 @@
     reachable.stop()
 
 
-async def test_a_drain_that_comes_during_a_dispatch_is_notified_before_the_attempts_that_it_ends(
+async def test_drain_during_a_dispatch_is_reported_before_the_attempts_it_ends(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     # Guards against a retry at the drained endpoint when the update arrives while actions are executed.
