--- a/tests/proxy/test_faults.py
+++ b/tests/proxy/test_faults.py
@@ -152,7 +152,7 @@
         assert ejection_ns < 1.25 * balancer.outlier_detection.shortest_objective_ns
 
 
-async def test_event_loop_stall_is_held_against_no_endpoint() -> None:
+async def test_event_loop_stall_does_not_count_as_a_failure_of_endpoints() -> None:
     # Guards against a process that was stopped, for example by CPU throttling, and then treats all
     # endpoints as failed.
     endpoints = await start_endpoints(never_respond, ENDPOINTS)
@@ -174,7 +174,7 @@
         assert balancer.latency_model.per_request_ns == per_request_ns
 
 
-async def test_retry_with_idempotency_key_on_a_late_connection_is_not_sent_after_its_window(
+async def test_retry_with_idempotency_key_is_not_sent_after_its_window(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     # After the window the endpoints no longer recognise the key, and a retry would run a second time.
