--- a/tests/proxy/test_client_disconnect.py
+++ b/tests/proxy/test_client_disconnect.py
@@ -55,13 +55,13 @@
 from tests.support.waiting import WAIT_TIMEOUT_S, wait_until
 
 # No attempt may start this long after the disconnect.
-MAX_NOTICE_S = 0.1
+MAX_DETECTION_DELAY_S = 0.1
 
 # Longer than a full garbage collection on a busy machine: the request has to arrive before the timeout.
 ATTEMPT_TIMEOUT_NS = 250 * NANOSECONDS_PER_MILLISECOND
 
 # The responses with which an attempt fails, by its result.
-ATTEMPT_ENDS: dict[str, Responder] = {
+FAILURE_RESPONDERS: dict[str, Responder] = {
     "rejected": respond_with(503, b"", "Srv-Declined: 1"),
     "error": respond_with(500),
     "reset": abort_connection,
@@ -82,7 +82,7 @@
     """Unread, after a new connection is established and before its first byte."""
 
 
-each_time = pytest.mark.parametrize("when", list(DisconnectTime), ids=lambda when: when.value)
+each_disconnect_time = pytest.mark.parametrize("when", list(DisconnectTime), ids=lambda when: when.value)
 
 
 class DisconnectInjector:
@@ -145,7 +145,7 @@
             self._pending_disconnect = lambda: disconnect(sock)
 
 
-def balancer_of(**limits: bool) -> Balancer:
+def make_balancer(**limits: bool) -> Balancer:
     return Balancer(proxy_settings(**limits), 1, time.monotonic_ns())
 
 
@@ -154,18 +154,18 @@
     return [target for target in targets(endpoint) if "/read/" in target]
 
 
-async def ask_until_served(client: Client) -> None:
+async def send_until_served(client: Client) -> None:
     """Send a later request until it is served: its endpoint may be ejected for a while."""
 
-    async def ask() -> None:
+    async def send_requests() -> None:
         while (await client.new_client().exchange(request("/read/later"))).status != 200:
             await asyncio.sleep(0.01)
 
-    await asyncio.wait_for(ask(), WAIT_TIMEOUT_S)
+    await asyncio.wait_for(send_requests(), WAIT_TIMEOUT_S)
 
 
 @each_disconnect
-@each_time
+@each_disconnect_time
 async def test_queued_request_is_not_forwarded_after_a_disconnect(
     monkeypatch: pytest.MonkeyPatch, disconnect: Disconnect, when: DisconnectTime
 ) -> None:
@@ -177,7 +177,7 @@
         writer.write(format_response(200))
 
     endpoint = await FakeEndpoint(respond).start()
-    balancer = balancer_of()
+    balancer = make_balancer()
     policy = DisconnectInjector(balancer, when, request_id="2")
     policy.watch_connections(monkeypatch, endpoint)
     async with running_proxy(policy, endpoint) as client, plain_socket(client) as sock:
@@ -192,7 +192,7 @@
         may_respond.set()
         assert (await first.read()).status == 200  # there is capacity for a second request now
 
-        await ask_until_served(client)
+        await send_until_served(client)
         assert forwarded(endpoint) == ["/read/first", "/read/later"]
         assert policy.done
         assert not balancer.requests
@@ -200,7 +200,7 @@
 
 
 @each_disconnect
-@each_time
+@each_disconnect_time
 async def test_request_awaiting_load_probe_is_not_forwarded_after_a_disconnect(
     monkeypatch: pytest.MonkeyPatch, disconnect: Disconnect, when: DisconnectTime
 ) -> None:
@@ -220,7 +220,7 @@
     )
     monkeypatch.setattr("loadbalancer.proxy.health_checks.HEALTH_CHECK_TIMEOUT_S", WAIT_TIMEOUT_S)
     endpoint = await FakeEndpoint(respond).start()
-    balancer = balancer_of(health_checks=True)
+    balancer = make_balancer(health_checks=True)
     policy = DisconnectInjector(balancer, when)
     policy.watch_connections(monkeypatch, endpoint)
     async with running_proxy(policy, endpoint, health_checks=True) as client, plain_socket(client) as sock:
@@ -232,27 +232,27 @@
         await policy.disconnect(disconnect, sock, client)
         may_respond.set()
 
-        await ask_until_served(client)
+        await send_until_served(client)
         assert forwarded(endpoint) == ["/read/later"]
         assert policy.done
         assert not balancer.requests
 
 
 @each_disconnect
-@each_time
-@pytest.mark.parametrize("end", ["rejected", "error", "reset"])
+@each_disconnect_time
+@pytest.mark.parametrize("failure", ["rejected", "error", "reset"])
 async def test_balancer_does_not_retry_a_request_after_a_disconnect(
-    monkeypatch: pytest.MonkeyPatch, disconnect: Disconnect, when: DisconnectTime, end: str
+    monkeypatch: pytest.MonkeyPatch, disconnect: Disconnect, when: DisconnectTime, failure: str
 ) -> None:
     may_respond = asyncio.Event()
 
     async def respond(received: ReceivedMessage, writer: Writer) -> None:
         await may_respond.wait()
         endpoint.respond = respond_with(200)
-        await ATTEMPT_ENDS[end](received, writer)
+        await FAILURE_RESPONDERS[failure](received, writer)
 
     endpoint = await FakeEndpoint(respond).start()
-    policy = DisconnectInjector(balancer_of(), when, attempt=1)
+    policy = DisconnectInjector(make_balancer(), when, attempt=1)
     policy.watch_connections(monkeypatch, endpoint)
     async with running_proxy(policy, endpoint) as client, plain_socket(client) as sock:
         sock.send(request("/read/abandoned"))
@@ -262,21 +262,21 @@
         may_respond.set()
 
         await wait_until(lambda: not client.proxy._pending_requests)
-        await ask_until_served(client)
+        await send_until_served(client)
         assert forwarded(endpoint) == ["/read/abandoned", "/read/later"]
         assert policy.done
 
 
 @each_disconnect
-@each_time
-@pytest.mark.parametrize("end", [*ATTEMPT_ENDS, "refused"])
+@each_disconnect_time
+@pytest.mark.parametrize("failure", [*FAILURE_RESPONDERS, "refused"])
 async def test_request_is_not_retried_after_a_disconnect_whatever_the_result(
-    monkeypatch: pytest.MonkeyPatch, disconnect: Disconnect, when: DisconnectTime, end: str
+    monkeypatch: pytest.MonkeyPatch, disconnect: Disconnect, when: DisconnectTime, failure: str
 ) -> None:
-    endpoint = await FakeEndpoint(ATTEMPT_ENDS.get(end, never_respond)).start()
+    endpoint = await FakeEndpoint(FAILURE_RESPONDERS.get(failure, never_respond)).start()
     other = await FakeEndpoint(respond_with(200)).start()
-    attempt_timeout_ns = ATTEMPT_TIMEOUT_NS if end == "timeout" else 0
-    retry_at = TimerExpired if when is DisconnectTime.READ else AttemptEnded
+    attempt_timeout_ns = ATTEMPT_TIMEOUT_NS if failure == "timeout" else 0
+    retry_on = TimerExpired if when is DisconnectTime.READ else AttemptEnded
 
     def react(event: Event) -> Iterable[Action]:
         first, second = script.endpoint_ids()
@@ -284,7 +284,7 @@
             if event.request_id == "1":
                 return [Forward(event.request_id, second)]
             return [Forward(event.request_id, first, attempt_timeout_ns)]
-        if isinstance(event, retry_at) and policy.attempts["2"] == 1:
+        if isinstance(event, retry_on) and policy.attempts["2"] == 1:
             return [Forward("2", second)]
         return ()
 
@@ -294,7 +294,7 @@
     async with running_proxy(policy, endpoint, other) as client:
         # Its connection stays open for later attempts.
         assert (await client.exchange(request("/read/first"))).status == 200
-        if end == "refused":
+        if failure == "refused":
             endpoint.stop()
         async with plain_socket(client) as sock:
             if when is not DisconnectTime.READ:
@@ -313,9 +313,9 @@
                 if isinstance(event, RequestArrived)
                 else ()
             )
-            await ask_until_served(client)
+            await send_until_served(client)
             assert forwarded(other) == ["/read/first", "/read/later"]
-            assert len(endpoint.requests) == (0 if end == "refused" else 1)
+            assert len(endpoint.requests) == (0 if failure == "refused" else 1)
             assert policy.done
 
 
@@ -369,7 +369,7 @@
                 return ()
             for sock in socks[::2]:
                 disconnect(sock)
-            time.sleep(1.2 * MAX_NOTICE_S)  # the batch takes this long, and nothing is read meanwhile
+            time.sleep(1.2 * MAX_DETECTION_DELAY_S)  # a long batch: nothing is read meanwhile
             endpoint_id = policy.endpoint_ids()[0]
             return [
                 Forward(arrived.request_id, endpoint_id) for arrived in policy.events_of(RequestArrived)[6:]
