--- a/tests/proxy/test_unread_disconnect.py
+++ b/tests/proxy/test_unread_disconnect.py
@@ -100,26 +100,26 @@
 ) -> None:
     endpoint = await FakeEndpoint(respond_with(200)).start()
     policy = forwarding_policy()
-    may_be_up = asyncio.Event()
+    may_connect = asyncio.Event()
     loop = asyncio.get_running_loop()
     create_connection = loop.create_connection
 
-    async def create_connection_late(*args: object, **options: object) -> object:
+    async def create_connection_when_allowed(*args: object, **options: object) -> object:
         connection = await create_connection(*args, **options)  # type: ignore[call-overload]
-        await may_be_up.wait()
+        await may_connect.wait()
         if unread:
             disconnect(sock)
         return connection
 
     async with running_proxy(policy, endpoint) as client, plain_socket(client) as sock:
-        monkeypatch.setattr(loop, "create_connection", create_connection_late)
+        monkeypatch.setattr(loop, "create_connection", create_connection_when_allowed)
         sock.send(request("/read/abandoned"))
         await wait_until(lambda: endpoint.opened_connections)
 
         if not unread:
             disconnect(sock)
             await wait_until(lambda: policy.events_of(ClientDisconnected))
-        may_be_up.set()
+        may_connect.set()
 
         await wait_until(lambda: policy.events_of(ClientDisconnected))
         monkeypatch.setattr(loop, "create_connection", create_connection)
