--- a/tests/proxy/test_faults.py
+++ b/tests/proxy/test_faults.py
@@ -127,15 +127,15 @@
     async with running_proxy(
         Balancer(proxy_settings(health_checks=True), 1, time.monotonic_ns()), endpoint
     ) as client:
-        begun = time.monotonic_ns()
+        started_ns = time.monotonic_ns()
         assert (await client.exchange(request())).status == 200
         assert probes == 2
-        assert time.monotonic_ns() - begun < 2 * NANOSECONDS_PER_SECOND
+        assert time.monotonic_ns() - started_ns < 2 * NANOSECONDS_PER_SECOND
 
 
 async def test_request_of_excessive_cost_ejects_no_endpoint(monkeypatch: pytest.MonkeyPatch) -> None:
     # Guards against a few requests of many times the usual cost that eject one endpoint after another.
-    a_minute_us = 60_000_000
+    minute_us = 60_000_000
     # Keeps a slow machine from influencing the result.
     monkeypatch.setattr(
         "loadbalancer.policy.attempt_results.EVENT_LOOP_STALL_NS", 60 * NANOSECONDS_PER_SECOND
@@ -143,7 +143,7 @@
     endpoint = await FakeEndpoint(never_respond).start()
     balancer = Balancer(proxy_settings(), 1, time.monotonic_ns())
     async with running_proxy(balancer, endpoint) as client:
-        response = await client.exchange(request("/read", f"Req-Cost: {a_minute_us}", deadline_ms=500))
+        response = await client.exchange(request("/read", f"Req-Cost: {minute_us}", deadline_ms=500))
         assert response.status in (503, 504)
         assert len(endpoint.requests) == 1
         state = next(iter(balancer.fleet.endpoints.values()))
@@ -182,14 +182,14 @@
     balancer = Balancer(
         proxy_settings(connect_timeout_ns=1000 * NANOSECONDS_PER_MILLISECOND), 1, time.monotonic_ns()
     )
-    connects_at: list[float] = []
+    connect_times_s: list[float] = []
     loop = asyncio.get_running_loop()
     original = loop.create_connection
 
     async def create_connection(*args: object, **options: object) -> object:
-        connects_at.append(time.monotonic())
-        if len(connects_at) > 1:  # established before the connect timeout, but after the window of 1 s
-            await wait_until(lambda: time.monotonic() > connects_at[0] + 1.05)
+        connect_times_s.append(time.monotonic())
+        if len(connect_times_s) > 1:  # established before the connect timeout, but after the window of 1 s
+            await wait_until(lambda: time.monotonic() > connect_times_s[0] + 1.05)
         return await original(*args, **options)  # type: ignore[call-overload]
 
     async with running_proxy(
