--- a/loadbalancer/proxy/client_connection.py
+++ b/loadbalancer/proxy/client_connection.py
@@ -11,7 +11,7 @@
 from loadbalancer.proxy.socket_state import has_peer_closed, has_unread_input
 from loadbalancer.proxy.wire_names import READY_PATH
 
-# Limit of the bytes that are read and discarded after a rejection. Closing a socket with unread data resets
+# Limit on the bytes that are read and discarded after a rejection. Closing a socket with unread data resets
 # the connection, and the client could lose the response.
 LINGERING_CLOSE_MAX_BYTES = 256 * 1024
 
--- a/loadbalancer/proxy/client_timeouts.py
+++ b/loadbalancer/proxy/client_timeouts.py
@@ -1,4 +1,4 @@
-"""Timeouts of the states of a client connection."""
+"""The timeouts of a client connection in each of its states."""
 
 from __future__ import annotations
 
--- a/loadbalancer/proxy/http.py
+++ b/loadbalancer/proxy/http.py
@@ -20,14 +20,14 @@
 # Some endpoints send responses of 400 KB, although 64 KB are specified.
 MAX_RESPONSE_BODY_BYTES = 1024 * 1024
 
-# Limit of a message's start line, headers and trailers together.
+# Limit on a message's start line, headers and trailers together.
 MAX_HEADER_BYTES = 16 * 1024
 
-# Limit of a chunked message's size, as a multiple of the maximum body size. A body byte in a chunk of its own
+# Limit on a chunked message's size, as a multiple of the maximum body size. A body byte in a chunk of its own
 # takes six bytes.
 MAX_FRAMING_FACTOR = 8
 
-# Limit of 1xx responses before a final one.
+# Limit on 1xx responses before a final one.
 MAX_INTERIM_RESPONSES = 16
 
 # Longer numbers in headers are invalid.
@@ -125,7 +125,7 @@
         return complete
 
     def _check_message_size(self) -> None:
-        """Limit the memory for the headers of an endless message, and the time for parsing it."""
+        """Limit the memory for the headers of an endless message, and the time to parse it."""
         if not self._in_body and self._message_bytes > MAX_HEADER_BYTES:
             self._set_error(REQUEST_HEADER_FIELDS_TOO_LARGE)
         elif self._message_bytes > MAX_HEADER_BYTES + MAX_FRAMING_FACTOR * self._max_body_bytes:
--- a/loadbalancer/proxy/load_report.py
+++ b/loadbalancer/proxy/load_report.py
@@ -1,4 +1,4 @@
-"""Load reports: the figures that an endpoint sends with its responses or in response to health checks."""
+"""Load reports: the figures that an endpoint sends in its responses to requests or to health checks."""
 
 from __future__ import annotations
 
--- a/loadbalancer/proxy/pending_requests.py
+++ b/loadbalancer/proxy/pending_requests.py
@@ -85,7 +85,7 @@
     """All pending requests, by their ids and by their clients."""
 
     def __init__(self, on_event: Callable[[Event], None], max_pending: int) -> None:
-        """Set up the table of pending requests.
+        """Set up an empty table of pending requests.
 
         Args:
             on_event: Called for each arrival, and when a client no longer waits for the response.
@@ -110,7 +110,7 @@
         return self._by_id.get(request_id)
 
     def snapshot(self) -> list[PendingRequest]:
-        """Return a copy of the list, in order of arrival: iterating over it may finish requests."""
+        """Return a list of them in order of arrival; requests may be finished while it is iterated over."""
         return list(self._by_id.values())
 
     def register(
--- a/tests/proxy/test_downstream.py
+++ b/tests/proxy/test_downstream.py
@@ -201,7 +201,7 @@
         assert not failures_left
 
 
-# -- requests that arrive while their idle connection is being closed --
+# -- closing a connection with an unread request --
 
 
 def drain(server: DownstreamServer) -> None:
--- a/tests/proxy/test_shutdown.py
+++ b/tests/proxy/test_shutdown.py
@@ -173,10 +173,7 @@
         await wait_until(lambda: client.proxy.downstream._flushing)
         await wait_until(lambda: client.proxy.downstream._socket is None)
         assert not draining.done()
-        for transport in (
-            client_side,
-            server_side._transport,
-        ):  # the transfer would take long with small buffers
+        for transport in (client_side, server_side._transport):  # a transfer with small buffers is slow
             for option in (socket.SO_RCVBUF, socket.SO_SNDBUF):
                 transport.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, option, 1 << 20)
         client_side.resume_reading()
