--- a/loadbalancer/proxy/discovery_call.py
+++ b/loadbalancer/proxy/discovery_call.py
@@ -47,15 +47,15 @@
 MAX_LOGGED_ERROR_CHARACTERS = 120
 
 
-class WatchFailure(Enum):
+class DiscoveryFailure(Enum):
     """How a call to discovery ended without a list."""
 
     CALL_FAILED = "call failed"  # refused, reset, an error status or not an endpoint list
     TIMED_OUT = "timed out"  # no response: the changes that it would have returned are lost
 
 
-WatchResult = EndpointList | WatchFailure
-OnResult = Callable[[WatchResult], None]
+DiscoveryResult = EndpointList | DiscoveryFailure
+OnResult = Callable[[DiscoveryResult], None]
 
 
 def list_size_limit_bytes(memory_bytes: int) -> int:
@@ -121,7 +121,7 @@
         if result is not AttemptResult.OK or response is None or response.status != OK:
             self._log_failure(result, response)
             timed_out = result is AttemptResult.TIMEOUT
-            self._on_result(WatchFailure.TIMED_OUT if timed_out else WatchFailure.CALL_FAILED)
+            self._on_result(DiscoveryFailure.TIMED_OUT if timed_out else DiscoveryFailure.CALL_FAILED)
             return
         reading = self._target.reader.read_cooperatively(response.body)
         if len(response.body) > MAX_READ_AT_ONCE_BYTES:
@@ -139,7 +139,7 @@
         log.info("discovery: call failed: %s %s", result.value, status)
 
     def _read_at_once(self, reading: CooperativeWork[EndpointList]) -> None:
-        result: WatchResult
+        result: DiscoveryResult
         try:
             result = run_to_completion(reading)
         except EndpointListError as error:
@@ -147,7 +147,7 @@
         self._on_result(result)
 
     async def _read_cooperatively(self, reading: CooperativeWork[EndpointList]) -> None:
-        result: WatchResult
+        result: DiscoveryResult
         try:
             result = await run_cooperatively(reading)
         except EndpointListError as error:
@@ -155,6 +155,6 @@
         self._on_result(result)
 
 
-def _unreadable(error: EndpointListError) -> WatchFailure:
+def _unreadable(error: EndpointListError) -> DiscoveryFailure:
     log.warning("discovery: %.*s", MAX_LOGGED_ERROR_CHARACTERS, error)
-    return WatchFailure.CALL_FAILED
+    return DiscoveryFailure.CALL_FAILED
--- a/loadbalancer/proxy/discovery_client.py
+++ b/loadbalancer/proxy/discovery_client.py
@@ -10,10 +10,10 @@
 from loadbalancer.proxy.discovery_call import (
     MAX_LIST_BYTES,
     DiscoveryCall,
+    DiscoveryFailure,
+    DiscoveryResult,
     DiscoveryTarget,
     OnResult,
-    WatchFailure,
-    WatchResult,
 )
 from loadbalancer.proxy.discovery_handover import DiscoveryHandover
 from loadbalancer.proxy.endpoint_list import EndpointList
@@ -123,9 +123,9 @@
         """Whether a handover is running and the old address refuses connections."""
         return self._handover is not None and self._target.refuses_connections
 
-    def _on_watch_ended(self, result: WatchResult) -> None:
+    def _on_watch_ended(self, result: DiscoveryResult) -> None:
         self._watch_call = None
-        if isinstance(result, WatchFailure):
+        if isinstance(result, DiscoveryFailure):
             self._on_watch_failed(result)
             return
         self._watch_backoff.reset()
@@ -136,7 +136,7 @@
             self._watch_later(EMPTY_RESPONSE_DELAY_S)
         self._report(result)
 
-    def _on_watch_failed(self, failure: WatchFailure) -> None:
+    def _on_watch_failed(self, failure: DiscoveryFailure) -> None:
         self._watch_backoff.record_failure()
         if self._defers_calls:
             self._watch_deferred = True
@@ -145,14 +145,14 @@
             self._watch_later(self._watch_backoff.delay_s())
         self._report(failure)
 
-    def _on_fetch_ended(self, result: WatchResult) -> None:
+    def _on_fetch_ended(self, result: DiscoveryResult) -> None:
         self._fetch_call = None
-        if self._defers_calls and isinstance(result, WatchFailure):
+        if self._defers_calls and isinstance(result, DiscoveryFailure):
             self._fetch_deferred = True
             return
         self._report(result)
 
-    def _report(self, result: WatchResult) -> None:
+    def _report(self, result: DiscoveryResult) -> None:
         if isinstance(result, EndpointList) or not self._pushes:
             self._on_result(result)
 
@@ -223,7 +223,7 @@
             self.watch()
         self._report(endpoint_list)
 
-    def _on_handover_failure(self, failure: WatchFailure) -> None:
+    def _on_handover_failure(self, failure: DiscoveryFailure) -> None:
         """Report a failure once for each deferred call."""
         deferred_calls = [self._watch_deferred, self._fetch_deferred].count(True)
         self._watch_deferred = False
--- a/loadbalancer/proxy/discovery_handover.py
+++ b/loadbalancer/proxy/discovery_handover.py
@@ -7,7 +7,12 @@
 from collections.abc import Callable
 
 from loadbalancer.proxy.backoff import Backoff
-from loadbalancer.proxy.discovery_call import DiscoveryCall, DiscoveryTarget, WatchFailure, WatchResult
+from loadbalancer.proxy.discovery_call import (
+    DiscoveryCall,
+    DiscoveryFailure,
+    DiscoveryResult,
+    DiscoveryTarget,
+)
 from loadbalancer.proxy.endpoint_list import EndpointList
 
 # For the complete list of the new address, which must be there within 4 s: this and the margin of each call.
@@ -26,7 +31,7 @@
         target: DiscoveryTarget,
         rng: random.Random,
         on_complete: Callable[[EndpointList], None],
-        on_failure: Callable[[WatchFailure], None],
+        on_failure: Callable[[DiscoveryFailure], None],
     ) -> None:
         """Set up a handover; `start` begins it.
 
@@ -61,7 +66,7 @@
             self._retry_timer.cancel()
         self.target.close()
 
-    def _on_call_ended(self, result: WatchResult) -> None:
+    def _on_call_ended(self, result: DiscoveryResult) -> None:
         self._call = None
         if isinstance(result, EndpointList) and result.complete:
             self._on_complete(result)
@@ -69,4 +74,4 @@
         self.backoff.record_failure()
         self._retry_timer = asyncio.get_running_loop().call_later(self.backoff.delay_s(), self.start)
         # A list that is incomplete, or older than the current one, is a failure too.
-        self._on_failure(result if isinstance(result, WatchFailure) else WatchFailure.CALL_FAILED)
+        self._on_failure(result if isinstance(result, DiscoveryFailure) else DiscoveryFailure.CALL_FAILED)
--- a/loadbalancer/proxy/endpoint_list_applier.py
+++ b/loadbalancer/proxy/endpoint_list_applier.py
@@ -12,7 +12,7 @@
 from collections.abc import Callable, Iterable, Iterator
 
 from loadbalancer.messages import Endpoint, EndpointStatus, EndpointUpdate, EndpointUpdateKind
-from loadbalancer.proxy.discovery_call import WatchFailure, WatchResult
+from loadbalancer.proxy.discovery_call import DiscoveryFailure, DiscoveryResult
 from loadbalancer.proxy.endpoint_addresses import EndpointAddresses
 from loadbalancer.proxy.endpoint_list import EndpointList
 from loadbalancer.proxy.endpoint_list_reader import EndpointListReader
@@ -30,8 +30,8 @@
 SWEEP_SEGMENTS = 1
 
 UPDATE_KIND_BY_FAILURE = {
-    WatchFailure.CALL_FAILED: EndpointUpdateKind.FAILED,
-    WatchFailure.TIMED_OUT: EndpointUpdateKind.WATCH_TIMED_OUT,
+    DiscoveryFailure.CALL_FAILED: EndpointUpdateKind.FAILED,
+    DiscoveryFailure.TIMED_OUT: EndpointUpdateKind.WATCH_TIMED_OUT,
 }
 
 
@@ -85,9 +85,9 @@
             pass  # stores the addresses of endpoints that the policy has not read
         endpoint_list.clear()
 
-    def on_watch_result(self, result: WatchResult) -> None:
+    def on_discovery_result(self, result: DiscoveryResult) -> None:
         """Report a failed call to discovery, or apply its list, at once or in slices."""
-        if isinstance(result, WatchFailure):
+        if isinstance(result, DiscoveryFailure):
             self._on_update(EndpointUpdate(UPDATE_KIND_BY_FAILURE[result]))
         elif self._needs_slices(result):
             self._pending.append(result)
--- a/loadbalancer/proxy/proxy.py
+++ b/loadbalancer/proxy/proxy.py
@@ -91,7 +91,7 @@
             self._list_reader, self.addresses, self._on_endpoint_update
         )
         self.discovery_client = parts.make_discovery_client(
-            config, self._list_reader, self.list_applier.on_watch_result
+            config, self._list_reader, self.list_applier.on_discovery_result
         )
 
     def _make_attempts(self) -> Attempts:
--- a/scale_test/hollow.py
+++ b/scale_test/hollow.py
@@ -13,7 +13,7 @@
 from loadbalancer.messages import Action, EndpointUpdate, EndpointUpdateKind, Event
 from loadbalancer.policy.balancer import Balancer
 from loadbalancer.proxy.configuration import Configuration
-from loadbalancer.proxy.discovery_call import WatchResult
+from loadbalancer.proxy.discovery_call import DiscoveryResult
 from loadbalancer.proxy.endpoint_addresses import EndpointAddresses
 from loadbalancer.proxy.endpoint_list import EndpointList
 from loadbalancer.proxy.endpoint_list_applier import EndpointListApplier
@@ -55,9 +55,9 @@
         self.in_force: list[tuple[int, int]] = []  # version, time in ns; in order of arrival
         self._waiting_tasks: set[asyncio.Task[None]] = set()
 
-    def on_watch_result(self, result: WatchResult) -> None:
+    def on_discovery_result(self, result: DiscoveryResult) -> None:
         """Apply a response as usual, and record it."""
-        super().on_watch_result(result)
+        super().on_discovery_result(result)
         if not isinstance(result, EndpointList) or not (result.complete or len(result)):
             return
         index = len(self.in_force)
--- a/tests/proxy/test_attempts.py
+++ b/tests/proxy/test_attempts.py
@@ -206,7 +206,7 @@
     policy.react = react
     async with running_proxy(policy, first, drained, second, hedging=True, max_attempts=2) as client:
         row = entry("s1", drained.port, health="draining")
-        client.proxy.list_applier.on_watch_result(read_live_list(list_json(2, row)))
+        client.proxy.list_applier.on_discovery_result(read_live_list(list_json(2, row)))
         await client.send(request())
         await wait_until(lambda: first.requests)
         client.proxy.dispatch(TimerExpired("overdue"))
--- a/tests/proxy/test_drain_with_queued_requests.py
+++ b/tests/proxy/test_drain_with_queued_requests.py
@@ -67,7 +67,7 @@
 
 def apply_list(proxy: Proxy, *entries: Json, whole: bool) -> None:
     """Apply a list at once, as if discovery had sent it."""
-    proxy.list_applier.on_watch_result(read_live_list(list_json(2, *entries, whole=whole)))
+    proxy.list_applier.on_discovery_result(read_live_list(list_json(2, *entries, whole=whole)))
 
 
 async def remove_by_change(proxy: Proxy, unreachable: FakeEndpoint, _reachable: FakeEndpoint) -> None:
--- a/tests/proxy/test_endpoint_ids.py
+++ b/tests/proxy/test_endpoint_ids.py
@@ -84,7 +84,7 @@
     async with running_proxy(script, initial_list=list_of_ports(1, 2)) as client:
         assert script.endpoint_ids() == [SHARED_ID, SHARED_ID + 1]
         proxy = client.proxy
-        proxy.list_applier.on_watch_result(
+        proxy.list_applier.on_discovery_result(
             read_hosts(proxy._list_reader, 2, entry("s1", 4), entry("s0", 3), whole=True)
         )
         await wait_until(lambda: proxy.list_applier.task is None)
@@ -103,7 +103,9 @@
 
         def apply(*hosts: object, whole: bool = False) -> None:
             version = (proxy._list_reader._newest_version or 0) + 1
-            proxy.list_applier.on_watch_result(read_hosts(proxy._list_reader, version, *hosts, whole=whole))
+            proxy.list_applier.on_discovery_result(
+                read_hosts(proxy._list_reader, version, *hosts, whole=whole)
+            )
             if swept:
                 proxy.list_applier.sweep_ids(SEGMENTS)
 
@@ -123,7 +125,7 @@
     async with running_proxy(ScriptedPolicy(), initial_list=list_of_ports(1, 2)) as client:
         proxy, reader = client.proxy, client.proxy._list_reader
         many = [entry(f"s{i}", i + 1) for i in range(1, 100)]
-        proxy.list_applier.on_watch_result(read_hosts(reader, 2, *many, whole=True))  # applied in slices
+        proxy.list_applier.on_discovery_result(read_hosts(reader, 2, *many, whole=True))  # applied in slices
         assert proxy.list_applier.task is not None
         proxy.list_applier.sweep_ids(SEGMENTS)
         assert len(reader.id_registry) == 100
@@ -138,7 +140,9 @@
     async with running_proxy(ScriptedPolicy(), initial_list=list_of_ports(1)) as client:
         proxy, reader = client.proxy, client.proxy._list_reader
         for version in range(2, 50):
-            proxy.list_applier.on_watch_result(read_hosts(reader, version, entry(f"x{version}"), whole=True))
+            proxy.list_applier.on_discovery_result(
+                read_hosts(reader, version, entry(f"x{version}"), whole=True)
+            )
         with pytest.raises(EndpointListError):
             read_list({"hosts": [entry("bad")]}, reader)
         read_hosts(reader, 1, entry("late"))  # older than the last: not taken
--- a/tests/proxy/test_endpoint_list_applier.py
+++ b/tests/proxy/test_endpoint_list_applier.py
@@ -16,11 +16,11 @@
 async def test_a_host_that_was_removed_is_forgotten() -> None:
     async with running_proxy(ScriptedPolicy(), initial_list=list_of_ports(1, 2)) as client:
         proxy = client.proxy
-        proxy.list_applier.on_watch_result(
+        proxy.list_applier.on_discovery_result(
             read_list({"seq": 2, "whole": False, "hosts": [entry("s0", health="removed")]})
         )
         assert set(proxy.addresses.by_id) == {preferred_id("s1")}
-        proxy.list_applier.on_watch_result(read_list({"seq": 3, "whole": True, "hosts": []}))
+        proxy.list_applier.on_discovery_result(read_list({"seq": 3, "whole": True, "hosts": []}))
         assert not proxy.addresses.by_id
         assert not proxy.addresses.pools
         assert not proxy.list_applier._pending
@@ -37,7 +37,7 @@
 async def test_a_long_list_is_applied_in_slices_and_requests_go_on() -> None:
     script, turns = ScriptedPolicy(), 0
     async with running_proxy(script, initial_list=complete_list(3)) as client:
-        client.proxy.list_applier.on_watch_result(read_live_list(complete_list(1000, 2, first=2)))
+        client.proxy.list_applier.on_discovery_result(read_live_list(complete_list(1000, 2, first=2)))
         while client.proxy.list_applier.task is not None:
             await asyncio.sleep(0)
             turns += 1
@@ -58,14 +58,16 @@
     script = ScriptedPolicy()
     async with running_proxy(script, initial_list=complete_list(3)) as client:
         proxy = client.proxy
-        proxy.list_applier.on_watch_result(read_live_list(complete_list(500, 2)))
-        proxy.list_applier.on_watch_result(read_live_list(complete_list(500, 3)))  # waits behind the first
+        proxy.list_applier.on_discovery_result(read_live_list(complete_list(500, 2)))
+        proxy.list_applier.on_discovery_result(
+            read_live_list(complete_list(500, 3))
+        )  # waits behind the first
         last = {
             "seq": 4,
             "whole": False,
             "hosts": [entry("s499", health="draining"), entry("s498", health="removed"), entry("new", 7)],
         }
-        proxy.list_applier.on_watch_result(read_live_list(last))  # applied at once
+        proxy.list_applier.on_discovery_result(read_live_list(last))  # applied at once
         assert proxy.list_applier.task is not None
         names = ("s499", "s498", "new")
         assert [u.id for u in later_updates(script)[-1].endpoints] == [preferred_id(name) for name in names]
@@ -76,7 +78,7 @@
         assert len(proxy.addresses.by_id) == 500
         assert not {preferred_id("s499"), preferred_id("s498")} & set(proxy.addresses.ready())
         # A newer complete list counts again.
-        proxy.list_applier.on_watch_result(read_live_list(complete_list(300, 5)))
+        proxy.list_applier.on_discovery_result(read_live_list(complete_list(300, 5)))
         await wait_until(lambda: proxy.list_applier.task is None)
         assert len(proxy.addresses.ready()) == 300
 
@@ -85,7 +87,7 @@
     script = ScriptedPolicy()
     async with running_proxy(script, initial_list=complete_list(3)) as client:
         for version, count in ((2, 700), (3, 2)):
-            client.proxy.list_applier.on_watch_result(read_live_list(complete_list(count, version)))
+            client.proxy.list_applier.on_discovery_result(read_live_list(complete_list(count, version)))
             await wait_until(lambda: client.proxy.list_applier.task is None)
         assert max(len(list(update.endpoints)) for update in later_updates(script)) <= SLICE_ENTRIES
         assert len(client.proxy.addresses.by_id) == 2
--- a/tests/support/scripted.py
+++ b/tests/support/scripted.py
@@ -107,7 +107,9 @@
 def update_first_endpoint(proxy: Proxy, version: int, **row: object) -> None:
     """Apply a change of the first endpoint at once, as discovery would send it."""
     changed = {**list_of_ports(1)["hosts"][0], **row}
-    proxy.list_applier.on_watch_result(read_live_list({"seq": version, "whole": False, "hosts": [changed]}))
+    proxy.list_applier.on_discovery_result(
+        read_live_list({"seq": version, "whole": False, "hosts": [changed]})
+    )
 
 
 def hold_connections(
