--- a/loadbalancer/proxy/endpoint_list_parser.py
+++ b/loadbalancer/proxy/endpoint_list_parser.py
@@ -35,8 +35,8 @@
 log = logging.getLogger(__name__)
 
 # Kinds of the JSON parser's events, beside "map_key" and the kinds of scalars.
-STARTS = frozenset({"start_map", "start_array"})
-ENDS = frozenset({"end_map", "end_array"})
+START_EVENTS = frozenset({"start_map", "start_array"})
+END_EVENTS = frozenset({"end_map", "end_array"})
 
 # Depths of nesting, up to the entries.
 OUTSIDE_DEPTH = 0
@@ -122,9 +122,9 @@
             elif kind == "map_key":
                 if not nesting:
                     key = value
-            elif kind in STARTS:
+            elif kind in START_EVENTS:
                 nesting += 1
-            elif kind not in ENDS:
+            elif kind not in END_EVENTS:
                 if not nesting:
                     entry[key] = value
             elif nesting:
@@ -142,12 +142,12 @@
         if kind == "map_key":
             if self._depth == MEMBER_DEPTH:
                 self._member = value
-        elif kind in STARTS:
+        elif kind in START_EVENTS:
             in_entries = self._section is _Section.ENTRIES and self._depth == ENTRIES_DEPTH
             if in_entries and kind == "start_map":
                 return {}
             self._enter(kind)
-        elif kind in ENDS:
+        elif kind in END_EVENTS:
             self._leave()
         elif self._depth == MEMBER_DEPTH:
             self._set_member(value)
--- a/loadbalancer/proxy/endpoint_list_reader.py
+++ b/loadbalancer/proxy/endpoint_list_reader.py
@@ -14,9 +14,9 @@
 from loadbalancer.proxy.cooperative import CooperativeWork, run_to_completion
 from loadbalancer.proxy.endpoint_list import EndpointList
 from loadbalancer.proxy.endpoint_list_parser import (
-    ENDS,
+    END_EVENTS,
     MEMBER_DEPTH,
-    STARTS,
+    START_EVENTS,
     EndpointListParser,
     JsonEvent,
 )
@@ -158,9 +158,9 @@
         for kind, value in events:
             if kind == "map_key" and self._depth == MEMBER_DEPTH and value == self._skipped_key:
                 return True
-            if kind in STARTS:
+            if kind in START_EVENTS:
                 self._depth += 1
-            elif kind in ENDS:
+            elif kind in END_EVENTS:
                 self._depth -= 1
             self._builder.event(kind, float(value) if isinstance(value, Decimal) else value)
         return False
