--- a/loadbalancer/proxy/gossip.py
+++ b/loadbalancer/proxy/gossip.py
@@ -36,7 +36,9 @@
         """
         self._peers = peers
         self._all_peers = all_peers
-        self._indexes = {address: index for index, address in enumerate(peers) if index != proxy_index}
+        self._index_by_address = {
+            address: index for index, address in enumerate(peers) if index != proxy_index
+        }
         self._on_message = on_message
         self._transport: asyncio.DatagramTransport | None = None
 
@@ -46,7 +48,7 @@
 
     def datagram_received(self, data: bytes, address: tuple[str | object, int]) -> None:
         """Report a message of a peer; drop messages from elsewhere and those that are too long."""
-        sender = self._indexes.get(cast(Address, address[:2]))
+        sender = self._index_by_address.get(cast(Address, address[:2]))
         if sender is not None and len(data) <= MAX_MESSAGE_BYTES:
             self._on_message(sender, data)
 
