--- a/loadbalancer/proxy/discovery_client.py
+++ b/loadbalancer/proxy/discovery_client.py
@@ -68,7 +68,7 @@
         self._watch_timer: asyncio.TimerHandle | None = None
         self._watch_backoff = Backoff(rng)
 
-    def start_from(self, endpoint_list: EndpointList) -> None:
+    def set_initial_list(self, endpoint_list: EndpointList) -> None:
         """Watch for changes after a list that is known already."""
         self._version = endpoint_list.version
 
--- a/loadbalancer/proxy/proxy.py
+++ b/loadbalancer/proxy/proxy.py
@@ -136,7 +136,7 @@
     def _apply_known_list(self) -> None:
         known = self.config.known_endpoints
         if known is not None:
-            self.discovery_client.start_from(self._list_reader.accept(known))
+            self.discovery_client.set_initial_list(self._list_reader.accept(known))
         self.list_applier.apply_cached(known)
 
     def _sweep_once(self) -> None:
