--- a/loadbalancer/proxy/discovery_client.py
+++ b/loadbalancer/proxy/discovery_client.py
@@ -1,4 +1,4 @@
-"""The client of discovery: watches the endpoint list, and hands over to another address of discovery."""
+"""The discovery client: watches the endpoint list, and hands over to a new discovery address."""
 
 from __future__ import annotations
 
@@ -21,24 +21,25 @@
 from loadbalancer.proxy.wire_names import AFTER_VERSION_PARAMETER, WAIT_MS_PARAMETER
 from loadbalancer.units import MILLISECONDS_PER_SECOND
 
-# How long discovery may hold a watch call until there is a change. A call that takes longer is lost, and the
-# change that it would have returned must be fetched within seconds. Short where discovery is an agent on this
-# machine, longer where many proxies poll one service.
+# How long discovery may hold a watch call while nothing changes. A call without a response after that time is
+# treated as lost, and the change that it should have returned must still be received within seconds. The wait
+# is short where discovery is an agent on this machine, and longer where many proxies poll one service.
 PUSH_WAIT_MS = 2_000
 POLL_WAIT_MS = 10_000
 
-# After a failed call, so that the return of discovery is detected soon.
+# Replaces the waits above after a failed call, so that the recovery of discovery is detected soon.
 RECOVERY_WAIT_MS = 1_000
 
-# Between watch calls, if discovery returns an empty list at once.
+# Before the next watch call after an empty list, so that a discovery that returns one at once is not called
+# in a tight loop.
 EMPTY_RESPONSE_DELAY_S = 0.02
 
 
 class DiscoveryClient:
-    """Watches the endpoint list and fetches it, with one call of each kind in flight at most.
+    """Watches and fetches the endpoint list; at most one watch call and one fetch call are in flight.
 
-    Where discovery pushes, the client repeats the watch by itself, with backoff after failures, and reports
-    lists only. Where it is polled, the policy says when to watch, and failures are reported too.
+    Where discovery pushes, the client retries a failed watch itself, with backoff, and reports lists only.
+    Where it is polled, failures are reported too, and the policy decides when to watch again.
     """
 
     def __init__(
@@ -58,22 +59,22 @@
         self._pushes = pushes
         self._rng = rng
         self._on_result = on_result
-        self._version: int | None = None  # of the last list
+        self._version: int | None = None  # of the last list received
         self._watching = False
         self._watch_call: DiscoveryCall | None = None
         self._fetch_call: DiscoveryCall | None = None
-        # Deferred to the end of the handover, since the old address refuses connections.
+        # Calls that wait for the end of a handover, because the old address refuses connections.
         self._watch_deferred = False
         self._fetch_deferred = False
         self._watch_timer: asyncio.TimerHandle | None = None
         self._watch_backoff = Backoff(rng)
 
     def set_initial_list(self, endpoint_list: EndpointList) -> None:
-        """Watch for changes after a list that is known already."""
+        """Let the next watch call ask for changes since a list that was not received from discovery."""
         self._version = endpoint_list.version
 
     def stop(self) -> None:
-        """End all calls and close all connections."""
+        """Abandon all calls and close all connections."""
         self.unwatch()
         self._abandon_handover()
         self._abandon_fetch_call()
@@ -82,7 +83,7 @@
     # -- watch and fetch --
 
     def watch(self) -> None:
-        """Watch for changes after the last list; does nothing more if a watch call is in flight."""
+        """Watch for changes since the last list; starts no second call if one is in flight."""
         self._watching = True
         if self._watch_call is not None:
             return
@@ -91,7 +92,7 @@
             self._watch_deferred = True
             return
         wait_ms = self._watch_wait_ms()
-        # A shorter wait does not shorten the timeout: a discovery with many callers may be slow to respond.
+        # A shorter wait does not shorten the timeout: discovery may respond slowly if it has many callers.
         timeout_s = max(wait_ms, PUSH_WAIT_MS) / MILLISECONDS_PER_SECOND
         self._watch_call = self._target.call(self._watch_query(wait_ms), timeout_s, self._on_watch_ended)
 
@@ -102,17 +103,17 @@
 
     def _watch_query(self, wait_ms: int) -> str:
         if self._version is None:
-            return ""  # the complete list, at once
+            return ""  # returns the complete list at once
         return f"?{AFTER_VERSION_PARAMETER}={self._version}&{WAIT_MS_PARAMETER}={wait_ms}"
 
     def unwatch(self) -> None:
-        """End the watch."""
+        """Stop watching, and abandon the watch call if one is in flight."""
         self._watching = False
         self._watch_deferred = False
         self._abandon_watch_call()
 
     def fetch(self) -> None:
-        """Fetch the complete list once; does nothing more if a fetch call is in flight."""
+        """Fetch the complete list once; starts no second call if one is in flight."""
         if self._defers_calls:
             self._fetch_deferred = True
         elif self._fetch_call is None:
@@ -120,7 +121,7 @@
 
     @property
     def _defers_calls(self) -> bool:
-        """Whether a handover is running and the old address refuses connections."""
+        """Whether calls wait for the end of a handover, because the old address refuses connections."""
         return self._handover is not None and self._target.refuses_connections
 
     def _on_watch_ended(self, result: DiscoveryResult) -> None:
@@ -131,7 +132,8 @@
         self._watch_backoff.reset()
         self._version = result.version
         if len(result):
-            self.watch()  # before the list is applied: discovery counts a watch after 200 ms as a new one
+            # Before the list is applied: discovery counts a watch call 200 ms later as a new watch.
+            self.watch()
         else:
             self._watch_later(EMPTY_RESPONSE_DELAY_S)
         self._report(result)
@@ -141,7 +143,7 @@
         if self._defers_calls:
             self._watch_deferred = True
             return
-        if self._pushes and self._handover is None:  # otherwise the watch continues at the new address
+        if self._pushes and self._handover is None:  # in a handover, it continues at the new address
             self._watch_later(self._watch_backoff.delay_s())
         self._report(failure)
 
@@ -175,15 +177,15 @@
             self._fetch_call.abandon()
             self._fetch_call = None
 
-    # -- handover to another address --
+    # -- handover to a new address --
 
     def hand_over_to(self, address: Address) -> None:
-        """Switch to another address; the watch at the old one continues until the new one has responded."""
+        """Switch to another address; the watch at the old one continues until the new one returns a list."""
         handover = self._handover
         if handover is not None and handover.call_in_flight and handover.target.address == address:
-            return  # a second call would wait behind the first one
+            return  # a second call would only queue behind the first one
         self._abandon_handover()
-        self._target.record_connect_result(refused=False)  # until a call shows that it still is
+        self._target.record_connect_result(refused=False)  # assumed until the next call to it
         if address == self._target.address:
             self._resume_calls()
             return
@@ -194,7 +196,7 @@
         self._handover.start()
 
     def _resume_calls(self) -> None:
-        """Resume the calls at the current address, after a handover to another one was abandoned."""
+        """Resume the calls to the current address after a handover was abandoned."""
         if self._watching and self._watch_call is None:
             self.watch()
         if self._fetch_deferred:
@@ -211,7 +213,8 @@
         if self._handover is None:
             return
         self._abandon_watch_call()
-        self._abandon_fetch_call()  # the new address's list is its result, and that of the deferred calls
+        # The complete list of the new address is also the result of a fetch and of the deferred calls.
+        self._abandon_fetch_call()
         self._watch_deferred = False
         self._fetch_deferred = False
         self._target.close()
@@ -224,7 +227,7 @@
         self._report(endpoint_list)
 
     def _on_handover_failure(self, failure: DiscoveryFailure) -> None:
-        """Report a failure once for each deferred call."""
+        """Report one failure for each deferred call, so that the policy does not wait for their results."""
         deferred_calls = [self._watch_deferred, self._fetch_deferred].count(True)
         self._watch_deferred = False
         self._fetch_deferred = False
