--- a/loadbalancer/proxy/discovery_call.py
+++ b/loadbalancer/proxy/discovery_call.py
@@ -1,4 +1,4 @@
-"""A call to discovery: the request for an endpoint list, and the reading of the response."""
+"""Calls to discovery: each requests an endpoint list and reads the response."""
 
 from __future__ import annotations
 
@@ -21,27 +21,27 @@
 
 log = logging.getLogger(__name__)
 
-# Of a response.
+# Size limit of a response.
 MAX_LIST_BYTES = 32 * 1024 * 1024
 
-# A list may take this part of the memory limit at most.
+# Largest size of a list, as a fraction of the memory limit of the process.
 MAX_LIST_MEMORY_FRACTION = 0.25
 
-# A longer list is read cooperatively.
+# A larger list is read cooperatively, so that requests are served meanwhile.
 MAX_READ_AT_ONCE_BYTES = 64 * 1024
 
-# To one address: the watch, and a fetch beside it.
+# One for the watch call and one for a concurrent fetch call.
 MAX_CONNECTIONS_PER_ADDRESS = 2
 
 CONNECT_TIMEOUT_S = 2.0
 
-# For the response, beyond the time for which discovery may hold the call.
+# Added to the time for which discovery may hold a call; the call times out after the sum.
 TIMEOUT_MARGIN_S = 1.0
 
-# A long response extends its timeout by the time that it takes at this rate.
+# Each received part of a response extends the timeout by the time that the part takes at this rate.
 MIN_RESPONSE_BYTES_PER_S = 4_000_000
 
-# Discovery is no endpoint of the settings: the pool uses its default idle timeout.
+# The settings give an idle timeout for endpoints only: the pool uses its default for discovery.
 UNKNOWN_IDLE_TIMEOUT_S = 0.0
 
 MAX_LOGGED_ERROR_CHARACTERS = 120
@@ -51,7 +51,7 @@
     """How a call to discovery ended without a list."""
 
     CALL_FAILED = "call failed"  # refused, reset, an error status or not an endpoint list
-    TIMED_OUT = "timed out"  # no response: the changes that it would have returned are lost
+    TIMED_OUT = "timed out"  # no response; changes that it would have returned are missing
 
 
 DiscoveryResult = EndpointList | DiscoveryFailure
@@ -59,20 +59,20 @@
 
 
 def list_size_limit_bytes(memory_bytes: int) -> int:
-    """Return how long a list may be in a process with this memory limit; 0: there is none."""
+    """Return the largest size of a list for a memory limit of the process; a limit of 0 means none."""
     fraction_bytes = int(memory_bytes * MAX_LIST_MEMORY_FRACTION)
     return min(MAX_LIST_BYTES, fraction_bytes) or MAX_LIST_BYTES
 
 
 class DiscoveryTarget:
-    """One address of discovery, and the connections to it."""
+    """One address of discovery and the connections to it."""
 
     def __init__(self, address: Address, reader: EndpointListReader, max_list_bytes: int) -> None:
         self.address = address
         self.reader = reader
         self.host = f"{address[0]}:{address[1]}".encode()
         self.refuses_connections = False
-        """Whether the last call failed to connect, as far as is known."""
+        """Whether the last call failed to connect; False until a call has ended."""
         limits = ConnectionLimits(
             max_connections=MAX_CONNECTIONS_PER_ADDRESS,
             connect_timeout_s=CONNECT_TIMEOUT_S,
@@ -83,7 +83,7 @@
         self.pool = ConnectionPool(limits, address)
 
     def call(self, query: str, wait_s: float, on_result: OnResult) -> DiscoveryCall:
-        """Start a call for a list, which discovery may hold for `wait_s`."""
+        """Start a call for a list; discovery may hold it for `wait_s` before it responds."""
         return DiscoveryCall(self, query, wait_s, on_result)
 
     def record_connect_result(self, *, refused: bool) -> None:
@@ -96,7 +96,7 @@
 
 
 class DiscoveryCall:
-    """A call in flight; `on_result` is called once, after its response is read, unless it is abandoned."""
+    """A call in flight; unless it is abandoned, `on_result` is called once, when the call has ended."""
 
     def __init__(self, target: DiscoveryTarget, query: str, wait_s: float, on_result: OnResult) -> None:
         self._target = target
@@ -132,7 +132,7 @@
     def _log_failure(self, result: AttemptResult, response: Message | None) -> None:
         if self._exchange.response_too_large:
             log.warning(
-                "discovery: a list of over %d bytes is rejected; the old list stays",
+                "discovery: endpoint list of over %d bytes rejected; the current list stays in use",
                 self._target.pool.limits.max_response_body_bytes,
             )
         status = response.status if response else ""
@@ -156,5 +156,5 @@
 
 
 def _unreadable(error: EndpointListError) -> DiscoveryFailure:
-    log.warning("discovery: %.*s", MAX_LOGGED_ERROR_CHARACTERS, error)
+    log.warning("discovery: invalid endpoint list: %.*s", MAX_LOGGED_ERROR_CHARACTERS, error)
     return DiscoveryFailure.CALL_FAILED
--- a/loadbalancer/proxy/discovery_handover.py
+++ b/loadbalancer/proxy/discovery_handover.py
@@ -1,4 +1,4 @@
-"""The handover to another address of discovery."""
+"""The handover to a new address of discovery."""
 
 from __future__ import annotations
 
@@ -15,15 +15,15 @@
 )
 from loadbalancer.proxy.endpoint_list import EndpointList
 
-# For the complete list of the new address, which must be there within 4 s: this and the margin of each call.
-# A shorter wait would not help, since a discovery with many callers serves abandoned calls before the retry.
+# The complete list of the new address must be received within 4 s: this wait and the margin of each call.
+# A shorter wait would not help: a discovery with many callers serves the abandoned call before its retry.
 HANDOVER_WAIT_S = 3.0
 
 
 class DiscoveryHandover:
-    """Calls a new address for the complete list, with retries and backoff, until it responds.
+    """Requests the complete list from a new address, with retries and backoff, until it is received.
 
-    Meanwhile the client keeps its watch at the old address.
+    Meanwhile the client continues its watch at the old address.
     """
 
     def __init__(
@@ -54,12 +54,12 @@
         return self._call is not None
 
     def start(self) -> None:
-        """Call the new address for the complete list."""
+        """Request the complete list from the new address."""
         self._retry_timer = None
         self._call = self.target.call("", HANDOVER_WAIT_S, self._on_call_ended)
 
     def abandon(self) -> None:
-        """End the handover without a report."""
+        """End the handover; neither callback is called afterwards."""
         if self._call is not None:
             self._call.abandon()
         if self._retry_timer is not None:
@@ -73,5 +73,6 @@
             return
         self.backoff.record_failure()
         self._retry_timer = asyncio.get_running_loop().call_later(self.backoff.delay_s(), self.start)
-        # A list that is incomplete, or older than the current one, is a failure too.
+        # An incomplete list counts as a failure too, and so does one that is older than the current list: the
+        # reader returns an empty list in its place.
         self._on_failure(result if isinstance(result, DiscoveryFailure) else DiscoveryFailure.CALL_FAILED)
--- a/tests/proxy/test_endpoint_list_reader.py
+++ b/tests/proxy/test_endpoint_list_reader.py
@@ -147,7 +147,7 @@
     try:
         await wait_until(lambda: caplog.records)
         assert [r.getMessage() for r in caplog.records] == [
-            f"discovery: a list of over {len(long) - 1} bytes is rejected; the old list stays"
+            f"discovery: endpoint list of over {len(long) - 1} bytes rejected; the current list stays in use"
         ]
         assert len(proxy.addresses.ready()) == 3
         assert len(script.events_of(EndpointUpdate)) == 1
