--- a/loadbalancer/proxy/endpoint_list.py
+++ b/loadbalancer/proxy/endpoint_list.py
@@ -1,4 +1,4 @@
-"""An endpoint list as received from discovery, stored without an object for each endpoint."""
+"""An endpoint list as received from discovery, stored in columns, with no object for each endpoint."""
 
 from __future__ import annotations
 
@@ -13,30 +13,31 @@
 
 
 class EndpointListEntry(NamedTuple):
-    """An entry of a list."""
+    """One endpoint of a list and its address."""
 
     endpoint: Endpoint
     address: Address
 
 
 class EndpointList:
-    """A response of discovery: all endpoints if it is complete, or those that changed.
+    """A response of discovery: all endpoints if the list is complete, otherwise those that changed.
 
-    An entry is the id, the attributes and the address at the same index. Equal attributes are one object.
+    An entry consists of the id, the attributes and the address at one index. Entries with equal attributes
+    share one object.
     """
 
     def __init__(self, id_registry: EndpointIdRegistry, version: int = 0, *, complete: bool = False) -> None:
         self.id_registry = id_registry
-        """Assigned the ids."""
+        """Assigned the ids of the entries."""
         self.version = version
         self.complete = complete
         self.ids = array("Q")
         self.attributes: list[EndpointAttributes] = []
         self.addresses: list[CompactAddress] = []
         self.unreadable: list[int] = []
-        """Endpoints with invalid entries, which keep their earlier state."""
+        """Ids of endpoints whose entries are invalid; these endpoints keep their earlier state."""
         self.superseded: set[int] = set()
-        """Endpoints in a newer list that was applied before this one."""
+        """Ids in a newer list that was applied before this one; their entries in this list are skipped."""
 
     def __len__(self) -> int:
         return len(self.ids)
@@ -48,26 +49,26 @@
         self.addresses.append(address)
 
     def add_unreadable(self, endpoint_id: int) -> None:
-        """Record an endpoint whose entry is not valid."""
+        """Record an endpoint whose entry is invalid."""
         self.unreadable.append(endpoint_id)
 
     def set_version(self, version: int, *, complete: bool) -> None:
-        """Set the version, which follows the entries in the text, and whether all endpoints are listed."""
+        """Set the version and the completeness, which may follow the entries in the text."""
         self.version = version
         self.complete = complete
 
     def supersede(self, endpoint_ids: array[int]) -> None:
-        """Skip these endpoints when the list is applied, since a newer list with them was applied before."""
+        """Skip these endpoints when this list is applied: a newer list with them was applied first."""
         self.superseded.update(endpoint_ids)
 
     def clear(self) -> None:
-        """Free the memory of the entries once they have been applied."""
+        """Free the memory of the entries after they have been applied."""
         del self.ids[:]
         del self.attributes[:]
         del self.addresses[:]
 
     @property
     def entries(self) -> Iterator[EndpointListEntry]:
-        """The entries one by one, with their addresses as host and port."""
+        """Iterates over the entries, with each address as host and port."""
         for endpoint_id, attributes, address in zip(self.ids, self.attributes, self.addresses, strict=True):
             yield EndpointListEntry(Endpoint(endpoint_id, *attributes), expand_address(address))
--- a/loadbalancer/proxy/endpoint_list_applier.py
+++ b/loadbalancer/proxy/endpoint_list_applier.py
@@ -1,8 +1,8 @@
 """Applies endpoint lists: stores the addresses and reports the endpoints to the policy.
 
-A long list is applied in slices of a fraction of a millisecond, as deltas, so that requests are served
-meanwhile. A short list that is received in between is applied at once, and supersedes its endpoints' entries
-in the long list.
+A long list is applied in slices that take a fraction of a millisecond each, reported as deltas, so that
+requests are served in between. A short list that is received meanwhile is applied at once, and its entries
+supersede those of the same endpoints in the long list.
 """
 
 from __future__ import annotations
@@ -17,16 +17,16 @@
 from loadbalancer.proxy.endpoint_list import EndpointList
 from loadbalancer.proxy.endpoint_list_reader import EndpointListReader
 
-# Entries of a long list that are applied between two turns of the event loop.
+# Entries of a long list that are applied in one turn of the event loop.
 SLICE_ENTRIES = 64
 
-# Ids that are only copied between two turns of the event loop.
+# Ids that are copied in one turn of the event loop.
 SLICE_IDS = SLICE_ENTRIES * SLICE_ENTRIES
 
 # A complete list that replaces more endpoints than this is applied in slices, however short it is.
 MAX_REPLACED_AT_ONCE = 2 * SLICE_ENTRIES
 
-# Of the id registry at each sweep: all segments take some four minutes.
+# Segments of the id registry in one sweep; at one sweep a second, all segments take some four minutes.
 SWEEP_SEGMENTS = 1
 
 UPDATE_KIND_BY_FAILURE = {
@@ -36,7 +36,7 @@
 
 
 class EndpointListApplier:
-    """Applies endpoint lists in the order in which they are received."""
+    """Applies endpoint lists in the order of their receipt, except that a short list overtakes a long one."""
 
     def __init__(
         self,
@@ -47,14 +47,14 @@
         """Start with no list.
 
         Args:
-            reader: Reads the lists, and holds the registry of their ids.
-            addresses: Where the addresses are stored.
+            reader: Reads the lists, and has the registry of their ids.
+            addresses: Stores the addresses.
             on_update: Is called with each update for the policy.
         """
         self._reader = reader
         self._addresses = addresses
         self._on_update = on_update
-        self._pending: deque[EndpointList] = deque()  # the list that is being applied, then those that wait
+        self._pending: deque[EndpointList] = deque()  # the one being applied, then those waiting
         self._task: asyncio.Task[None] | None = None
 
     @property
@@ -63,30 +63,30 @@
         return self._task
 
     def is_pending(self, endpoint_list: EndpointList) -> bool:
-        """Whether a list waits to be applied or is applied in part."""
+        """Whether a list is waiting or has been applied only in part."""
         return endpoint_list in self._pending
 
     def close(self) -> None:
-        """Apply nothing more."""
+        """Stop applying lists."""
         if self._task is not None:
             self._task.cancel()
 
     def apply_cached(self, endpoint_list: EndpointList | None) -> None:
-        """Apply the last known list at the start, at once; the list is empty afterwards."""
+        """Apply the list known at startup, all at once; the list is empty afterwards."""
         if endpoint_list is None:
             self._on_update(EndpointUpdate(EndpointUpdateKind.CACHED, ()))
             return
-        # A generator, since a list of all endpoints would be a second copy of a long list.
+        # A generator, since a list of `Endpoint` objects would be a second copy of a long endpoint list.
         endpoints: Iterable[Endpoint] = self._store(endpoint_list, 0, len(endpoint_list))
         if len(endpoint_list) <= SLICE_ENTRIES:
             endpoints = list(endpoints)
         self._on_update(EndpointUpdate(EndpointUpdateKind.CACHED, endpoints))
         for _ in endpoints:
-            pass  # stores the addresses of endpoints that the policy has not read
+            pass  # stores the addresses of the endpoints over which the policy has not iterated
         endpoint_list.clear()
 
     def on_discovery_result(self, result: DiscoveryResult) -> None:
-        """Report a failed call to discovery, or apply its list, at once or in slices."""
+        """Report a failed call to discovery, or apply the list that it returned, at once or in slices."""
         if isinstance(result, DiscoveryFailure):
             self._on_update(EndpointUpdate(UPDATE_KIND_BY_FAILURE[result]))
         elif self._needs_slices(result):
@@ -140,7 +140,7 @@
         return copied
 
     async def _remove_in_slices(self, unlisted: list[int], superseded: set[int]) -> None:
-        """Remove endpoints that a complete list does not have, except those of lists received meanwhile."""
+        """Remove endpoints missing from a complete list, except those of lists applied meanwhile."""
         for first in range(0, len(unlisted), SLICE_ENTRIES):
             slice_ids = unlisted[first : first + SLICE_ENTRIES]
             removed = [endpoint_id for endpoint_id in slice_ids if endpoint_id not in superseded]
@@ -150,7 +150,7 @@
             await asyncio.sleep(0)
 
     def _store(self, endpoint_list: EndpointList, first: int, end: int) -> Iterator[Endpoint]:
-        """Store the addresses of a part of a list, and yield its endpoints for the policy."""
+        """Store the addresses of a range of entries, and yield their endpoints for the policy."""
         for index in range(first, end):
             endpoint_id = endpoint_list.ids[index]
             if endpoint_id in endpoint_list.superseded:
@@ -166,6 +166,6 @@
             yield Endpoint(endpoint_id, *attributes)
 
     def sweep_ids(self, segments: int = SWEEP_SEGMENTS) -> None:
-        """Free the ids of removed endpoints, unless a list that is not applied yet may have them."""
+        """Free the ids of removed endpoints, unless a list that is not yet applied may contain them."""
         if self._reader.reads_in_progress == 0 and not self._pending:
             self._reader.id_registry.sweep(self._addresses.by_id, segments)
--- a/loadbalancer/proxy/endpoint_list_parser.py
+++ b/loadbalancer/proxy/endpoint_list_parser.py
@@ -34,75 +34,75 @@
 
 log = logging.getLogger(__name__)
 
-# Kinds of the JSON parser's events, beside "map_key" and the kinds of scalars.
+# Event kinds of the JSON parser; the others are "map_key" and the kinds of scalars.
 START_EVENTS = frozenset({"start_map", "start_array"})
 END_EVENTS = frozenset({"end_map", "end_array"})
 
-# Depths of nesting, up to the entries.
+# Nesting depths from outside the list's object down to its entries.
 OUTSIDE_DEPTH = 0
 MEMBER_DEPTH = 1
 ENTRIES_DEPTH = 2
 
 DEFAULT_WEIGHT = 1.0
 
-# Of an invalid entry, in errors and log lines.
+# How much of an invalid entry is quoted in errors and log lines.
 MAX_QUOTED_CHARACTERS = 40
 MAX_LOGGED_HOST_CHARACTERS = 80
 
 JsonEvent = tuple[str, object]
-"""The kind and the value."""
+"""Kind and value of an event."""
 
 Entry = dict[object, object]
-"""The members of an entry that are scalars."""
+"""The scalar members of an entry."""
 
 
 @cache
 def unix_offset_ns() -> int:
-    """Return what to add to the monotonic clock for Unix time.
+    """Return Unix time minus the time of the monotonic clock.
 
-    It is read once for the process, so that equal start times stay equal from list to list.
+    It is measured once in a process, so that equal start times stay equal from list to list.
     """
     return time.time_ns() - time.monotonic_ns()
 
 
 class _Section(Enum):
-    """The part of the list's object that is being parsed."""
+    """The part of the list's JSON object that is being parsed."""
 
     NOT_STARTED = auto()
-    ABSENT = auto()  # there is a value such as null in place of the object
+    ABSENT = auto()  # a scalar such as null stands in place of the object
     MEMBERS = auto()
-    ENTRIES = auto()  # the array of entries, between two of them
+    ENTRIES = auto()  # in the array of entries, outside an entry
     FINISHED = auto()
 
 
 class EndpointListParser:
-    """Is fed a JSON parser's events, in any number of pieces, up to the end of the list's object."""
+    """Builds a list from JSON parser events, which are fed in any number of pieces."""
 
     def __init__(self, offset_ns: int, id_registry: EndpointIdRegistry | None = None) -> None:
-        """Start before the list's object.
+        """Expect the start of the list's object.
 
         Args:
-            offset_ns: What to add to the monotonic clock for Unix time.
-            id_registry: Assigns the ids; a new one if it is None.
+            offset_ns: Unix time minus the time of the monotonic clock.
+            id_registry: Assigns the ids; if it is None, a new registry is used.
         """
         self._id_registry = EndpointIdRegistry() if id_registry is None else id_registry
         self._list = EndpointList(self._id_registry)
         self._offset_ns = offset_ns
         self._section = _Section.NOT_STARTED
         self._depth = OUTSIDE_DEPTH
-        self._member: object = ""  # the last key at MEMBER_DEPTH
+        self._member: object = ""  # the last key seen at MEMBER_DEPTH
         self._has_entries = False
         self._version: object = None
         self._complete: object = None
-        self._entry: Entry | None = None  # that is being parsed
-        self._entry_nesting = 0  # of values inside it, which are skipped
+        self._entry: Entry | None = None  # the one being parsed
+        self._entry_nesting = 0  # depth inside the entry; nested values are skipped
         self._entry_key: object = None
-        self._weights: dict[float, float] = {}  # one object for all that are equal
+        self._weights: dict[float, float] = {}  # so that equal weights share one object
         self._attributes: dict[EndpointAttributes, EndpointAttributes] = {}  # likewise
 
     @property
     def started(self) -> bool:
-        """Whether there is an object."""
+        """Whether the list's object has been reached."""
         return self._section not in (_Section.NOT_STARTED, _Section.ABSENT)
 
     def feed(self, events: Iterator[JsonEvent]) -> bool:
@@ -138,7 +138,7 @@
         return False
 
     def _feed_outside_entry(self, kind: str, value: object) -> Entry | None:
-        """Handle an event between two entries or in the members; return an empty entry where one starts."""
+        """Handle an event outside the entries; return a new entry, still empty, if the event starts one."""
         if kind == "map_key":
             if self._depth == MEMBER_DEPTH:
                 self._member = value
@@ -180,12 +180,12 @@
         """Return the list.
 
         Raises:
-            EndpointListError: There was no list, or it has no valid version or completeness.
+            EndpointListError: There was no list, or its version or completeness is missing or invalid.
         """
         if not self._has_entries:
             raise EndpointListError(f"not an object with an array {LIST_ENDPOINTS!r}")
         if not isinstance(self._version, int):
-            raise EndpointListError(f"{LIST_VERSION} is not a whole number: {self._version!r}")
+            raise EndpointListError(f"{LIST_VERSION} is not an integer: {self._version!r}")
         if not isinstance(self._complete, bool):
             raise EndpointListError(f"{LIST_COMPLETE} is not true or false: {self._complete!r}")
         self._list.set_version(self._version, complete=self._complete)
@@ -198,8 +198,8 @@
         try:
             attributes, address = self._read_entry(entry)
         except (ValueError, OverflowError, ArithmeticError) as error:
-            # An invalid entry neither hides the others nor removes a listed endpoint.
-            log.warning("discovery: entry %.*s can't be read: %r", MAX_LOGGED_HOST_CHARACTERS, host, error)
+            # An invalid entry does not affect the others, nor does it remove an endpoint that is listed.
+            log.warning("discovery: invalid entry of host %.*s: %r", MAX_LOGGED_HOST_CHARACTERS, host, error)
             endpoint_id = self._id_registry.find(preferred_id(host), host_fingerprint(host))
             if endpoint_id is not None:
                 self._list.add_unreadable(endpoint_id)
@@ -213,23 +213,23 @@
         """Return the attributes and the address of an entry.
 
         Raises:
-            EndpointListError: A member is not of its type.
+            EndpointListError: A member has the wrong type, or the status is unknown.
             AddressError: The address is invalid.
             OverflowError, ArithmeticError: The weight is out of range.
         """
         status = STATUS_BY_NAME.get(str(entry.get(ENTRY_STATUS)))
         if status is None:
             raise EndpointListError(
-                f"{ENTRY_STATUS} is unknown: {entry.get(ENTRY_STATUS)!r:.{MAX_QUOTED_CHARACTERS}}"
+                f"{ENTRY_STATUS} is not a known status: {entry.get(ENTRY_STATUS)!r:.{MAX_QUOTED_CHARACTERS}}"
             )
         started_ms = entry.get(ENTRY_STARTED_MS) or 0
         if not isinstance(started_ms, int):
             raise EndpointListError(
-                f"{ENTRY_STARTED_MS} is not a whole number: {started_ms!r:.{MAX_QUOTED_CHARACTERS}}"
+                f"{ENTRY_STARTED_MS} is not an integer: {started_ms!r:.{MAX_QUOTED_CHARACTERS}}"
             )
         cell = entry.get(ENTRY_CELL) or 0
         if not isinstance(cell, int):
-            raise EndpointListError(f"{ENTRY_CELL} is not a whole number: {cell!r:.{MAX_QUOTED_CHARACTERS}}")
+            raise EndpointListError(f"{ENTRY_CELL} is not an integer: {cell!r:.{MAX_QUOTED_CHARACTERS}}")
         weight = entry.get(ENTRY_WEIGHT) or DEFAULT_WEIGHT
         if not isinstance(weight, int | float | Decimal):
             raise EndpointListError(f"{ENTRY_WEIGHT} is not a number: {weight!r:.{MAX_QUOTED_CHARACTERS}}")
@@ -243,18 +243,18 @@
         return EndpointAttributes(status, zone, cell, weight, started_ns, machine_type), address
 
     def _started_ns(self, started_ms: int) -> int:
-        """Convert a start time from Unix time to the monotonic clock; 0: long ago.
+        """Convert a start time from Unix time to the monotonic clock; 0 means long ago.
 
-        A start time in the future, from a clock that differs a little, counts as now.
+        A start time in the future, which comes from a clock that is slightly ahead, counts as now.
         """
         if started_ms <= 0:
             return 0
         return min(started_ms * NANOSECONDS_PER_MILLISECOND - self._offset_ns, time.monotonic_ns())
 
     def _endpoint_id(self, host: str, status: EndpointStatus) -> int | None:
-        """Return a host's id; None for a removal of a host that is not listed.
+        """Return a host's id; None for a removal that must be ignored.
 
-        Another host may hold the preferred id of the removed one, and must stay.
+        If the removed host has no id, and another host has its preferred one, that other host must stay.
         """
         preferred = preferred_id(host)
         fingerprint = host_fingerprint(host)
--- a/loadbalancer/proxy/endpoint_list_reader.py
+++ b/loadbalancer/proxy/endpoint_list_reader.py
@@ -1,4 +1,4 @@
-"""Reads endpoint lists from JSON, cooperatively: requests are served while a long one is read."""
+"""Reads endpoint lists from JSON, cooperatively, so that requests are served while a long list is read."""
 
 from __future__ import annotations
 
@@ -25,23 +25,23 @@
 
 log = logging.getLogger(__name__)
 
-# Some thirty entries, which take less than a millisecond.
+# Read between two yields: some thirty entries, which take less than a millisecond.
 YIELD_BYTES = 4096
 
 
 class EndpointListReader:
-    """Reads the responses of discovery, and drops lists that are older than the newest one."""
+    """Reads the responses of discovery, and ignores lists that are older than the newest one read."""
 
     def __init__(self, offset_ns: int, id_registry: EndpointIdRegistry | None = None) -> None:
         """Start with no list read.
 
         Args:
-            offset_ns: What to add to the monotonic clock for Unix time.
-            id_registry: Assigns the ids of endpoints; a new one if it is None.
+            offset_ns: Unix time minus the time of the monotonic clock.
+            id_registry: Assigns the ids of endpoints; if it is None, a new registry is used.
         """
         self.id_registry = EndpointIdRegistry() if id_registry is None else id_registry
         self.reads_in_progress = 0
-        """Lists that are being read; the ids assigned to their endpoints may be in use nowhere else yet."""
+        """Number of lists being read; the ids assigned to their endpoints may not be in use elsewhere yet."""
         self._offset_ns = offset_ns
         self._newest_version: int | None = None
 
@@ -54,7 +54,7 @@
         return run_to_completion(self.read_cooperatively(bytearray(text)))
 
     def read_cooperatively(self, text: bytearray) -> CooperativeWork[EndpointList]:
-        """Read a list, yielding every `YIELD_BYTES`; the text is empty afterwards.
+        """Read a list, yielding every `YIELD_BYTES`; the text is consumed and is empty afterwards.
 
         Raises:
             EndpointListError: The text is not an endpoint list.
@@ -82,14 +82,15 @@
             self.reads_in_progress -= 1
 
     def accept(self, endpoint_list: EndpointList) -> EndpointList:
-        """Return the list or, if a newer one has been read, an empty one in its place.
+        """Return the list, or an empty one in its place if a newer list has been read.
 
-        Two calls may cross, and another address of discovery may lag behind; neither may undo a change.
+        The responses of two calls may arrive out of order, and another address of discovery may lag behind;
+        neither may undo a change.
         """
         newest = self._newest_version
         if newest is not None and endpoint_list.version < newest:
             log.info(
-                "discovery: list of version %d ignored, version %d was read before",
+                "discovery: list of version %d ignored, newer version %d was read before",
                 endpoint_list.version,
                 newest,
             )
@@ -100,7 +101,7 @@
 
 @contextmanager
 def _json_parser() -> Iterator[tuple[Any, list[JsonEvent]]]:
-    """An incremental JSON parser and the list to which it adds its events; numbers are not rounded.
+    """Yield an incremental JSON parser and the list to which it appends its events; numbers are exact.
 
     Raises:
         EndpointListError: The text is not JSON.
@@ -115,7 +116,7 @@
 def parse_object_around_list(
     chunks: Iterable[bytes], key: str, list_parser: EndpointListParser
 ) -> CooperativeWork[Any]:
-    """Parse a JSON object, yielding after each chunk; `list_parser` is fed the endpoint list under `key`.
+    """Parse a JSON object, yielding after each chunk; the value of `key` is fed to `list_parser`.
 
     Returns:
         The object without that member.
@@ -129,7 +130,7 @@
         for chunk in chunks:
             json_parser.send(chunk)
             remaining = iter(events)
-            # A chunk may end inside the list, or hold its end and more of the object.
+            # A chunk may end inside the list, or contain its end and further members of the object.
             while not in_list or list_parser.feed(remaining):
                 in_list = builder.feed_until_key(remaining)
                 if not in_list:
@@ -141,7 +142,7 @@
 
 
 class _ObjectBuilder:
-    """Builds a JSON object from parser events, without the member of one key."""
+    """Builds a JSON object from parser events, leaving out the member with one key."""
 
     def __init__(self, skipped_key: str) -> None:
         self._skipped_key = skipped_key
@@ -150,11 +151,11 @@
 
     @property
     def value(self) -> Any:  # noqa: ANN401 - any JSON value
-        """What the events so far make up."""
+        """The value built from the events so far."""
         return self._builder.value
 
     def feed_until_key(self, events: Iterator[JsonEvent]) -> bool:
-        """Consume events; return True at the skipped key, whose value comes next, and False at their end."""
+        """Consume events up to the skipped key, whose value comes next; return whether it was reached."""
         for kind, value in events:
             if kind == "map_key" and self._depth == MEMBER_DEPTH and value == self._skipped_key:
                 return True
