--- a/loadbalancer/proxy/connection_pool.py
+++ b/loadbalancer/proxy/connection_pool.py
@@ -1,4 +1,4 @@
-"""Pools of connections that are kept alive between exchanges, and the limits that the pools share."""
+"""Connection pools, which keep connections alive between exchanges, and the limits that pools share."""
 
 from __future__ import annotations
 
@@ -9,19 +9,20 @@
 from loadbalancer.proxy.endpoint_connection import EndpointConnection
 from loadbalancer.proxy.http import MAX_RESPONSE_BODY_BYTES
 
-# Where the settings do not say how long an endpoint keeps an idle connection.
+# Used where the settings do not say after what time endpoints close idle connections.
 DEFAULT_IDLE_TIMEOUT_S = 10.0
 
-# Part of the endpoint's idle timeout for which a connection is reused: later, the endpoint's close and the
-# next request may cross.
+# A connection is reused only within this fraction of the endpoint's idle timeout: near its end, the endpoint
+# may close the connection while a request is on its way.
 IDLE_TIMEOUT_FRACTION = 0.8
 
-# Each occupies the endpoint's connection table, but a new connection costs the endpoint work and time.
+# Each idle connection takes up room in the endpoint's connection table, but a new connection costs the
+# endpoint work and time.
 MAX_IDLE_CONNECTIONS_PER_ENDPOINT = 8
 
 
 class ConnectionLimits:
-    """The limits that several pools share, the number of their open connections and the idle ones."""
+    """Limits that several pools share, with the count of their open connections and the idle ones."""
 
     def __init__(
         self,
@@ -34,12 +35,12 @@
         """Set the limits.
 
         Args:
-            max_connections: Of all pools together.
-            connect_timeout_s: For a connection to be established.
-            endpoint_idle_timeout_s: After which endpoints close an idle connection; 0 if that is unknown.
-            max_response_body_bytes: Of one response.
-            min_response_bytes_per_s: Each byte of a response extends its timeout by the inverse of this rate;
-                0 leaves the timeout as it is.
+            max_connections: Limit on the open connections of all pools together.
+            connect_timeout_s: How long establishing a connection may take.
+            endpoint_idle_timeout_s: Time after which endpoints close an idle connection; 0 if unknown.
+            max_response_body_bytes: Size limit of a response body.
+            min_response_bytes_per_s: Received bytes of a response extend its timeout by the time that they
+                take at this rate; 0 leaves the timeout unchanged.
         """
         self.max_connections = max_connections
         self.connect_timeout_s = connect_timeout_s
@@ -47,14 +48,14 @@
         self.max_response_body_bytes = max_response_body_bytes
         self.min_response_bytes_per_s = min_response_bytes_per_s
         self.open_connections = 0
-        """All connections, including those that are being established."""
+        """Connections of all pools, including those being established."""
         self.idle_connections: dict[EndpointConnection, None] = {}
-        """Of all pools, the one that has been idle for longest first."""
+        """Idle connections of all pools, longest idle first."""
 
     def reserve_connection(self, reserved_for_others: int = 0) -> bool:
-        """Count one more open connection, if the limit less `reserved_for_others` allows it.
+        """Count one more open connection, if the limit minus `reserved_for_others` allows it.
 
-        Where the limit is reached, the connection that has been idle for longest is closed.
+        If that limit is reached, the connection that has been idle for longest is closed to make room.
 
         Returns:
             Whether the connection may be opened.
@@ -68,15 +69,15 @@
         return True
 
     def record_closed(self) -> None:
-        """Count one open connection less."""
+        """Count one open connection fewer."""
         self.open_connections -= 1
 
     def add_idle(self, connection: EndpointConnection) -> None:
-        """Add a connection that is idle from now on."""
+        """Add a connection that has become idle."""
         self.idle_connections[connection] = None
 
     def remove_idle(self, connection: EndpointConnection) -> None:
-        """Remove a connection that is idle no longer.
+        """Remove a connection that is no longer idle.
 
         Raises:
             KeyError: The connection was not idle.
@@ -84,7 +85,7 @@
         del self.idle_connections[connection]
 
     def close_expired(self) -> None:
-        """Close the connections that have been idle for so long that their endpoints may be closing them."""
+        """Close connections that have been idle for so long that their endpoints may soon close them."""
         oldest_allowed_s = time.monotonic() - self.idle_timeout_s
         while self.idle_connections:
             oldest = next(iter(self.idle_connections))
@@ -100,14 +101,14 @@
     limits: ConnectionLimits
     address: Address
     accepts_requests: bool = True
-    """Whether new requests may be sent there."""
+    """Whether new requests may be sent to the address."""
     open_connections: int = 0
-    """All connections, including those that are being established."""
+    """Connections of this pool, including those being established."""
     idle_connections: list[EndpointConnection] = field(default_factory=list)
-    """Those between exchanges, the last used one last."""
+    """Connections between exchanges, the most recently used one last."""
 
     def take_idle(self) -> EndpointConnection | None:
-        """Remove and return the last used connection that can be reused; close those that no longer can."""
+        """Remove and return the most recently used connection that is usable; close those that are not."""
         self.limits.close_expired()
         now_s = time.monotonic()
         for connection in reversed(self.idle_connections.copy()):
@@ -120,10 +121,10 @@
         return None
 
     def reserve_connection(self, reserved_for_others: int = 0) -> EndpointConnection | None:
-        """Return a connection to be established, which counts as open; None if the limit is reached.
+        """Return a connection yet to be established, counted as open; None if the limit is reached.
 
         Args:
-            reserved_for_others: Connections of the limit that must remain.
+            reserved_for_others: How many connections of the limit must stay available to others.
         """
         if not self.limits.reserve_connection(reserved_for_others):
             return None
@@ -131,7 +132,7 @@
         return EndpointConnection(self, self.limits.max_response_body_bytes)
 
     def on_idle(self, connection: EndpointConnection, quarantine_s: float) -> None:
-        """Keep a connection alive for later requests, the first one after `quarantine_s`."""
+        """Keep a connection alive for later requests, which may use it after `quarantine_s`."""
         if not self.accepts_requests:
             connection.close()
             return
@@ -142,7 +143,7 @@
             self.idle_connections[0].close()
 
     def on_closed(self, connection: EndpointConnection) -> None:
-        """Remove a connection that is closed."""
+        """Remove a connection that has been closed."""
         self._remove_idle(connection)
         self.open_connections -= 1
         self.limits.record_closed()
@@ -153,11 +154,11 @@
             self.limits.remove_idle(connection)
 
     def close_idle(self) -> None:
-        """Close all idle connections, the last used one first."""
+        """Close all idle connections, the most recently used one first."""
         while self.idle_connections:
             self.idle_connections[-1].close()
 
     def retire(self) -> None:
-        """Send nothing new to this address, and keep no connection to it."""
+        """Accept no new requests, and close each connection once it is idle."""
         self.accepts_requests = False
         self.close_idle()
--- a/loadbalancer/proxy/connection_table.py
+++ b/loadbalancer/proxy/connection_table.py
@@ -1,4 +1,4 @@
-"""Client connections by how long they have been in one state."""
+"""Client connections ordered by how long they have been in one state."""
 
 from __future__ import annotations
 
@@ -9,13 +9,13 @@
 
 
 class ConnectionTable:
-    """Connections in one state, oldest first; ages are in seconds of the event loop's clock."""
+    """Connections in one state, longest in it first; ages are in seconds of the event loop's clock."""
 
     def __init__(self) -> None:
         self._entered_at_s: dict[ClientConnection, float] = {}
 
     def __iter__(self) -> Iterator[ClientConnection]:
-        """Iterate over a copy: the table may change meanwhile."""
+        """Iterate over a copy, since the table may change during the iteration."""
         return iter(list(self._entered_at_s))
 
     def __len__(self) -> int:
@@ -25,7 +25,7 @@
         return client in self._entered_at_s
 
     def add(self, client: ClientConnection) -> None:
-        """Add the connection as the youngest one, also if it is in the table already."""
+        """Add the connection as the newest one, even if it is already in the table."""
         self._entered_at_s.pop(client, None)
         self._entered_at_s[client] = asyncio.get_running_loop().time()
 
@@ -34,16 +34,16 @@
         self._entered_at_s.pop(client, None)
 
     def oldest(self, min_age_s: float = 0.0) -> ClientConnection | None:
-        """Return the oldest connection, if it has been in the table for that long."""
+        """Return the oldest connection if it has been in the table for at least `min_age_s`, else None."""
         client = next(iter(self._entered_at_s), None)
         if client is None or asyncio.get_running_loop().time() - self._entered_at_s[client] < min_age_s:
             return None
         return client
 
     def closeable(self, min_age_s: float = 0.0) -> Iterator[ClientConnection]:
-        """Yield those that have been in the table for that long and have no unread data, oldest first.
+        """Yield connections of at least that age that have no unread data, oldest first.
 
-        Unread data may be a request: TCP has acknowledged it, and a close would lose it.
+        Unread data may be a request that TCP has acknowledged; closing the connection would lose it.
         """
         latest_s = asyncio.get_running_loop().time() - min_age_s
         for client, entered_at_s in list(self._entered_at_s.items()):
--- a/loadbalancer/proxy/endpoint_addresses.py
+++ b/loadbalancer/proxy/endpoint_addresses.py
@@ -1,4 +1,4 @@
-"""The addresses of the listed endpoints, and the connection pools to them."""
+"""The addresses of the listed endpoints and their connection pools."""
 
 from __future__ import annotations
 
@@ -9,16 +9,16 @@
 
 
 class EndpointAddresses:
-    """The address of each listed endpoint; a pool is retired when its endpoint moves, drains or is removed.
+    """Addresses and pools by endpoint; a pool is retired when its endpoint moves, drains or is removed.
 
-    An endpoint that drains stays listed with no address: it takes no new requests.
+    A draining endpoint stays listed, but without an address: it takes no new requests.
     """
 
     def __init__(self, limits: ConnectionLimits) -> None:
         self._limits = limits
         self.by_id: dict[int, CompactAddress | None] = {}
         self.pools: dict[int, ConnectionPool] = {}
-        """By endpoint, for those that have been sent something recently."""
+        """By endpoint id, only for endpoints that were sent something recently."""
 
     def __len__(self) -> int:
         return len(self.by_id)
@@ -31,19 +31,19 @@
         self._retire_pool(endpoint_id)
 
     def remove(self, endpoint_ids: Iterable[int]) -> None:
-        """Forget endpoints that are no longer listed."""
+        """Remove endpoints that are no longer listed."""
         for endpoint_id in endpoint_ids:
             self.by_id.pop(endpoint_id, None)
             self._retire_pool(endpoint_id)
 
     def _retire_pool(self, endpoint_id: int) -> None:
-        # A server that later listens at the old address is another endpoint.
+        # A server that later listens at the old address is a different endpoint.
         pool = self.pools.pop(endpoint_id, None)
         if pool is not None:
             pool.retire()
 
     def connection_pool(self, endpoint_id: int) -> ConnectionPool | None:
-        """Return the pool of an endpoint, made at its first use; None if it takes no new requests."""
+        """Return the pool of an endpoint, created on first use; None if it takes no new requests."""
         pool = self.pools.get(endpoint_id)
         if pool is not None:
             return pool
@@ -66,7 +66,7 @@
             pool.close_idle()
 
     def forget_empty_pools(self) -> None:
-        """Forget the pools without a connection: endpoints come and go, and only a few are in use."""
+        """Delete pools without a connection, since endpoints come and go and only a few are in use."""
         empty = [endpoint_id for endpoint_id, pool in self.pools.items() if not pool.open_connections]
         for endpoint_id in empty:
             del self.pools[endpoint_id]
--- a/loadbalancer/proxy/endpoint_connection.py
+++ b/loadbalancer/proxy/endpoint_connection.py
@@ -14,13 +14,13 @@
 
 
 class ConnectionCallbacks(Protocol):
-    """What the pool of a connection is notified of."""
+    """The events of which a connection notifies its pool."""
 
     def on_idle(self, connection: EndpointConnection, quarantine_s: float) -> None:
-        """The connection's exchange has ended, and it may carry another one after `quarantine_s`."""
+        """The exchange on the connection has ended; the connection may be reused after `quarantine_s`."""
 
     def on_closed(self, connection: EndpointConnection) -> None:
-        """The connection is closed; called once."""
+        """The connection has been closed; called once."""
 
 
 class ActiveExchange(Protocol):
@@ -29,16 +29,16 @@
     quarantine_s: float
 
     def serialize(self) -> bytes:
-        """Return the request as it is to be written now."""
+        """Return the bytes of the request, built at the moment when it is written."""
 
     def extend_timeout(self, size_bytes: int) -> None:
-        """Part of the response has been received."""
+        """A part of the response, of `size_bytes`, has been received."""
 
     def on_response_too_large(self) -> None:
-        """The response is larger than allowed; `finish` follows."""
+        """The response is larger than allowed; `finish` is called next."""
 
     def finish(self, result: AttemptResult, response: Message | None = None) -> None:
-        """The exchange has ended, with its response if the result is OK."""
+        """The exchange has ended; it has a response only if the result is OK."""
 
 
 class EndpointConnection(asyncio.Protocol):
@@ -54,18 +54,18 @@
         self.idle_since_s = 0.0
         """By the monotonic clock."""
         self.quarantined_until_s = 0.0
-        """By the monotonic clock; the connection is not reused before."""
+        """By the monotonic clock; the connection is not reused before this time."""
 
     @property
     def request_written(self) -> bool:
-        """Whether the last byte of the last request has been handed to the system."""
+        """Whether the last byte of the current request has been handed to the operating system."""
         return self._request_written
 
     @property
     def usable(self) -> bool:
-        """Whether it is open, with nothing unread.
+        """Whether the connection is open and has no unread input.
 
-        A connection that its endpoint has closed is removed from its pool only some event loop turns later.
+        If its endpoint has closed it, the pool is notified only some turns of the event loop later.
         """
         return (
             self._transport is not None
@@ -74,16 +74,17 @@
         )
 
     def mark_idle(self, quarantine_s: float) -> None:
-        """Record that it is idle from now on, and not to be reused for `quarantine_s`."""
+        """Record that the connection is idle from now on, and must not be reused for `quarantine_s`."""
         self.idle_since_s = time.monotonic()
         self.quarantined_until_s = self.idle_since_s + quarantine_s
 
     def send(self, exchange: ActiveExchange) -> None:
-        """Write the request of an exchange, which is notified when it ends."""
+        """Write the request of an exchange; the exchange is notified when it ends."""
         self._exchange = exchange
         self._request_written = False
         if self._transport is None or not self.usable:
-            asyncio.get_running_loop().call_soon(self.fail)  # not at once: its sender still sets it up
+            # Not at once: the caller is still starting the exchange.
+            asyncio.get_running_loop().call_soon(self.fail)
             return
         self._transport.write(exchange.serialize())
         self._request_written = (
@@ -97,15 +98,15 @@
         self._transport = cast(asyncio.Transport, transport)
         if self._closed:
             self._transport.abort()
-        # With no high-water mark, `resume_writing` is called when the last byte is written.
+        # With a high-water mark of 0, `resume_writing` is called when the last byte has been written.
         self._transport.set_write_buffer_limits(high=0)
 
     def resume_writing(self) -> None:
-        """Record that the last byte of the request is written."""
+        """Record that the last byte of the request has been written."""
         self._request_written = True
 
     def data_received(self, data: bytes) -> None:
-        """Read on, and finish the exchange if its response is complete."""
+        """Parse the data, and finish the exchange if its response is complete."""
         responses = self._reader.feed(data)
         exchange = self._exchange
         if exchange is None:
@@ -120,9 +121,9 @@
             exchange.extend_timeout(len(data))
 
     def _finish_exchange(self, exchange: ActiveExchange, responses: list[Message]) -> None:
-        """Finish the exchange with the first response, and keep the connection alive if it is clean.
+        """Finish the exchange with the first response, and keep the connection alive if nothing follows it.
 
-        Bytes behind a complete response do not invalidate it, but they must not be read as the next one.
+        Bytes after a complete response do not invalidate it, but must not be read as the next response.
         """
         self._exchange = None
         response = responses[0]
@@ -134,27 +135,27 @@
         exchange.finish(AttemptResult.OK, response)
 
     def connection_lost(self, error: Exception | None) -> None:  # noqa: ARG002 - asyncio.Protocol's signature
-        """Close the connection, and fail the exchange that waits for its response."""
+        """Close the connection, and fail the exchange that is waiting for its response."""
         self.fail()
 
     def fail(self) -> None:
-        """Close the connection; the result of its exchange depends on whether the request was written."""
+        """Close the connection; its exchange fails with a result that tells if the request was written."""
         exchange = self._exchange
         self.close()
         if exchange is not None:
-            # Up to its last byte nothing can have run; from then on it may have.
+            # The endpoint can have run the request only if its last byte was written.
             sent = self._request_written
             exchange.finish(AttemptResult.RESET if sent else AttemptResult.CONNECT_FAILED)
 
     def close(self) -> None:
-        """Close the connection at once; a late response is dropped."""
+        """Close the connection at once; a response that arrives later is dropped."""
         self._exchange = None
         if not self._closed:
             self._closed = True
             self._callbacks.on_closed(self)
         if self._transport is not None:
-            # The transport closes its socket only in the loop's next turn, when the request may have been
-            # sent again: two copies on open connections. What is written here ends at once.
+            # The transport closes its socket only in the next turn of the event loop. By then the request may
+            # have been retried, with two copies on open connections: `write_eof` ends the stream at once.
             with contextlib.suppress(OSError):
                 self._transport.write_eof()
             self._transport.abort()
