--- a/loadbalancer/proxy/addresses.py
+++ b/loadbalancer/proxy/addresses.py
@@ -1,4 +1,4 @@
-"""Addresses: parsing them, and storing them compactly."""
+"""Parsing of IP addresses with ports, and a compact form in which many of them are stored."""
 
 from __future__ import annotations
 
@@ -10,31 +10,31 @@
 """Host and port, as asyncio takes them."""
 
 CompactAddress = int | Address
-"""An IPv4 address and port in one number, which takes a third of the memory; an IPv6 address as it is."""
+"""An IPv4 address and port as one integer, in a third of the memory; an IPv6 address as an `Address`."""
 
-NO_ADDRESS: Address = ("", 0)  # of an endpoint that was removed
+NO_ADDRESS: Address = ("", 0)  # stored for an endpoint that was removed
 PORT_BITS = 16
 MAX_PORT = (1 << PORT_BITS) - 1
 IPV4_BYTES = 4
-MAX_QUOTED_CHARACTERS = 80  # of an invalid address, in the error
+MAX_QUOTED_CHARACTERS = 80  # how much of an invalid address is quoted in the error
 
 
 def parse_address(text: str) -> Address:
     """Parse an IP address and a port.
 
-    A host name is not accepted: looking it up would block, and there is no DNS.
+    Host names are not accepted: resolving them would block, and there is no DNS.
 
     Raises:
-        AddressError: The text is anything else.
+        AddressError: The text is not an IP address and a port.
     """
     return expand_address(parse_compact_address(text))
 
 
 def parse_compact_address(text: str) -> CompactAddress:
-    """Parse an IP address and a port into the form in which many of them are stored.
+    """Parse an IP address and a port into the compact form.
 
     Raises:
-        AddressError: The text is anything else.
+        AddressError: The text is not an IP address and a port.
     """
     host, _, port = text.rpartition(":")
     host = host.strip("[]")
@@ -55,7 +55,7 @@
 
 
 def expand_address(address: CompactAddress) -> Address:
-    """Return a stored address as host and port."""
+    """Convert an address from the compact form to host and port."""
     if isinstance(address, int):
         host = socket.inet_ntoa((address >> PORT_BITS).to_bytes(IPV4_BYTES, "big"))
         return host, address & MAX_PORT
--- a/loadbalancer/proxy/cooperative.py
+++ b/loadbalancer/proxy/cooperative.py
@@ -1,4 +1,4 @@
-"""Cooperative work: long work in a generator that yields every fraction of a millisecond."""
+"""Cooperative work: a generator that yields every fraction of a millisecond, to let other tasks run."""
 
 from __future__ import annotations
 
@@ -9,11 +9,11 @@
 
 T = TypeVar("T")
 CooperativeWork = Generator[None, None, T]
-"""Returns the result of the work."""
+"""A generator whose return value is the result of the work."""
 
 
 def run_to_completion(work: CooperativeWork[T]) -> T:
-    """Do all the work at once and return its result; its exceptions are raised here."""
+    """Do all the work at once and return its result; exceptions of the work propagate."""
     while True:
         try:
             next(work)
@@ -22,9 +22,9 @@
 
 
 async def run_cooperatively(work: CooperativeWork[T]) -> T:
-    """Do the work, returning to the event loop at each yield, and return its result.
+    """Do the work, returning control to the event loop at each yield, and return the result.
 
-    Exceptions of the work are raised here. The generator is closed also if the task is cancelled.
+    Exceptions of the work propagate. The generator is closed even if the task is cancelled.
     """
     with closing(work):
         while True:
--- a/loadbalancer/proxy/errors.py
+++ b/loadbalancer/proxy/errors.py
@@ -1,11 +1,11 @@
-"""Errors in endpoint lists and configurations."""
+"""Errors raised for invalid addresses and endpoint lists."""
 
 from __future__ import annotations
 
 
 class AddressError(ValueError):
-    """A text is not an IP address and a port; the message quotes it."""
+    """A text is not an IP address and port; the message quotes the text."""
 
 
 class EndpointListError(ValueError):
-    """An endpoint list is not valid; the message names the member and its value."""
+    """An endpoint list or one of its entries is invalid; the message says what is wrong."""
--- a/loadbalancer/proxy/gossip.py
+++ b/loadbalancer/proxy/gossip.py
@@ -1,4 +1,4 @@
-"""Gossip: datagrams between the proxies. They may be lost, and are not acknowledged."""
+"""Gossip: datagrams between the proxies, which may be lost and are not acknowledged."""
 
 from __future__ import annotations
 
@@ -12,12 +12,12 @@
 log = logging.getLogger(__name__)
 MAX_MESSAGE_BYTES = 256
 
-# As a recipient.
+# Recipient that stands for all peers.
 ALL_PEERS = -1
 
 
 class Gossip(asyncio.DatagramProtocol):
-    """Sends messages to peers by their index, and reports those received from their addresses."""
+    """Sends messages to peers by index, and reports the messages received from the addresses of peers."""
 
     def __init__(
         self,
@@ -26,11 +26,11 @@
         proxy_index: int,
         on_message: Callable[[int, bytes], None],
     ) -> None:
-        """Set up gossip; it sends nothing before it has a socket.
+        """Set up gossip; nothing is sent until the socket is open.
 
         Args:
-            peers: The addresses of all proxies, by their index.
-            all_peers: The address that reaches all peers at once, None if there is none.
+            peers: The addresses of all proxies, by index.
+            all_peers: The address that reaches all peers at once; None if there is none.
             proxy_index: This proxy's own index; messages from its address are dropped.
             on_message: Is called with the sender's index and the message.
         """
@@ -43,21 +43,21 @@
         self._transport: asyncio.DatagramTransport | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Keep the transport of the socket."""
+        """Store the transport for sending."""
         self._transport = cast(asyncio.DatagramTransport, transport)
 
     def datagram_received(self, data: bytes, address: tuple[str | object, int]) -> None:
-        """Report a message of a peer; drop messages from elsewhere and those that are too long."""
+        """Report a message from a peer; drop messages from other addresses and those that are too long."""
         sender = self._index_by_address.get(cast(Address, address[:2]))
         if sender is not None and len(data) <= MAX_MESSAGE_BYTES:
             self._on_message(sender, data)
 
     def error_received(self, error: Exception) -> None:
-        """Log that a message could not be delivered; the peer may be down."""
+        """Log that a message was not delivered; the peer may be down."""
         log.info("gossip: message to a peer not delivered: %s", error)
 
     def send(self, data: bytes, recipient: int) -> None:
-        """Send a message to the peer of that index or to `ALL_PEERS`; drop it if that is not possible."""
+        """Send a message to the peer with that index or to `ALL_PEERS`; drop it if it can't be sent."""
         address = self._address_of(recipient)
         if self._transport is not None and address is not None and len(data) <= MAX_MESSAGE_BYTES:
             self._transport.sendto(data, address)
--- a/loadbalancer/proxy/health_checks.py
+++ b/loadbalancer/proxy/health_checks.py
@@ -1,4 +1,4 @@
-"""Health checks: requests for the health or the load report of endpoints."""
+"""Health checks: requests to endpoints for their health or their load report."""
 
 from __future__ import annotations
 
@@ -14,17 +14,17 @@
 from loadbalancer.proxy.load_report import parse_load_report
 from loadbalancer.proxy.wire_names import LIVENESS_PATH, LOAD_REPORT_PATH
 
-# Longer than a request waits for load reports (`load_probing.PROBE_TIMEOUT_NS`): a late one still counts for
-# later requests.
+# Longer than a request waits for load reports (`load_probing.PROBE_TIMEOUT_NS`): a report that comes too late
+# for that request is still used for later ones.
 HEALTH_CHECK_TIMEOUT_S = 0.05
 MAX_HEALTH_CHECKS_IN_FLIGHT = 256
 
-# The limit on connections divided by this is reserved for attempts.
+# The connection limit divided by this is the number of connections reserved for attempts.
 ATTEMPT_CONNECTIONS_DIVISOR = 8
 
 
 class HealthChecks:
-    """Carries out the health checks that the policy requests."""
+    """Runs the health checks that the policy requests."""
 
     def __init__(
         self,
@@ -36,8 +36,8 @@
         """Set up the health checks.
 
         Args:
-            connection_pool: Returns the connections to an endpoint, None if it takes no new requests.
-            on_ended: Is called once for each check.
+            connection_pool: Returns the pool of an endpoint; None if it takes no new requests.
+            on_ended: Is called once for each health check.
             with_load_reports: Whether endpoints respond to health checks with load reports.
         """
         self._in_flight = 0
@@ -46,7 +46,7 @@
         self._path = LOAD_REPORT_PATH if with_load_reports else LIVENESS_PATH
 
     def start(self, endpoint_id: int) -> None:
-        """Start a health check; it fails at once if it can't be sent or too many are in flight."""
+        """Start a health check; it fails at once if the endpoint has no pool or too many are in flight."""
         pool = self._connection_pool(endpoint_id)
         started_ns = time.monotonic_ns()
         if pool is None or self._in_flight >= MAX_HEALTH_CHECKS_IN_FLIGHT:
@@ -77,7 +77,7 @@
     on_ended: Callable[[HealthCheckEnded], None]
 
     def on_exchange_ended(self, result: AttemptResult, response: Message | None) -> None:
-        """Report the result, with the load report if the response has one."""
+        """Report the result, and the load report if the response contains one."""
         load_report = None
         if response is not None:
             result = AttemptResult.OK if response.status == OK else AttemptResult.REJECTED
--- a/loadbalancer/proxy/wire_names.py
+++ b/loadbalancer/proxy/wire_names.py
@@ -1,26 +1,26 @@
-"""The names of the HTTP protocol between clients, proxies, endpoints and discovery, for `proxy`."""
+"""Names in the HTTP protocol between clients, proxies, endpoints and discovery."""
 
 from __future__ import annotations
 
 from loadbalancer.messages import EndpointStatus
 
-# Request headers, in lower case as the HTTP reader gives them.
+# Request headers, in lower case as the HTTP parser reports them.
 REQUEST_ID_HEADER = b"req-id"
 DEADLINE_MS_HEADER = b"req-deadline-ms"
 COST_US_HEADER = b"req-cost"
 TENANT_HEADER = b"req-owner"
 IS_RETRY_HEADER = b"req-retry"
-FORWARDED_DEADLINE_MS_HEADER = b"Req-Deadline-Ms"  # as the proxy writes it
+FORWARDED_DEADLINE_MS_HEADER = b"Req-Deadline-Ms"  # as written in forwarded requests
 COOKIE_HEADER = b"cookie"
-AFFINITY_COOKIE = "user"  # the affinity key, which no decision uses
+AFFINITY_COOKIE = "user"  # an affinity key; no decision uses it
 
 # Response headers.
-DECLINED_HEADER = b"srv-declined"  # of an endpoint: the request did not run
+DECLINED_HEADER = b"srv-declined"  # from an endpoint: it did not run the request
 LOAD_REPORT_HEADER = b"srv-load"
 RETRY_AFTER_HEADER = b"Retry-After"
 ALLOW_HEADER = b"Allow"
 
-FLAG_SET = b"1"  # value of the headers that are flags
+FLAG_SET = b"1"  # value of flag headers
 
 # Paths.
 READY_PATH = b"/health/ready"  # of the proxy
@@ -28,7 +28,7 @@
 LOAD_REPORT_PATH = b"/stats"  # of an endpoint
 ENDPOINT_LIST_PATH = "/registry/instances"  # of discovery
 
-# Query of a watch.
+# Query parameters of a watch call.
 AFTER_VERSION_PARAMETER = "after"
 WAIT_MS_PARAMETER = "wait_ms"
 
@@ -37,7 +37,7 @@
 LIST_COMPLETE = "whole"
 LIST_ENDPOINTS = "hosts"
 
-# Members of its entries.
+# Members of an entry of the list.
 ENTRY_HOST = "host"
 ENTRY_ADDRESS = "dial"
 ENTRY_STATUS = "health"
