--- a/tests/proxy/test_discovery_outage.py
+++ b/tests/proxy/test_discovery_outage.py
@@ -1,4 +1,4 @@
-"""Discovery that fails and comes back: what it tells is in force in time, and the calls stay spread."""
+"""Tests of discovery outages: changes take effect in time after recovery, and calls stay spread."""
 
 from __future__ import annotations
 
@@ -39,88 +39,98 @@
 from tests.support.running_proxy import proxy_settings, running_proxy
 from tests.support.waiting import wait_until
 
-CHANGE_DUE_S = 6.0  # a change counts as told so long after discovery had it and could be reached
-ANSWER_S = 1.0  # of that, for the call that brings it, and as a margin
-REFUSED_S, DECLINED_S, UNANSWERED_S = 0.0, 2.0, 3.0  # how long a call takes to fail, at most
+# A change must take effect within this time after discovery has it and can be reached.
+CHANGE_DUE_S = 6.0
+CALL_MARGIN_S = 1.0  # part of that time, for the call that returns the change, and as a margin
 
-FAILED, SILENT = EndpointUpdateKind.FAILED, EndpointUpdateKind.WATCH_TIMED_OUT
+# The longest time after which a call fails.
+REFUSED_S, UNAVAILABLE_S, NO_RESPONSE_S = 0.0, 2.0, 3.0
 
+FAILED, TIMED_OUT = EndpointUpdateKind.FAILED, EndpointUpdateKind.WATCH_TIMED_OUT
 
-def calls(seed: int, failing: Iterator[tuple[float, EndpointUpdateKind]], until_s: float) -> list[float]:
-    """When the module calls a discovery where each call fails so many seconds later."""
+
+def call_times_s(
+    seed: int, call_failures: Iterator[tuple[float, EndpointUpdateKind]], until_s: float
+) -> list[float]:
+    """Return when the policy calls discovery, if each call fails after this time and in this way."""
     balancer, now_ns, times = Balancer(settings(discovery_pushes=False), seed, START), START, []
-    due: list[tuple[int, Event]] = [(START, EndpointUpdate(EndpointUpdateKind.CACHED))]
+    due_events: list[tuple[int, Event]] = [(START, EndpointUpdate(EndpointUpdateKind.CACHED))]
     while now_ns < START + until_s * NANOSECONDS_PER_SECOND:
-        now_ns, event = due.pop(due.index(min(due, key=lambda d: d[0])))
+        now_ns, event = due_events.pop(due_events.index(min(due_events, key=lambda d: d[0])))
         for action in balancer.handle(now_ns, [event]):
             if isinstance(action, SetTimer):
-                due.append((now_ns + action.delay_ns, TimerExpired(action.name)))
+                due_events.append((now_ns + action.delay_ns, TimerExpired(action.name)))
             elif action == WatchEndpoints(True):
                 times.append((now_ns - START) / NANOSECONDS_PER_SECOND)
-                takes_s, kind = next(failing)
-                due.append((now_ns + int(takes_s * NANOSECONDS_PER_SECOND), EndpointUpdate(kind)))
+                duration_s, kind = next(call_failures)
+                due_events.append((now_ns + int(duration_s * NANOSECONDS_PER_SECOND), EndpointUpdate(kind)))
     return times
 
 
 @pytest.mark.parametrize(
-    "fails",
+    "failure_cycle",
     [
         [(REFUSED_S, FAILED)],
-        [(DECLINED_S, FAILED)],
-        [(UNANSWERED_S, FAILED)],
-        [(UNANSWERED_S, SILENT)],
-        [(UNANSWERED_S, SILENT), (DECLINED_S, FAILED)],
-        [(REFUSED_S, FAILED), (DECLINED_S, FAILED), (UNANSWERED_S, SILENT)],
+        [(UNAVAILABLE_S, FAILED)],
+        [(NO_RESPONSE_S, FAILED)],
+        [(NO_RESPONSE_S, TIMED_OUT)],
+        [(NO_RESPONSE_S, TIMED_OUT), (UNAVAILABLE_S, FAILED)],
+        [(REFUSED_S, FAILED), (UNAVAILABLE_S, FAILED), (NO_RESPONSE_S, TIMED_OUT)],
     ],
 )
-def test_the_next_call_comes_in_time_however_long_discovery_was_away(
-    fails: list[tuple[float, EndpointUpdateKind]],
+def test_the_next_call_is_made_in_time_however_long_the_outage(
+    failure_cycle: list[tuple[float, EndpointUpdateKind]],
 ) -> None:
-    # At worst discovery is back just after a call went out, which fails all the same: the next one must
-    # bring the news. The pause alone grew to 8 s.
+    # In the worst case, discovery recovers just after the start of a call that still fails, and the next call
+    # must return the change. The backoff alone once grew to 8 s.
     for seed in range(30):
-        times = calls(seed, itertools.chain([(9.0, FAILED)], itertools.cycle(fails)), 120)[1:]
+        times = call_times_s(seed, itertools.chain([(9.0, FAILED)], itertools.cycle(failure_cycle)), 120)[1:]
         gaps = [b - a for a, b in itertools.pairwise(times)]
         assert len(gaps) > 20
-        assert max(gaps) <= CHANGE_DUE_S - ANSWER_S
+        assert max(gaps) <= CHANGE_DUE_S - CALL_MARGIN_S
 
 
-def test_a_call_that_fails_behind_a_silent_watch_is_made_again_at_once_and_once() -> None:
-    # A watch that may wait 10 s is found silent after 11, and what it missed counts as told after 12.
+def test_a_call_that_fails_after_a_watch_timeout_is_retried_soon_once() -> None:
+    # A watch call that may be held for 10 s times out after 11 s; changes that it missed count as notified
+    # after 12 s.
     for seed in range(30):
-        failing = itertools.chain([(11.0, SILENT), (0.05, FAILED)], itertools.repeat((0.05, FAILED)))
-        first, again, soon, *later = calls(seed, failing, 40)
-        assert again - first == pytest.approx(11.0, abs=0.01)
-        assert soon - again <= 0.05 + 0.2 + 0.01
-        assert later[0] - soon >= 1.0  # discovery is down, not the watch alone: no more haste
+        call_failures = itertools.chain([(11.0, TIMED_OUT), (0.05, FAILED)], itertools.repeat((0.05, FAILED)))
+        first, second, third, *later = call_times_s(seed, call_failures, 40)
+        assert second - first == pytest.approx(11.0, abs=0.01)
+        assert third - second <= 0.05 + 0.2 + 0.01
+        assert later[0] - third >= 1.0  # not only the watch is lost, discovery is down: normal backoff
 
 
-def test_discovery_is_asked_still_after_hours_of_failure() -> None:
-    times = calls(1, itertools.repeat((REFUSED_S, FAILED)), 4 * 3600)
+def test_discovery_is_still_called_after_hours_of_failure() -> None:
+    times = call_times_s(1, itertools.repeat((REFUSED_S, FAILED)), 4 * 3600)
     assert times[-1] > 4 * 3600 - CHANGE_DUE_S
 
 
-def test_the_calls_of_a_fleet_stay_spread_while_discovery_is_away() -> None:
-    # All watches end in one moment; that the pause is bounded must not bring the calls together, nor send
-    # all of them at once to a discovery that is back.
-    fleet = 200
+def test_the_calls_of_many_proxies_stay_spread_during_an_outage() -> None:
+    # All watches end at the same moment. Although the backoff is bounded, the calls must not synchronize, nor
+    # reach a recovered discovery all at once.
+    proxy_count = 200
     per_second: Counter[int] = Counter()
-    for seed in range(fleet):
-        ends = 10.0  # of all first calls, whenever each one went out
-        first = calls(seed, itertools.repeat((99.0, FAILED)), 5)[0]
-        times = calls(seed, itertools.chain([(ends - first, FAILED)], itertools.repeat((0.0, FAILED))), 60)
+    for seed in range(proxy_count):
+        first_calls_end_s = 10.0  # when all first calls end, whenever each one was made
+        first_call_s = call_times_s(seed, itertools.repeat((99.0, FAILED)), 5)[0]
+        times = call_times_s(
+            seed,
+            itertools.chain([(first_calls_end_s - first_call_s, FAILED)], itertools.repeat((0.0, FAILED))),
+            60,
+        )
         per_second.update(int(t) for t in times)
     late = [per_second[s] for s in range(10, 59)]
-    assert max(late) < 0.45 * fleet
-    assert sum(late) / len(late) < 0.3 * fleet
+    assert max(late) < 0.45 * proxy_count
+    assert sum(late) / len(late) < 0.3 * proxy_count
 
 
-async def declined(_received: ReceivedMessage, writer: Writer) -> None:
+async def respond_unavailable(_received: ReceivedMessage, writer: Writer) -> None:
     writer.write(format_response(503))
 
 
-def shorten(monkeypatch: pytest.MonkeyPatch) -> None:
-    """All waits but the one of a watch where the list is asked for: what hides behind that is not seen."""
+def shorten_discovery_timeouts(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Shorten all waits except a polled watch call's: a change that waits for such a call is not seen."""
     for name, value in (
         ("discovery_client.PUSH_WAIT_MS", 40),
         ("discovery_client.RECOVERY_WAIT_MS", 20),
@@ -132,26 +142,26 @@
 
 @pytest.mark.parametrize("polls", [True, False])
 @pytest.mark.parametrize(
-    "order",
+    "broken_responders",
     [
-        [declined, never_respond],
+        [respond_unavailable, never_respond],
         [abort_connection, never_respond],
-        [abort_connection, never_respond, never_respond, declined],
+        [abort_connection, never_respond, never_respond, respond_unavailable],
     ],
 )
-async def test_a_return_does_not_hide_behind_a_long_watch(
-    order: list[Responder], polls: bool, monkeypatch: pytest.MonkeyPatch
+async def test_a_change_after_a_recovery_does_not_wait_for_a_long_watch(
+    broken_responders: list[Responder], polls: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    # A call fails, the next is never answered: what then changes must not wait for a watch of 10 s to end.
-    shorten(monkeypatch)
-    discovery, bad = FakeDiscovery(), iter(order)
+    # One call fails and the next one gets no response. A later change must not wait for a watch call of 10 s.
+    shorten_discovery_timeouts(monkeypatch)
+    discovery, remaining_responders = FakeDiscovery(), iter(broken_responders)
     respond_normally: Responder = discovery.server.respond
 
     async def respond(received: ReceivedMessage, writer: Writer) -> None:
-        fails = next(bad, None)
-        if fails is not None:
+        respond_broken = next(remaining_responders, None)
+        if respond_broken is not None:
             discovery.record_call(received)
-            await fails(received, writer)
+            await respond_broken(received, writer)
             return
         if "s0" not in discovery.entries:
             discovery.change("s0", health="draining")
@@ -163,23 +173,23 @@
         policy, discovery=discovery, initial_list=list_of_ports(5), polls=polls
     ) as client:
         await wait_until(
-            lambda: not client.proxy.addresses.ready() and len(discovery.calls) == len(order) + 2
+            lambda: not client.proxy.addresses.ready() and len(discovery.calls) == len(broken_responders) + 2
         )
         waits = [int(query.rpartition("wait_ms=")[2]) for _, query in discovery.calls]
         longest = 10_000 if polls else 40
-        assert waits == [longest, *[20] * len(order), longest]  # short until one is answered
+        assert waits == [longest, *[20] * len(broken_responders), longest]  # short until a call succeeds
 
 
 @pytest.mark.parametrize("polls", [True, False])
 @pytest.mark.parametrize("refuses", [True, False])
-async def test_a_drain_is_in_force_when_a_machine_that_was_away_is_back(
+async def test_a_drain_takes_effect_when_an_unreachable_discovery_recovers(
     refuses: bool, polls: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    shorten(monkeypatch)
+    shorten_discovery_timeouts(monkeypatch)
     discovery = FakeDiscovery()
     discovery.server = machine = Machine(discovery.server.respond, refuses)
     policy = Balancer(proxy_settings(polls=polls), 1, time.monotonic_ns())
-    # The first call too must be given up.
+    # So that the first call times out too.
     monkeypatch.setattr("loadbalancer.proxy.discovery_client.POLL_WAIT_MS", 40)
     async with running_proxy(
         policy, discovery=discovery, initial_list=list_of_ports(5), polls=polls
@@ -191,10 +201,10 @@
 
 
 @pytest.mark.parametrize("kind", ["refuses", "unreachable", "silent"])
-async def test_a_new_address_that_is_away_at_first_is_asked_until_it_answers(
+async def test_a_handover_to_an_unavailable_address_is_retried(
     kind: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    shorten(monkeypatch)
+    shorten_discovery_timeouts(monkeypatch)
     old, new = FakeDiscovery(), FakeDiscovery()
     new.entries, new.version = {"s0": entry("s0", 5, health="draining")}, 3
     respond_normally: Responder = new.server.respond
@@ -219,12 +229,12 @@
     new.server.stop()
 
 
-DESCRIPTORS = 256
-PLACES = (DESCRIPTORS - 32) // 2  # for clients, and as many for connections to endpoints
+MAX_SOCKETS = 256
+MAX_CONNECTIONS = (MAX_SOCKETS - 32) // 2  # connections to clients, and as many to endpoints
 
 
-async def says_nothing(port: int) -> None:
-    """A client that takes a place and, when it loses it, another one."""
+async def hold_idle_connection(port: int) -> None:
+    """Hold an idle client connection, and open another one whenever it is closed."""
     while True:
         reader, writer = await asyncio.open_connection(HOST, port)
         with contextlib.suppress(OSError):
@@ -234,14 +244,14 @@
 
 @pytest.mark.parametrize("polls", [True, False])
 @pytest.mark.parametrize("kind", ["refuses", "breaks", "silent"])
-async def test_idle_clients_in_all_places_keep_neither_the_list_away_nor_requests(
+async def test_idle_clients_on_all_connections_block_neither_list_nor_requests(
     kind: str, polls: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    shorten(monkeypatch)
+    shorten_discovery_timeouts(monkeypatch)
     monkeypatch.setattr("loadbalancer.proxy.discovery_client.POLL_WAIT_MS", 40)
     endpoints = [
         await FakeEndpoint(respond_with(200)).start()
-        for _ in range(PLACES // MAX_IDLE_CONNECTIONS_PER_ENDPOINT)
+        for _ in range(MAX_CONNECTIONS // MAX_IDLE_CONNECTIONS_PER_ENDPOINT)
     ]
     discovery = FakeDiscovery()
     respond_normally: Responder = discovery.server.respond
@@ -251,51 +261,53 @@
         discovery.server.respond = {"breaks": abort_connection, "silent": never_respond}[kind]
     policy = Balancer(proxy_settings(polls=polls), 1, time.monotonic_ns())
     async with running_proxy(
-        policy, *endpoints, discovery=discovery, max_sockets=DESCRIPTORS, polls=polls
+        policy, *endpoints, discovery=discovery, max_sockets=MAX_SOCKETS, polls=polls
     ) as client:
-        hub, server, discovery_client = (
+        connection_limits, downstream_server, discovery_client = (
             client.proxy._connection_limits,
             client.proxy.downstream,
             client.proxy.discovery_client,
         )
-        numbers = {port: number for number, (_, port) in client.proxy.addresses.ready().items()}
-        for number in numbers.values():
-            pool = client.proxy.addresses.connection_pool(number)
+        ids_by_port = {port: endpoint_id for endpoint_id, (_, port) in client.proxy.addresses.ready().items()}
+        for endpoint_id in ids_by_port.values():
+            pool = client.proxy.addresses.connection_pool(endpoint_id)
             assert pool is not None
             for _ in range(MAX_IDLE_CONNECTIONS_PER_ENDPOINT):
                 start_exchange(pool, b"GET /read HTTP/1.1\r\n\r\n", None, lambda _result, _response: None)
-        await wait_until(lambda: len(hub.idle_connections) == PLACES)
-        idle = [asyncio.create_task(says_nothing(client.port)) for _ in range(PLACES + 30)]
-        served, most = [], 0
+        await wait_until(lambda: len(connection_limits.idle_connections) == MAX_CONNECTIONS)
+        idle_tasks = [
+            asyncio.create_task(hold_idle_connection(client.port)) for _ in range(MAX_CONNECTIONS + 30)
+        ]
+        statuses, most = [], 0  # most connections open at a time
 
-        async def asks() -> None:
+        async def send_request() -> None:
             nonlocal most
-            await wait_until(lambda: len(server._connections) == PLACES)
-            another = client.new_client()
-            served.append((await another.exchange(request())).status)
-            another.close()
+            await wait_until(lambda: len(downstream_server._connections) == MAX_CONNECTIONS)
+            other_client = client.new_client()
+            statuses.append((await other_client.exchange(request())).status)
+            other_client.close()
             most = max(
                 most,
-                len(server._connections)
-                + hub.open_connections
+                len(downstream_server._connections)
+                + connection_limits.open_connections
                 + discovery_client._target.pool.limits.open_connections,
             )
 
         while discovery_client._watch_backoff.failures < 4:
-            await asks()
+            await send_request()
         discovery.change("s0", port=endpoints[0].port, health="draining")
         if isinstance(discovery.server, Machine):
             await discovery.server.comes_back()
         else:
             discovery.server.respond = respond_normally
-        await wait_until(lambda: numbers[endpoints[0].port] not in client.proxy.addresses.ready())
-        before = len(endpoints[0].requests)
+        await wait_until(lambda: ids_by_port[endpoints[0].port] not in client.proxy.addresses.ready())
+        requests_before = len(endpoints[0].requests)
         for _ in range(20):
-            await asks()
-        await wait_until(lambda: len(discovery.calls) > 1)  # the watch goes on
-        assert len(endpoints[0].requests) == before
-        assert set(served) == {200}
-        assert most <= DESCRIPTORS - 32 + 2
-        for task in idle:
+            await send_request()
+        await wait_until(lambda: len(discovery.calls) > 1)  # the watch continues
+        assert len(endpoints[0].requests) == requests_before
+        assert set(statuses) == {200}
+        assert most <= MAX_SOCKETS - 32 + 2
+        for task in idle_tasks:
             task.cancel()
-        await asyncio.gather(*idle, return_exceptions=True)
+        await asyncio.gather(*idle_tasks, return_exceptions=True)
--- a/tests/proxy/test_discovery_watch.py
+++ b/tests/proxy/test_discovery_watch.py
@@ -1,4 +1,4 @@
-"""The watch on the endpoint list, over loopback sockets."""
+"""Tests of the watch on the endpoint list, over loopback sockets."""
 
 from __future__ import annotations
 
@@ -27,17 +27,16 @@
 from tests.support.scripted import reported_statuses
 from tests.support.waiting import wait_until
 
-CHANGE_DUE_S = 6.0  # a change of the list counts as received after this at the latest
+CHANGE_DUE_S = 6.0  # a change of the list must be received within this time
 
 
-async def test_the_watch_goes_on_at_once_and_brings_changes() -> None:
-    discovery, asking = FakeDiscovery(), []
+async def test_the_watch_continues_at_once_and_returns_changes() -> None:
+    discovery, watching = FakeDiscovery(), []
 
     def react(event: Event) -> tuple[()]:
         if isinstance(event, EndpointUpdate) and event.kind is EndpointUpdateKind.DELTA:
-            asking.append(
-                client.proxy.discovery_client._watch_call is not None
-            )  # before the change is acted on
+            # The next watch call is in flight before the policy handles the change.
+            watching.append(client.proxy.discovery_client._watch_call is not None)
         return ()
 
     script = ScriptedPolicy(react)
@@ -50,7 +49,7 @@
         update = script.events_of(EndpointUpdate)[1]
         assert update.kind is EndpointUpdateKind.DELTA
         assert [u.zone for u in update.endpoints] == ["east"]
-        assert asking == [True]
+        assert watching == [True]
         assert discovery.calls[1].target.startswith("/registry/instances?after=2&")
         assert len(client.proxy.addresses.by_id) == 2 == len(client.proxy.addresses.ready())
         discovery.change("s9", health="removed")
@@ -58,18 +57,18 @@
         assert len(client.proxy.addresses.by_id) == 1 == len(client.proxy.addresses.ready())
 
 
-async def test_a_silently_lost_watch_is_repeated_before_its_changes_are_due() -> None:
-    # A drain is sent on a connection that has failed without notice.
+async def test_a_lost_watch_call_is_repeated_before_its_changes_are_due() -> None:
+    # The drain is sent on a connection that has failed silently.
     discovery, script = FakeDiscovery(), ScriptedPolicy()
     respond_normally: Responder = discovery.server.respond
 
-    async def first_is_lost(received: ReceivedMessage, writer: Writer) -> None:
+    async def lose_first_call(received: ReceivedMessage, writer: Writer) -> None:
         if discovery.calls:
             await respond_normally(received, writer)
         else:
             discovery.record_call(received)
 
-    discovery.server.respond = first_is_lost
+    discovery.server.respond = lose_first_call
     async with running_proxy(script, discovery=discovery, initial_list=list_of_ports(5)):
         await wait_until(lambda: discovery.calls)
         discovery.change("s0", health="draining")
@@ -78,24 +77,24 @@
         assert time.monotonic() - discovery.calls[0].received_at_s < CHANGE_DUE_S
 
 
-async def test_a_silently_lost_watch_is_repeated_without_backoff_where_discovery_is_polled(
+async def test_a_lost_watch_call_is_repeated_without_backoff_in_poll_mode(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    # The backoff after a failed call, 0.5 to 1.5 s, is as long as the time that is left until a drain that
-    # such a watch missed counts as notified.
+    # A drain that such a watch missed soon counts as notified: the backoff after a failed call, 0.5 to 1.5 s,
+    # takes all the time that is left.
     monkeypatch.setattr("loadbalancer.proxy.discovery_client.POLL_WAIT_MS", 20)
     monkeypatch.setattr("loadbalancer.proxy.discovery_call.TIMEOUT_MARGIN_S", 0.02)
     discovery = FakeDiscovery()
     respond_normally: Responder = discovery.server.respond
 
-    async def first_is_lost(received: ReceivedMessage, writer: Writer) -> None:
+    async def lose_first_call(received: ReceivedMessage, writer: Writer) -> None:
         if discovery.calls:
             await respond_normally(received, writer)
         else:
             discovery.change("s0", health="draining")
             discovery.record_call(received)
 
-    discovery.server.respond = first_is_lost
+    discovery.server.respond = lose_first_call
     policy = RecordingPolicy(Balancer(proxy_settings(polls=True), 1, time.monotonic_ns()))
     async with running_proxy(
         policy, discovery=discovery, initial_list=list_of_ports(5), polls=True
@@ -116,12 +115,12 @@
         b"HTTP/1.1 200 X\r\nContent-Length: 5\r\n\r\n",
     ],
 )
-async def test_a_discovery_that_fails_costs_nothing_that_is_known(broken_response: bytes) -> None:
+async def test_a_failing_discovery_leaves_the_known_list_unchanged(broken_response: bytes) -> None:
     discovery, script = FakeDiscovery(), ScriptedPolicy()
     discovery.broken_response = broken_response
     async with running_proxy(script, discovery=discovery, initial_list=list_of_ports(5)) as client:
         await wait_until(lambda: len(discovery.calls) >= 3)
-        assert discovery.calls[2].received_at_s - discovery.calls[0].received_at_s > 0.1  # it backs off
+        assert discovery.calls[2].received_at_s - discovery.calls[0].received_at_s > 0.1  # backoff
         assert len(script.events_of(EndpointUpdate)) == 1
         assert len(client.proxy.addresses.by_id) == 1
         discovery.broken_response = b""
@@ -129,14 +128,14 @@
         await wait_until(lambda: len(client.proxy.addresses.ready()) == 2)
 
 
-async def test_an_endpoint_that_moves_is_found_at_its_new_address() -> None:
+async def test_an_endpoint_that_moves_gets_its_new_address() -> None:
     discovery = FakeDiscovery()
     async with running_proxy(ScriptedPolicy(), discovery=discovery, initial_list=list_of_ports(5)) as client:
         discovery.change("s0", dial="127.0.0.2:6")
         await wait_until(lambda: [*client.proxy.addresses.ready().values()] == [("127.0.0.2", 6)])
 
 
-async def test_the_policy_ends_the_watch_and_fetches_the_whole_list() -> None:
+async def test_the_policy_ends_the_watch_and_fetches_the_complete_list() -> None:
     steps: dict[str, Action] = {
         "off": WatchEndpoints(False),
         "on": WatchEndpoints(True),
@@ -158,7 +157,7 @@
         assert discovery.calls[2].target == "/registry/instances"
 
 
-async def test_an_older_list_that_was_fetched_does_not_undo_a_drain() -> None:
+async def test_a_fetched_list_that_is_older_does_not_undo_a_drain() -> None:
     discovery = FakeDiscovery()
     discovery.entries = {"s0": entry("s0", 5)}
     release = hold_first_list(discovery)
@@ -178,7 +177,7 @@
 async def test_an_indented_list_is_read() -> None:
     discovery = FakeDiscovery()
 
-    async def indented(received: ReceivedMessage, writer: Writer) -> None:
+    async def respond_indented(received: ReceivedMessage, writer: Writer) -> None:
         discovery.record_call(received)
         if len(discovery.calls) == 1:
             endpoint_list = {"seq": 2, "whole": True, "hosts": [entry("s8", 8), entry("s9", 9)]}
@@ -186,6 +185,6 @@
                 format_response(200, json.dumps(endpoint_list, indent=8).replace("\n", "\r\n\t").encode())
             )
 
-    discovery.server.respond = indented
+    discovery.server.respond = respond_indented
     async with running_proxy(ScriptedPolicy(), discovery=discovery, initial_list=list_of_ports(5)) as client:
         await wait_until(lambda: len(client.proxy.addresses.ready()) == 2 and len(discovery.calls) == 2)
