--- a/tests/proxy/test_discovery_handover.py
+++ b/tests/proxy/test_discovery_handover.py
@@ -1,4 +1,4 @@
-"""The move to another address of discovery, over loopback sockets."""
+"""Tests of the handover to a new address of discovery, over loopback sockets."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 
 
 def last_full_list(script: ScriptedPolicy) -> list[int]:
-    """The ids of the endpoints in the last complete list that was reported."""
+    """Return the ids of the endpoints in the last complete list that was reported to the policy."""
     return [
         u.id
         for u in [e for e in script.events_of(EndpointUpdate) if e.kind is EndpointUpdateKind.FULL][
@@ -36,33 +36,33 @@
     ]
 
 
-async def start_discovery(*rows: str, broken_response: bytes = b"") -> FakeDiscovery:
+async def start_discovery(*hosts: str, broken_response: bytes = b"") -> FakeDiscovery:
     discovery = FakeDiscovery()
-    discovery.entries = {host: entry(host, 9) for host in rows}
+    discovery.entries = {host: entry(host, 9) for host in hosts}
     discovery.broken_response, discovery.version = broken_response, 3
     await discovery.server.start()
     return discovery
 
 
-async def test_a_move_asks_the_new_address_for_the_whole_list_and_watches_there() -> None:
+async def test_a_handover_gets_the_complete_list_and_watches_the_new_address() -> None:
     old, script = FakeDiscovery(), ScriptedPolicy()
     new = await start_discovery("s8", "s9")
     async with running_proxy(script, discovery=old, initial_list=list_of_ports(5)) as client:
         await wait_until(lambda: old.calls)
-        left = client.proxy.discovery_client._target
+        old_target = client.proxy.discovery_client._target
         client.proxy.discovery_client.hand_over_to((HOST, new.server.port))
         await wait_until(lambda: len(new.calls) == 2)
         assert new.calls[0].target == "/registry/instances"
         assert new.calls[1].target.startswith("/registry/instances?after=3&")
         assert len(last_full_list(script)) == 2
         assert len(client.proxy.addresses.ready()) == 2
-        assert left.pool.limits.open_connections == 0
+        assert old_target.pool.limits.open_connections == 0
         new.change("s7")
         await wait_until(lambda: len(client.proxy.addresses.ready()) == 3)
     new.server.stop()
 
 
-async def test_the_old_watch_stays_until_the_new_address_answers() -> None:
+async def test_the_old_watch_continues_until_the_new_address_responds() -> None:
     old, script = FakeDiscovery(), ScriptedPolicy()
     new = await start_discovery("s9", broken_response=format_response(503))
     async with running_proxy(script, discovery=old, initial_list=list_of_ports(5)) as client:
@@ -76,14 +76,14 @@
     new.server.stop()
 
 
-async def test_an_old_address_that_closes_is_not_asked_again() -> None:
+async def test_an_old_address_that_ends_its_watch_is_not_called_again() -> None:
     old, script = FakeDiscovery(), ScriptedPolicy()
     new = await start_discovery("s9", broken_response=format_response(503))
     async with running_proxy(script, discovery=old, initial_list=list_of_ports(5)) as client:
         await wait_until(lambda: old.calls)
         client.proxy.discovery_client.hand_over_to((HOST, new.server.port))
         old.broken_response = format_response(503)
-        old.change("s1")  # the watch ends
+        old.change("s1")  # ends the watch call
         await wait_until(lambda: client.proxy.discovery_client._watch_call is None)
         assert client.proxy.discovery_client._watch_timer is None
         new.broken_response = b""
@@ -91,12 +91,12 @@
     new.server.stop()
 
 
-async def test_of_several_moves_the_last_one_counts_also_back_to_the_first() -> None:
+async def test_the_last_of_several_handovers_wins_even_back_to_the_first() -> None:
     old, script = FakeDiscovery(), ScriptedPolicy()
     new = [await start_discovery(f"s{i}") for i in (7, 8)]
     async with running_proxy(script, discovery=old, initial_list=list_of_ports(5)) as client:
         await wait_until(lambda: old.calls)
-        addresses = [(HOST, r.server.port) for r in (*new, old)]
+        addresses = [(HOST, service.server.port) for service in (*new, old)]
         for address in addresses:
             client.proxy.discovery_client.hand_over_to(address)
         old.change("s1")
@@ -111,24 +111,24 @@
         discovery.server.stop()
 
 
-def answer_in_turn(discovery: FakeDiscovery, work_s: float) -> None:
-    """Each call is work of so many seconds, one after the other, also for a caller that has gone."""
-    turn, respond_normally = asyncio.Lock(), discovery.server.respond
+def respond_in_turn(discovery: FakeDiscovery, call_duration_s: float) -> None:
+    """Make calls take this time each, one after the other, even those whose caller has disconnected."""
+    lock, respond_normally = asyncio.Lock(), discovery.server.respond
 
     async def respond(received: ReceivedMessage, writer: Writer) -> None:
-        async with turn:
-            await asyncio.sleep(work_s)
+        async with lock:
+            await asyncio.sleep(call_duration_s)
         await respond_normally(received, writer)
 
     discovery.server.respond = respond
 
 
-async def test_a_new_address_that_answers_in_turn_is_waited_for() -> None:
-    # An abandoned call stays in the queue of that address, and each retry waits behind it: no retry storm. A
-    # second signal with the same address must not queue another call either.
+async def test_a_new_address_that_serves_calls_in_turn_is_called_once() -> None:
+    # An abandoned call would stay in the queue of that address, and each retry would wait behind it. A second
+    # reload with the same address must not queue another call either.
     old, script = FakeDiscovery(), ScriptedPolicy()
     new = await start_discovery("s9")
-    answer_in_turn(new, 1.3)
+    respond_in_turn(new, 1.3)
     async with running_proxy(script, discovery=old, initial_list=list_of_ports(5)) as client:
         await wait_until(lambda: old.calls)
         client.proxy.discovery_client.hand_over_to((HOST, new.server.port))
@@ -146,7 +146,7 @@
 
 
 def timer_driven_policy() -> ScriptedPolicy:
-    """A policy that asks for the watch, or for the whole list, when the timer of that name expires."""
+    """Return a policy that watches or fetches the list when the timer of that name expires."""
     steps: dict[str, Action] = {"watch": WatchEndpoints(True), "fetch": FetchEndpoints()}
     return ScriptedPolicy(lambda e: [steps[e.name]] if isinstance(e, TimerExpired) else ())
 
@@ -158,7 +158,7 @@
 async def close_old_address_in_handover(
     old: FakeDiscovery, new: FakeDiscovery, client: Client, script: ScriptedPolicy
 ) -> None:
-    """Move the proxy to a new address while the old one ends its watch and listens no more."""
+    """Start a handover to a new address; meanwhile the old one ends the watch call and stops listening."""
     client.proxy.dispatch(TimerExpired("watch"))
     await wait_until(lambda: old.calls)
     client.proxy.discovery_client.hand_over_to((HOST, new.server.port))
@@ -167,10 +167,10 @@
     old.server.stop()
     old.change("s1")
     await wait_until(lambda: client.proxy.discovery_client._watch_call is None)
-    assert failed_updates(script) == 1  # of the watch that has ended
+    assert failed_updates(script) == 1  # of the watch call that has ended
 
 
-async def test_calls_while_the_old_address_is_closed_are_answered_by_the_new_one() -> None:
+async def test_calls_deferred_by_a_closed_old_address_end_with_the_new_list() -> None:
     # Failures of the old address are not reported to the policy, and it is not called again.
     old, script = FakeDiscovery(), timer_driven_policy()
     new = await start_discovery("s9")
@@ -194,45 +194,46 @@
 
 
 async def test_calls_while_both_addresses_fail_report_one_failure_each() -> None:
-    # The policy must not wait for ever, nor be notified of failures of calls that it did not make.
+    # The policy must not wait forever, nor be notified of failures of calls that it did not request.
     old, script = FakeDiscovery(), timer_driven_policy()
     new = await start_discovery("s9", broken_response=format_response(503))
     async with running_proxy(script, discovery=old, initial_list=list_of_ports(5), polls=True) as client:
         discovery_client = client.proxy.discovery_client
         await close_old_address_in_handover(old, new, client, script)
 
-        async def is_reported_once(told: int) -> None:
+        async def check_one_report(expected: int) -> None:
             client.proxy.dispatch(TimerExpired("watch"))
-            await wait_until(lambda: failed_updates(script) == told)
-            ended = len(new.calls)
-            await wait_until(lambda: len(new.calls) >= ended + 2)
-            assert failed_updates(script) == told
+            await wait_until(lambda: failed_updates(script) == expected)
+            calls_before = len(new.calls)
+            await wait_until(lambda: len(new.calls) >= calls_before + 2)
+            assert failed_updates(script) == expected
             assert discovery_client._watch_call is None
 
-        await is_reported_once(2)
-        await is_reported_once(3)
+        await check_one_report(2)
+        await check_one_report(3)
         new.broken_response = b""
         await wait_until(lambda: discovery_client._handover is None)
         assert last_full_list(script) == [preferred_id("s9")]
     new.server.stop()
 
 
-@pytest.mark.parametrize("polls", ["watch", "fetch"])
-async def test_deferred_calls_go_to_the_old_address_after_a_move_back(polls: str) -> None:
+@pytest.mark.parametrize("timer_name", ["watch", "fetch"])
+async def test_deferred_calls_go_to_the_old_address_after_a_handover_back(timer_name: str) -> None:
     old, script = FakeDiscovery(), timer_driven_policy()
     new = await start_discovery("s9")
     hold_first_list(new)
     async with running_proxy(script, discovery=old, initial_list=list_of_ports(5), polls=True) as client:
         await close_old_address_in_handover(old, new, client, script)
-        client.proxy.dispatch(TimerExpired(polls))
+        client.proxy.dispatch(TimerExpired(timer_name))
         await wait_until(lambda: client.proxy.discovery_client._target.refuses_connections)
         client.proxy.discovery_client.hand_over_to((HOST, old.server.port))
-        await wait_until(lambda: failed_updates(script) >= 2)  # it is still closed, and is asked
+        await wait_until(lambda: failed_updates(script) >= 2)  # still closed, but called
     new.server.stop()
 
 
 async def test_an_older_list_at_a_handover_does_not_undo_a_drain() -> None:
-    # The new address answers with what it had when asked; meanwhile the old one has told a drain.
+    # The new address responds with the list as it was at the time of the call; meanwhile the old one has
+    # notified a drain.
     old, script = FakeDiscovery(), ScriptedPolicy()
     old.entries = {"s0": entry("s0", 5)}
     new = await start_discovery("s0")
@@ -245,7 +246,7 @@
         old.change("s0", health="draining")
         await wait_until(lambda: reported_statuses(script)[-1] is EndpointStatus.DRAINING)
         release.set()
-        await wait_until(lambda: len(new.calls) == 2)  # what it said is read, and it is asked once more
+        await wait_until(lambda: len(new.calls) == 2)  # its list is read, and it is called again
         assert reported_statuses(script) == [EndpointStatus.READY, EndpointStatus.DRAINING]
         assert not client.proxy.addresses.ready()
         new.entries["s0"]["health"], new.version = "draining", 2
