--- a/tests/proxy/test_endpoint_list_parser.py
+++ b/tests/proxy/test_endpoint_list_parser.py
@@ -1,4 +1,4 @@
-"""Entries of an endpoint list, good and bad ones."""
+"""Tests of valid and invalid entries of an endpoint list."""
 
 from __future__ import annotations
 
@@ -38,7 +38,7 @@
 
 
 @pytest.mark.parametrize(
-    "row",
+    "bad_entry",
     [
         entry("a", health="odd"),
         entry("a", dial="nowhere"),
@@ -52,8 +52,8 @@
         7,
     ],
 )
-def test_a_bad_entry_does_not_hide_the_others(row: object) -> None:
-    endpoint_list = read_list({"seq": 1, "whole": False, "hosts": [row, entry("b", 81)]})
+def test_a_bad_entry_does_not_hide_the_others(bad_entry: object) -> None:
+    endpoint_list = read_list({"seq": 1, "whole": False, "hosts": [bad_entry, entry("b", 81)]})
     assert [e.address[1] for e in endpoint_list.entries] == [81]
 
 
@@ -64,28 +64,30 @@
         json.dumps({"seq": 2, "whole": True, "hosts": [entry("s0", health="odd"), entry("s1", 2)]}).encode(),
     )
     async with running_proxy(script, discovery=discovery, initial_list=list_of_ports(1, 2, 3)) as client:
-        await wait_until(lambda: len(client.proxy.addresses.ready()) == 2)  # s2 is gone, s0 is still there
+        await wait_until(lambda: len(client.proxy.addresses.ready()) == 2)  # s2 is removed, s0 stays
         assert {port for _, port in client.proxy.addresses.ready().values()} == {1, 2}
-        told = [u for e in script.events_of(EndpointUpdate)[1:] for u in e.endpoints]
-        assert {u.id for u in told if u.status is EndpointStatus.REMOVED} == {preferred_id("s2")}
-        # What is known of s0 stays to the letter: nothing else is told of it, and it is where it was.
-        assert preferred_id("s0") not in {u.id for u in told}
+        updates = [u for e in script.events_of(EndpointUpdate)[1:] for u in e.endpoints]
+        assert {u.id for u in updates if u.status is EndpointStatus.REMOVED} == {preferred_id("s2")}
+        # The known state of s0 is unchanged: no update reports it, and its address stays.
+        assert preferred_id("s0") not in {u.id for u in updates}
         assert client.proxy.addresses.ready()[preferred_id("s0")] == (HOST, 1)
         assert all(e.kind is EndpointUpdateKind.DELTA for e in script.events_of(EndpointUpdate)[1:])
-    again = read_list({"seq": 2, "whole": True, "hosts": [entry("s0", health="odd"), entry("s1", 2)]})
-    assert again.unreadable == [preferred_id("s0")]
-    assert list(again.ids) == [preferred_id("s1")]
-    gone = read_list({"seq": 3, "whole": False, "hosts": [entry("s0", health="removed", dial="")]})
-    assert [e.endpoint.status for e in gone.entries] == [EndpointStatus.REMOVED]
-    empty = read_list({"seq": 4, "whole": True, "hosts": []})
-    assert not list(empty.entries)
-    assert not empty.unreadable
-    assert empty.complete
+    unreadable_list = read_list(
+        {"seq": 2, "whole": True, "hosts": [entry("s0", health="odd"), entry("s1", 2)]}
+    )
+    assert unreadable_list.unreadable == [preferred_id("s0")]
+    assert list(unreadable_list.ids) == [preferred_id("s1")]
+    removal = read_list({"seq": 3, "whole": False, "hosts": [entry("s0", health="removed", dial="")]})
+    assert [e.endpoint.status for e in removal.entries] == [EndpointStatus.REMOVED]
+    empty_list = read_list({"seq": 4, "whole": True, "hosts": []})
+    assert not list(empty_list.entries)
+    assert not empty_list.unreadable
+    assert empty_list.complete
 
 
 def test_no_endpoint_starts_in_the_future() -> None:
-    row = entry("a", 80, born_ms=4 * 10**12)
-    started = read_list({"seq": 1, "whole": True, "hosts": [row]}).attributes[0][4]
+    future_entry = entry("a", 80, born_ms=4 * 10**12)
+    started = read_list({"seq": 1, "whole": True, "hosts": [future_entry]}).attributes[0][4]
     assert started <= time.monotonic_ns()
 
 
@@ -93,6 +95,6 @@
     "raw",
     [3, {}, {"hosts": []}, {"hosts": [], "seq": "1", "whole": True}, {"hosts": {}, "seq": 1, "whole": True}],
 )
-def test_what_is_not_a_list_raises_an_error(raw: object) -> None:
+def test_an_invalid_list_raises_an_error(raw: object) -> None:
     with pytest.raises(EndpointListError):
         read_list(raw)
--- a/tests/proxy/test_endpoint_list_reader.py
+++ b/tests/proxy/test_endpoint_list_reader.py
@@ -1,4 +1,4 @@
-"""Endpoint lists are read cooperatively and bounded, from discovery and from the configuration."""
+"""Tests that lists from discovery and the configuration are read cooperatively, with bounded size."""
 
 from __future__ import annotations
 
@@ -43,10 +43,13 @@
     return read.version, read.complete, list(read.entries), read.unreadable
 
 
-ROWS = st.lists(
+ENTRIES = st.lists(
     st.one_of(
         st.builds(
-            lambda i, health, zone, odd: {**entry(f"s{i}", 1 + i, health=health, site=zone), **odd},
+            lambda i, health, zone, extra_members: {
+                **entry(f"s{i}", 1 + i, health=health, site=zone),
+                **extra_members,
+            },
             st.integers(0, 99),
             st.sampled_from(["up", "draining", "removed", "odd"]),
             st.sampled_from(["east", "w\u00e9st", '}],{["', ""]),
@@ -71,25 +74,27 @@
 
 @hyp(max_examples=200, deadline=None, derandomize=True)
 @given(
-    ROWS,
+    ENTRIES,
     st.integers(1, 60),
     st.sampled_from([None, 1, 4]),
     st.permutations(["seq", "whole", "hosts", "more"]),
 )
-def test_a_list_is_the_same_however_it_is_cut_and_written(
-    rows: list[Any], stride: int, indent: int | None, order: list[str]
+def test_a_list_is_read_the_same_in_any_pieces_and_layout(
+    raw_entries: list[Any], yield_bytes: int, indent: int | None, order: list[str]
 ) -> None:
-    text = {"seq": 4, "whole": False, "hosts": rows, "more": {"hosts": [{"host": "no"}], "seq": 9}}
+    text = {"seq": 4, "whole": False, "hosts": raw_entries, "more": {"hosts": [{"host": "no"}], "seq": 9}}
     body = json.dumps({key: text[key] for key in order}, indent=indent).encode()
-    once = EndpointListReader(0).read(body)
+    read_whole = EndpointListReader(0).read(body)
     with pytest.MonkeyPatch.context() as patch:
-        patch.setattr("loadbalancer.proxy.endpoint_list_reader.YIELD_BYTES", stride)
-        pieces = run_to_completion(EndpointListReader(0).read_cooperatively(bytearray(body)))
-    assert contents(once) == contents(pieces)
-    assert (once.version, once.complete) == (4, False)
-    named = [row["host"] for row in rows if isinstance(row, dict) and isinstance(row.get("host"), str)]
-    # Each row that names a host is read, or said to be unread: none hides another.
-    assert sorted([*once.ids, *once.unreadable]) == sorted(preferred_id(name) for name in named)
+        patch.setattr("loadbalancer.proxy.endpoint_list_reader.YIELD_BYTES", yield_bytes)
+        read_in_pieces = run_to_completion(EndpointListReader(0).read_cooperatively(bytearray(body)))
+    assert contents(read_whole) == contents(read_in_pieces)
+    assert (read_whole.version, read_whole.complete) == (4, False)
+    hosts = [
+        item["host"] for item in raw_entries if isinstance(item, dict) and isinstance(item.get("host"), str)
+    ]
+    # Each entry that names a host is either read or recorded as unreadable: none hides another.
+    assert sorted([*read_whole.ids, *read_whole.unreadable]) == sorted(preferred_id(name) for name in hosts)
 
 
 @pytest.mark.parametrize(
@@ -120,11 +125,11 @@
     reading = EndpointListReader(0).read_cooperatively(body)
     for _ in reading:
         yields += 1
-        assert len(body) == size - yields * YIELD_BYTES  # what has been read is freed
+        assert len(body) == size - yields * YIELD_BYTES  # the text that has been read is freed
     assert yields == (size - 1) // YIELD_BYTES
 
 
-async def test_a_list_over_the_size_limit_is_rejected_with_one_log_line_and_the_old_one_stays(
+async def test_a_list_over_the_size_limit_is_logged_once_and_the_old_one_stays(
     caplog: pytest.LogCaptureFixture,
 ) -> None:
     caplog.set_level(logging.WARNING)
@@ -152,25 +157,25 @@
         assert len(proxy.addresses.ready()) == 3
         assert len(script.events_of(EndpointUpdate)) == 1
         discovery.broken_response = b""
-        discovery.change("s9", port=9)  # what is not too long is heard
+        discovery.change("s9", port=9)  # a list within the limit is accepted
         await wait_until(lambda: preferred_id("s9") in proxy.addresses.ready())
     finally:
         proxy.close()
         discovery.server.stop()
 
 
-async def test_a_long_response_extends_its_timeout_by_what_has_come() -> None:
-    # A long list must be received completely, and a response that trickles in must end.
-    go = asyncio.Event()
+async def test_a_long_response_extends_its_timeout_by_the_bytes_received() -> None:
+    # A long list must be received completely, but a response that trickles in must time out.
+    finish_response = asyncio.Event()
 
-    async def part(_received: ReceivedMessage, writer: Writer) -> None:
+    async def respond_in_parts(_received: ReceivedMessage, writer: Writer) -> None:
         writer.write(format_response(200, b"x" * 6000)[:3000])
-        await go.wait()
+        await finish_response.wait()
         writer.write(format_response(200, b"x" * 6000)[3000:])
 
-    endpoint = await FakeEndpoint(part).start()
+    endpoint = await FakeEndpoint(respond_in_parts).start()
     try:
-        for rate, put_off in ((1000.0, 3.0), (0.0, 0.0)):
+        for rate, extension_s in ((1000.0, 3.0), (0.0, 0.0)):
             ended: list[AttemptResult] = []
             pool = ConnectionPool(
                 ConnectionLimits(2, 2.0, 0.0, min_response_bytes_per_s=rate), (HOST, endpoint.port)
@@ -186,10 +191,10 @@
             await wait_until(lambda seen=seen: len(endpoint.requests) > seen)  # type: ignore[misc]
             if rate:
                 await wait_until(lambda e=exchange, b=before: e._timeout_timer.when() > b)  # type: ignore[misc]
-            assert exchange._timeout_timer.when() - before == pytest.approx(put_off)  # type: ignore[union-attr]
-            go.set()
+            assert exchange._timeout_timer.when() - before == pytest.approx(extension_s)  # type: ignore[union-attr]
+            finish_response.set()
             await wait_until(lambda ended=ended: ended == [AttemptResult.OK])  # type: ignore[misc]
-            go.clear()
+            finish_response.clear()
             pool.close_idle()
     finally:
         endpoint.stop()
@@ -207,7 +212,7 @@
 
 @pytest.mark.parametrize("indent", [None, 2])
 @pytest.mark.parametrize("first", [True, False])
-def test_a_configuration_with_a_long_list_is_read_beside_it(
+def test_a_configuration_is_read_with_a_long_list_in_any_position(
     tmp_path: Path, indent: int | None, first: bool
 ) -> None:
     path, known = tmp_path / "config.json", {"known": complete_list(3000, 5)}
@@ -219,22 +224,22 @@
     assert config.settings.prices.connection == 0.03
 
 
-async def test_a_start_does_its_work_once_for_each_row(
+async def test_a_start_does_its_work_once_for_each_entry(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    # A restarted process has to be ready in 10 s at a small share of a core: what it does a row is counted.
+    # A restarted process must be ready within 10 s on a small share of a core: its work per entry is counted.
     path, count = tmp_path / "config.json", 5000
     path.write_text(json.dumps(CONFIG | {"known": complete_list(count)}))
-    done: Counter[str] = Counter()
+    call_counts: Counter[str] = Counter()
 
-    def counted(module: object, name: str) -> None:
-        real = getattr(module, name)
+    def count_calls(module: object, name: str) -> None:
+        original = getattr(module, name)
 
-        def call(*args: object) -> object:
-            done[name] += 1
-            return real(*args)
+        def counting_call(*args: object) -> object:
+            call_counts[name] += 1
+            return original(*args)
 
-        monkeypatch.setattr(module, name, call)
+        monkeypatch.setattr(module, name, counting_call)
 
     for module, name in (
         (endpoint_list_parser, "preferred_id"),
@@ -243,34 +248,34 @@
         (placement, "mix64"),
         (hash_ring, "mix64"),
     ):
-        counted(module, name)
+        count_calls(module, name)
     config = read_configuration(str(path))
     balancer = Balancer(config.settings, 1, 1)
 
-    started = Proxy(config, balancer)
-    await started.start()
-    assert started.ready
-    assert len(started.addresses.ready()) == count
-    started.close()
-    assert done["preferred_id"] == count
-    assert done["parse_compact_address"] <= count + 2
-    assert done["mix64"] <= count + 10
+    started_proxy = Proxy(config, balancer)
+    await started_proxy.start()
+    assert started_proxy.ready
+    assert len(started_proxy.addresses.ready()) == count
+    started_proxy.close()
+    assert call_counts["preferred_id"] == count
+    assert call_counts["parse_compact_address"] <= count + 2
+    assert call_counts["mix64"] <= count + 10
     assert len(balancer.fleet.endpoints) == len(balancer.fleet.pooled_ids)
     assert config.known_endpoints is not None
     assert not len(config.known_endpoints)
 
 
-def test_what_a_start_made_is_not_gone_through_by_the_collector_again() -> None:
-    # A garbage collection would pause all requests by ten milliseconds or more for each long list.
-    kept = [[number] for number in range(5000)]
+def test_objects_made_at_startup_are_excluded_from_garbage_collection() -> None:
+    # If the garbage collector went through a long list, it would pause all requests by 10 ms or more.
+    objects = [[number] for number in range(5000)]
     try:
         freeze_heap()
-        assert gc.get_freeze_count() >= len(kept)
+        assert gc.get_freeze_count() >= len(objects)
     finally:
         gc.unfreeze()
 
 
-def test_a_configuration_need_not_hold_a_list_but_a_bad_one_raises_an_error(tmp_path: Path) -> None:
+def test_a_list_in_a_configuration_is_optional_but_must_be_valid(tmp_path: Path) -> None:
     path = tmp_path / "config.json"
     for known in ({}, {"known": None}):
         path.write_text(json.dumps(CONFIG | known))
