--- a/tests/proxy/test_endpoint_ids.py
+++ b/tests/proxy/test_endpoint_ids.py
@@ -1,4 +1,4 @@
-"""Ids of endpoints: the same in every process, and unique where hashes collide."""
+"""Tests that endpoint ids are the same in every process, and unique where hashes collide."""
 
 from __future__ import annotations
 
@@ -18,20 +18,20 @@
 from tests.support.running_proxy import running_proxy
 from tests.support.waiting import wait_until
 
-SHARED_ID = 7  # the id that all hosts prefer where they collide
+SHARED_ID = 7  # the id that all colliding hosts prefer
 
 
 def test_a_host_has_the_same_id_in_every_process() -> None:
     rows = [entry("s-5be2a07c"), entry("s-0001320d"), entry("s-0001e3f4")]
-    one, other = (
+    first, second = (
         read_list({"seq": 1, "whole": True, "hosts": hosts}, EndpointListReader(offset))
         for offset, hosts in ((0, rows), (9, rows[::-1]))
     )
-    assert list(one.ids) == list(other.ids)[::-1]  # whatever reads it, in whatever order
-    assert one.ids[0] == preferred_id("s-5be2a07c") == 9587356208999800076
+    assert list(first.ids) == list(second.ids)[::-1]  # for any reader and any order of the entries
+    assert first.ids[0] == preferred_id("s-5be2a07c") == 9587356208999800076
 
 
-def test_hosts_that_collide_get_different_ids(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_colliding_hosts_get_different_ids(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr("loadbalancer.proxy.endpoint_list_parser.preferred_id", lambda _host: 7)
     endpoint_list = read_list({"seq": 1, "whole": True, "hosts": [entry("a", 80), entry("b", 81)]})
     assert len(set(endpoint_list.ids)) == 2
@@ -42,16 +42,16 @@
 
 
 @pytest.fixture
-def colliding(monkeypatch: pytest.MonkeyPatch) -> None:
+def colliding_ids(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr("loadbalancer.proxy.endpoint_list_parser.preferred_id", lambda _host: SHARED_ID)
 
 
-def ports(proxy: Proxy) -> dict[int, int]:
-    """The id of each ready endpoint, by its port."""
+def ids_by_port(proxy: Proxy) -> dict[int, int]:
+    """Return the id of each ready endpoint, by its port."""
     return {port: endpoint_id for endpoint_id, (_, port) in proxy.addresses.ready().items()}
 
 
-@pytest.mark.usefixtures("colliding")
+@pytest.mark.usefixtures("colliding_ids")
 def test_a_colliding_host_keeps_its_id_in_every_list() -> None:
     reader = EndpointListReader(0)
     assert list(read_hosts(reader, 1, entry("a"), entry("b"), entry("a"), whole=True).ids) == [7, 8, 7]
@@ -67,7 +67,7 @@
     assert not unknown.unreadable
 
 
-@pytest.mark.usefixtures("colliding")
+@pytest.mark.usefixtures("colliding_ids")
 async def test_a_delta_that_adds_a_colliding_host_leaves_its_partner() -> None:
     discovery, script = FakeDiscovery(), ScriptedPolicy()
     discovery.entries = {"s0": entry("s0", 1)}
@@ -75,11 +75,11 @@
         await wait_until(lambda: discovery.calls)
         discovery.change("s1", dial=f"{HOST}:2")
         await wait_until(lambda: len(client.proxy.addresses.ready()) == 2)
-        assert ports(client.proxy) == {1: SHARED_ID, 2: SHARED_ID + 1}
+        assert ids_by_port(client.proxy) == {1: SHARED_ID, 2: SHARED_ID + 1}
 
 
-@pytest.mark.usefixtures("colliding")
-async def test_colliding_hosts_of_the_cached_list_keep_their_ids_when_discovery_lists_them() -> None:
+@pytest.mark.usefixtures("colliding_ids")
+async def test_colliding_hosts_of_the_cached_list_keep_their_ids() -> None:
     script = ScriptedPolicy()
     async with running_proxy(script, initial_list=list_of_ports(1, 2)) as client:
         assert script.endpoint_ids() == [SHARED_ID, SHARED_ID + 1]
@@ -88,18 +88,18 @@
             read_hosts(proxy._list_reader, 2, entry("s1", 4), entry("s0", 3), whole=True)
         )
         await wait_until(lambda: proxy.list_applier.task is None)
-        assert ports(proxy) == {3: SHARED_ID, 4: SHARED_ID + 1}
+        assert ids_by_port(proxy) == {3: SHARED_ID, 4: SHARED_ID + 1}
 
 
-@pytest.mark.usefixtures("colliding")
+@pytest.mark.usefixtures("colliding_ids")
 @pytest.mark.parametrize("swept", [False, True])
 @pytest.mark.parametrize("whole", [False, True])
-@pytest.mark.parametrize("left", [0, 1])
-async def test_a_removed_host_whose_colliding_partner_stays_returns(
-    left: int, whole: bool, swept: bool
+@pytest.mark.parametrize("removed", [0, 1])
+async def test_a_removed_host_can_return_while_its_colliding_partner_stays(
+    removed: int, whole: bool, swept: bool
 ) -> None:
     async with running_proxy(ScriptedPolicy(), initial_list=list_of_ports(1, 2)) as client:
-        proxy, stays = client.proxy, 1 - left
+        proxy, remaining = client.proxy, 1 - removed
 
         def apply(*hosts: object, whole: bool = False) -> None:
             version = (proxy._list_reader._newest_version or 0) + 1
@@ -110,33 +110,34 @@
                 proxy.list_applier.sweep_ids(SEGMENTS)
 
         if whole:
-            apply(entry(f"s{stays}", stays + 1), whole=True)
+            apply(entry(f"s{remaining}", remaining + 1), whole=True)
         else:
-            apply(entry(f"s{left}", health="removed", dial=""))
-        assert ports(proxy) == {stays + 1: SHARED_ID + stays}
-        apply(entry(f"s{stays}", stays + 1))
-        assert ports(proxy) == {stays + 1: SHARED_ID + stays}  # it keeps its id
-        apply(entry(f"s{left}", left + 1))
-        assert ports(proxy) == {1: SHARED_ID, 2: SHARED_ID + 1}
+            apply(entry(f"s{removed}", health="removed", dial=""))
+        assert ids_by_port(proxy) == {remaining + 1: SHARED_ID + remaining}
+        apply(entry(f"s{remaining}", remaining + 1))
+        assert ids_by_port(proxy) == {remaining + 1: SHARED_ID + remaining}  # it keeps its id
+        apply(entry(f"s{removed}", removed + 1))
+        assert ids_by_port(proxy) == {1: SHARED_ID, 2: SHARED_ID + 1}
 
 
-@pytest.mark.usefixtures("colliding")
-async def test_an_id_is_freed_when_the_list_that_removes_its_host_is_applied_and_no_sooner() -> None:
+@pytest.mark.usefixtures("colliding_ids")
+async def test_an_id_is_freed_only_after_its_hosts_removal_is_applied() -> None:
     async with running_proxy(ScriptedPolicy(), initial_list=list_of_ports(1, 2)) as client:
         proxy, reader = client.proxy, client.proxy._list_reader
-        many = [entry(f"s{i}", i + 1) for i in range(1, 100)]
-        proxy.list_applier.on_discovery_result(read_hosts(reader, 2, *many, whole=True))  # applied in slices
+        many_entries = [entry(f"s{i}", i + 1) for i in range(1, 100)]
+        # Applied in slices.
+        proxy.list_applier.on_discovery_result(read_hosts(reader, 2, *many_entries, whole=True))
         assert proxy.list_applier.task is not None
         proxy.list_applier.sweep_ids(SEGMENTS)
         assert len(reader.id_registry) == 100
-        assert list(read_hosts(reader, 3, entry("new", 200)).ids) == [SHARED_ID + 100]  # none is free
+        assert list(read_hosts(reader, 3, entry("new", 200)).ids) == [SHARED_ID + 100]  # no id is free yet
         await wait_until(lambda: proxy.list_applier.task is None)
         proxy.list_applier.sweep_ids(SEGMENTS)
         assert len(reader.id_registry) == len(proxy.addresses.by_id) == 99
         assert list(read_hosts(reader, 4, entry("newer", 201)).ids) == [SHARED_ID]
 
 
-async def test_hosts_that_come_and_go_leave_nothing_behind() -> None:
+async def test_the_ids_of_hosts_that_come_and_go_are_freed() -> None:
     async with running_proxy(ScriptedPolicy(), initial_list=list_of_ports(1)) as client:
         proxy, reader = client.proxy, client.proxy._list_reader
         for version in range(2, 50):
@@ -145,33 +146,34 @@
             )
         with pytest.raises(EndpointListError):
             read_list({"hosts": [entry("bad")]}, reader)
-        read_hosts(reader, 1, entry("late"))  # older than the last: not taken
+        read_hosts(reader, 1, entry("late"))  # older than the last list: ignored
         abandoned = reader.read_cooperatively(bytearray(json.dumps(list_of_ports(*range(1, 200))).encode()))
         next(abandoned)
         proxy.list_applier.sweep_ids(SEGMENTS)
-        assert len(reader.id_registry) > 50  # what is being read may name any
+        assert len(reader.id_registry) > 50  # the list being read may contain any of them
         abandoned.close()
-        for _ in range(SEGMENTS):  # as once a second
+        for _ in range(SEGMENTS):  # as every second
             assert proxy._sweep_timer is not None
             proxy._sweep_timer.cancel()
             proxy._sweep_once()
         assert len(reader.id_registry) == len(proxy.addresses.by_id) == 1
 
 
-def test_a_swept_host_is_forgotten_and_the_next_free_id_wraps_around() -> None:
-    numbers, last = EndpointIdRegistry(), 2**64 - 1
-    assert [numbers.assign(last, fingerprint) for fingerprint in (1, 2, 3)] == [last, 0, 1]
-    numbers.sweep({last, 1})
-    assert [numbers.find(last, fingerprint) for fingerprint in (1, 2, 3)] == [last, None, 1]
-    assert numbers.assign(last, 4) == 0
-    assert numbers.find(last, 4) == 0
-    numbers.sweep({0})
-    assert numbers.assign(last, 3) == last
-    assert len(numbers) == 2
+def test_swept_hosts_are_forgotten_and_the_next_free_id_wraps_around() -> None:
+    registry, last = EndpointIdRegistry(), 2**64 - 1
+    assert [registry.assign(last, fingerprint) for fingerprint in (1, 2, 3)] == [last, 0, 1]
+    registry.sweep({last, 1})
+    assert [registry.find(last, fingerprint) for fingerprint in (1, 2, 3)] == [last, None, 1]
+    assert registry.assign(last, 4) == 0
+    assert registry.find(last, 4) == 0
+    registry.sweep({0})
+    assert registry.assign(last, 3) == last
+    assert len(registry) == 2
 
 
-def test_hosts_whose_ids_would_collide_in_32_bits_get_different_ones() -> None:
-    # Half of 2^32 numbers are met twice among some 77,000 hosts; which came first must not matter anywhere.
+def test_hosts_that_would_collide_in_32_bits_get_different_ids() -> None:
+    # With 32-bit ids, two of some 77,000 hosts collide with a probability of one half; ids must not depend on
+    # which of them came first.
     assert preferred_id("s-0001320d") % 2**32 == preferred_id("s-0001e3f4") % 2**32
     assert preferred_id("s-0001320d") != preferred_id("s-0001e3f4")
     assert len({preferred_id(f"s-{i:08x}") for i in range(160_000)}) == 160_000
