--- a/tests/proxy/test_endpoint_changes.py
+++ b/tests/proxy/test_endpoint_changes.py
@@ -1,4 +1,4 @@
-"""Attempts in flight while their endpoint moves, drains or is removed."""
+"""Tests of attempts in flight while their endpoint moves, drains or is removed."""
 
 from __future__ import annotations
 
@@ -37,17 +37,17 @@
 ) -> None:
     endpoint = await FakeEndpoint(respond_with(200)).start()
     policy = forwarding_policy(fail_unless_complete)
-    up = asyncio.Event()
+    may_connect = asyncio.Event()
     async with running_proxy(policy, endpoint) as client:
         await connect(client)
-        hold_connections(monkeypatch, up)
+        hold_connections(monkeypatch, may_connect)
         await client.send(request())
         await wait_until(lambda: policy.events_of(RequestArrived))
         update_first_endpoint(client.proxy, 2, dial=f"{HOST}:{endpoint.port}", health=health)
         assert (await client.read()).status == 504
-        up.set()
+        may_connect.set()
         assert results(policy) == [AttemptResult.NOT_SENT]
-        assert (await client.exchange(request())).status == 504  # nor does a new one go there
+        assert (await client.exchange(request())).status == 504  # a new attempt is not sent either
         assert results(policy) == [AttemptResult.NOT_SENT] * 2
         assert not endpoint.requests
 
@@ -60,12 +60,12 @@
     policy = forwarding_policy(retry_unless_complete)
     async with running_proxy(policy, initial_list=list_of_ports(old.port)) as client:
         await connect(client)
-        up = asyncio.Event()
-        hold_connections(monkeypatch, up)
+        may_connect = asyncio.Event()
+        hold_connections(monkeypatch, may_connect)
         await client.send(request())
         await wait_until(lambda: policy.events_of(RequestArrived))
         update_first_endpoint(client.proxy, 2, dial=f"{HOST}:{new.port}")
-        up.set()
+        may_connect.set()
         assert (await client.read()).body == b"new"
         assert results(policy) == [AttemptResult.NOT_SENT, AttemptResult.OK]
         assert not old.requests
@@ -77,11 +77,11 @@
 async def test_a_connection_to_a_former_address_is_not_reused() -> None:
     release = asyncio.Event()
 
-    async def late(_received: ReceivedMessage, writer: asyncio.StreamWriter) -> None:
+    async def respond_late(_received: ReceivedMessage, writer: asyncio.StreamWriter) -> None:
         await release.wait()
         writer.write(format_response(200, b"old"))
 
-    old = await FakeEndpoint(late).start()
+    old = await FakeEndpoint(respond_late).start()
     new = await FakeEndpoint(respond_with(200, b"new")).start()
     policy = forwarding_policy()
     async with running_proxy(policy, initial_list=list_of_ports(old.port)) as client:
@@ -89,7 +89,7 @@
         await wait_until(lambda: old.requests)
         update_first_endpoint(client.proxy, 2, dial=f"{HOST}:{new.port}")
         release.set()
-        assert (await client.read()).body == b"old"  # what was begun there ends there
+        assert (await client.read()).body == b"old"  # the attempt in flight is not affected by the move
         assert (await client.exchange(request())).body == b"new"
         await wait_until(lambda: old.closed_connections == 1)
     old.stop()
@@ -103,17 +103,17 @@
     policy = ScriptedPolicy()
     async with running_proxy(policy, endpoint) as client:
         await connect(client)
-        up = asyncio.Event()
-        hold_connections(monkeypatch, up)
+        may_connect = asyncio.Event()
+        hold_connections(monkeypatch, may_connect)
         forward_requests(policy)
         await client.send(request())
         await wait_until(lambda: policy.events_of(RequestArrived))
         update_first_endpoint(client.proxy, 2, health="removed")
-        assert results(policy) == [AttemptResult.NOT_SENT]  # before it is back
+        assert results(policy) == [AttemptResult.NOT_SENT]  # before the endpoint is added again
         update_first_endpoint(client.proxy, 3, dial=f"{HOST}:{endpoint.port}")
         policy.react = on_timer(lambda: [Forward("1", policy.endpoint_ids()[0])])
         client.proxy.dispatch(TimerExpired("again"))
-        up.set()
+        may_connect.set()
         assert (await client.read()).body == b"it"
         assert len(endpoint.requests) == 1
         assert client.proxy._connection_limits.open_connections == 1
--- a/tests/proxy/test_endpoint_list_applier.py
+++ b/tests/proxy/test_endpoint_list_applier.py
@@ -1,4 +1,4 @@
-"""Endpoint lists are applied in slices that undo nothing, and connections follow them."""
+"""Tests that lists applied in slices do not undo newer changes, and that connections follow the lists."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 from tests.support.waiting import wait_until
 
 
-async def test_a_host_that_was_removed_is_forgotten() -> None:
+async def test_removed_endpoints_are_forgotten() -> None:
     async with running_proxy(ScriptedPolicy(), initial_list=list_of_ports(1, 2)) as client:
         proxy = client.proxy
         proxy.list_applier.on_discovery_result(
@@ -34,14 +34,14 @@
     return {u.id: u.status for update in script.events_of(EndpointUpdate) for u in update.endpoints}
 
 
-async def test_a_long_list_is_applied_in_slices_and_requests_go_on() -> None:
+async def test_a_long_list_is_applied_in_slices_between_other_work() -> None:
     script, turns = ScriptedPolicy(), 0
     async with running_proxy(script, initial_list=complete_list(3)) as client:
         client.proxy.list_applier.on_discovery_result(read_live_list(complete_list(1000, 2, first=2)))
         while client.proxy.list_applier.task is not None:
             await asyncio.sleep(0)
             turns += 1
-        assert turns >= 1000 // SLICE_ENTRIES  # so many turns of the loop were others' too
+        assert turns >= 1000 // SLICE_ENTRIES  # turns of the event loop in which requests are served
         assert max(len(list(update.endpoints)) for update in later_updates(script)) <= SLICE_ENTRIES
         assert {update.kind for update in later_updates(script)} == {EndpointUpdateKind.DELTA}
         removed = {
@@ -49,35 +49,34 @@
             for endpoint_id, status in last_statuses(script).items()
             if status is EndpointStatus.REMOVED
         }
-        assert removed == {preferred_id("s0"), preferred_id("s1")}  # s2 is in both
+        assert removed == {preferred_id("s0"), preferred_id("s1")}  # s2 is in both lists
         assert set(client.proxy.addresses.by_id) == {preferred_id(f"s{i}") for i in range(2, 1002)}
-        assert not client.proxy.addresses.pools  # no connections, nor a place for any, where nothing is sent
+        assert not client.proxy.addresses.pools  # no pools where nothing is sent
 
 
-async def test_what_comes_while_a_long_list_is_applied_is_not_undone() -> None:
+async def test_a_delta_received_while_a_long_list_is_applied_is_not_undone() -> None:
     script = ScriptedPolicy()
     async with running_proxy(script, initial_list=complete_list(3)) as client:
         proxy = client.proxy
         proxy.list_applier.on_discovery_result(read_live_list(complete_list(500, 2)))
-        proxy.list_applier.on_discovery_result(
-            read_live_list(complete_list(500, 3))
-        )  # waits behind the first
-        last = {
+        # Waits for the first one.
+        proxy.list_applier.on_discovery_result(read_live_list(complete_list(500, 3)))
+        delta = {
             "seq": 4,
             "whole": False,
             "hosts": [entry("s499", health="draining"), entry("s498", health="removed"), entry("new", 7)],
         }
-        proxy.list_applier.on_discovery_result(read_live_list(last))  # applied at once
+        proxy.list_applier.on_discovery_result(read_live_list(delta))  # applied at once
         assert proxy.list_applier.task is not None
-        names = ("s499", "s498", "new")
-        assert [u.id for u in later_updates(script)[-1].endpoints] == [preferred_id(name) for name in names]
+        hosts = ("s499", "s498", "new")
+        assert [u.id for u in later_updates(script)[-1].endpoints] == [preferred_id(host) for host in hosts]
         await wait_until(lambda: proxy.list_applier.task is None)
         assert last_statuses(script)[preferred_id("s499")] is EndpointStatus.DRAINING
         assert last_statuses(script)[preferred_id("s498")] is EndpointStatus.REMOVED
         assert last_statuses(script)[preferred_id("new")] is EndpointStatus.READY
         assert len(proxy.addresses.by_id) == 500
         assert not {preferred_id("s499"), preferred_id("s498")} & set(proxy.addresses.ready())
-        # A newer complete list counts again.
+        # A newer complete list supersedes all earlier ones.
         proxy.list_applier.on_discovery_result(read_live_list(complete_list(300, 5)))
         await wait_until(lambda: proxy.list_applier.task is None)
         assert len(proxy.addresses.ready()) == 300
@@ -93,13 +92,13 @@
         assert len(client.proxy.addresses.by_id) == 2
 
 
-async def test_connections_are_kept_only_for_endpoints_in_use() -> None:
+async def test_connection_pools_are_kept_only_for_endpoints_in_use() -> None:
     async with running_proxy(ScriptedPolicy(), initial_list=complete_list(200)) as client:
-        numbers = list(client.proxy.addresses.ready())
-        assert client.proxy.addresses.connection_pool(numbers[3]) is client.proxy.addresses.connection_pool(
-            numbers[3]
-        )
-        assert list(client.proxy.addresses.pools) == [numbers[3]]
+        endpoint_ids = list(client.proxy.addresses.ready())
+        assert client.proxy.addresses.connection_pool(
+            endpoint_ids[3]
+        ) is client.proxy.addresses.connection_pool(endpoint_ids[3])
+        assert list(client.proxy.addresses.pools) == [endpoint_ids[3]]
         assert client.proxy.addresses.connection_pool(1) is None
         client.proxy.addresses.forget_empty_pools()
         assert not client.proxy.addresses.pools
