--- a/tests/proxy/test_endpoint_connections.py
+++ b/tests/proxy/test_endpoint_connections.py
@@ -1,4 +1,4 @@
-"""Connections to endpoints: when one is reused, closed or refused."""
+"""Tests of when a connection to an endpoint is reused, closed or refused."""
 
 from __future__ import annotations
 
@@ -33,12 +33,12 @@
 
 
 @pytest.mark.parametrize(
-    "behind",
+    "extra_bytes",
     [format_response(200, b"mine"), b"\xd1\xaanoise\r\n\r\n", b"HTTP/1.1 2"],
     ids=["second response", "noise", "part of a response"],
 )
-async def test_bytes_after_a_response_close_the_connection(behind: bytes) -> None:
-    endpoint = await FakeEndpoint(respond_raw(format_response(200, b"mine") + behind)).start()
+async def test_bytes_after_a_response_close_the_connection(extra_bytes: bytes) -> None:
+    endpoint = await FakeEndpoint(respond_raw(format_response(200, b"mine") + extra_bytes)).start()
     policy = forwarding_policy(fail_unless_complete)
     async with running_proxy(policy, endpoint) as client:
         for number in (1, 2):
@@ -51,7 +51,7 @@
 async def test_a_late_second_response_is_not_given_to_the_next_request(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    # A quarantine so long that a slow machine changes nothing.
+    # So long that the quarantine cannot end during the test on a slow machine.
     monkeypatch.setattr("loadbalancer.proxy.attempts.QUARANTINE_S", 60.0)
     writers: list[asyncio.StreamWriter] = []
 
@@ -60,7 +60,7 @@
         if len(writers) == 1:
             writer.write(format_response(200, b"first"))
             return
-        writers[0].write(format_response(200, b"first"))  # once more, when the next request is there
+        writers[0].write(format_response(200, b"first"))  # a second time, after the next request has arrived
         await writers[0].drain()
         await wait_until(lambda: endpoint.closed_connections or len(policy.events_of(AttemptEnded)) > 1)
         writer.write(format_response(200, b"second"))
@@ -102,7 +102,7 @@
             assert endpoint.opened_connections == opened
             if len(endpoint.requests) == 2:
                 pool = next(iter(client.proxy.addresses.pools.values()))
-                pool.idle_connections[0].idle_since_s -= 12.5  # as if it had been idle for so long
+                pool.idle_connections[0].idle_since_s -= 12.5  # as if it had been idle for 12.5 s
         await wait_until(lambda: endpoint.closed_connections == 1)
 
 
@@ -114,7 +114,7 @@
         pool = next(iter(client.proxy.addresses.pools.values()))
         transport = pool.idle_connections[0]._transport
         assert transport is not None
-        transport.close()  # as it does when the other end closes; the pool is told a turn later
+        transport.close()  # as after a close by the endpoint; the pool is notified one turn later
         ended: list[AttemptResult] = []
         start_exchange(
             pool, b"GET /read HTTP/1.1\r\n\r\n", None, lambda result, _response: ended.append(result)
@@ -129,7 +129,7 @@
     "unread", [b"", format_response(200, b"nobody's")], ids=["end of stream", "second response"]
 )
 async def test_an_idle_connection_with_unread_data_is_not_reused(unread: bytes) -> None:
-    # A close, or a second response, is received in the event loop turn of the next attempt.
+    # A close or a second response arrives in the turn of the event loop in which the next attempt starts.
     writers: list[asyncio.StreamWriter] = []
 
     async def respond(_received: ReceivedMessage, writer: asyncio.StreamWriter) -> None:
@@ -149,7 +149,7 @@
             os.write(endpoint_socket.fileno(), unread)
         else:
             endpoint_socket.shutdown(socket.SHUT_WR)
-        client.proxy.dispatch(TimerExpired("retry"))  # in the same turn
+        client.proxy.dispatch(TimerExpired("retry"))  # in the same turn of the event loop
         assert (await client.read()).body == b"mine"
         assert endpoint.opened_connections == 2
         assert results(policy) == [AttemptResult.OK] * 2
@@ -158,43 +158,44 @@
 async def test_connections_to_endpoints_are_limited() -> None:
     endpoint = await FakeEndpoint(never_respond).start()
     policy = forwarding_policy(fail_unless_complete)
-    async with running_proxy(policy, endpoint, max_sockets=32 + 16) as client:  # so eight on either side
-        others = [client.new_client() for _ in range(8)]
-        for other in others[:7]:
-            await other.send(request())
+    # Eight connections to clients and eight to endpoints.
+    async with running_proxy(policy, endpoint, max_sockets=32 + 16) as client:
+        clients = [client.new_client() for _ in range(8)]
+        for other_client in clients[:7]:
+            await other_client.send(request())
         await wait_until(lambda: len(endpoint.requests) == 7)
         client.proxy._connection_limits.max_connections = 7
         assert (await client.exchange(request())).status == 504
         assert client.proxy._connection_limits.open_connections == 7
         assert results(policy) == [AttemptResult.CONNECT_FAILED]
-        for other in others:
-            other.close()
+        for other_client in clients:
+            other_client.close()
         await wait_until(lambda: client.proxy._connection_limits.open_connections == 0)
 
 
 async def test_idle_connections_are_reused_for_concurrent_requests() -> None:
-    waiting: list[asyncio.StreamWriter] = []
+    waiting_writers: list[asyncio.StreamWriter] = []
 
-    async def wait(_received: ReceivedMessage, writer: asyncio.StreamWriter) -> None:
-        waiting.append(writer)
+    async def hold_response(_received: ReceivedMessage, writer: asyncio.StreamWriter) -> None:
+        waiting_writers.append(writer)
 
-    endpoint = await FakeEndpoint(wait).start()
+    endpoint = await FakeEndpoint(hold_response).start()
     policy = forwarding_policy()
     async with running_proxy(policy, endpoint) as client:
-        others = [client.new_client() for _ in range(6)]
-        for turn in range(1, 4):
-            for other in others:
-                await other.send(request())
-            await wait_until(lambda: len(waiting) == len(others))
-            for writer in waiting:
+        clients = [client.new_client() for _ in range(6)]
+        for round_number in range(1, 4):
+            for other_client in clients:
+                await other_client.send(request())
+            await wait_until(lambda: len(waiting_writers) == len(clients))
+            for writer in waiting_writers:
                 writer.write(format_response(200))
-            waiting.clear()
-            for other in others:
-                assert (await other.read()).status == 200
+            waiting_writers.clear()
+            for other_client in clients:
+                assert (await other_client.read()).status == 200
             end_quarantine(client.proxy)
-            assert (len(endpoint.requests), endpoint.opened_connections) == (6 * turn, 6)
-        for other in others:
-            other.close()
+            assert (len(endpoint.requests), endpoint.opened_connections) == (6 * round_number, 6)
+        for other_client in clients:
+            other_client.close()
 
 
 async def test_an_idle_connection_is_closed_for_one_to_another_endpoint() -> None:
