--- a/tests/proxy/test_backoff.py
+++ b/tests/proxy/test_backoff.py
@@ -1,4 +1,4 @@
-"""Backoff grows with the failures up to its bound, and is spread."""
+"""Tests that the backoff grows with the failures up to its maximum, and is jittered."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
         (10**6, MAX_DELAY_S),
     ],
 )
-def test_the_delay_doubles_up_to_its_bound_within_the_jitter(failures: int, delay_s: float) -> None:
+def test_the_delay_doubles_up_to_its_maximum_within_the_jitter(failures: int, delay_s: float) -> None:
     backoff = Backoff(random.Random(1))
     backoff.failures = failures
 
@@ -30,7 +30,7 @@
     assert max(delays) - min(delays) > delay_s * JITTER_FRACTION
 
 
-def test_a_success_starts_anew() -> None:
+def test_a_success_resets_the_backoff() -> None:
     backoff = Backoff(random.Random(1))
     for _ in range(3):
         backoff.record_failure()
--- a/tests/proxy/test_gossip.py
+++ b/tests/proxy/test_gossip.py
@@ -1,4 +1,4 @@
-"""Gossip between two proxies over loopback sockets."""
+"""Tests of gossip between two proxies, over loopback sockets."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
 
 
 def gossip_config(index: int, addresses: list[Address]) -> Configuration:
-    """Configure one of two proxies; a message to all peers goes to the second one alone."""
+    """Configure one of two proxies; a message to all peers is sent to the second one only."""
     return Configuration(
         f"n{index}",
         (HOST, 0),
--- a/tests/proxy/test_health_checks.py
+++ b/tests/proxy/test_health_checks.py
@@ -1,4 +1,4 @@
-"""Health checks over loopback sockets."""
+"""Tests of health checks, over loopback sockets."""
 
 from __future__ import annotations
 
@@ -41,11 +41,11 @@
         (200, b'{"inflight": NaN}'),
     ]
 
-    async def stats(received: ReceivedMessage, writer: asyncio.StreamWriter) -> None:
+    async def respond_with_report(received: ReceivedMessage, writer: asyncio.StreamWriter) -> None:
         status, body = responses[len(endpoint.requests) - 1]
         await respond_with(status, body)(received, writer)
 
-    endpoint = await FakeEndpoint(stats).start()
+    endpoint = await FakeEndpoint(respond_with_report).start()
     policy = ScriptedPolicy(on_timer(lambda: [CheckHealth(policy.endpoint_ids()[0])]))
     async with running_proxy(policy, endpoint) as client:
         for i in range(len(responses)):
