--- a/loadbalancer/proxy/addresses.py
+++ b/loadbalancer/proxy/addresses.py
@@ -40,14 +40,14 @@
     host = host.strip("[]")
     is_ipv6 = ":" in host
     try:
-        number = socket.inet_pton(socket.AF_INET6 if is_ipv6 else socket.AF_INET, host)
+        packed_host = socket.inet_pton(socket.AF_INET6 if is_ipv6 else socket.AF_INET, host)
     except (OSError, ValueError) as error:
         raise _address_error(text) from error
     if not (port.isascii() and port.isdigit() and int(port) <= MAX_PORT):
         raise _address_error(text)
     if is_ipv6:
         return host, int(port)
-    return int.from_bytes(number, "big") << PORT_BITS | int(port)
+    return int.from_bytes(packed_host, "big") << PORT_BITS | int(port)
 
 
 def _address_error(text: str) -> AddressError:
--- a/loadbalancer/proxy/discovery_call.py
+++ b/loadbalancer/proxy/discovery_call.py
@@ -35,10 +35,10 @@
 
 CONNECT_TIMEOUT_S = 2.0
 
-# Added to the time for which discovery may hold a call; the call times out after the sum.
+# A call times out this long after the time for which discovery may hold it.
 TIMEOUT_MARGIN_S = 1.0
 
-# Each received part of a response extends the timeout by the time that the part takes at this rate.
+# Each part of a response that is received extends the timeout by the time that it takes at this rate.
 MIN_RESPONSE_BYTES_PER_S = 4_000_000
 
 # The settings give an idle timeout for endpoints only: the pool uses its default for discovery.
@@ -72,7 +72,7 @@
         self.reader = reader
         self.host = f"{address[0]}:{address[1]}".encode()
         self.refuses_connections = False
-        """Whether the last call failed to connect; False until a call has ended."""
+        """Whether the last call failed to connect; False if that is not known."""
         limits = ConnectionLimits(
             max_connections=MAX_CONNECTIONS_PER_ADDRESS,
             connect_timeout_s=CONNECT_TIMEOUT_S,
@@ -143,7 +143,7 @@
         try:
             result = run_to_completion(reading)
         except EndpointListError as error:
-            result = _unreadable(error)
+            result = _log_invalid_list(error)
         self._on_result(result)
 
     async def _read_cooperatively(self, reading: CooperativeWork[EndpointList]) -> None:
@@ -151,10 +151,10 @@
         try:
             result = await run_cooperatively(reading)
         except EndpointListError as error:
-            result = _unreadable(error)
+            result = _log_invalid_list(error)
         self._on_result(result)
 
 
-def _unreadable(error: EndpointListError) -> DiscoveryFailure:
+def _log_invalid_list(error: EndpointListError) -> DiscoveryFailure:
     log.warning("discovery: invalid endpoint list: %.*s", MAX_LOGGED_ERROR_CHARACTERS, error)
     return DiscoveryFailure.CALL_FAILED
--- a/loadbalancer/proxy/discovery_client.py
+++ b/loadbalancer/proxy/discovery_client.py
@@ -21,9 +21,9 @@
 from loadbalancer.proxy.wire_names import AFTER_VERSION_PARAMETER, WAIT_MS_PARAMETER
 from loadbalancer.units import MILLISECONDS_PER_SECOND
 
-# How long discovery may hold a watch call while nothing changes. A call without a response after that time is
-# treated as lost, and the change that it should have returned must still be received within seconds. The wait
-# is short where discovery is an agent on this machine, and longer where many proxies poll one service.
+# How long discovery may hold a watch call until there is a change. A call that takes longer counts as lost,
+# and the change that it would have returned must still be received within seconds. The wait is short where
+# discovery is an agent on this machine, and longer where many proxies poll one service.
 PUSH_WAIT_MS = 2_000
 POLL_WAIT_MS = 10_000
 
--- a/loadbalancer/proxy/endpoint_connection.py
+++ b/loadbalancer/proxy/endpoint_connection.py
@@ -139,7 +139,7 @@
         self.fail()
 
     def fail(self) -> None:
-        """Close the connection; its exchange fails with a result that tells if the request was written."""
+        """Close the connection; the failure of its exchange depends on whether the request was written."""
         exchange = self._exchange
         self.close()
         if exchange is not None:
