--- a/tests/proxy/test_endpoint_connections.py
+++ b/tests/proxy/test_endpoint_connections.py
@@ -41,9 +41,9 @@
     endpoint = await FakeEndpoint(respond_raw(format_response(200, b"mine") + extra_bytes)).start()
     policy = forwarding_policy(fail_unless_complete)
     async with running_proxy(policy, endpoint) as client:
-        for number in (1, 2):
+        for count in (1, 2):
             assert (await client.exchange(request())).body == b"mine"
-            assert endpoint.opened_connections == len(endpoint.requests) == number
+            assert endpoint.opened_connections == len(endpoint.requests) == count
             assert not client.proxy._connection_limits.idle_connections
         assert results(policy) == [AttemptResult.OK] * 2
 
--- a/tests/proxy/test_endpoint_ids.py
+++ b/tests/proxy/test_endpoint_ids.py
@@ -22,10 +22,10 @@
 
 
 def test_a_host_has_the_same_id_in_every_process() -> None:
-    rows = [entry("s-5be2a07c"), entry("s-0001320d"), entry("s-0001e3f4")]
+    listed = [entry("s-5be2a07c"), entry("s-0001320d"), entry("s-0001e3f4")]
     first, second = (
         read_list({"seq": 1, "whole": True, "hosts": hosts}, EndpointListReader(offset))
-        for offset, hosts in ((0, rows), (9, rows[::-1]))
+        for offset, hosts in ((0, listed), (9, listed[::-1]))
     )
     assert list(first.ids) == list(second.ids)[::-1]  # for any reader and any order of the entries
     assert first.ids[0] == preferred_id("s-5be2a07c") == 9587356208999800076
@@ -37,8 +37,10 @@
     assert len(set(endpoint_list.ids)) == 2
 
 
-def read_hosts(reader: EndpointListReader, version: int, *hosts: object, whole: bool = False) -> EndpointList:
-    return read_list(list_json(version, *hosts, whole=whole), reader)
+def read_hosts(
+    reader: EndpointListReader, version: int, *hosts: object, complete: bool = False
+) -> EndpointList:
+    return read_list(list_json(version, *hosts, whole=complete), reader)
 
 
 @pytest.fixture
@@ -54,9 +56,9 @@
 @pytest.mark.usefixtures("colliding_ids")
 def test_a_colliding_host_keeps_its_id_in_every_list() -> None:
     reader = EndpointListReader(0)
-    assert list(read_hosts(reader, 1, entry("a"), entry("b"), entry("a"), whole=True).ids) == [7, 8, 7]
+    assert list(read_hosts(reader, 1, entry("a"), entry("b"), entry("a"), complete=True).ids) == [7, 8, 7]
     assert list(read_hosts(reader, 2, entry("c"), entry("b", health="draining")).ids) == [9, 8]
-    assert list(read_hosts(reader, 3, entry("c"), entry("b"), entry("a"), whole=True).ids) == [9, 8, 7]
+    assert list(read_hosts(reader, 3, entry("c"), entry("b"), entry("a"), complete=True).ids) == [9, 8, 7]
     assert list(read_hosts(reader, 4, entry("b", health="removed", dial="")).ids) == [8]
     assert read_hosts(reader, 5, entry("c", health="odd"), entry("a", dial="h")).unreadable == [
         9,
@@ -85,7 +87,7 @@
         assert script.endpoint_ids() == [SHARED_ID, SHARED_ID + 1]
         proxy = client.proxy
         proxy.list_applier.on_discovery_result(
-            read_hosts(proxy._list_reader, 2, entry("s1", 4), entry("s0", 3), whole=True)
+            read_hosts(proxy._list_reader, 2, entry("s1", 4), entry("s0", 3), complete=True)
         )
         await wait_until(lambda: proxy.list_applier.task is None)
         assert ids_by_port(proxy) == {3: SHARED_ID, 4: SHARED_ID + 1}
@@ -93,24 +95,24 @@
 
 @pytest.mark.usefixtures("colliding_ids")
 @pytest.mark.parametrize("swept", [False, True])
-@pytest.mark.parametrize("whole", [False, True])
+@pytest.mark.parametrize("complete", [False, True])
 @pytest.mark.parametrize("removed", [0, 1])
 async def test_a_removed_host_can_return_while_its_colliding_partner_stays(
-    removed: int, whole: bool, swept: bool
+    removed: int, complete: bool, swept: bool
 ) -> None:
     async with running_proxy(ScriptedPolicy(), initial_list=list_of_ports(1, 2)) as client:
         proxy, remaining = client.proxy, 1 - removed
 
-        def apply(*hosts: object, whole: bool = False) -> None:
+        def apply(*hosts: object, complete: bool = False) -> None:
             version = (proxy._list_reader._newest_version or 0) + 1
             proxy.list_applier.on_discovery_result(
-                read_hosts(proxy._list_reader, version, *hosts, whole=whole)
+                read_hosts(proxy._list_reader, version, *hosts, complete=complete)
             )
             if swept:
                 proxy.list_applier.sweep_ids(SEGMENTS)
 
-        if whole:
-            apply(entry(f"s{remaining}", remaining + 1), whole=True)
+        if complete:
+            apply(entry(f"s{remaining}", remaining + 1), complete=True)
         else:
             apply(entry(f"s{removed}", health="removed", dial=""))
         assert ids_by_port(proxy) == {remaining + 1: SHARED_ID + remaining}
@@ -126,7 +128,7 @@
         proxy, reader = client.proxy, client.proxy._list_reader
         many_entries = [entry(f"s{i}", i + 1) for i in range(1, 100)]
         # Applied in slices.
-        proxy.list_applier.on_discovery_result(read_hosts(reader, 2, *many_entries, whole=True))
+        proxy.list_applier.on_discovery_result(read_hosts(reader, 2, *many_entries, complete=True))
         assert proxy.list_applier.task is not None
         proxy.list_applier.sweep_ids(SEGMENTS)
         assert len(reader.id_registry) == 100
@@ -142,7 +144,7 @@
         proxy, reader = client.proxy, client.proxy._list_reader
         for version in range(2, 50):
             proxy.list_applier.on_discovery_result(
-                read_hosts(reader, version, entry(f"x{version}"), whole=True)
+                read_hosts(reader, version, entry(f"x{version}"), complete=True)
             )
         with pytest.raises(EndpointListError):
             read_list({"hosts": [entry("bad")]}, reader)
