--- a/loadbalancer/proxy/endpoint_list_parser.py
+++ b/loadbalancer/proxy/endpoint_list_parser.py
@@ -78,16 +78,16 @@
 class EndpointListParser:
     """Builds a list from JSON parser events, which are fed in any number of pieces."""
 
-    def __init__(self, offset_ns: int, id_registry: EndpointIdRegistry | None = None) -> None:
+    def __init__(self, clock_offset_ns: int, id_registry: EndpointIdRegistry | None = None) -> None:
         """Expect the start of the list's object.
 
         Args:
-            offset_ns: Unix time minus the time of the monotonic clock.
+            clock_offset_ns: Unix time minus the time of the monotonic clock.
             id_registry: Assigns the ids; if it is None, a new registry is used.
         """
         self._id_registry = EndpointIdRegistry() if id_registry is None else id_registry
         self._list = EndpointList(self._id_registry)
-        self._offset_ns = offset_ns
+        self._clock_offset_ns = clock_offset_ns
         self._section = _Section.NOT_STARTED
         self._depth = OUTSIDE_DEPTH
         self._member: object = ""  # the last key seen at MEMBER_DEPTH
@@ -249,7 +249,7 @@
         """
         if started_ms <= 0:
             return 0
-        return min(started_ms * NANOSECONDS_PER_MILLISECOND - self._offset_ns, time.monotonic_ns())
+        return min(started_ms * NANOSECONDS_PER_MILLISECOND - self._clock_offset_ns, time.monotonic_ns())
 
     def _endpoint_id(self, host: str, status: EndpointStatus) -> int | None:
         """Return a host's id; None for a removal that must be ignored.
--- a/loadbalancer/proxy/endpoint_list_reader.py
+++ b/loadbalancer/proxy/endpoint_list_reader.py
@@ -32,17 +32,17 @@
 class EndpointListReader:
     """Reads the responses of discovery, and ignores lists that are older than the newest one read."""
 
-    def __init__(self, offset_ns: int, id_registry: EndpointIdRegistry | None = None) -> None:
+    def __init__(self, clock_offset_ns: int, id_registry: EndpointIdRegistry | None = None) -> None:
         """Start with no list read.
 
         Args:
-            offset_ns: Unix time minus the time of the monotonic clock.
+            clock_offset_ns: Unix time minus the time of the monotonic clock.
             id_registry: Assigns the ids of endpoints; if it is None, a new registry is used.
         """
         self.id_registry = EndpointIdRegistry() if id_registry is None else id_registry
         self.reads_in_progress = 0
         """Number of lists being read; the ids assigned to their endpoints may not be in use elsewhere yet."""
-        self._offset_ns = offset_ns
+        self._clock_offset_ns = clock_offset_ns
         self._newest_version: int | None = None
 
     def read(self, text: bytes) -> EndpointList:
@@ -59,7 +59,7 @@
         Raises:
             EndpointListError: The text is not an endpoint list.
         """
-        list_parser = EndpointListParser(self._offset_ns, self.id_registry)
+        list_parser = EndpointListParser(self._clock_offset_ns, self.id_registry)
         finished = False
         with self._count_read(), _json_parser() as (json_parser, events):
             while text:
