--- a/loadbalancer/proxy/endpoint_list_applier.py
+++ b/loadbalancer/proxy/endpoint_list_applier.py
@@ -1,7 +1,7 @@
 """Applies endpoint lists: stores the addresses and reports the endpoints to the policy.
 
 A long list is applied in slices that take a fraction of a millisecond each, reported as deltas, so that
-requests are served in between. A short list that is received meanwhile is applied at once, and its entries
+requests are served in between. A short delta that is received meanwhile is applied at once, and its entries
 supersede those of the same endpoints in the long list.
 """
 
@@ -26,7 +26,7 @@
 # A complete list that replaces more endpoints than this is applied in slices, however short it is.
 MAX_REPLACED_AT_ONCE = 2 * SLICE_ENTRIES
 
-# Segments of the id registry in one sweep; at one sweep a second, all segments take some four minutes.
+# Segments of the id registry that are swept at a time: with a sweep each second, all take some four minutes.
 SWEEP_SEGMENTS = 1
 
 UPDATE_KIND_BY_FAILURE = {
@@ -36,7 +36,7 @@
 
 
 class EndpointListApplier:
-    """Applies endpoint lists in the order of their receipt, except that a short list overtakes a long one."""
+    """Applies endpoint lists in order of receipt; only a short delta is applied before pending lists."""
 
     def __init__(
         self,
