--- a/loadbalancer/proxy/proxy.py
+++ b/loadbalancer/proxy/proxy.py
@@ -91,7 +91,7 @@
             self._list_reader, self.addresses, self._on_endpoint_update
         )
         self.discovery_client = components.make_discovery_client(
-            config, self._list_reader, self.list_applier.on_watch_result
+            config, self._list_reader, self.list_applier.on_discovery_result
         )
 
     def _make_attempts(self) -> Attempts:
@@ -136,7 +136,7 @@
     def _apply_known_list(self) -> None:
         known = self.config.known_endpoints
         if known is not None:
-            self.discovery_client.start_from(self._list_reader.accept(known))
+            self.discovery_client.set_initial_list(self._list_reader.accept(known))
         self.list_applier.apply_cached(known)
 
     def _sweep_once(self) -> None:
