--- a/loadbalancer/messages.py
+++ b/loadbalancer/messages.py
@@ -99,7 +99,7 @@
     elapsed_ns: int  # since the attempt started
     request_complete: bool = False  # the client has its final response
     load_report: Mapping[str, float] | None = None  # sent with the response; by column name
-    counts: bool = True  # towards `Limits.max_attempts`; not where the proxy never began it
+    counts_as_attempt: bool = True  # towards `Limits.max_attempts`; False if the proxy never began it
     was_written: bool = True  # the whole request may have reached the endpoint; if not, it never ran
 
 
--- a/loadbalancer/policy/request_lifecycle.py
+++ b/loadbalancer/policy/request_lifecycle.py
@@ -108,7 +108,7 @@
         attempt.end(
             event.result,
             may_have_run=event.was_written and may_have_run(event.result, self.settings.rules),
-            counts=event.counts,
+            counts=event.counts_as_attempt,
         )
         self.attempt_results.record(request=request, attempt=attempt, event=event, now_ns=now_ns)
         if event.request_complete:
--- a/loadbalancer/proxy/attempts.py
+++ b/loadbalancer/proxy/attempts.py
@@ -144,7 +144,7 @@
                 elapsed_ns=elapsed_ns,
                 request_complete=pending.finished,
                 load_report=load_report,
-                counts=counts,
+                counts_as_attempt=counts,
                 was_written=was_written,
             )
         )
@@ -160,7 +160,7 @@
                 result=AttemptResult.NOT_SENT,
                 elapsed_ns=0,
                 request_complete=request_complete,
-                counts=counts,
+                counts_as_attempt=counts,
             )
         )
 
--- a/tests/proxy/test_attempts.py
+++ b/tests/proxy/test_attempts.py
@@ -212,7 +212,7 @@
         client.proxy.dispatch(TimerExpired("overdue"))
         release.set()
         assert (await client.read()).status == 200
-    assert [(ended.result, ended.counts) for ended in policy.events_of(AttemptEnded)] == [
+    assert [(ended.result, ended.counts_as_attempt) for ended in policy.events_of(AttemptEnded)] == [
         (AttemptResult.NOT_SENT, False),
         (AttemptResult.RESET, True),
         (AttemptResult.NOT_SENT, False),
