--- a/loadbalancer/state/endpoint_state.py
+++ b/loadbalancer/state/endpoint_state.py
@@ -1,4 +1,4 @@
-"""What this proxy knows of one endpoint that it uses."""
+"""The state that a proxy keeps for each endpoint that it uses."""
 
 from __future__ import annotations
 
@@ -11,29 +11,29 @@
 
 @dataclass(slots=True, eq=False)
 class EndpointState:
-    """The counters and times of one endpoint; `policy` decides what follows from them."""
+    """Counters and timestamps of one endpoint; the rules that use them are in `loadbalancer/policy`."""
 
     id: int
     endpoint: Endpoint  # its entry in the endpoint list
-    reserve_rank: int = 0  # the order in which this proxy uses its reserve
+    reserve_rank: int = 0  # its position in the order in which this proxy uses its reserve
     in_subset: bool = False  # in the subset of one of this proxy's pools
     # Attempts of this proxy.
-    in_flight: int = 0  # without the overdue ones
-    overdue: int = 0  # those whose response is considered lost
-    in_flight_since_ns: int = 0  # since when `in_flight` has had its value
-    last_answered_ns: int = 0  # the latest send time of an attempt that it has answered
-    relative_latency: float = 1.0  # as a multiple of the mean over the endpoints
+    in_flight: int = 0  # attempts in flight, without the overdue ones
+    overdue: int = 0  # attempts in flight whose response is considered lost
+    in_flight_since_ns: int = 0  # `in_flight` is known to have had its present value since this time
+    last_answered_ns: int = 0  # the latest send time of the attempts that it has answered
+    relative_latency: float = 1.0  # its latency as a multiple of the mean over the endpoints
     # Failures.
     consecutive_failures: int = 0
     ejected_until_ns: int = 0
-    recent_attempts: float = 0.0  # attempts that have ended, decayed over time
+    recent_attempts: float = 0.0  # number of attempts that have ended, decayed over time
     recent_resets: float = 0.0  # those of them whose connection broke
     consecutive_resets: int = 0
     # Reported load.
     reported_load: float = 0.0  # requests of all proxies in flight, by its last load report
-    reported_ns: int = 0  # when that report came
-    checked_ns: int = 0  # the last health check sent to it
-    failed_check_ns: int = 0  # the last health check whose connection broke
+    reported_ns: int = 0  # when that report was received; 0: none yet
+    checked_ns: int = 0  # when the last health check was sent
+    failed_check_ns: int = 0  # when the connection of a health check last broke
 
     # ---- endpoint list -----------------------------------------------------------------------------------
 
@@ -42,7 +42,7 @@
         self.endpoint = endpoint
 
     def mark_removed(self) -> None:
-        """Record that the endpoint is no longer listed, or that this state gets no more updates."""
+        """Record that the endpoint is no longer listed, or that this state receives no further updates."""
         self.endpoint = self.endpoint._replace(status=EndpointStatus.REMOVED)
 
     def join_subset(self) -> None:
@@ -56,18 +56,18 @@
     # ---- attempts ----------------------------------------------------------------------------------------
 
     def add_attempt(self) -> None:
-        """Count an attempt that is sent, in the reported load too."""
+        """Count an attempt that is being sent; the last reported load grows by one, too."""
         self.in_flight += 1
         if self.reported_ns > 0:
             self.reported_load += 1
 
     def mark_overdue(self) -> None:
-        """Count one attempt in flight as overdue instead."""
+        """Move one attempt from `in_flight` to `overdue`."""
         self.in_flight -= 1
         self.overdue += 1
 
     def remove_attempt(self, *, overdue: bool) -> None:
-        """Count an attempt that has ended no longer."""
+        """Remove an attempt that has ended from the counts."""
         if overdue:
             self.overdue -= 1
         else:
@@ -75,34 +75,34 @@
         self.reported_load = max(0.0, self.reported_load - 1)
 
     def record_response(self, sent_ns: int) -> None:
-        """Record that the endpoint has answered an attempt that was sent at this time."""
+        """Record that the endpoint has answered an attempt that was sent at `sent_ns`."""
         self.last_answered_ns = max(self.last_answered_ns, sent_ns)
 
     def restart_occupancy(self, now_ns: int) -> None:
-        """Measure from now on for how long `in_flight` keeps its value."""
+        """Start to measure how long `in_flight` keeps its present value."""
         self.in_flight_since_ns = now_ns
 
     def adjust_relative_latency(self, ratio: float, weight: float) -> None:
-        """Move the relative latency towards a new sample, which has this weight (0 to 1)."""
+        """Move the relative latency towards a new sample by a fraction of `weight` (0 to 1)."""
         self.relative_latency += weight * (ratio - self.relative_latency)
 
     # ---- failures ----------------------------------------------------------------------------------------
 
     def record_failure(self) -> None:
-        """Count one more failure in a row."""
+        """Count one more consecutive failure."""
         self.consecutive_failures += 1
 
     def clear_failures_and_ejection(self) -> None:
-        """Clear the failures in a row, and end the ejection or pacing."""
+        """Reset the count of consecutive failures, and end the ejection or pacing."""
         self.consecutive_failures = 0
         self.ejected_until_ns = 0
 
     def eject_until(self, until_ns: int) -> None:
-        """Eject the endpoint until this time."""
+        """Eject the endpoint until `until_ns`."""
         self.ejected_until_ns = until_ns
 
     def extend_ejection(self, until_ns: int) -> None:
-        """Eject the endpoint until this time at least."""
+        """Eject the endpoint until `until_ns` at the earliest."""
         self.ejected_until_ns = max(self.ejected_until_ns, until_ns)
 
     def record_ended_attempt(self, *, was_reset: bool) -> None:
@@ -122,13 +122,13 @@
     # ---- load reports ------------------------------------------------------------------------------------
 
     def record_load(self, load: float | None, now_ns: int) -> None:
-        """Store a reported load; None and invalid loads (negative, huge, not a number) are ignored."""
+        """Store a reported load; None and invalid loads (negative, `LOAD_MAX` and more, NaN) are ignored."""
         if load is not None and 0 <= load < LOAD_MAX:
             self.reported_load = load
             self.reported_ns = now_ns
 
     def record_check_sent(self, now_ns: int) -> None:
-        """Record that a health check is sent."""
+        """Record that a health check is being sent."""
         self.checked_ns = now_ns
 
     def record_check_reset(self, now_ns: int) -> None:
