--- a/loadbalancer/policy/attempt_results.py
+++ b/loadbalancer/policy/attempt_results.py
@@ -117,7 +117,7 @@
         """
         state = attempt.endpoint_state
         self.outlier_detection.eject_overloaded(attempt, now_ns)
-        if state.last_answered_ns > attempt.sent_ns:
+        if state.latest_answered_send_ns > attempt.sent_ns:
             self.concurrency_limit.record_occupancy(state, now_ns)
             attempt.mark_overdue()
 
--- a/loadbalancer/policy/load_probing.py
+++ b/loadbalancer/policy/load_probing.py
@@ -42,7 +42,7 @@
         request.start_probing(list(dict.fromkeys(drawn)), now_ns)
         checks = []
         for state in request.probed_endpoints:
-            if now_ns - max(state.reported_ns, state.checked_ns) >= PROBED_LOAD_MAX_AGE_NS:
+            if now_ns - max(state.reported_ns, state.check_sent_ns) >= PROBED_LOAD_MAX_AGE_NS:
                 state.record_check_sent(now_ns)
                 checks.append(CheckHealth(state.id))
         self._timers.schedule(now_ns + PROBE_TIMEOUT_NS, ServeQueue())
@@ -55,7 +55,7 @@
         """
         if event.load_report is not None:
             state.record_load(event.load_report.get(IN_FLIGHT_COLUMN), now_ns)
-        elif event.result is AttemptResult.RESET and state.failed_check_ns < state.checked_ns:
+        elif event.result is AttemptResult.RESET and state.check_reset_ns < state.check_sent_ns:
             state.record_check_reset(now_ns)
             return [CheckHealth(state.id)]
         return []
--- a/loadbalancer/state/endpoint_state.py
+++ b/loadbalancer/state/endpoint_state.py
@@ -21,7 +21,7 @@
     in_flight: int = 0  # attempts in flight, without the overdue ones
     overdue: int = 0  # attempts in flight whose response is considered lost
     in_flight_since_ns: int = 0  # `in_flight` is known to have had its present value since this time
-    last_answered_ns: int = 0  # the latest send time of the attempts that it has answered
+    latest_answered_send_ns: int = 0  # the latest send time of the attempts that it has answered
     relative_latency: float = 1.0  # its latency as a multiple of the mean over the endpoints
     # Failures.
     consecutive_failures: int = 0
@@ -32,8 +32,8 @@
     # Reported load.
     reported_load: float = 0.0  # requests of all proxies in flight, by its last load report
     reported_ns: int = 0  # when that report was received; 0: none yet
-    checked_ns: int = 0  # when the last health check was sent
-    failed_check_ns: int = 0  # when the connection of a health check last broke
+    check_sent_ns: int = 0  # when the last health check was sent
+    check_reset_ns: int = 0  # when the connection of a health check last broke
 
     # ---- endpoint list -----------------------------------------------------------------------------------
 
@@ -76,7 +76,7 @@
 
     def record_response(self, sent_ns: int) -> None:
         """Record that the endpoint has answered an attempt that was sent at `sent_ns`."""
-        self.last_answered_ns = max(self.last_answered_ns, sent_ns)
+        self.latest_answered_send_ns = max(self.latest_answered_send_ns, sent_ns)
 
     def restart_occupancy(self, now_ns: int) -> None:
         """Start to measure how long `in_flight` keeps its present value."""
@@ -129,8 +129,8 @@
 
     def record_check_sent(self, now_ns: int) -> None:
         """Record that a health check is being sent."""
-        self.checked_ns = now_ns
+        self.check_sent_ns = now_ns
 
     def record_check_reset(self, now_ns: int) -> None:
         """Record that the connection of a health check broke."""
-        self.failed_check_ns = now_ns
+        self.check_reset_ns = now_ns
