--- a/loadbalancer/state/__init__.py
+++ b/loadbalancer/state/__init__.py
@@ -1,1 +1,1 @@
-"""State that the decisions keep: it stores and decides nothing."""
+"""The state that the policy keeps. Nothing here makes decisions."""
--- a/loadbalancer/state/endpoint_attributes.py
+++ b/loadbalancer/state/endpoint_attributes.py
@@ -10,7 +10,7 @@
 class EndpointAttributes(NamedTuple):
     """The fields of an `Endpoint` without its id, in the same order.
 
-    Endpoints with equal attributes share one object: in a long list most differ by their id alone.
+    Endpoints with equal attributes share one object: in a long list most differ only in their id.
     """
 
     status: EndpointStatus
@@ -22,4 +22,4 @@
 
 
 IdentifiedAttributes = tuple[int, EndpointAttributes]  # an endpoint's id and attributes
-EndpointFields = tuple[EndpointStatus, str, int, float, int, str]  # as `EndpointAttributes`, and equal to it
+EndpointFields = tuple[EndpointStatus, str, int, float, int, str]  # plain form, equal to `EndpointAttributes`
--- a/loadbalancer/state/endpoint_ids.py
+++ b/loadbalancer/state/endpoint_ids.py
@@ -1,6 +1,6 @@
-"""The ids of endpoints inside the process, unique also where the hashes of two host names collide.
+"""The ids of endpoints inside the process, unique even if the hashes of two host names collide.
 
-An id is a hash of the host name, so that all proxies give an endpoint the same one, in whatever order they
+An id is a hash of the host name, so that all proxies give an endpoint the same id, in whatever order they
 read their lists. If another host holds that id, the next free one is assigned.
 """
 
@@ -15,20 +15,20 @@
 ID_SPACE = 1 << ID_BITS
 ID_BYTES = 8
 SEGMENT_BITS = 8
-SEGMENTS = 1 << SEGMENT_BITS  # so many that inserting into one and sweeping one are cheap
+SEGMENTS = 1 << SEGMENT_BITS  # enough that an insertion into a segment and a sweep of one are cheap
 FINGERPRINT_PERSON = b"fingerprint"  # makes the second hash of a name independent of the first
 
 
 def preferred_id(host: str) -> int:
     """Return the id below 2^64 that a host prefers, the same in every process.
 
-    Two hosts hardly ever prefer the same one; `EndpointIdRegistry` gives one of them another id then.
+    Two hosts very rarely prefer the same id; `EndpointIdRegistry` then gives one of them another id.
     """
     return int.from_bytes(hashlib.blake2b(host.encode(), digest_size=ID_BYTES).digest(), "big")
 
 
 def host_fingerprint(host: str) -> int:
-    """Return a second hash of a host name, which tells apart hosts that prefer the same id."""
+    """Return a second hash of a host name, which distinguishes hosts that prefer the same id."""
     digest = hashlib.blake2b(host.encode(), digest_size=ID_BYTES, person=FINGERPRINT_PERSON).digest()
     return int.from_bytes(digest, "big")
 
@@ -43,7 +43,7 @@
         self.fingerprints = array("Q")
 
     def holder(self, endpoint_id: int) -> int | None:
-        """Return the fingerprint of the host that holds an id; None where it is free."""
+        """Return the fingerprint of the host that holds an id; None if the id is free."""
         index = bisect_left(self.ids, endpoint_id)
         if index < len(self.ids) and self.ids[index] == endpoint_id:
             return self.fingerprints[index]
@@ -65,7 +65,7 @@
 
 
 class EndpointIdRegistry:
-    """Assigns each host its id: the one it prefers or, if another host holds that, the next free one.
+    """Assigns an id to each host: the one it prefers or, if another host holds that, the next free one.
 
     A host is identified by two independent hashes of its name: the id that it prefers and its fingerprint.
     It holds its id until `sweep` finds that the id is no longer in use.
@@ -80,7 +80,7 @@
         return sum(len(segment.ids) for segment in self._segments)
 
     def assign(self, preferred: int, fingerprint: int) -> int:
-        """Return the id of a host, which holds it from now on."""
+        """Return the id of a host, which is assigned if the host has none yet."""
         if fingerprint in self._displaced:
             return self._displaced[fingerprint]
         endpoint_id = preferred
@@ -91,14 +91,14 @@
         return endpoint_id
 
     def find(self, preferred: int, fingerprint: int) -> int | None:
-        """Return the id of a host without assigning it; None if another host holds the preferred id."""
+        """Return the id that a host has, else its preferred id; None if another host holds that one."""
         if fingerprint in self._displaced:
             return self._displaced[fingerprint]
         holder = self._segment(preferred).holder(preferred)
         return preferred if holder in (None, fingerprint) else None
 
     def sweep(self, in_use: Container[int], segments: int = SEGMENTS) -> None:
-        """Free the ids that are not in use in this many segments, starting after the last one swept."""
+        """Free the ids that are not in use in the next `segments` segments after the last one swept."""
         for _ in range(segments):
             self._sweep_segment(self._segments[self._next_swept_segment], in_use)
             self._next_swept_segment = (self._next_swept_segment + 1) % SEGMENTS
--- a/loadbalancer/state/endpoint_pool.py
+++ b/loadbalancer/state/endpoint_pool.py
@@ -1,4 +1,4 @@
-"""The endpoints that the requests of one placement may use."""
+"""The endpoints to which a proxy forwards the requests of one placement."""
 
 from __future__ import annotations
 
@@ -12,14 +12,14 @@
 
 @dataclass(slots=True, eq=False)
 class EndpointPool:
-    """The endpoints that one placement allows and this proxy uses."""
+    """The endpoints that this proxy uses among those that one placement allows."""
 
     placement: Placement
-    endpoints: list[EndpointState] = field(default_factory=list)  # ready ones, this proxy's subset first
-    subset_size: int = 0  # how many of `endpoints` are its subset
-    sharing_proxies: float = 0.0  # proxies that have one of these in their subset
-    draw_width: int = 0  # how many of `endpoints` random choices are drawn from
-    current_subset: Subset | None = None  # what `endpoints` was made of
+    endpoints: list[EndpointState] = field(default_factory=list)  # ready ones, the subset first
+    subset_size: int = 0  # how many of `endpoints` are in the subset
+    sharing_proxies: float = 0.0  # mean number of proxies that have a given one of these in their subset
+    draw_width: int = 0  # random choices are made among this many of `endpoints`, from the first on
+    current_subset: Subset | None = None  # the subset that `endpoints` was filled from
     last_choice: EndpointState | None = None
 
     def allows(self, endpoint: Endpoint) -> bool:
@@ -33,7 +33,7 @@
         subset_size: int,
         sharing_proxies: float,
     ) -> None:
-        """Use these endpoints, the first `subset_size` of which random choices are drawn from."""
+        """Replace the endpoints; random choices are made among the first `subset_size` of them."""
         self.endpoints = endpoints
         self.current_subset = subset
         self.subset_size = subset_size
@@ -41,9 +41,9 @@
         self.sharing_proxies = sharing_proxies
 
     def record_choice(self, state: EndpointState) -> None:
-        """Store the endpoint that was chosen last."""
+        """Store the latest choice."""
         self.last_choice = state
 
     def set_draw_width(self, width: int) -> None:
-        """Draw random choices from the first `width` endpoints."""
+        """Make random choices among the first `width` endpoints."""
         self.draw_width = width
--- a/loadbalancer/state/endpoint_table.py
+++ b/loadbalancer/state/endpoint_table.py
@@ -1,8 +1,8 @@
-"""Every endpoint of the list, stored compactly, and the hash rings of those that are ready.
+"""All endpoints of the list in a compact form, and the hash rings of the ready ones.
 
 The table stores the attributes of each endpoint, and for each ready one a key on the ring of every placement
-that allows it. An update costs in proportion to what changed, and no structure that is read often grows with
-the length of the list. Only the endpoints in use have a full `EndpointState`.
+that allows it. The cost of an update is proportional to the number of changes, and no structure that is read
+often grows with the length of the list. Only the endpoints in use have a full `EndpointState`.
 """
 
 from __future__ import annotations
@@ -15,16 +15,17 @@
 from loadbalancer.state.hash_ring import RingKey, ring_slice, unmix64
 from loadbalancer.state.placement import Placement
 
-REBUILD_CHANGES_MIN = 256  # with fewer changes the rings are never rebuilt
-REBUILD_CHANGED_FRACTION = 0.5  # of the endpoints, beyond REBUILD_CHANGES_MIN
-UNUSED_ATTRIBUTES_MIN = 256  # fewer are never dropped
+# The rings are rebuilt when more endpoints have changed than REBUILD_CHANGES_MIN plus this fraction of all.
+REBUILD_CHANGES_MIN = 256
+REBUILD_CHANGED_FRACTION = 0.5
+UNUSED_ATTRIBUTES_MIN = 256  # fewer unused attributes are never dropped
 
 
 class EndpointTable:
     """The attributes of all listed endpoints, and the rings of the placements.
 
     `upsert` and `remove` record entries of the endpoint list; `apply_changes` updates the rings for all of
-    them at once. `index_zones` and `index_cells` tell whether the placements have rings by zone and by cell.
+    them at once. `index_zones` and `index_cells` say whether the placements have rings by zone and by cell.
     """
 
     def __init__(self, *, index_zones: bool, index_cells: bool) -> None:
@@ -32,8 +33,8 @@
         self.placements: list[Placement] = []
         self._index_zones = index_zones
         self._index_cells = index_cells
-        self._interned: dict[EndpointFields, EndpointAttributes] = {}  # the shared object of equal ones
-        # Endpoints changed since `apply_changes`, with the attributes by which the rings hold them.
+        self._interned: dict[EndpointFields, EndpointAttributes] = {}  # one shared object for equal ones
+        # Endpoints changed since `apply_changes`, with the attributes by which they are on the rings.
         self._changed: dict[int, EndpointAttributes | None] = {}
         self._must_rebuild = False
 
@@ -44,7 +45,7 @@
         self.placements.append(placement)
 
     def upsert(self, endpoint: Endpoint) -> None:
-        """Record an entry of the endpoint list; one whose status is removed deletes its endpoint."""
+        """Record an entry of the endpoint list; the status REMOVED deletes the endpoint."""
         endpoint_id = endpoint.id
         fields = endpoint[1:]
         old = self.attributes.get(endpoint_id)
@@ -68,7 +69,7 @@
         attributes = self._interned.get(fields)
         if attributes is None:
             attributes = EndpointAttributes._make(fields)
-            self._interned[attributes] = attributes  # its own key: a second tuple would cost as much again
+            self._interned[attributes] = attributes  # also the key: a second tuple would double the memory
         return attributes
 
     def _record_change(self, endpoint_id: int, old: EndpointAttributes | None) -> None:
@@ -76,12 +77,12 @@
             return
         self._changed.setdefault(endpoint_id, old)
         if len(self._changed) > REBUILD_CHANGES_MIN + REBUILD_CHANGED_FRACTION * len(self.attributes):
-            # As with the first list: cheaper than so many changes one by one.
+            # A rebuild is cheaper than so many changes one by one, as with the first list.
             self._must_rebuild = True
             self._changed.clear()
 
     def apply_changes(self) -> bool:
-        """Update the rings; return whether any endpoint was put on them or taken off."""
+        """Update the rings; return whether any endpoint was added to them or removed."""
         self._drop_unused_attributes()
         if self._must_rebuild:
             self._must_rebuild = False
@@ -92,7 +93,7 @@
         return self._update_rings(changed)
 
     def _update_rings(self, changed: dict[int, EndpointAttributes | None]) -> bool:
-        """Apply single changes, given by endpoint id with the attributes before; return whether any did."""
+        """Apply changes, given as old attributes by endpoint id; return whether any concerns the rings."""
         ready = EndpointStatus.READY
         attributes = self.attributes
         removed = [(i, old) for i, old in changed.items() if old is not None and old.status is ready]
@@ -109,7 +110,7 @@
             placement.add((i, row) for i, row in self.attributes.items() if row.status is ready)
 
     def _drop_unused_attributes(self) -> None:
-        """Drop shared attributes that no endpoint has, once they are more than half of those stored."""
+        """Drop shared attributes that no endpoint has any more, once these are over half of all."""
         if len(self._interned) > 2 * len(self.attributes) + UNUSED_ATTRIBUTES_MIN:
             self._interned = {attributes: attributes for attributes in self.attributes.values()}
 
@@ -125,9 +126,10 @@
         position: float,
         count: int,
     ) -> list[int]:
-        """Return ids of ready endpoints in the zone or cell of a reference endpoint, as `scope` says.
+        """Return the ids of ready endpoints in the zone or cell (by `scope`) of a reference endpoint.
 
-        At most `count`, consecutive on the ring of that zone or cell from `position` on (0 to 1).
+        These are at most `count` ids, consecutive on the ring of that zone or cell from `position` on, which
+        is a fraction of the ring (0 to 1).
         """
         if scope is DeduplicationScope.ZONE:
             ring: SortedList[RingKey] | list[RingKey] | None = placement.by_zone.get(reference.zone)
@@ -141,7 +143,7 @@
 def _same_ring_position(old: EndpointAttributes, new: EndpointAttributes) -> bool:
     """Tell whether two entries of one endpoint differ at most in weight and start time.
 
-    No ring depends on these two, and weights change all the time.
+    The rings depend on neither, and weights change all the time.
     """
     return (
         old.status is new.status
--- a/loadbalancer/state/fleet.py
+++ b/loadbalancer/state/fleet.py
@@ -14,20 +14,20 @@
 
 
 class Fleet:
-    """The endpoint table, the states of endpoints in use, and a pool for each placement."""
+    """The endpoint table, the states of the endpoints in use, and one pool per placement."""
 
     def __init__(self, request_classes: Mapping[str, RequestClass], table: EndpointTable) -> None:
         self.table = table
         self.endpoints: dict[int, EndpointState] = {}  # by endpoint id
         self.pooled_ids: set[int] = set()  # ids of the endpoints in a pool
-        self.subset_size = 0  # endpoints in the subsets of this proxy
+        self.subset_size = 0  # number of endpoints in the subsets of this proxy
         self.pools: dict[PlacementKey, EndpointPool] = {}
         self.default_pool = self.pool(RequestClass(""))
         for request_class in request_classes.values():
             self.pool(request_class)
 
     def pool(self, request_class: RequestClass) -> EndpointPool:
-        """Return the pool of the endpoints that a class may use."""
+        """Return the pool of a request class, which is created if there is none for its placement yet."""
         key = (request_class.allowed_zones, request_class.allowed_machine_types)
         if key not in self.pools:
             self.pools[key] = EndpointPool(Placement(*key))
@@ -35,11 +35,11 @@
         return self.pools[key]
 
     def add(self, state: EndpointState) -> None:
-        """Store the state of one more endpoint."""
+        """Store the state of another endpoint."""
         self.endpoints[state.id] = state
 
     def discard(self, state: EndpointState) -> None:
-        """Delete a state, and mark it as removed for whatever still refers to it."""
+        """Delete a state, and mark it as removed for objects that still refer to it."""
         state.mark_removed()
         del self.endpoints[state.id]
 
--- a/loadbalancer/state/hash_ring.py
+++ b/loadbalancer/state/hash_ring.py
@@ -1,8 +1,9 @@
-"""Keys of a hash ring: a fixed, invertible hash of endpoint ids, and runs of consecutive keys.
+"""Keys of a hash ring: a fixed, invertible hash of endpoint ids, and ranges of consecutive keys.
 
-All proxies compute the same keys from the same ids, so that their subsets match without any messages between
-them. The hash is a 64-bit mixer like SplitMix64: multiplications by odd numbers and xors with shifted values,
-each of which is invertible. A ring therefore stores keys alone; an endpoint's id is computed from its key.
+All proxies compute the same keys from the same ids, so that their subsets fit together without any messages
+between them. The hash is a 64-bit mixer like SplitMix64: multiplications by odd numbers and xors with shifted
+values, each of which is invertible. A ring therefore stores only keys; an endpoint's id is computed from its
+key.
 """
 
 from __future__ import annotations
@@ -18,7 +19,7 @@
 SALT_MULTIPLIER = 0xD1B54A32D192ED03
 MIX_OFFSET = 0x632BE59BD9B4E019  # id 0 with salt 0 must not have key 0
 FIRST_SHIFT = 29
-SECOND_SHIFT = 32  # at least half of KEY_BITS: the same shift inverts it
+SECOND_SHIFT = 32  # at least half of KEY_BITS, so that the same shift inverts it
 INVERSE_ID_MULTIPLIER = pow(ID_MULTIPLIER, -1, KEY_SPACE)
 INVERSE_MIX_MULTIPLIER = pow(MIX_MULTIPLIER, -1, KEY_SPACE)
 
@@ -36,7 +37,7 @@
 
 
 def unmix64(key: RingKey) -> int:
-    """Return the id whose `mix64` with salt 0 is this key."""
+    """Return the id of a key: the inverse of `mix64` with salt 0."""
     x = (key ^ (key >> SECOND_SHIFT)) * INVERSE_MIX_MULTIPLIER % KEY_SPACE
     x = x ^ (x >> FIRST_SHIFT) ^ (x >> 2 * FIRST_SHIFT)
     return (x - MIX_OFFSET) * INVERSE_ID_MULTIPLIER % KEY_SPACE
@@ -45,7 +46,7 @@
 def ring_slice(ring: SortedList[RingKey] | list[RingKey], first: int, count: int) -> list[RingKey]:
     """Return `count` consecutive keys from rank `first` on, continuing at the start after the last key.
 
-    Each key is returned at most once: fewer, if the ring is shorter. `first` is taken modulo its length.
+    Each key is returned at most once, so a shorter ring gives fewer. `first` is taken modulo its length.
     """
     length = len(ring)
     if not length:
--- a/loadbalancer/state/placement.py
+++ b/loadbalancer/state/placement.py
@@ -15,7 +15,7 @@
 
 @dataclass(slots=True, eq=False)
 class Placement:
-    """The ready endpoints that one placement allows, in ring order: all, by zone, and by cell.
+    """The ready endpoints that one placement allows, on hash rings: all of them, by zone, and by cell.
 
     A placement is the pair of zones and machine types that a request class is restricted to. The rings by
     zone and by cell are filled only if `index_zones` and `index_cells` are set.
@@ -30,13 +30,13 @@
     by_cell: dict[tuple[str, int], list[RingKey]] = field(default_factory=lambda: defaultdict(list))
 
     def allows(self, zone: str, machine_type: str) -> bool:
-        """Tell whether requests of this placement may go to an endpoint of a zone and machine type."""
+        """Tell whether requests of this placement may be forwarded to a zone and machine type."""
         return (self.allowed_zones is None or zone in self.allowed_zones) and (
             self.allowed_machine_types is None or machine_type in self.allowed_machine_types
         )
 
     def remove(self, endpoints: Iterable[IdentifiedAttributes]) -> None:
-        """Take admitted endpoints off the rings, given the attributes with which they were added."""
+        """Remove endpoints, given with the attributes with which they were added; skip those not allowed."""
         for endpoint_id, attributes in endpoints:
             if not self.allows(attributes.zone, attributes.machine_type):
                 continue
@@ -54,7 +54,7 @@
             del self.by_cell[cell]
 
     def add(self, endpoints: Iterable[IdentifiedAttributes]) -> None:
-        """Put those of these ready endpoints on the rings that the placement allows."""
+        """Add ready endpoints to the rings; skip those that the placement does not allow."""
         keys: list[RingKey] = []
         zones: dict[str, list[RingKey]] = defaultdict(list)
         for endpoint_id, attributes in endpoints:
--- a/loadbalancer/state/subset.py
+++ b/loadbalancer/state/subset.py
@@ -15,8 +15,8 @@
 
     assigned: list[RingKey]
     zone_reserve: list[RingKey]  # the keys that follow the assigned ones on their ring
-    remote_reserve: list[RingKey]  # others, from the ring of all zones
-    sharing_proxies: float  # mean number of proxies whose subsets contain one of the assigned endpoints
+    remote_reserve: list[RingKey]  # further keys, from the ring of all zones
+    sharing_proxies: float  # mean number of proxies that have a given assigned endpoint in their subset
 
     def __iter__(self) -> Iterator[RingKey]:
         return chain(self.assigned, self.zone_reserve, self.remote_reserve)
