--- a/loadbalancer/policy/retry_candidates.py
+++ b/loadbalancer/policy/retry_candidates.py
@@ -50,7 +50,7 @@
             return []
         if len(fleet.endpoints) > len(fleet.pooled_ids) + UNUSED_STATES_MAX:
             self.fleet_updater.discard_unused_states()
-        group_ids = fleet.table.ready_in_group(
+        group_ids = fleet.table.ready_in_deduplication_group(
             placement=pool.placement,
             reference=reference,
             scope=request.request_class.deduplication_scope,
--- a/loadbalancer/state/endpoint_table.py
+++ b/loadbalancer/state/endpoint_table.py
@@ -118,7 +118,7 @@
         """Return the list entry of an endpoint; KeyError if it is not listed."""
         return Endpoint(endpoint_id, *self.attributes[endpoint_id])
 
-    def ready_in_group(
+    def ready_in_deduplication_group(
         self,
         placement: Placement,
         reference: Endpoint,
