--- a/loadbalancer/policy/fleet_updates.py
+++ b/loadbalancer/policy/fleet_updates.py
@@ -100,7 +100,7 @@
             state.leave_subset()
         for pool, subset in zip(pools, subsets, strict=True):
             self._rebuild_pool(pool, subset, now_ns)
-        fleet.index_pools()
+        fleet.update_pool_membership()
         self.discard_unused_states()
 
     def _rebuild_pool(self, pool: EndpointPool, subset: Subset, now_ns: int) -> None:
--- a/loadbalancer/state/fleet.py
+++ b/loadbalancer/state/fleet.py
@@ -43,7 +43,7 @@
         state.mark_removed()
         del self.endpoints[state.id]
 
-    def index_pools(self) -> None:
+    def update_pool_membership(self) -> None:
         """Update `subset_size` and `pooled_ids` after the pools have changed."""
         self.subset_size = sum(state.in_subset for state in self.endpoints.values())
         self.pooled_ids = {state.id for pool in self.pools.values() for state in pool.endpoints}
