--- a/loadbalancer/messages.py
+++ b/loadbalancer/messages.py
@@ -4,9 +4,10 @@
 it: it opens no socket, reads no clock and starts no thread. All times are whole nanoseconds on the caller's
 clock, and all durations whole nanoseconds.
 
-Messages are named tuples, not dataclasses: several are created for each request, and tuples are fastest.
+Messages are named tuples instead of dataclasses: several are created for each request, and tuples are
+the fastest to create.
 
-The policy never uses some messages, which exist because the simulator's wire and the proxy have them:
+The policy ignores or never returns the following messages, which the simulator's wire and the proxy have:
 `FetchEndpoints` (`WatchEndpoints` brings the complete list as well), `SendGossip` and `GossipReceived` (each
 proxy decides by its own observations), `CloseIdleConnections` (idle connections time out in the proxy) and
 `LogMessage`.
@@ -30,11 +31,11 @@
 class EndpointUpdateKind(Enum):
     """What an endpoint update carries."""
 
-    DELTA = 0  # only the entries that changed
+    DELTA = 0  # only the entries that have changed
     FULL = 1  # the complete list
     CACHED = 2  # the complete list as stored before a restart, possibly out of date
-    FAILED = 3  # a discovery call failed or the watch broke; no entries
-    WATCH_TIMED_OUT = 4  # the watch went silent and its events are lost; no entries. Never on the wire
+    FAILED = 3  # a discovery call failed or the connection of the watch broke; no entries
+    WATCH_TIMED_OUT = 4  # no response to the watch in time, its events are lost; no entries. Not on the wire
 
 
 class AttemptResult(Enum):
@@ -50,8 +51,8 @@
     NOT_SENT = "not_sent"  # the proxy did not send it; never ran
 
 
-# Results after which a request that is not idempotent may be sent again; REJECTED unless
-# `Rules.rejected_may_have_run`.
+# Results after which a request that is not idempotent may be sent again; with
+# `Rules.rejected_may_have_run` not after REJECTED.
 NEVER_RAN = frozenset({AttemptResult.REJECTED, AttemptResult.CONNECT_FAILED, AttemptResult.NOT_SENT})
 
 
@@ -71,7 +72,7 @@
 
 
 class EndpointUpdate(NamedTuple):
-    """Discovery sent the endpoint list or changes of it, or failed."""
+    """Discovery sent the endpoint list or changes to it, or failed."""
 
     kind: EndpointUpdateKind
     endpoints: Iterable[Endpoint] = ()  # iterated over once
@@ -83,8 +84,8 @@
     request_id: str
     class_name: str  # of its `RequestClass`
     tenant: str  # empty: none
-    deadline_ns: int  # a response after this time has no value
-    cost_hint_ns: int = 0  # work that the client expects; 0: no hint
+    deadline_ns: int  # a response after this time is useless to the client
+    cost_hint_ns: int = 0  # processing time that the client expects; 0: no hint
     affinity_key: str = ""  # empty: none
     is_retry: bool = False  # marked by the client as a retry
 
@@ -98,7 +99,7 @@
     result: AttemptResult
     elapsed_ns: int  # since the attempt started
     request_complete: bool = False  # the client has its final response
-    load_report: Mapping[str, float] | None = None  # sent with the response; by column name
+    load_report: Mapping[str, float] | None = None  # came with the response; by column name
     counts_as_attempt: bool = True  # towards `Limits.max_attempts`; False if the proxy never began it
     was_written: bool = True  # the whole request may have reached the endpoint; if not, it never ran
 
@@ -113,7 +114,7 @@
 
 
 class ClientDisconnected(NamedTuple):
-    """The client has disconnected; its request needs no final response any more."""
+    """The client has disconnected; its request no longer needs a final response."""
 
     request_id: str
 
@@ -164,7 +165,7 @@
 
 
 class Reject(NamedTuple):
-    """Send the final response "rejected": the client may retry without a second effect."""
+    """Send the final response "rejected": the client may retry without causing a second effect."""
 
     request_id: str
     retry_after_ns: int = 0  # sent as Retry-After; 0: none
--- a/loadbalancer/settings_reader.py
+++ b/loadbalancer/settings_reader.py
@@ -1,7 +1,7 @@
-"""Reads the settings of the decisions from JSON (WIRE, Settings).
+"""Reads the settings of the policy from JSON (WIRE, Settings).
 
-The object is the same on the simulator's wire and in a proxy's configuration file. Unknown keys are ignored;
-absent ones have the default of their field in `loadbalancer/settings.py`.
+The object has the same form on the simulator's wire and in a proxy's configuration file. Unknown keys are
+ignored; an absent key leaves the default of its field in `loadbalancer/settings.py`.
 """
 
 from __future__ import annotations
@@ -25,14 +25,14 @@
 EnumT = TypeVar("EnumT", bound=Enum)
 
 Json = dict[str, Any]
-"""A JSON object as the parser returns it."""
+"""A JSON object, as parsed."""
 
 IDEMPOTENCY_BY_NAME = {
     "read_like": Idempotency.IDEMPOTENT,
     "idempotency_key": Idempotency.IDEMPOTENCY_KEY,
     "non_idempotent": Idempotency.NON_IDEMPOTENT,
 }
-# Names on the wire, and the fields that they fill. A value that is absent or null keeps the field's default.
+# Keys on the wire and the fields that they set. If a key is absent or null, the field keeps its default.
 REQUEST_CLASS_FIELDS = {
     "window_ns": "deduplication_window_ns",
     "aim_ns": "latency_objective_ns",
@@ -88,14 +88,14 @@
 
 
 class SettingsError(ValueError):
-    """A settings object can't be used; the message names the key and says what is wrong with its value."""
+    """The settings object is invalid; the message names the key and the problem with its value."""
 
 
 def read_settings(raw: Json) -> Settings:
     """Read the settings object of the wire (WIRE, Settings); unknown keys are ignored.
 
     Raises:
-        SettingsError: A key is missing, or its value can't be used.
+        SettingsError: A required key is missing, or a value is invalid.
     """
     if not isinstance(raw, dict):
         raise SettingsError(f"settings: {raw!r} is not an object")
@@ -145,12 +145,12 @@
 
 
 def _present_fields(raw: Json, names: Mapping[str, str]) -> Json:
-    """Return the values of an object that are present and known, under the names of their fields."""
+    """Return the values whose keys are in `names` and which are not null, by the names of their fields."""
     return {field_name: raw[key] for key, field_name in names.items() if raw.get(key) is not None}
 
 
 def _object(raw: Json, key: str) -> Json:
-    """Return the object under a key, empty if it is absent."""
+    """Return the object under a key, or an empty one if the key is absent."""
     value = raw.get(key) or {}
     if not isinstance(value, dict):
         raise SettingsError(f"{key}: {value!r} is not an object")
@@ -158,7 +158,7 @@
 
 
 def _sequence(raw: Json, key: str) -> tuple[str, ...]:
-    """Return the array under a key, empty if it is absent."""
+    """Return the array under a key, or an empty one if the key is absent."""
     value = raw.get(key) or ()
     try:
         return tuple(value)
@@ -167,7 +167,7 @@
 
 
 def _named_rows(raw: Json, key: str) -> list[tuple[Json, str]]:
-    """Return the objects of the array under a key, each with its path; every one of them has a name."""
+    """Return the objects of the array under a key, each with its path; check that each has a name."""
     rows = raw.get(key) or []
     if not isinstance(rows, list):
         raise SettingsError(f"{key}: {rows!r} is not an array")
@@ -191,14 +191,14 @@
 
 def _idempotency(value: object, path: str) -> Idempotency:
     if not isinstance(value, str) or value not in IDEMPOTENCY_BY_NAME:
-        raise SettingsError(f"{path}: {value!r} is none of {', '.join(IDEMPOTENCY_BY_NAME)}")
+        raise SettingsError(f"{path}: {value!r} is not one of {', '.join(IDEMPOTENCY_BY_NAME)}")
     return IDEMPOTENCY_BY_NAME[value]
 
 
 def _enum_member(kind: type[EnumT], value: object, path: str) -> EnumT:
-    """Return the member of an enumeration that has a value."""
+    """Return the member of an enumeration with the given value."""
     try:
         return kind(value)
     except ValueError:
         names = ", ".join(str(member.value) for member in kind)
-        raise SettingsError(f"{path}: {value!r} is none of {names}") from None
+        raise SettingsError(f"{path}: {value!r} is not one of {names}") from None
--- a/loadbalancer/simulator_adapter.py
+++ b/loadbalancer/simulator_adapter.py
@@ -1,9 +1,9 @@
-"""The simulator's adapter: hosts many balancers on the simulator's wire.
+"""The simulator's adapter: runs many balancers in one process, driven over the simulator's wire.
 
     python -m loadbalancer.simulator_adapter < batches > replies
 
-It reads one JSON object a line and writes one a line. A line that is not a batch ends the process with a
-message on standard error and exit status 2; an exception inside a balancer is reported as its `fault`.
+It reads one JSON object per line and answers each with one line. A line that is not a batch ends the process
+with a message on standard error and exit status 2; an exception inside a balancer is reported as its `fault`.
 """
 
 from __future__ import annotations
@@ -31,19 +31,19 @@
 
 
 class MalformedInputError(Exception):
-    """A line of input violates the wire format; the message says where."""
+    """A line of input violates the wire format; the message says how."""
 
 
 @dataclass(slots=True)
 class Batch:
-    """One line of input while it is handled.
+    """One line of input while it is processed.
 
-    A balancer gets all its events of the batch in one call.
+    A balancer receives all its events of the batch in one call.
     """
 
     now_ns: int  # simulated time, in nanoseconds
-    events: dict[int, list[Event]] = field(default_factory=dict)  # not handled yet, by balancer
-    commands: list[Json] = field(default_factory=list)  # the reply
+    events: dict[int, list[Event]] = field(default_factory=dict)  # pending events, by balancer number
+    commands: list[Json] = field(default_factory=list)  # commands of the reply
 
     def add_event(self, number: int, event: Event) -> None:
         """Queue an event for its balancer."""
@@ -51,7 +51,7 @@
 
 
 class AdapterHost:
-    """The balancers of one process, and the numbered endpoint lists that they share on the wire."""
+    """The balancers of one process, and the endpoint lists that events refer to, both by number."""
 
     def __init__(self) -> None:
         self.balancers: dict[int, Balancer] = {}
@@ -61,7 +61,7 @@
         """Handle one batch and return the reply.
 
         Raises:
-            MalformedInputError: The line is not a batch of the wire.
+            MalformedInputError: The line is not a valid batch.
         """
         raw = _parse(line)
         batch = Batch(_integer(raw, "sim_time_ns"))
@@ -100,7 +100,7 @@
         settings = read_settings(event["settings"])
         try:
             self.balancers[number] = Balancer(settings, event["seed"], batch.now_ns)
-        except Exception as error:  # noqa: BLE001 - the wire wants any exception of a balancer as its `fault`
+        except Exception as error:  # noqa: BLE001 - the wire reports any exception of a balancer as its `fault`
             batch.commands.append(_fault(number, error))
 
     def _add_event(self, kind: str, event: Json, batch: Batch) -> None:
@@ -126,7 +126,7 @@
                 command = write_command(action)
                 command["balancer"] = number
                 batch.commands.append(command)
-        except Exception as error:  # noqa: BLE001 - the wire wants any exception of a balancer as its `fault`
+        except Exception as error:  # noqa: BLE001 - the wire reports any exception of a balancer as its `fault`
             batch.commands.append(_fault(number, error))
 
 
@@ -148,7 +148,7 @@
 
 
 def _fault(number: int, error: Exception) -> Json:
-    """Return the report of an exception in the decisions, with the function and line that raised it."""
+    """Return the report of an exception in a balancer, with the function and line that raised it."""
     frame = error.__traceback__
     while frame is not None and frame.tb_next is not None:
         frame = frame.tb_next
@@ -157,7 +157,7 @@
 
 
 def main() -> int:
-    """Answer each line of standard input; return the exit status."""
+    """Reply to each line of standard input; return the exit status."""
     host = AdapterHost()
     for number, line in enumerate(sys.stdin, 1):
         try:
--- a/loadbalancer/simulator_wire.py
+++ b/loadbalancer/simulator_wire.py
@@ -1,8 +1,8 @@
-"""Maps JSON objects of the simulator's wire to messages of the decisions, and back (WIRE).
+"""Converts JSON objects of the simulator's wire to messages of the policy, and back (WIRE).
 
-The wire's names and numbers stand in this module and in `settings_reader` alone. Unknown keys are ignored; an
-absent value has the default of its message. The readers raise KeyError, TypeError, ValueError or
-AttributeError where an object is not what the wire allows.
+Only this module and `settings_reader` contain the names and numbers of the wire. Unknown keys are ignored; an
+absent key leaves the default of the message's field. The readers raise KeyError, TypeError, ValueError or
+AttributeError if an object violates the wire format.
 """
 
 from __future__ import annotations
@@ -72,12 +72,12 @@
 
 
 def read_event(event: Json) -> Event:
-    """Read any event except an endpoint update, whose list is referred to by number."""
+    """Read any event but an endpoint update, which refers to its list by number (see `simulator_adapter`)."""
     return EVENT_READERS[event["t"]](event)
 
 
 def is_integer(value: object) -> TypeGuard[int]:
-    """Return whether a JSON value is a whole number; booleans, which Python counts as integers, are not."""
+    """Tell whether a JSON value is a whole number; booleans are not, though `bool` is a subclass of `int`."""
     return isinstance(value, int) and not isinstance(value, bool)
 
 
@@ -91,7 +91,7 @@
 def _text(event: Json, name: str) -> str:
     value = event[name]
     if not isinstance(value, str):
-        raise TypeError(f"{name}: {value!r} is not text")
+        raise TypeError(f"{name}: {value!r} is not a string")
     return value
 
 
@@ -170,7 +170,7 @@
 
 
 def write_command(action: Action) -> Json:
-    """Return an action as a command of the wire, without the number of its balancer."""
+    """Return the wire's command for an action, without the number of the balancer."""
     match action:
         case Forward() | Reject() | Fail() | CancelAttempt():
             return _request_command(action)
--- a/tests/simulator/test_simulator_adapter.py
+++ b/tests/simulator/test_simulator_adapter.py
@@ -150,7 +150,7 @@
         ),
         (
             batch(1, 1, *started_balancer(), {**request_arrived("t1", 1), "ticket": 7}),
-            "ticket: 7 is not text",
+            "ticket: 7 is not a string",
         ),
         (
             batch(
