--- a/loadbalancer/simulator_adapter.py
+++ b/loadbalancer/simulator_adapter.py
@@ -27,7 +27,7 @@
 
 EXIT_OK = 0
 EXIT_MALFORMED_INPUT = 2
-MALFORMED_EVENT_QUOTE_MAX_CHARACTERS = 200
+MAX_QUOTED_EVENT_CHARACTERS = 200
 
 
 class MalformedInputError(Exception):
@@ -72,14 +72,14 @@
         for event in happened:
             self._handle_event(event, batch)
         for balancer, events in batch.events.items():
-            self._run(balancer, events, batch)
+            self._run_balancer(balancer, events, batch)
         return json.dumps({"round": round_number, "cmds": batch.commands}, separators=(",", ":"))
 
     def _handle_event(self, event: Json, batch: Batch) -> None:
         try:
             self._dispatch(event, batch)
         except (KeyError, TypeError, ValueError, AttributeError) as error:
-            text = json.dumps(event)[:MALFORMED_EVENT_QUOTE_MAX_CHARACTERS]
+            text = json.dumps(event)[:MAX_QUOTED_EVENT_CHARACTERS]
             raise MalformedInputError(f"event {text}: {type(error).__name__} {error}") from error
 
     def _dispatch(self, event: Json, batch: Batch) -> None:
@@ -120,7 +120,7 @@
             return EndpointUpdate(kind)
         return EndpointUpdate(kind, self.endpoint_lists[event["buffer"]])
 
-    def _run(self, number: int, events: list[Event], batch: Batch) -> None:
+    def _run_balancer(self, number: int, events: list[Event], batch: Batch) -> None:
         try:
             for action in self.balancers[number].handle(batch.now_ns, events):
                 command = write_command(action)
