--- a/loadbalancer/__init__.py
+++ b/loadbalancer/__init__.py
@@ -1,4 +1,4 @@
-"""loadbalancer: the decisions of an HTTP load balancer run as a bank of proxies."""
+"""An HTTP load balancer that runs as a group of proxies; `Balancer` is the policy of one of them."""
 
 from loadbalancer.policy.balancer import Balancer
 
--- a/loadbalancer/__main__.py
+++ b/loadbalancer/__main__.py
@@ -2,8 +2,9 @@
 
     RELAY_CONFIG=config.json python -m loadbalancer
 
-SIGTERM and SIGINT begin a graceful shutdown, SIGHUP reloads the configuration. The exit status is 0 after a
-shutdown, 1 if the system refuses a resource (the port is in use, for example), and 2 for a bad configuration.
+SIGTERM and SIGINT start a graceful shutdown, SIGHUP reloads the configuration. The exit status is 0 after a
+shutdown, 1 if the system refuses a resource (for example, if the port is in use), and 2 if the configuration
+is invalid.
 """
 
 from __future__ import annotations
@@ -33,7 +34,7 @@
 
 
 async def serve(config: Configuration, path: str) -> None:
-    """Run a proxy until a signal ends it; OSError if it can't be started."""
+    """Run a proxy until a signal stops it; raise OSError if it can't be started."""
     loop = asyncio.get_running_loop()
     stop = asyncio.Event()
     for number in (signal.SIGTERM, signal.SIGINT):
@@ -48,7 +49,7 @@
     log.info("%s: stopping", config.name)
     await proxy.drain()
     reloader.stop()
-    # Once the event loop is closed, the default action of a signal would replace the exit status.
+    # After the event loop is closed, the default action of a signal would replace the exit status.
     signal.pthread_sigmask(signal.SIG_BLOCK, HANDLED_SIGNALS)
 
 
--- a/loadbalancer/configuration_reader.py
+++ b/loadbalancer/configuration_reader.py
@@ -1,7 +1,7 @@
-"""The configuration file of a proxy: read from JSON into a typed configuration.
+"""Reads the configuration file of a proxy from JSON into a typed configuration.
 
-The file may hold the last known endpoint list, of 100,000 entries and more, so it is parsed in chunks; a
-running proxy serves requests between them.
+The file may contain the last known endpoint list, with 100,000 entries and more, so it is parsed in chunks; a
+running proxy serves requests between the chunks.
 """
 
 from __future__ import annotations
@@ -17,26 +17,26 @@
 from loadbalancer.proxy.errors import EndpointListError
 from loadbalancer.settings_reader import Json, SettingsError, read_settings
 
-CHUNK_BYTES = 16 * 1024  # of the file, parsed between two yields
+CHUNK_BYTES = 16 * 1024  # how much of the file is parsed between two yields
 DEFAULT_MAX_SOCKETS = 1024
 MEGABYTE = 1024 * 1024
 
 
 class ConfigurationError(Exception):
-    """The configuration is missing or can't be used; the message names the file and what is wrong."""
+    """The configuration file is missing or invalid; the message names the file and the problem."""
 
 
 def read_configuration(path: str) -> Configuration:
-    """Read a configuration file; raise ConfigurationError if it can't be used."""
+    """Read a configuration file; raise ConfigurationError if it is missing or invalid."""
     return run_to_completion(read_configuration_cooperatively(path))
 
 
 def read_configuration_cooperatively(
     path: str, *, keep_known_endpoints: bool = True
 ) -> CooperativeWork[Configuration]:
-    """Read a configuration file, yielding every `CHUNK_BYTES`; raise ConfigurationError if it can't be used.
+    """Read a configuration file like `read_configuration`, but yield after every `CHUNK_BYTES`.
 
-    Without `keep_known_endpoints` the endpoint list of the file is parsed and left out.
+    Without `keep_known_endpoints` the endpoint list of the file is parsed but not returned.
     """
     endpoints = EndpointListParser(unix_offset_ns())
     raw = yield from _parse(path, endpoints)
@@ -52,7 +52,7 @@
 
 
 def _parse(path: str, endpoints: EndpointListParser) -> CooperativeWork[Json]:
-    """Parse the file but for its endpoint list, which `endpoints` takes."""
+    """Parse the file; its endpoint list is passed to `endpoints`, all else is returned."""
     try:
         with Path(path).open("rb") as file:
             chunks = iter(lambda: file.read(CHUNK_BYTES), b"")
--- a/loadbalancer/configuration_reload.py
+++ b/loadbalancer/configuration_reload.py
@@ -1,7 +1,8 @@
 """Reload of the configuration file while the proxy runs (SIGHUP).
 
-A handover to the address of discovery starts at once. All other changes but the seed and the known endpoint
-list are logged and need a restart. The endpoint list is parsed, not applied: it is only used at the start.
+A handover to the configured address of discovery starts at once. All other changes need a restart, and are
+logged unless they concern the seed or the known endpoint list. That list is parsed but not applied: it is
+only used at start-up.
 """
 
 from __future__ import annotations
@@ -19,12 +20,12 @@
 
 log = logging.getLogger(__name__)
 
-# Before a file that has changed while it was read is read again: its writer may not be done.
+# Delay before a file that changed while it was read is read again: its writer may not have finished.
 REREAD_DELAY_S = 0.02
 
 
 class FileState(NamedTuple):
-    """What differs between two states of a file."""
+    """The properties of a file by which a change is detected."""
 
     device: int
     inode: int
@@ -33,17 +34,17 @@
 
 
 class ConfigurationReloader:
-    """Reads the file anew at each signal; that of the newest signal is in force, whatever a read takes."""
+    """Reads the file again at each signal. The newest signal wins, however long earlier reads take."""
 
     def __init__(
         self, path: str, current: Configuration, hand_over_discovery: Callable[[Address], None]
     ) -> None:
-        """Set up reloads; none is started.
+        """Prepare reloads without starting one.
 
         Args:
             path: The configuration file.
             current: The configuration that the proxy was started with.
-            hand_over_discovery: Is called with the address of discovery.
+            hand_over_discovery: Called by each successful reload with the configured address of discovery.
         """
         self._path = path
         self._current = current
@@ -51,9 +52,9 @@
         self._task: asyncio.Task[None] | None = None
 
     def start(self) -> None:
-        """Start a reload; one that is still reading is given up, since its file is older."""
+        """Start a reload; cancel one that is still reading, since its file is older."""
         if self._is_reading:
-            log.info("%s: reload: given up for a newer one", self._current.name)
+            log.info("%s: reload: superseded by a newer reload", self._current.name)
         self.stop()
         self._task = asyncio.get_running_loop().create_task(self.reload())
 
@@ -62,12 +63,12 @@
         return self._task is not None and not self._task.done()
 
     def stop(self) -> None:
-        """Give up the reload that is still reading, if there is one."""
+        """Cancel the reload that is still reading, if there is one."""
         if self._task is not None:
             self._task.cancel()
 
     async def reload(self) -> None:
-        """Apply the changes that need no restart; a file that can't be used changes nothing."""
+        """Read the file and apply the changes that need no restart; an invalid file changes nothing."""
         name = self._current.name
         try:
             new = await self._read_unchanged()
@@ -80,7 +81,7 @@
         self._hand_over_discovery(new.discovery)
 
     async def _read_unchanged(self) -> Configuration:
-        """Read the file until it does not change meanwhile; raise ConfigurationError if it can't be used."""
+        """Read the file, again if it changes meanwhile; raise ConfigurationError if it is invalid."""
         while True:
             state = file_state(self._path)
             try:
@@ -92,12 +93,12 @@
             else:
                 if file_state(self._path) == state:
                     return configuration
-            log.info("%s: reload: the file has changed, it is read again", self._current.name)
+            log.info("%s: reload: the file changed while it was read; reading it again", self._current.name)
             await asyncio.sleep(REREAD_DELAY_S)
 
 
 def file_state(path: str) -> FileState | None:
-    """Return the state of a file; None if there is none."""
+    """Return the state of a file; None if it can't be accessed."""
     try:
         status = Path(path).stat()
     except OSError:
@@ -106,7 +107,7 @@
 
 
 def changes_that_need_a_restart(current: Configuration, new: Configuration) -> list[str]:
-    """Return the operators' names of the changed values that can't be applied while the proxy runs."""
+    """Return the logged names of the changed values that can't be applied while the proxy runs."""
     changed = {
         "name": new.name != current.name,
         "listen": new.listen != current.listen,
--- a/loadbalancer/logging_setup.py
+++ b/loadbalancer/logging_setup.py
@@ -1,4 +1,4 @@
-"""Logging of the process: a line per record on standard error, with a rate limit."""
+"""Logging of the process: one line per record on standard error, with a rate limit."""
 
 from __future__ import annotations
 
@@ -9,23 +9,23 @@
 
 
 class LogRateLimiter(logging.Filter):
-    """Passes `MAX_LINES_PER_SECOND` lines, and reports in the next second how many it dropped.
+    """Passes `MAX_LINES_PER_SECOND` lines per second; the next line after that reports how many it dropped.
 
-    A fault that logs a line per request must not use up the CPU.
+    A fault that logs a line for each request must not use up the CPU.
     """
 
     def __init__(self) -> None:
         super().__init__()
-        self._second = 0  # to which the counts belong, by the monotonic clock
+        self._second = 0  # the second of the monotonic clock to which the counts belong
         self._lines = 0
         self._dropped = 0
 
     def filter(self, record: logging.LogRecord) -> bool:
-        """Return whether to write a record; the first of a second reports the count of dropped ones."""
+        """Return whether to write a record; the first of a second also reports the count of dropped ones."""
         second = int(time.monotonic())
         if second != self._second:
             if self._dropped:
-                record.msg = f"{record.getMessage()} ({self._dropped} lines left out)"
+                record.msg = f"{record.getMessage()} ({self._dropped} lines dropped by the rate limit)"
                 record.args = ()
             self._second = second
             self._lines = 0
@@ -38,7 +38,7 @@
 
 
 def configure_logging() -> None:
-    """Write records from level INFO on to standard error, within the rate limit."""
+    """Write records of level INFO and above to standard error, within the rate limit."""
     handler = logging.StreamHandler()
     handler.addFilter(LogRateLimiter())
     logging.basicConfig(
--- a/loadbalancer/policy/__init__.py
+++ b/loadbalancer/policy/__init__.py
@@ -1,1 +1,1 @@
-"""The decisions of one proxy (interface types: loadbalancer/messages.py)."""
+"""The policy of one proxy (interface types: loadbalancer/messages.py)."""
--- a/loadbalancer/simulator_adapter.py
+++ b/loadbalancer/simulator_adapter.py
@@ -100,7 +100,7 @@
         settings = read_settings(event["settings"])
         try:
             self.balancers[number] = Balancer(settings, event["seed"], batch.now_ns)
-        except Exception as error:  # noqa: BLE001 - the wire reports any exception of a balancer as its `fault`
+        except Exception as error:  # noqa: BLE001 - the wire reports each exception of a balancer as `fault`
             batch.commands.append(_fault(number, error))
 
     def _add_event(self, kind: str, event: Json, batch: Batch) -> None:
@@ -126,7 +126,7 @@
                 command = write_command(action)
                 command["balancer"] = number
                 batch.commands.append(command)
-        except Exception as error:  # noqa: BLE001 - the wire reports any exception of a balancer as its `fault`
+        except Exception as error:  # noqa: BLE001 - the wire reports each exception of a balancer as `fault`
             batch.commands.append(_fault(number, error))
 
 
--- a/loadbalancer/startup.py
+++ b/loadbalancer/startup.py
@@ -1,17 +1,17 @@
-"""Start-up of the process: when the proxy may report readiness, and garbage collection."""
+"""Start-up of the process: the delay before the proxy reports readiness, and garbage collection."""
 
 from __future__ import annotations
 
 import gc
 
-# With a small CPU limit, serving slowly is better than not serving.
+# With a small CPU limit, it is better to serve slowly than not to serve.
 MAX_READINESS_DELAY_S = 1.0
-# For how long the system may throttle a process after it has exceeded its limit.
+# How long the system may throttle a process that has exceeded its CPU limit.
 THROTTLING_DELAY_S = 0.15
 
 
 def readiness_delay_s(cpu_cores: float, cpu_time_s: float) -> float:
-    """Return the seconds after which the CPU time of the start is within the CPU limit.
+    """Return after how many seconds the CPU time that the start used is within the CPU limit.
 
     Until then the system may throttle the process, so it should not report readiness.
 
@@ -25,6 +25,6 @@
 
 
 def freeze_heap() -> None:
-    """Exempt all objects that exist now from garbage collection, which takes long on a long endpoint list."""
+    """Exempt all existing objects from garbage collection, which takes long with a long endpoint list."""
     gc.collect()
     gc.freeze()
