--- a/tests/simulator/test_simulator_adapter.py
+++ b/tests/simulator/test_simulator_adapter.py
@@ -1,4 +1,4 @@
-"""The simulator's adapter as a process: requests, malformed input, independence of the hash seed."""
+"""The simulator's adapter as a process: requests, settings, malformed input, no effect of the hash seed."""
 
 from __future__ import annotations
 
@@ -83,7 +83,7 @@
     return lines
 
 
-def test_a_request_is_forwarded_and_its_result_taken() -> None:
+def test_a_request_is_forwarded_and_its_result_is_accepted() -> None:
     now_ns = 2 * 10**9
     done = run_adapter(
         [
@@ -194,7 +194,7 @@
     assert "Traceback" not in done.stderr
 
 
-def test_an_exception_in_the_decisions_is_reported_as_a_fault() -> None:
+def test_an_exception_in_a_balancer_is_reported_as_a_fault() -> None:
     done = run_adapter(
         [
             batch(
@@ -216,7 +216,7 @@
     assert "TypeError" in fault["message"]
 
 
-def test_every_setting_that_a_decision_can_use_is_read() -> None:
+def test_settings_are_read_into_their_fields() -> None:
     raw = {
         **SETTINGS,
         "zones": ["north", "south"],
@@ -290,7 +290,7 @@
         ({"profiles": [{"name": "a", "runs_in": 4}]}, "profiles[0].runs_in: 4"),
     ],
 )
-def test_unusable_settings_are_reported_by_key_and_value(raw: Json, key: str) -> None:
+def test_invalid_settings_are_reported_by_key_and_value(raw: Json, key: str) -> None:
     with pytest.raises(SettingsError, match=re.escape(key)):
         read_settings(raw)
 
--- a/tests/simulator/test_simulator_wire.py
+++ b/tests/simulator/test_simulator_wire.py
@@ -1,4 +1,4 @@
-"""The simulator's wire: each action as a command, and events with what they may leave out."""
+"""The simulator's wire: actions written as commands, and events read with and without optional keys."""
 
 from __future__ import annotations
 
@@ -88,7 +88,7 @@
         ({"t": "message", "origin_peer": 1, "blob": "b25l"}, GossipReceived(1, b"one")),
     ],
 )
-def test_events_are_read_with_defaults_for_what_they_leave_out(raw: Json, event: Event) -> None:
+def test_events_are_read_with_defaults_for_absent_keys(raw: Json, event: Event) -> None:
     assert read_event(raw) == event
     assert type(read_event(raw)) is type(event)
 
@@ -102,6 +102,6 @@
         {"t": "probe_result", "upstream": 7, "result": "delivered", "metrics": [1]},
     ],
 )
-def test_values_of_another_type_are_refused(raw: Json) -> None:
+def test_values_of_the_wrong_type_are_rejected(raw: Json) -> None:
     with pytest.raises(TypeError, match="is not "):
         read_event(raw)
