--- a/tests/simulator/test_simulator_adapter.py
+++ b/tests/simulator/test_simulator_adapter.py
@@ -69,7 +69,7 @@
     }
 
 
-def simulated_day() -> list[str]:
+def simulated_batches() -> list[str]:
     lines = [batch(1, 10**9), batch(2, 2 * 10**9, *started_balancer(0), *started_balancer(1))]
     for i in range(40):
         now_ns = 2 * 10**9 + i * 10**7
@@ -116,7 +116,7 @@
 
 
 def test_replies_do_not_depend_on_the_hash_seed() -> None:
-    assert run_adapter(simulated_day(), "1").stdout == run_adapter(simulated_day(), "2").stdout != ""
+    assert run_adapter(simulated_batches(), "1").stdout == run_adapter(simulated_batches(), "2").stdout != ""
 
 
 def test_power_off_removes_the_balancer() -> None:
@@ -303,7 +303,7 @@
     done = subprocess.run(
         ["/bin/sh", "-c", deploy["sim"]],
         cwd=root,
-        input="".join(f"{x}\n" for x in simulated_day()),
+        input="".join(f"{x}\n" for x in simulated_batches()),
         capture_output=True,
         text=True,
         timeout=60,
@@ -313,4 +313,4 @@
     assert done.returncode == 0
     assert [r["round"] for r in replies] == list(range(1, 43))
     assert any(c["t"] == "submit_to" for r in replies for c in r["cmds"])
-    assert done.stdout == run_adapter(simulated_day()).stdout
+    assert done.stdout == run_adapter(simulated_batches()).stdout
