--- a/tests/simulator/test_simulator_adapter.py
+++ b/tests/simulator/test_simulator_adapter.py
@@ -50,7 +50,7 @@
     return json.dumps({"sim_time_ns": now_ns, "round": number, "happened": list(happened)})
 
 
-def started_balancer(balancer: int = 0) -> list[Json]:
+def start_events(balancer: int = 0) -> list[Json]:
     return [
         {"t": "new_instance", "balancer": balancer, "seed": 5, "settings": SETTINGS},
         {"t": "directory", "buffer": 0, "rows_in": ROWS},
@@ -70,7 +70,7 @@
 
 
 def simulated_batches() -> list[str]:
-    lines = [batch(1, 10**9), batch(2, 2 * 10**9, *started_balancer(0), *started_balancer(1))]
+    lines = [batch(1, 10**9), batch(2, 2 * 10**9, *start_events(0), *start_events(1))]
     for i in range(40):
         now_ns = 2 * 10**9 + i * 10**7
         lines.append(
@@ -87,7 +87,7 @@
     now_ns = 2 * 10**9
     done = run_adapter(
         [
-            batch(1, now_ns, *started_balancer(), request_arrived("t1", now_ns)),
+            batch(1, now_ns, *start_events(), request_arrived("t1", now_ns)),
             batch(
                 2,
                 now_ns + 10**7,
@@ -123,7 +123,7 @@
     now_ns = 2 * 10**9
     done = run_adapter(
         [
-            batch(1, now_ns, *started_balancer(), request_arrived("t1", now_ns)),
+            batch(1, now_ns, *start_events(), request_arrived("t1", now_ns)),
             batch(2, now_ns + 1, {"t": "power_off", "balancer": 0}),
             batch(3, now_ns + 2, {"t": "timer", "balancer": 0, "name": "1"}),
         ]
@@ -142,21 +142,21 @@
         ('{"sim_time_ns":1,"round":1}', "happened"),
         (batch(1, 1, {"t": "strange", "balancer": 0}), "not started"),
         (batch(1, 1, {"balancer": 0}), "KeyError"),
-        (batch(1, 1, *started_balancer(), {"t": "strange", "balancer": 0}), "unknown event 'strange'"),
-        (batch(1, 1, *started_balancer(), {"t": "submit", "balancer": 0, "ticket": "t1"}), "KeyError 'kind'"),
+        (batch(1, 1, *start_events(), {"t": "strange", "balancer": 0}), "unknown event 'strange'"),
+        (batch(1, 1, *start_events(), {"t": "submit", "balancer": 0, "ticket": "t1"}), "KeyError 'kind'"),
         (
-            batch(1, 1, *started_balancer(), {**request_arrived("t1", 1), "deadline_ns": "soon"}),
+            batch(1, 1, *start_events(), {**request_arrived("t1", 1), "deadline_ns": "soon"}),
             "deadline_ns: 'soon' is not a whole number",
         ),
         (
-            batch(1, 1, *started_balancer(), {**request_arrived("t1", 1), "ticket": 7}),
+            batch(1, 1, *start_events(), {**request_arrived("t1", 1), "ticket": 7}),
             "ticket: 7 is not a string",
         ),
         (
             batch(
                 1,
                 1,
-                *started_balancer(),
+                *start_events(),
                 {"t": "membership", "balancer": 0, "form": 1, "stamp": 2, "buffer": 9},
             ),
             "KeyError 9",
@@ -165,7 +165,7 @@
             batch(
                 1,
                 1,
-                *started_balancer(),
+                *start_events(),
                 {"t": "membership", "balancer": 0, "form": 7, "stamp": 2, "buffer": 0},
             ),
             "KeyError 7",
@@ -174,7 +174,7 @@
             batch(
                 1,
                 1,
-                *started_balancer(),
+                *start_events(),
                 {
                     "t": "probe_result",
                     "balancer": 0,
