--- a/tests/simulator/test_simulator_adapter.py
+++ b/tests/simulator/test_simulator_adapter.py
@@ -108,10 +108,10 @@
     assert done.returncode == 0
     assert not done.stderr
     first, second = (json.loads(line) for line in done.stdout.splitlines())
-    sends = [c for c in first["cmds"] if c["t"] == "submit_to"]
-    assert len(sends) == 1
-    assert sends[0]["upstream"] in (11, 12, 13)
-    assert sends[0]["balancer"] == 0
+    forwards = [c for c in first["cmds"] if c["t"] == "submit_to"]
+    assert len(forwards) == 1
+    assert forwards[0]["upstream"] in (11, 12, 13)
+    assert forwards[0]["balancer"] == 0
     assert second["round"] == 2
 
 
@@ -241,34 +241,42 @@
         "rules": {"full_unproven": True, "grace_to_answer_ns": 3, "stop_sending_within_ns": 4},
         "limits": {"conn_idle_ns": 6, "max_streams": 8, "max_open": 10, "cpu_us_per_s": 12},
     }
-    known = read_settings(raw)
-    look = known.request_classes["look"]
-    assert (look.allowed_zones, look.allowed_machine_types, look.deduplication_scope) == (
+    settings = read_settings(raw)
+    request_class = settings.request_classes["look"]
+    assert (
+        request_class.allowed_zones,
+        request_class.allowed_machine_types,
+        request_class.deduplication_scope,
+    ) == (
         frozenset({"north"}),
         frozenset({"big"}),
         DeduplicationScope.CELL,
     )
-    assert (look.latency_objective_stretch, look.client_timeout_ns, look.deduplication_window_ns) == (
+    assert (
+        request_class.latency_objective_stretch,
+        request_class.client_timeout_ns,
+        request_class.deduplication_window_ns,
+    ) == (
         1.5,
         9,
         7,
     )
-    assert known.rules.rejected_may_have_run
-    assert known.rules.answer_grace_ns == 3
-    assert known.weight_source is WeightSource.LIVE
-    assert known.over_quota_weight == 0.2
-    assert known.client_retries_marked
-    assert not known.load_reports_in_responses
-    assert known.zones == ("north", "south")
-    assert (known.prices.connection, known.prices.endpoint_list, known.prices.late_failure) == (
+    assert settings.rules.rejected_may_have_run
+    assert settings.rules.answer_grace_ns == 3
+    assert settings.weight_source is WeightSource.LIVE
+    assert settings.over_quota_weight == 0.2
+    assert settings.client_retries_marked
+    assert not settings.load_reports_in_responses
+    assert settings.zones == ("north", "south")
+    assert (settings.prices.connection, settings.prices.endpoint_list, settings.prices.late_failure) == (
         0.03,
         0.5,
         0.02,
     )
     assert (
-        known.limits.connection_idle_timeout_ns,
-        known.limits.max_streams_per_connection,
-        known.limits.max_pending_requests,
+        settings.limits.connection_idle_timeout_ns,
+        settings.limits.max_streams_per_connection,
+        settings.limits.max_pending_requests,
     ) == (6, 8, 10)
     row = {"upstream": 5, "class_of_host": "big", "scale": 0.25, "up_since_ns": 3, "cohort": 2}
     assert read_endpoint(row) == Endpoint(5, cell=2, weight=0.25, started_ns=3, machine_type="big")
