--- a/tests/process/test_configuration_reload.py
+++ b/tests/process/test_configuration_reload.py
@@ -26,7 +26,7 @@
     return moves
 
 
-def written(folder: Path, **changes: object) -> Path:
+def write_configuration(folder: Path, **changes: object) -> Path:
     path = folder / "config.json"
     raw = {"name": "n0", "listen": "127.0.0.1:80", "discovery": "127.0.0.1:1", "seed": "1", "settings": {}}
     path.write_text(json.dumps(raw | changes))
@@ -57,8 +57,8 @@
 def test_a_reload_hands_over_discovery_and_logs_what_needs_a_restart(
     tmp_path: Path, caplog: pytest.LogCaptureFixture
 ) -> None:
-    current = read_configuration(str(written(tmp_path)))
-    path = written(tmp_path, discovery="127.0.0.2:2", limits={"sockets": 2048})
+    current = read_configuration(str(write_configuration(tmp_path)))
+    path = write_configuration(tmp_path, discovery="127.0.0.2:2", limits={"sockets": 2048})
     with caplog.at_level(logging.INFO):
         moves = reload(path, current)
     assert moves == [OTHER_ADDRESS]
@@ -69,7 +69,7 @@
 
 
 def test_a_reload_of_a_bad_file_changes_nothing(tmp_path: Path, caplog: pytest.LogCaptureFixture) -> None:
-    path = written(tmp_path, discovery="nowhere")
+    path = write_configuration(tmp_path, discovery="nowhere")
     moves = reload(path, CONFIGURATION)
     assert moves == []
     assert [record.getMessage() for record in caplog.records] == [
@@ -79,5 +79,5 @@
 
 def test_a_reload_ignores_the_endpoint_list_of_the_file(tmp_path: Path) -> None:
     # The list in the file is older than the updates that discovery has sent since.
-    path = written(tmp_path, discovery="127.0.0.2:2", known={"seq": "no number"})
+    path = write_configuration(tmp_path, discovery="127.0.0.2:2", known={"seq": "no number"})
     assert reload(path, CONFIGURATION) == [OTHER_ADDRESS]
--- a/tests/process/test_reloads_in_succession.py
+++ b/tests/process/test_reloads_in_succession.py
@@ -16,7 +16,7 @@
 from loadbalancer.proxy.addresses import Address
 from loadbalancer.proxy.configuration import Configuration
 from loadbalancer.proxy.cooperative import CooperativeWork
-from tests.process.test_configuration_reload import CONFIGURATION, written
+from tests.process.test_configuration_reload import CONFIGURATION, write_configuration
 from tests.process.test_process import configuration, proxy_process
 from tests.support.endpoint_lists import complete_list
 from tests.support.fake_discovery import FakeDiscovery
@@ -59,7 +59,7 @@
 
     async def start(self, **changes: object) -> None:
         """Write the file and start a reload; return when it has begun to read."""
-        written(self.path.parent, **changes)
+        write_configuration(self.path.parent, **changes)
         self.reloader.start()
         before = self.reads_begun
         await wait_until(lambda: self.reads_begun > before)
@@ -104,7 +104,7 @@
 ) -> None:
     reloads.held_reads = {0}
     await reloads.start(discovery=first_discovery)
-    written(reloads.path.parent, discovery="127.0.0.3:3", seed="longer than before")
+    write_configuration(reloads.path.parent, discovery="127.0.0.3:3", seed="longer than before")
     reloads.held_reads.clear()
     await wait_until(lambda: reloads.addresses)
     assert reloads.addresses == [SECOND]
