--- a/tests/process/test_configuration_reload.py
+++ b/tests/process/test_configuration_reload.py
@@ -20,10 +20,10 @@
 OTHER_ADDRESS: Address = ("127.0.0.2", 2)
 
 
-def reload(path: Path, current: Configuration) -> list[Address]:
-    moves: list[Address] = []
-    asyncio.run(ConfigurationReloader(str(path), current, moves.append).reload())
-    return moves
+def reload_configuration(path: Path, current: Configuration) -> list[Address]:
+    handovers: list[Address] = []
+    asyncio.run(ConfigurationReloader(str(path), current, handovers.append).reload())
+    return handovers
 
 
 def write_configuration(folder: Path, **changes: object) -> Path:
@@ -60,8 +60,8 @@
     current = read_configuration(str(write_configuration(tmp_path)))
     path = write_configuration(tmp_path, discovery="127.0.0.2:2", limits={"sockets": 2048})
     with caplog.at_level(logging.INFO):
-        moves = reload(path, current)
-    assert moves == [OTHER_ADDRESS]
+        handovers = reload_configuration(path, current)
+    assert handovers == [OTHER_ADDRESS]
     assert [record.getMessage() for record in caplog.records] == [
         "n0: reload: discovery at 127.0.0.2:2",
         "n0: reload: changed sockets needs a restart",
@@ -70,8 +70,8 @@
 
 def test_a_reload_of_a_bad_file_changes_nothing(tmp_path: Path, caplog: pytest.LogCaptureFixture) -> None:
     path = write_configuration(tmp_path, discovery="nowhere")
-    moves = reload(path, CONFIGURATION)
-    assert moves == []
+    handovers = reload_configuration(path, CONFIGURATION)
+    assert handovers == []
     assert [record.getMessage() for record in caplog.records] == [
         f"n0: reload: {path}: not an IP address and port: 'nowhere'; the old configuration stays"
     ]
@@ -80,4 +80,4 @@
 def test_a_reload_ignores_the_endpoint_list_of_the_file(tmp_path: Path) -> None:
     # The list in the file is older than the updates that discovery has sent since.
     path = write_configuration(tmp_path, discovery="127.0.0.2:2", known={"seq": "no number"})
-    assert reload(path, CONFIGURATION) == [OTHER_ADDRESS]
+    assert reload_configuration(path, CONFIGURATION) == [OTHER_ADDRESS]
