--- a/tests/process/test_reloads_in_succession.py
+++ b/tests/process/test_reloads_in_succession.py
@@ -25,10 +25,10 @@
 from tests.support.waiting import WAIT_TIMEOUT_S, wait_until
 
 SECOND: Address = ("127.0.0.3", 3)
-SETTLING_TURNS = 20
+EVENT_LOOP_TURNS = 20
 
 
-class Reloads:
+class ReloadHarness:
     """A reloader whose reads can be held back, and the addresses that it has handed discovery over to."""
 
     def __init__(self, path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
@@ -67,17 +67,17 @@
     async def release_reads(self) -> None:
         """Let held reads end, and give the event loop the turns to handle their results."""
         self.held_reads.clear()
-        for _ in range(SETTLING_TURNS):
+        for _ in range(EVENT_LOOP_TURNS):
             await asyncio.sleep(0)
 
 
 @pytest.fixture
-def reloads(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> Reloads:
-    return Reloads(tmp_path / "config.json", monkeypatch)
+def reloads(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> ReloadHarness:
+    return ReloadHarness(tmp_path / "config.json", monkeypatch)
 
 
 async def test_the_newest_file_is_in_force_if_an_older_read_takes_longer(
-    reloads: Reloads,
+    reloads: ReloadHarness,
 ) -> None:
     reloads.held_reads = {0}
     await reloads.start(discovery="127.0.0.2:2")
@@ -88,7 +88,7 @@
 
 
 async def test_a_bad_newest_file_leaves_the_old_configuration_in_force(
-    reloads: Reloads, caplog: pytest.LogCaptureFixture
+    reloads: ReloadHarness, caplog: pytest.LogCaptureFixture
 ) -> None:
     reloads.held_reads = {0}
     await reloads.start(discovery="127.0.0.2:2")
@@ -100,7 +100,7 @@
 
 @pytest.mark.parametrize("first_discovery", ["127.0.0.2:2", "nowhere"])
 async def test_a_file_that_changes_while_it_is_read_is_read_again(
-    first_discovery: str, reloads: Reloads
+    first_discovery: str, reloads: ReloadHarness
 ) -> None:
     reloads.held_reads = {0}
     await reloads.start(discovery=first_discovery)
@@ -110,7 +110,7 @@
     assert reloads.addresses == [SECOND]
 
 
-async def test_a_stopped_reloader_applies_nothing(reloads: Reloads) -> None:
+async def test_a_stopped_reloader_applies_nothing(reloads: ReloadHarness) -> None:
     reloads.held_reads = {0}
     await reloads.start(discovery="127.0.0.2:2")
     reloads.reloader.stop()
