--- a/tests/process/test_process.py
+++ b/tests/process/test_process.py
@@ -100,7 +100,7 @@
         await process.communicate()
 
 
-def run_to_end(environment: dict[str, str]) -> subprocess.CompletedProcess[str]:
+def run_program(environment: dict[str, str]) -> subprocess.CompletedProcess[str]:
     return subprocess.run(
         [sys.executable, "-m", "loadbalancer"],
         capture_output=True,
@@ -286,7 +286,7 @@
     path = tmp_path / "config.json"
     if text is not None:
         path.write_text(text)
-    done = run_to_end({**os.environ, "RELAY_CONFIG": str(path)})
+    done = run_program({**os.environ, "RELAY_CONFIG": str(path)})
     assert done.returncode == 2
     assert message in done.stderr
     assert done.stderr.count("\n") == 1
@@ -294,6 +294,6 @@
 
 def test_a_missing_configuration_variable_is_reported() -> None:
     env = {k: v for k, v in os.environ.items() if k != "RELAY_CONFIG"}
-    done = run_to_end(env)
+    done = run_program(env)
     assert done.returncode == 2
     assert done.stderr == "loadbalancer: RELAY_CONFIG is not set\n"
