--- a/tests/process/test_process.py
+++ b/tests/process/test_process.py
@@ -163,11 +163,13 @@
 
 
 @pytest.mark.parametrize(
-    ("cores", "spent_s", "delay_s"),
+    ("cores", "cpu_time_s", "delay_s"),
     [(0.0, 0.1, 0.0), (0.5, 0.1, 0.2 + THROTTLING_DELAY_S), (0.01, 0.1, MAX_READINESS_DELAY_S)],
 )
-def test_readiness_delay_by_cpu_limit_and_cpu_time_used(cores: float, spent_s: float, delay_s: float) -> None:
-    assert readiness_delay_s(cores, spent_s) == pytest.approx(delay_s)
+def test_readiness_delay_by_cpu_limit_and_cpu_time_used(
+    cores: float, cpu_time_s: float, delay_s: float
+) -> None:
+    assert readiness_delay_s(cores, cpu_time_s) == pytest.approx(delay_s)
 
 
 async def test_a_proxy_with_a_long_known_list_becomes_ready_and_serves(tmp_path: Path) -> None:
@@ -230,12 +232,12 @@
 @pytest.mark.parametrize("mode", ["ask", "push"])
 async def test_idle_clients_in_all_descriptors_do_not_stop_discovery(mode: str, tmp_path: Path) -> None:
     # Discovery breaks two calls while idle clients and connections to endpoints use all file descriptors.
-    discovery, fails = FakeDiscovery(), iter(range(2))
+    discovery, failures = FakeDiscovery(), iter(range(2))
     respond_normally: Responder = discovery.server.respond
     upstreams = [await FakeEndpoint(respond_with(200)).start() for _ in range(16)]
 
     async def respond(received: ReceivedMessage, writer: asyncio.StreamWriter) -> None:
-        if next(fails, None) is not None:
+        if next(failures, None) is not None:
             discovery.record_call(received)
             await abort_connection(received, writer)
         else:
