--- a/tests/process/test_process.py
+++ b/tests/process/test_process.py
@@ -36,14 +36,14 @@
 }
 
 
-def configuration(*upstreams: int, **changes: object) -> dict[str, object]:
+def configuration(*ports: int, **changes: object) -> dict[str, object]:
     return {
         "name": "n0",
         "listen": f"{HOST}:0",
         "discovery": f"{HOST}:1",
         "seed": "8c1f30d27a5be964",
         "limits": {"sockets": 1024},
-        "known": list_of_ports(*upstreams),
+        "known": list_of_ports(*ports),
         "settings": SETTINGS,
         **changes,
     }
@@ -52,7 +52,7 @@
 @asynccontextmanager
 async def proxy_process(
     folder: Path,
-    *upstreams: int,
+    *ports: int,
     descriptors: int = 1024,
     path: Path | None = None,
     discovery: int = 1,
@@ -68,7 +68,7 @@
         path.write_text(
             json.dumps(
                 configuration(
-                    *upstreams,
+                    *ports,
                     discovery=f"{HOST}:{discovery}",
                     settings={**SETTINGS, "registry_mode": mode},
                     limits={"sockets": 1024, **limits},
@@ -128,14 +128,14 @@
             await release.wait()
         writer.write(format_response(200, b"done"))
 
-    upstream, second = await FakeEndpoint(respond).start(), await FakeEndpoint(respond).start()
-    async with proxy_process(tmp_path, upstream.port, second.port) as (process, port):
+    endpoint, second = await FakeEndpoint(respond).start(), await FakeEndpoint(respond).start()
+    async with proxy_process(tmp_path, endpoint.port, second.port) as (process, port):
         assert (await exchange(port, READY_REQUEST)).status == 200
         idle_reader, idle_writer = await asyncio.open_connection(HOST, port)
         idle_writer.write(READY_REQUEST)
         assert (await read_message(idle_reader)).status == 200
         slow = asyncio.create_task(exchange(port, request("/read/slow", deadline_ms=3000)))
-        await wait_until(lambda: upstream.requests or second.requests)
+        await wait_until(lambda: endpoint.requests or second.requests)
         process.send_signal(signal.SIGTERM)
         while (await exchange(port, READY_REQUEST)).status != 503:  # until the signal has been handled
             pass
@@ -148,18 +148,18 @@
         assert (await slow).body == b"done"
         assert await asyncio.wait_for(process.wait(), WAIT_TIMEOUT_S) == 0
         idle_writer.close()
-    upstream.stop()
+    endpoint.stop()
     second.stop()
 
 
 async def test_readiness_waits_until_the_start_is_within_the_cpu_limit(tmp_path: Path) -> None:
     # Guards against clients that wait while the system throttles a process that exceeded its CPU limit.
-    upstream = await FakeEndpoint(respond_with(200)).start()
-    async with proxy_process(tmp_path, upstream.port, cores=0.001) as (_, port):
+    endpoint = await FakeEndpoint(respond_with(200)).start()
+    async with proxy_process(tmp_path, endpoint.port, cores=0.001) as (_, port):
         while (response := await exchange(port, READY_REQUEST)).status != 200:
             assert response.status == 503
             assert (await exchange(port, request())).status == 200  # it serves meanwhile
-    upstream.stop()
+    endpoint.stop()
 
 
 @pytest.mark.parametrize(
@@ -174,8 +174,8 @@
 
 async def test_a_proxy_with_a_long_known_list_becomes_ready_and_serves(tmp_path: Path) -> None:
     # Asserts no times: each request must reach the only ready one of 30,001 endpoints.
-    upstream = await FakeEndpoint(respond_with(200)).start()
-    rows = list_of_ports(*[1] * 30_000, upstream.port)
+    endpoint = await FakeEndpoint(respond_with(200)).start()
+    rows = list_of_ports(*[1] * 30_000, endpoint.port)
     assert isinstance(rows["hosts"], list)
     for row in rows["hosts"][:-1]:
         row["health"] = "draining"
@@ -184,18 +184,18 @@
     async with proxy_process(tmp_path, path=path) as (process, port):
         assert (await exchange(port, READY_REQUEST)).status == 200
         assert [(await exchange(port, request())).status for _ in range(3)] == [200] * 3
-        assert len(upstream.requests) == 3
+        assert len(endpoint.requests) == 3
         assert process.returncode is None
-    upstream.stop()
+    endpoint.stop()
 
 
 async def test_sighup_hands_over_discovery_and_a_bad_file_changes_nothing(tmp_path: Path) -> None:
     discoveries = [FakeDiscovery(), FakeDiscovery()]
     for discovery in discoveries:
         await discovery.server.start()
-    upstream = await FakeEndpoint(respond_with(200)).start()
+    endpoint = await FakeEndpoint(respond_with(200)).start()
     path = tmp_path / "config.json"
-    async with proxy_process(tmp_path, upstream.port) as (process, port):
+    async with proxy_process(tmp_path, endpoint.port) as (process, port):
         for text in ("{", "[" * 100_000, json.dumps(configuration(listen=3))):
             path.write_text(text)
             process.send_signal(signal.SIGHUP)
@@ -212,13 +212,13 @@
         process.send_signal(signal.SIGTERM)
         process.send_signal(signal.SIGHUP)  # also during the shutdown
         assert await asyncio.wait_for(process.wait(), WAIT_TIMEOUT_S) == 0
-    for server in (upstream, *(r.server for r in discoveries)):
+    for server in (endpoint, *(r.server for r in discoveries)):
         server.stop()
 
 
 async def test_the_proxy_serves_after_it_ran_out_of_descriptors(tmp_path: Path) -> None:
-    upstream = await FakeEndpoint(respond_with(200)).start()
-    async with proxy_process(tmp_path, upstream.port, descriptors=24) as (process, port):
+    endpoint = await FakeEndpoint(respond_with(200)).start()
+    async with proxy_process(tmp_path, endpoint.port, descriptors=24) as (process, port):
         idle = [await asyncio.open_connection(HOST, port) for _ in range(40)]
         assert (await exchange(port, READY_REQUEST)).status == 200
         for _, writer in idle:
@@ -226,7 +226,7 @@
         answered = [(await exchange(port, request())).status for _ in range(3)]
         assert answered == [200] * 3
         assert process.returncode is None
-    upstream.stop()
+    endpoint.stop()
 
 
 @pytest.mark.parametrize("mode", ["ask", "push"])
@@ -234,7 +234,7 @@
     # Discovery breaks two calls while idle clients and connections to endpoints use all file descriptors.
     discovery, failures = FakeDiscovery(), iter(range(2))
     respond_normally: Responder = discovery.server.respond
-    upstreams = [await FakeEndpoint(respond_with(200)).start() for _ in range(16)]
+    endpoints = [await FakeEndpoint(respond_with(200)).start() for _ in range(16)]
 
     async def respond(received: ReceivedMessage, writer: asyncio.StreamWriter) -> None:
         if next(failures, None) is not None:
@@ -242,14 +242,14 @@
             await abort_connection(received, writer)
         else:
             if "s0" not in discovery.entries:
-                discovery.change("s0", dial=f"{HOST}:{upstreams[0].port}", health="draining")
+                discovery.change("s0", dial=f"{HOST}:{endpoints[0].port}", health="draining")
             await respond_normally(received, writer)
 
     discovery.server.respond = respond
     await discovery.server.start()
     async with proxy_process(
         tmp_path,
-        *(u.port for u in upstreams),
+        *(u.port for u in endpoints),
         descriptors=256,
         mode=mode,
         discovery=discovery.server.port,
@@ -261,14 +261,14 @@
             responses = await asyncio.gather(*(exchange(port, request()) for _ in range(40)))
             answered |= {response.status for response in responses}
             idle += [await asyncio.open_connection(HOST, port) for _ in range(10)]
-        before = len(upstreams[0].requests)
+        before = len(endpoints[0].requests)
         answered |= {(await exchange(port, request())).status for _ in range(40)}
-        assert len(upstreams[0].requests) == before
+        assert len(endpoints[0].requests) == before
         assert answered == {200}
         assert process.returncode is None
         for _, writer in idle:
             writer.close()
-    for server in (*upstreams, discovery.server):
+    for server in (*endpoints, discovery.server):
         server.stop()
 
 
