--- a/loadbalancer/units.py
+++ b/loadbalancer/units.py
@@ -1,4 +1,4 @@
-"""Units of time in nanoseconds: all times of the policy and most of the proxy are whole nanoseconds."""
+"""Factors between units of time. Times in the policy and most in the proxy are whole nanoseconds."""
 
 from __future__ import annotations
 
--- a/tests/package/__init__.py
+++ b/tests/package/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of the package's layout and limits."""
+"""Tests of the package's layout, imports, source limits and documentation."""
--- a/tests/package/test_docs.py
+++ b/tests/package/test_docs.py
@@ -1,4 +1,4 @@
-"""The modules and constants that the pages name are there."""
+"""The documentation names only modules, constants and rules that exist."""
 
 from __future__ import annotations
 
--- a/tests/package/test_imports.py
+++ b/tests/package/test_imports.py
@@ -1,4 +1,4 @@
-"""Which part of the package may import which, types included."""
+"""Import rules between the parts of the package; imports for type annotations count as well."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
 
 def imported_names(module: str) -> set[str]:
-    """Return what a module imports, at any depth and under TYPE_CHECKING too, as dotted names."""
+    """Return what a module imports as dotted names, also inside functions and under TYPE_CHECKING."""
     names: set[str] = set()
     for node in ast.walk(ast.parse(SOURCES[module])):
         if isinstance(node, ast.Import):
@@ -47,7 +47,7 @@
 
 
 def part_of(module: str) -> str:
-    """Return the package or module right below `loadbalancer`; empty for `loadbalancer` itself."""
+    """Return the package or module directly below `loadbalancer`; empty for `loadbalancer` itself."""
     return module.removeprefix(PACKAGE).removeprefix(".").split(".")[0]
 
 
@@ -70,10 +70,10 @@
             assert "__import__" not in source, module
 
 
-def test_no_circle_of_imports() -> None:
+def test_there_are_no_import_cycles() -> None:
     graph = {
         module: imported_modules(module) & set(SOURCES)
         for module in SOURCES
         if part_of(module) in ALLOWED_BY_PART
     }
-    TopologicalSorter(graph).prepare()  # raises CycleError with the modules of a circle
+    TopologicalSorter(graph).prepare()  # raises CycleError with the modules of a cycle
--- a/tests/package/test_package_layout.py
+++ b/tests/package/test_package_layout.py
@@ -1,4 +1,4 @@
-"""The files that pyproject.toml and the deploy file name are all there, and none is left out."""
+"""pyproject.toml and the deploy file name all packages and policy files, and only files that exist."""
 
 from __future__ import annotations
 
@@ -22,5 +22,5 @@
     assert set(DEPLOY["policy"]) == files - {"loadbalancer/policy/__init__.py"}
 
 
-def test_the_deploy_file_names_files_that_are_there() -> None:
+def test_the_files_that_the_deploy_file_names_exist() -> None:
     assert [name for name in DEPLOY["policy"] + DEPLOY["node"] if not (ROOT / name).exists()] == []
--- a/tests/package/test_policy_limits.py
+++ b/tests/package/test_policy_limits.py
@@ -1,4 +1,4 @@
-"""Limits that the operators set for the text of the policy, and the example of the README."""
+"""Limits that the operators set for the source of the policy, the example of the README, and old names."""
 
 from __future__ import annotations
 
@@ -46,7 +46,7 @@
     assert done.stdout.startswith("send r1 to endpoint ")
 
 
-def test_no_former_package_name_is_left() -> None:
+def test_former_package_names_do_not_appear() -> None:
     former_names = ("cress" + "plank", "lane" + "mux")
     files = [
         *ROOT.glob("loadbalancer/**/*.py"),
--- a/tests/process/test_logging_setup.py
+++ b/tests/process/test_logging_setup.py
@@ -43,7 +43,7 @@
     assert second.getMessage() == "line c"
 
 
-def test_a_quiet_second_is_followed_by_plain_lines(clock: ManualClock) -> None:
+def test_no_count_is_reported_if_no_line_was_dropped(clock: ManualClock) -> None:
     limiter = LogRateLimiter()
     assert limiter.filter(record("a"))
     clock.now += 1
