--- a/loadbalancer/logging_setup.py
+++ b/loadbalancer/logging_setup.py
@@ -25,7 +25,7 @@
         second = int(time.monotonic())
         if second != self._second:
             if self._dropped:
-                record.msg = f"{record.getMessage()} ({self._dropped} lines dropped by the rate limit)"
+                record.msg = f"{record.getMessage()} ({self._dropped} lines left out)"
                 record.args = ()
             self._second = second
             self._lines = 0
--- a/tests/process/test_logging_setup.py
+++ b/tests/process/test_logging_setup.py
@@ -38,7 +38,7 @@
     first, second = record("b"), record("c")
     assert passed == [True] * MAX_LINES_PER_SECOND + [False] * 3
     assert limiter.filter(first)
-    assert first.getMessage() == "line b (3 lines dropped by the rate limit)"
+    assert first.getMessage() == "line b (3 lines left out)"
     assert limiter.filter(second)
     assert second.getMessage() == "line c"
 
