--- a/loadbalancer/messages.py
+++ b/loadbalancer/messages.py
@@ -7,10 +7,10 @@
 Messages are named tuples instead of dataclasses: several are created for each request, and tuples are
 the fastest to create.
 
-The policy ignores or never returns the following messages, which the simulator's wire and the proxy have:
-`FetchEndpoints` (`WatchEndpoints` brings the complete list as well), `SendGossip` and `GossipReceived` (each
-proxy decides by its own observations), `CloseIdleConnections` (idle connections time out in the proxy) and
-`LogMessage`.
+Some messages the policy ignores or never returns; they exist because the simulator's wire and the proxy have
+them: `FetchEndpoints` (`WatchEndpoints` brings the complete list as well), `SendGossip` and `GossipReceived`
+(each proxy decides by its own observations), `CloseIdleConnections` (idle connections time out in the proxy)
+and `LogMessage`.
 """
 
 from __future__ import annotations
@@ -35,7 +35,9 @@
     FULL = 1  # the complete list
     CACHED = 2  # the complete list as stored before a restart, possibly out of date
     FAILED = 3  # a discovery call failed or the connection of the watch broke; no entries
-    WATCH_TIMED_OUT = 4  # no response to the watch in time, its events are lost; no entries. Not on the wire
+    WATCH_TIMED_OUT = (
+        4  # no response to the watch in time: its events are lost; no entries. Never on the wire
+    )
 
 
 class AttemptResult(Enum):
--- a/loadbalancer/settings.py
+++ b/loadbalancer/settings.py
@@ -99,7 +99,7 @@
 
     # Discovery.
     drain_notice_ns: int = 1_000_000_000  # sends to a draining or removed endpoint must end within this time
-    poll_interval_ns: int = 10_000_000_000  # after so long without a poll, a proxy counts as notified
+    poll_interval_ns: int = 10_000_000_000  # a proxy that has not polled for this long counts as notified
     # Slow start: an endpoint warms up after its start; how its capacity grows meanwhile is unknown.
     slow_start_initial_capacity: float = 0.3  # lowest capacity at the start, as a fraction of the full one
     slow_start_ns: int = 0  # longest time until the full capacity is reached; 0: no slow start
@@ -109,12 +109,12 @@
     overload_window_ns: int = 2_000_000_000
     # Responses.
     rejected_may_have_run: bool = False  # an endpoint's rejection is no proof that the request never ran
-    answer_grace_ns: int = 0  # a final response is still accepted for so long after the deadline
+    answer_grace_ns: int = 0  # a final response this long after the deadline still counts
 
 
 @dataclass(frozen=True, slots=True)
 class Prices:
-    """Points deducted from the operators' rating of a site: each field times the rate named here."""
+    """Points deducted from the operators' rating of a site: each field times the rate in its comment."""
 
     cross_zone: float = 0.0  # attempts at endpoints in other zones, per first attempt
     waste: float = 0.0  # work of endpoints that led to no response, as a fraction of the work offered
--- a/loadbalancer/state/endpoint_table.py
+++ b/loadbalancer/state/endpoint_table.py
@@ -15,7 +15,8 @@
 from loadbalancer.state.hash_ring import RingKey, ring_slice, unmix64
 from loadbalancer.state.placement import Placement
 
-# The rings are rebuilt when more endpoints have changed than REBUILD_CHANGES_MIN plus this fraction of all.
+# The rings are rebuilt if more endpoints have changed than REBUILD_CHANGES_MIN + REBUILD_CHANGED_FRACTION of
+# the listed ones.
 REBUILD_CHANGES_MIN = 256
 REBUILD_CHANGED_FRACTION = 0.5
 UNUSED_ATTRIBUTES_MIN = 256  # fewer unused attributes are never dropped
@@ -110,7 +111,7 @@
             placement.add((i, row) for i, row in self.attributes.items() if row.status is ready)
 
     def _drop_unused_attributes(self) -> None:
-        """Drop shared attributes that no endpoint has any more, once these are over half of all."""
+        """Drop shared attributes that no endpoint has, once they are more than half of those stored."""
         if len(self._interned) > 2 * len(self.attributes) + UNUSED_ATTRIBUTES_MIN:
             self._interned = {attributes: attributes for attributes in self.attributes.values()}
 
