--- a/loadbalancer/settings_reader.py
+++ b/loadbalancer/settings_reader.py
@@ -144,9 +144,9 @@
     )
 
 
-def _present_fields(raw: Json, names: Mapping[str, str]) -> Json:
-    """Return the values whose keys are in `names` and which are not null, by the names of their fields."""
-    return {field_name: raw[key] for key, field_name in names.items() if raw.get(key) is not None}
+def _present_fields(raw: Json, fields_by_key: Mapping[str, str]) -> Json:
+    """Return the values of the given keys that are present and not null, by the names of their fields."""
+    return {field_name: raw[key] for key, field_name in fields_by_key.items() if raw.get(key) is not None}
 
 
 def _object(raw: Json, key: str) -> Json:
