--- a/tests/process/test_process.py
+++ b/tests/process/test_process.py
@@ -1,4 +1,4 @@
-"""The proxy as a process of its own: configuration, signals, start-up, few file descriptors."""
+"""The proxy as a process: configuration, signals, start-up, exhausted file descriptors."""
 
 from __future__ import annotations
 
@@ -36,14 +36,14 @@
 }
 
 
-def configuration(*upstreams: int, **changes: object) -> dict[str, object]:
+def configuration(*ports: int, **changes: object) -> dict[str, object]:
     return {
         "name": "n0",
         "listen": f"{HOST}:0",
         "discovery": f"{HOST}:1",
         "seed": "8c1f30d27a5be964",
         "limits": {"sockets": 1024},
-        "known": list_of_ports(*upstreams),
+        "known": list_of_ports(*ports),
         "settings": SETTINGS,
         **changes,
     }
@@ -52,23 +52,23 @@
 @asynccontextmanager
 async def proxy_process(
     folder: Path,
-    *upstreams: int,
+    *ports: int,
     descriptors: int = 1024,
     path: Path | None = None,
     discovery: int = 1,
     mode: str = "push",
     **limits: float,
 ) -> AsyncIterator[tuple[Process, int]]:
-    """Start a proxy as a process; give it and its port once it is ready.
+    """Start a proxy as a process, and yield the process and its port once it is ready.
 
-    Its configuration is written to `folder`, unless `path` names one.
+    Its configuration is written to `folder`, unless `path` names a configuration file.
     """
     if path is None:
         path = folder / "config.json"
         path.write_text(
             json.dumps(
                 configuration(
-                    *upstreams,
+                    *ports,
                     discovery=f"{HOST}:{discovery}",
                     settings={**SETTINGS, "registry_mode": mode},
                     limits={"sockets": 1024, **limits},
@@ -92,7 +92,7 @@
         line = b""
         while b"ready on port" not in line:
             line = await asyncio.wait_for(process.stderr.readline(), WAIT_TIMEOUT_S)
-            assert line, "it ended before it was ready"
+            assert line, "the process ended before it was ready"
         yield process, int(line.split()[-1])
     finally:
         if process.returncode is None:
@@ -100,7 +100,7 @@
         await process.communicate()
 
 
-def run_to_end(environment: dict[str, str]) -> subprocess.CompletedProcess[str]:
+def run_program(environment: dict[str, str]) -> subprocess.CompletedProcess[str]:
     return subprocess.run(
         [sys.executable, "-m", "loadbalancer"],
         capture_output=True,
@@ -128,16 +128,16 @@
             await release.wait()
         writer.write(format_response(200, b"done"))
 
-    upstream, second = await FakeEndpoint(respond).start(), await FakeEndpoint(respond).start()
-    async with proxy_process(tmp_path, upstream.port, second.port) as (process, port):
+    endpoint, second = await FakeEndpoint(respond).start(), await FakeEndpoint(respond).start()
+    async with proxy_process(tmp_path, endpoint.port, second.port) as (process, port):
         assert (await exchange(port, READY_REQUEST)).status == 200
         idle_reader, idle_writer = await asyncio.open_connection(HOST, port)
         idle_writer.write(READY_REQUEST)
         assert (await read_message(idle_reader)).status == 200
         slow = asyncio.create_task(exchange(port, request("/read/slow", deadline_ms=3000)))
-        await wait_until(lambda: upstream.requests or second.requests)
+        await wait_until(lambda: endpoint.requests or second.requests)
         process.send_signal(signal.SIGTERM)
-        while (await exchange(port, READY_REQUEST)).status != 503:  # the signal may take a moment
+        while (await exchange(port, READY_REQUEST)).status != 503:  # until the signal has been handled
             pass
         late = await exchange(port, request("/read/late"))
         assert (late.status, late.headers["connection"]) == (200, "close")
@@ -148,34 +148,34 @@
         assert (await slow).body == b"done"
         assert await asyncio.wait_for(process.wait(), WAIT_TIMEOUT_S) == 0
         idle_writer.close()
-    upstream.stop()
+    endpoint.stop()
     second.stop()
 
 
-async def test_the_proxy_is_ready_once_the_processor_time_of_its_start_is_paid_for(tmp_path: Path) -> None:
-    # Clients would wait while the system throttles a process that exceeded its CPU limit at the start.
-    upstream = await FakeEndpoint(respond_with(200)).start()
-    async with proxy_process(tmp_path, upstream.port, cores=0.001) as (_, port):
+async def test_readiness_waits_until_the_start_is_within_the_cpu_limit(tmp_path: Path) -> None:
+    # Guards against clients that wait while the system throttles a process that exceeded its CPU limit.
+    endpoint = await FakeEndpoint(respond_with(200)).start()
+    async with proxy_process(tmp_path, endpoint.port, cores=0.001) as (_, port):
         while (response := await exchange(port, READY_REQUEST)).status != 200:
             assert response.status == 503
             assert (await exchange(port, request())).status == 200  # it serves meanwhile
-    upstream.stop()
+    endpoint.stop()
 
 
 @pytest.mark.parametrize(
-    ("cores", "spent_s", "delay_s"),
+    ("cores", "cpu_time_s", "delay_s"),
     [(0.0, 0.1, 0.0), (0.5, 0.1, 0.2 + THROTTLING_DELAY_S), (0.01, 0.1, MAX_READINESS_DELAY_S)],
 )
-def test_the_cpu_debt_is_the_time_until_the_start_is_paid_for(
-    cores: float, spent_s: float, delay_s: float
+def test_readiness_delay_by_cpu_limit_and_cpu_time_used(
+    cores: float, cpu_time_s: float, delay_s: float
 ) -> None:
-    assert readiness_delay_s(cores, spent_s) == pytest.approx(delay_s)
+    assert readiness_delay_s(cores, cpu_time_s) == pytest.approx(delay_s)
 
 
 async def test_a_proxy_with_a_long_known_list_becomes_ready_and_serves(tmp_path: Path) -> None:
-    # Nothing is timed: each request must reach the only one of 30,001 endpoints that is up.
-    upstream = await FakeEndpoint(respond_with(200)).start()
-    rows = list_of_ports(*[1] * 30_000, upstream.port)
+    # Asserts no times: each request must reach the only ready one of 30,001 endpoints.
+    endpoint = await FakeEndpoint(respond_with(200)).start()
+    rows = list_of_ports(*[1] * 30_000, endpoint.port)
     assert isinstance(rows["hosts"], list)
     for row in rows["hosts"][:-1]:
         row["health"] = "draining"
@@ -184,18 +184,18 @@
     async with proxy_process(tmp_path, path=path) as (process, port):
         assert (await exchange(port, READY_REQUEST)).status == 200
         assert [(await exchange(port, request())).status for _ in range(3)] == [200] * 3
-        assert len(upstream.requests) == 3
+        assert len(endpoint.requests) == 3
         assert process.returncode is None
-    upstream.stop()
+    endpoint.stop()
 
 
-async def test_sighup_moves_discovery_and_a_bad_file_changes_nothing(tmp_path: Path) -> None:
+async def test_sighup_hands_over_discovery_and_a_bad_file_changes_nothing(tmp_path: Path) -> None:
     discoveries = [FakeDiscovery(), FakeDiscovery()]
     for discovery in discoveries:
         await discovery.server.start()
-    upstream = await FakeEndpoint(respond_with(200)).start()
+    endpoint = await FakeEndpoint(respond_with(200)).start()
     path = tmp_path / "config.json"
-    async with proxy_process(tmp_path, upstream.port) as (process, port):
+    async with proxy_process(tmp_path, endpoint.port) as (process, port):
         for text in ("{", "[" * 100_000, json.dumps(configuration(listen=3))):
             path.write_text(text)
             process.send_signal(signal.SIGHUP)
@@ -203,7 +203,7 @@
             while b"the old configuration stays" not in line:
                 assert process.stderr is not None
                 line = await asyncio.wait_for(process.stderr.readline(), WAIT_TIMEOUT_S)
-                assert line, "it ended"
+                assert line, "the process ended"
         assert (await exchange(port, request())).status == 200
         for discovery in discoveries:
             path.write_text(json.dumps(configuration(discovery=f"{HOST}:{discovery.server.port}")))
@@ -212,13 +212,13 @@
         process.send_signal(signal.SIGTERM)
         process.send_signal(signal.SIGHUP)  # also during the shutdown
         assert await asyncio.wait_for(process.wait(), WAIT_TIMEOUT_S) == 0
-    for server in (upstream, *(r.server for r in discoveries)):
+    for server in (endpoint, *(r.server for r in discoveries)):
         server.stop()
 
 
 async def test_the_proxy_serves_after_it_ran_out_of_descriptors(tmp_path: Path) -> None:
-    upstream = await FakeEndpoint(respond_with(200)).start()
-    async with proxy_process(tmp_path, upstream.port, descriptors=24) as (process, port):
+    endpoint = await FakeEndpoint(respond_with(200)).start()
+    async with proxy_process(tmp_path, endpoint.port, descriptors=24) as (process, port):
         idle = [await asyncio.open_connection(HOST, port) for _ in range(40)]
         assert (await exchange(port, READY_REQUEST)).status == 200
         for _, writer in idle:
@@ -226,30 +226,30 @@
         answered = [(await exchange(port, request())).status for _ in range(3)]
         assert answered == [200] * 3
         assert process.returncode is None
-    upstream.stop()
+    endpoint.stop()
 
 
 @pytest.mark.parametrize("mode", ["ask", "push"])
 async def test_idle_clients_in_all_descriptors_do_not_stop_discovery(mode: str, tmp_path: Path) -> None:
-    # Discovery breaks two calls while idle clients and connections to endpoints take all descriptors.
-    discovery, fails = FakeDiscovery(), iter(range(2))
+    # Discovery breaks two calls while idle clients and connections to endpoints use all file descriptors.
+    discovery, failures = FakeDiscovery(), iter(range(2))
     respond_normally: Responder = discovery.server.respond
-    upstreams = [await FakeEndpoint(respond_with(200)).start() for _ in range(16)]
+    endpoints = [await FakeEndpoint(respond_with(200)).start() for _ in range(16)]
 
     async def respond(received: ReceivedMessage, writer: asyncio.StreamWriter) -> None:
-        if next(fails, None) is not None:
+        if next(failures, None) is not None:
             discovery.record_call(received)
             await abort_connection(received, writer)
         else:
             if "s0" not in discovery.entries:
-                discovery.change("s0", dial=f"{HOST}:{upstreams[0].port}", health="draining")
+                discovery.change("s0", dial=f"{HOST}:{endpoints[0].port}", health="draining")
             await respond_normally(received, writer)
 
     discovery.server.respond = respond
     await discovery.server.start()
     async with proxy_process(
         tmp_path,
-        *(u.port for u in upstreams),
+        *(u.port for u in endpoints),
         descriptors=256,
         mode=mode,
         discovery=discovery.server.port,
@@ -261,14 +261,14 @@
             responses = await asyncio.gather(*(exchange(port, request()) for _ in range(40)))
             answered |= {response.status for response in responses}
             idle += [await asyncio.open_connection(HOST, port) for _ in range(10)]
-        before = len(upstreams[0].requests)
+        before = len(endpoints[0].requests)
         answered |= {(await exchange(port, request())).status for _ in range(40)}
-        assert len(upstreams[0].requests) == before
+        assert len(endpoints[0].requests) == before
         assert answered == {200}
         assert process.returncode is None
         for _, writer in idle:
             writer.close()
-    for server in (*upstreams, discovery.server):
+    for server in (*endpoints, discovery.server):
         server.stop()
 
 
@@ -288,7 +288,7 @@
     path = tmp_path / "config.json"
     if text is not None:
         path.write_text(text)
-    done = run_to_end({**os.environ, "RELAY_CONFIG": str(path)})
+    done = run_program({**os.environ, "RELAY_CONFIG": str(path)})
     assert done.returncode == 2
     assert message in done.stderr
     assert done.stderr.count("\n") == 1
@@ -296,6 +296,6 @@
 
 def test_a_missing_configuration_variable_is_reported() -> None:
     env = {k: v for k, v in os.environ.items() if k != "RELAY_CONFIG"}
-    done = run_to_end(env)
+    done = run_program(env)
     assert done.returncode == 2
     assert done.stderr == "loadbalancer: RELAY_CONFIG is not set\n"
--- a/tests/process/test_reloads_in_succession.py
+++ b/tests/process/test_reloads_in_succession.py
@@ -18,7 +18,7 @@
 from loadbalancer.proxy.addresses import Address
 from loadbalancer.proxy.configuration import Configuration
 from loadbalancer.proxy.cooperative import CooperativeWork
-from tests.process.test_configuration_reload import CONFIGURATION, written
+from tests.process.test_configuration_reload import CONFIGURATION, write_configuration
 from tests.process.test_process import configuration, proxy_process
 from tests.support.endpoint_lists import complete_list
 from tests.support.fake_discovery import FakeDiscovery
@@ -27,18 +27,20 @@
 from tests.support.waiting import WAIT_TIMEOUT_S, wait_until
 
 SECOND: Address = ("127.0.0.3", 3)
-SETTLING_TURNS = 20
+EVENT_LOOP_TURNS = 20
 
 
-class Reloads:
-    """A reloader, the addresses that it has handed over to, and reads that take as long as the test says."""
+class ReloadHarness:
+    """A reloader whose reads can be held back, and the addresses that it has handed discovery over to."""
 
     def __init__(self, path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
         self.path = path
         self.addresses: list[Address] = []
         self.reloader = ConfigurationReloader(str(path), CONFIGURATION, self.addresses.append)
         self.reads_begun = 0
-        self.held_reads: set[int] = set()  # these do not end until they are taken out of the set
+        self.held_reads: set[int] = (
+            set()
+        )  # numbers of reads that don't end until they are removed from the set
         monkeypatch.setattr(loadbalancer.configuration_reload, "read_configuration_cooperatively", self._read)
 
     def _read(self, path: str, *, keep_known_endpoints: bool) -> CooperativeWork[Configuration]:
@@ -58,26 +60,26 @@
         return result
 
     async def start(self, **changes: object) -> None:
-        """Write a file and start a reload, which begins to read."""
-        written(self.path.parent, **changes)
+        """Write the file and start a reload; return when it has begun to read."""
+        write_configuration(self.path.parent, **changes)
         self.reloader.start()
         before = self.reads_begun
         await wait_until(lambda: self.reads_begun > before)
 
     async def release_reads(self) -> None:
-        """Let held reads go on, and wait until nothing is left to do."""
+        """Let held reads end, and give the event loop the turns to handle their results."""
         self.held_reads.clear()
-        for _ in range(SETTLING_TURNS):
+        for _ in range(EVENT_LOOP_TURNS):
             await asyncio.sleep(0)
 
 
 @pytest.fixture
-def reloads(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> Reloads:
-    return Reloads(tmp_path / "config.json", monkeypatch)
+def reloads(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> ReloadHarness:
+    return ReloadHarness(tmp_path / "config.json", monkeypatch)
 
 
-async def test_the_file_of_the_newest_signal_is_in_force_when_an_older_read_takes_longer(
-    reloads: Reloads,
+async def test_the_newest_file_is_in_force_if_an_older_read_takes_longer(
+    reloads: ReloadHarness,
 ) -> None:
     reloads.held_reads = {0}
     await reloads.start(discovery="127.0.0.2:2")
@@ -87,8 +89,8 @@
     assert reloads.addresses == [SECOND]
 
 
-async def test_a_bad_newest_file_leaves_the_configuration_that_was_in_force(
-    reloads: Reloads, caplog: pytest.LogCaptureFixture
+async def test_a_bad_newest_file_leaves_the_old_configuration_in_force(
+    reloads: ReloadHarness, caplog: pytest.LogCaptureFixture
 ) -> None:
     reloads.held_reads = {0}
     await reloads.start(discovery="127.0.0.2:2")
@@ -100,17 +102,17 @@
 
 @pytest.mark.parametrize("first_discovery", ["127.0.0.2:2", "nowhere"])
 async def test_a_file_that_changes_while_it_is_read_is_read_again(
-    first_discovery: str, reloads: Reloads
+    first_discovery: str, reloads: ReloadHarness
 ) -> None:
     reloads.held_reads = {0}
     await reloads.start(discovery=first_discovery)
-    written(reloads.path.parent, discovery="127.0.0.3:3", seed="longer than before")
+    write_configuration(reloads.path.parent, discovery="127.0.0.3:3", seed="longer than before")
     reloads.held_reads.clear()
     await wait_until(lambda: reloads.addresses)
     assert reloads.addresses == [SECOND]
 
 
-async def test_a_stopped_reloader_applies_nothing(reloads: Reloads) -> None:
+async def test_a_stopped_reloader_applies_nothing(reloads: ReloadHarness) -> None:
     reloads.held_reads = {0}
     await reloads.start(discovery="127.0.0.2:2")
     reloads.reloader.stop()
@@ -119,23 +121,23 @@
 
 
 def replace_configuration(path: Path, **changes: object) -> None:
-    """Put a new file in the place of the old one, which a reader of it may still have open."""
+    """Replace the file atomically; a reader may still have the old one open."""
     new = path.with_suffix(".new")
     new.write_text(json.dumps(configuration(**changes)))
     new.replace(path)
 
 
 async def wait_for_log(process: Process, text: bytes) -> None:
-    """Read the log up to a line that holds a text."""
+    """Read the log up to a line that contains the text."""
     assert process.stderr is not None
     line = b""
     while text not in line:
         line = await asyncio.wait_for(process.stderr.readline(), WAIT_TIMEOUT_S)
-        assert line, "it ended"
+        assert line, "the process ended"
 
 
-async def test_two_signals_with_a_long_file_first_end_at_the_discovery_of_the_second(tmp_path: Path) -> None:
-    # Guards against the older file winning because its endpoint list took longer to read.
+async def test_a_long_first_file_does_not_replace_the_discovery_of_the_second(tmp_path: Path) -> None:
+    # Guards against the older file taking effect last because its endpoint list takes longer to read.
     discoveries = [FakeDiscovery(), FakeDiscovery()]
     for discovery in discoveries:
         await discovery.server.start()
@@ -149,7 +151,7 @@
         await asyncio.sleep(0.05)
         replace_configuration(path, discovery=f"{HOST}:{second.server.port}")
         process.send_signal(signal.SIGHUP)
-        await wait_for_log(process, b"given up for a newer one")
+        await wait_for_log(process, b"superseded by a newer reload")
         await wait_for_log(process, b"reload: discovery at")
         await wait_until(lambda: len(second.calls) >= 2)
         assert not first.calls
--- a/tests/proxy/test_attempts.py
+++ b/tests/proxy/test_attempts.py
@@ -222,7 +222,7 @@
         client.proxy.dispatch(TimerExpired("overdue"))
         release.set()
         assert (await client.read()).status == 200
-    assert [(ended.result, ended.counts) for ended in policy.events_of(AttemptEnded)] == [
+    assert [(ended.result, ended.counts_as_attempt) for ended in policy.events_of(AttemptEnded)] == [
         (AttemptResult.NOT_SENT, False),
         (AttemptResult.RESET, True),
         (AttemptResult.NOT_SENT, False),
--- a/tests/simulator/test_simulator_adapter.py
+++ b/tests/simulator/test_simulator_adapter.py
@@ -1,4 +1,4 @@
-"""The simulator's adapter as a process: requests, malformed input, independence of the hash seed."""
+"""The simulator's adapter as a process: requests, settings, malformed input, no effect of the hash seed."""
 
 from __future__ import annotations
 
@@ -50,7 +50,7 @@
     return json.dumps({"sim_time_ns": now_ns, "round": number, "happened": list(happened)})
 
 
-def started_balancer(balancer: int = 0) -> list[Json]:
+def start_events(balancer: int = 0) -> list[Json]:
     return [
         {"t": "new_instance", "balancer": balancer, "seed": 5, "settings": SETTINGS},
         {"t": "directory", "buffer": 0, "rows_in": ROWS},
@@ -69,8 +69,8 @@
     }
 
 
-def simulated_day() -> list[str]:
-    lines = [batch(1, 10**9), batch(2, 2 * 10**9, *started_balancer(0), *started_balancer(1))]
+def simulated_batches() -> list[str]:
+    lines = [batch(1, 10**9), batch(2, 2 * 10**9, *start_events(0), *start_events(1))]
     for i in range(40):
         now_ns = 2 * 10**9 + i * 10**7
         lines.append(
@@ -83,11 +83,11 @@
     return lines
 
 
-def test_a_request_is_forwarded_and_its_result_taken() -> None:
+def test_a_request_is_forwarded_and_its_result_is_accepted() -> None:
     now_ns = 2 * 10**9
     done = run_adapter(
         [
-            batch(1, now_ns, *started_balancer(), request_arrived("t1", now_ns)),
+            batch(1, now_ns, *start_events(), request_arrived("t1", now_ns)),
             batch(
                 2,
                 now_ns + 10**7,
@@ -108,22 +108,22 @@
     assert done.returncode == 0
     assert not done.stderr
     first, second = (json.loads(line) for line in done.stdout.splitlines())
-    sends = [c for c in first["cmds"] if c["t"] == "submit_to"]
-    assert len(sends) == 1
-    assert sends[0]["upstream"] in (11, 12, 13)
-    assert sends[0]["balancer"] == 0
+    forwards = [c for c in first["cmds"] if c["t"] == "submit_to"]
+    assert len(forwards) == 1
+    assert forwards[0]["upstream"] in (11, 12, 13)
+    assert forwards[0]["balancer"] == 0
     assert second["round"] == 2
 
 
 def test_replies_do_not_depend_on_the_hash_seed() -> None:
-    assert run_adapter(simulated_day(), "1").stdout == run_adapter(simulated_day(), "2").stdout != ""
+    assert run_adapter(simulated_batches(), "1").stdout == run_adapter(simulated_batches(), "2").stdout != ""
 
 
 def test_power_off_removes_the_balancer() -> None:
     now_ns = 2 * 10**9
     done = run_adapter(
         [
-            batch(1, now_ns, *started_balancer(), request_arrived("t1", now_ns)),
+            batch(1, now_ns, *start_events(), request_arrived("t1", now_ns)),
             batch(2, now_ns + 1, {"t": "power_off", "balancer": 0}),
             batch(3, now_ns + 2, {"t": "timer", "balancer": 0, "name": "1"}),
         ]
@@ -142,21 +142,21 @@
         ('{"sim_time_ns":1,"round":1}', "happened"),
         (batch(1, 1, {"t": "strange", "balancer": 0}), "not started"),
         (batch(1, 1, {"balancer": 0}), "KeyError"),
-        (batch(1, 1, *started_balancer(), {"t": "strange", "balancer": 0}), "unknown event 'strange'"),
-        (batch(1, 1, *started_balancer(), {"t": "submit", "balancer": 0, "ticket": "t1"}), "KeyError 'kind'"),
+        (batch(1, 1, *start_events(), {"t": "strange", "balancer": 0}), "unknown event 'strange'"),
+        (batch(1, 1, *start_events(), {"t": "submit", "balancer": 0, "ticket": "t1"}), "KeyError 'kind'"),
         (
-            batch(1, 1, *started_balancer(), {**request_arrived("t1", 1), "deadline_ns": "soon"}),
+            batch(1, 1, *start_events(), {**request_arrived("t1", 1), "deadline_ns": "soon"}),
             "deadline_ns: 'soon' is not a whole number",
         ),
         (
-            batch(1, 1, *started_balancer(), {**request_arrived("t1", 1), "ticket": 7}),
-            "ticket: 7 is not text",
+            batch(1, 1, *start_events(), {**request_arrived("t1", 1), "ticket": 7}),
+            "ticket: 7 is not a string",
         ),
         (
             batch(
                 1,
                 1,
-                *started_balancer(),
+                *start_events(),
                 {"t": "membership", "balancer": 0, "form": 1, "stamp": 2, "buffer": 9},
             ),
             "KeyError 9",
@@ -165,7 +165,7 @@
             batch(
                 1,
                 1,
-                *started_balancer(),
+                *start_events(),
                 {"t": "membership", "balancer": 0, "form": 7, "stamp": 2, "buffer": 0},
             ),
             "KeyError 7",
@@ -174,7 +174,7 @@
             batch(
                 1,
                 1,
-                *started_balancer(),
+                *start_events(),
                 {
                     "t": "probe_result",
                     "balancer": 0,
@@ -194,7 +194,7 @@
     assert "Traceback" not in done.stderr
 
 
-def test_an_exception_in_the_decisions_is_reported_as_a_fault() -> None:
+def test_an_exception_in_a_balancer_is_reported_as_a_fault() -> None:
     done = run_adapter(
         [
             batch(
@@ -216,7 +216,7 @@
     assert "TypeError" in fault["message"]
 
 
-def test_every_setting_that_a_decision_can_use_is_read() -> None:
+def test_settings_are_read_into_their_fields() -> None:
     raw = {
         **SETTINGS,
         "zones": ["north", "south"],
@@ -241,34 +241,42 @@
         "rules": {"full_unproven": True, "grace_to_answer_ns": 3, "stop_sending_within_ns": 4},
         "limits": {"conn_idle_ns": 6, "max_streams": 8, "max_open": 10, "cpu_us_per_s": 12},
     }
-    known = read_settings(raw)
-    look = known.request_classes["look"]
-    assert (look.allowed_zones, look.allowed_machine_types, look.deduplication_scope) == (
+    settings = read_settings(raw)
+    request_class = settings.request_classes["look"]
+    assert (
+        request_class.allowed_zones,
+        request_class.allowed_machine_types,
+        request_class.deduplication_scope,
+    ) == (
         frozenset({"north"}),
         frozenset({"big"}),
         DeduplicationScope.CELL,
     )
-    assert (look.latency_objective_stretch, look.client_timeout_ns, look.deduplication_window_ns) == (
+    assert (
+        request_class.latency_objective_stretch,
+        request_class.client_timeout_ns,
+        request_class.deduplication_window_ns,
+    ) == (
         1.5,
         9,
         7,
     )
-    assert known.rules.rejected_may_have_run
-    assert known.rules.answer_grace_ns == 3
-    assert known.weight_source is WeightSource.LIVE
-    assert known.over_quota_weight == 0.2
-    assert known.client_retries_marked
-    assert not known.load_reports_in_responses
-    assert known.zones == ("north", "south")
-    assert (known.prices.connection, known.prices.endpoint_list, known.prices.late_failure) == (
+    assert settings.rules.rejected_may_have_run
+    assert settings.rules.answer_grace_ns == 3
+    assert settings.weight_source is WeightSource.LIVE
+    assert settings.over_quota_weight == 0.2
+    assert settings.client_retries_marked
+    assert not settings.load_reports_in_responses
+    assert settings.zones == ("north", "south")
+    assert (settings.prices.connection, settings.prices.endpoint_list, settings.prices.late_failure) == (
         0.03,
         0.5,
         0.02,
     )
     assert (
-        known.limits.connection_idle_timeout_ns,
-        known.limits.max_streams_per_connection,
-        known.limits.max_pending_requests,
+        settings.limits.connection_idle_timeout_ns,
+        settings.limits.max_streams_per_connection,
+        settings.limits.max_pending_requests,
     ) == (6, 8, 10)
     row = {"upstream": 5, "class_of_host": "big", "scale": 0.25, "up_since_ns": 3, "cohort": 2}
     assert read_endpoint(row) == Endpoint(5, cell=2, weight=0.25, started_ns=3, machine_type="big")
@@ -290,7 +298,7 @@
         ({"profiles": [{"name": "a", "runs_in": 4}]}, "profiles[0].runs_in: 4"),
     ],
 )
-def test_unusable_settings_are_reported_by_key_and_value(raw: Json, key: str) -> None:
+def test_invalid_settings_are_reported_by_key_and_value(raw: Json, key: str) -> None:
     with pytest.raises(SettingsError, match=re.escape(key)):
         read_settings(raw)
 
@@ -303,7 +311,7 @@
     done = subprocess.run(
         ["/bin/sh", "-c", deploy["sim"]],
         cwd=root,
-        input="".join(f"{x}\n" for x in simulated_day()),
+        input="".join(f"{x}\n" for x in simulated_batches()),
         capture_output=True,
         text=True,
         timeout=60,
@@ -313,4 +321,4 @@
     assert done.returncode == 0
     assert [r["round"] for r in replies] == list(range(1, 43))
     assert any(c["t"] == "submit_to" for r in replies for c in r["cmds"])
-    assert done.stdout == run_adapter(simulated_day()).stdout
+    assert done.stdout == run_adapter(simulated_batches()).stdout
