--- a/loadbalancer/policy/balancer.py
+++ b/loadbalancer/policy/balancer.py
@@ -40,7 +40,7 @@
         self.rng = random.Random(seed)
         objectives = latency_objectives(settings)
         self.shortest_objective_ns = objectives.shortest_ns
-        probes_load = is_probing_enabled(settings)
+        probing_enabled = is_probing_enabled(settings)
         self.timers = TimerQueue[Timer]()
         self.rate_controller = RateController(total_tenant_weight(settings), now_ns)
         self.throttles = TenantThrottles(
@@ -53,7 +53,7 @@
         self.concurrency_limit = ConcurrencyLimit(self.latency_model)
         self.fleet = Fleet(settings.request_classes, new_endpoint_table(settings))
         self.fleet_updater = FleetUpdater(
-            settings, self.fleet, LiveWeights(settings), draws_from_reserve=probes_load
+            settings, self.fleet, LiveWeights(settings), draws_from_reserve=probing_enabled
         )
         self.outlier_detection = OutlierDetection(
             fleet=self.fleet,
@@ -70,7 +70,7 @@
             latency_model=self.latency_model,
             rng=self.rng,
         )
-        self.load_probing = LoadProbing(self.selection, self.timers, enabled=probes_load)
+        self.load_probing = LoadProbing(self.selection, self.timers, enabled=probing_enabled)
         self.attempt_results = AttemptResults(
             outliers=self.outlier_detection,
             limit=self.concurrency_limit,
@@ -80,14 +80,14 @@
         self.actions: list[messages.Action] = []
         self.requests = RequestTable()
         self.queues = {pool: RequestQueue(pool) for pool in self.fleet.pools.values()}
-        self.request_lifecycle = self._request_lifecycle()
-        self.request_admission = self._request_admission()
-        self._handlers = self._event_handlers()
-        self.feedback = self._feedback(now_ns)
+        self.request_lifecycle = self._create_request_lifecycle()
+        self.request_admission = self._create_request_admission()
+        self._handlers = self._create_event_handlers()
+        self.feedback = self._create_feedback(now_ns)
         self.discovery_retry = DiscoveryRetry(settings, self.timers, self.rng)
         self.discovery_retry.schedule_first_poll(now_ns)
 
-    def _request_lifecycle(self) -> RequestLifecycle:
+    def _create_request_lifecycle(self) -> RequestLifecycle:
         return RequestLifecycle(
             settings=self.settings,
             rng=self.rng,
@@ -109,7 +109,7 @@
             attempt_results=self.attempt_results,
         )
 
-    def _request_admission(self) -> RequestAdmission:
+    def _create_request_admission(self) -> RequestAdmission:
         return RequestAdmission(
             settings=self.settings,
             shortest_objective_ns=self.shortest_objective_ns,
@@ -121,7 +121,7 @@
             lifecycle=self.request_lifecycle,
         )
 
-    def _feedback(self, now_ns: int) -> Feedback:
+    def _create_feedback(self, now_ns: int) -> Feedback:
         return Feedback(
             due_ns=now_ns + FEEDBACK_INTERVAL_NS,
             fleet=self.fleet,
@@ -135,7 +135,7 @@
             request_admission=self.request_admission,
         )
 
-    def _event_handlers(self) -> dict[type[messages.Event], Callable[[Any, int], None]]:
+    def _create_event_handlers(self) -> dict[type[messages.Event], Callable[[Any, int], None]]:
         return {
             messages.RequestArrived: self.request_admission.on_request_arrived,
             messages.AttemptEnded: self.request_lifecycle.on_attempt_ended,
