--- a/loadbalancer/policy/balancer.py
+++ b/loadbalancer/policy/balancer.py
@@ -1,4 +1,4 @@
-"""Dispatch of events and timers to the decisions (interface types: loadbalancer/messages.py)."""
+"""The policy's entry point: passes events and timers to its parts (types: loadbalancer/messages.py)."""
 
 import random
 from collections.abc import Callable, Iterable
@@ -33,7 +33,7 @@
 
 
 class Balancer:
-    """One proxy's decisions. Feed it events with `handle`; carry out the actions it returns, in order."""
+    """Decides for one proxy. Pass events to `handle`, and carry out the actions it returns, in order."""
 
     def __init__(self, settings: Settings, seed: int, now_ns: int) -> None:
         self.settings = settings
@@ -147,7 +147,7 @@
         }
 
     def handle(self, now_ns: int, events: Iterable[messages.Event]) -> list[messages.Action]:
-        """Apply what has happened since the last call, in order; return what is to be done."""
+        """Process the events since the last call, in order; return the resulting actions."""
         self.actions.clear()
         timers = self.timers
         if is_event_loop_stall(now_ns - timers.first_due_ns):
@@ -156,7 +156,7 @@
             )
         for event in events:
             handler = self._handlers.get(type(event))
-            if handler is not None:  # no decision depends on gossip
+            if handler is not None:  # GossipReceived has none: it is ignored
                 handler(event, now_ns)
         while timers.first_due_ns <= now_ns:
             self._on_timer(timers.pop(), now_ns)
--- a/loadbalancer/policy/selection.py
+++ b/loadbalancer/policy/selection.py
@@ -1,4 +1,7 @@
-"""Endpoint selection: power of two choices, plus the last choice (types: loadbalancer/messages.py)."""
+"""Endpoint selection: power of two choices with memory (interface types: loadbalancer/messages.py).
+
+The endpoint that was selected last competes with the two random choices.
+"""
 
 import random
 from collections.abc import Iterable
@@ -13,15 +16,15 @@
 from loadbalancer.state.request import Request
 
 RANDOM_CHOICES = 2
-SCANNED_ENDPOINTS_MAX = 16  # of a pool, for one request: the work must not grow with the pool
+SCANNED_ENDPOINTS_MAX = 16  # per request: the cost must not grow with the pool
 RESERVE_MAX_IN_FLIGHT = 1  # requests in flight at an endpoint outside the subset
-FAILING_ENDPOINT_MAX_IN_FLIGHT = 1  # requests in flight at an endpoint whose last attempt has failed
+FAILING_ENDPOINT_MAX_IN_FLIGHT = 1  # requests in flight at an endpoint whose last attempt failed
 WARMING_UP_LIMIT_DIVISOR = 2
-REQUESTS_SINCE_REPORT = 1.5  # that an endpoint may have got since its load report, the new one included
+REQUESTS_SINCE_REPORT = 1.5  # assumed to have reached an endpoint since its load report, the new one included
 
 
 class Selection:
-    """Picks available endpoints."""
+    """Selects an available endpoint for each attempt."""
 
     def __init__(
         self,
@@ -36,7 +39,7 @@
         self.rng = rng
 
     def concurrency_limit_of(self, state: EndpointState, now_ns: int) -> int:
-        """Return how many requests of this proxy may be in flight at an endpoint."""
+        """Return how many requests of this proxy may be in flight at an endpoint at once."""
         if not state.in_subset:
             return self._reserve_limit(state, now_ns)
         if state.consecutive_failures:
@@ -47,7 +50,7 @@
         return limit
 
     def _reserve_limit(self, state: EndpointState, now_ns: int) -> int:
-        """Return the limit outside the subset, where requests of unknown number come from other proxies."""
+        """Return the limit outside the subset, where the number of other proxies' requests is unknown."""
         if state.consecutive_failures or self.slow_start.is_warming_up(state, now_ns):
             return 0
         return RESERVE_MAX_IN_FLIGHT
@@ -61,11 +64,11 @@
         )
 
     def draw(self, pool: EndpointPool, count: int, now_ns: int) -> list[EndpointState]:
-        """Return `count` random draws from the available endpoints of a pool, and its last choice."""
+        """Return `count` random draws from a pool's available endpoints, and its last choice if available."""
         scanned = self._scan(pool)
         drawn = self._random_choices(scanned, count)
         if not all(self.is_available(state, now_ns) for state in drawn):
-            # Rare: most endpoints are available, and it takes time to look at all that are scanned.
+            # Rarely needed: most endpoints are available, and checking all that are scanned takes time.
             drawn = self._random_choices(self._available(scanned, now_ns), count)
         last = pool.last_choice
         if last is not None and self.is_available(last, now_ns) and last in pool.endpoints[: pool.draw_width]:
@@ -73,7 +76,7 @@
         return drawn
 
     def _scan(self, pool: EndpointPool) -> list[EndpointState]:
-        """Return the endpoints that a pool draws from; a random sample where they are many."""
+        """Return the endpoints that a pool draws from, or a random sample if there are many."""
         width = pool.draw_width
         if width <= SCANNED_ENDPOINTS_MAX:
             return pool.endpoints[:width]
@@ -95,7 +98,7 @@
     ) -> EndpointState | None:
         """Return the least loaded of two random draws and the last choice, or of the available candidates.
 
-        None: no endpoint is available.
+        None if no endpoint is available.
         """
         if candidates is None:
             available = self.draw(pool, RANDOM_CHOICES, now_ns)
@@ -110,7 +113,7 @@
     def would_respond_late(self, request: Request, state: EndpointState, now_ns: int) -> bool:
         """Tell whether an endpoint, by its load report, would respond after the latency objective.
 
-        An endpoint without a recent report, or that reports no load, is never considered late.
+        An endpoint without a recent load report, or that reports no load, is never considered late.
         """
         if state.reported_load < 1 or not has_fresh_load(state, now_ns):
             return False
@@ -120,7 +123,7 @@
 
 
 def _least_loaded(endpoints: Iterable[EndpointState], now_ns: int) -> EndpointState:
-    """Return the endpoint with the least load, weighted by how long it takes for a request."""
+    """Return the endpoint with the least load, weighted by its relative latency."""
 
     def weighted_load(state: EndpointState) -> float:
         return (estimated_load(state, now_ns) + 1) * state.relative_latency
