--- a/loadbalancer/policy/attempt_results.py
+++ b/loadbalancer/policy/attempt_results.py
@@ -1,4 +1,4 @@
-"""What is learned from the end of an attempt (interface types: loadbalancer/messages.py)."""
+"""What the end of an attempt changes in the state of the policy (types: loadbalancer/messages.py)."""
 
 from collections.abc import Iterable
 
@@ -23,7 +23,7 @@
 
 
 class AttemptResults:
-    """Passes the ends of attempts to rate control, latency model, concurrency limit and ejection."""
+    """Updates rate control, latency model, concurrency limit and ejections when attempts end."""
 
     def __init__(
         self,
@@ -42,13 +42,13 @@
         state = attempt.endpoint_state
         self.concurrency_limit.record_occupancy(state, now_ns)
         if event.load_report and IN_FLIGHT_COLUMN in event.load_report:
-            # The report leaves this attempt out, and remove_attempt takes it off once more.
+            # The report does not count this attempt, but remove_attempt subtracts it.
             state.record_load(event.load_report[IN_FLIGHT_COLUMN] + 1, now_ns)
         self._record_result(request=request, attempt=attempt, event=event, now_ns=now_ns)
         state.remove_attempt(overdue=attempt.overdue)
 
     def _record_result(self, request: Request, attempt: Attempt, event: AttemptEnded, now_ns: int) -> None:
-        """Count an attempt for or against the rate, and eject an endpoint at fault."""
+        """Count an attempt as a success or failure for rate control, and eject an endpoint at fault."""
         state = attempt.endpoint_state
         result = event.result
         reset_attributed = (
@@ -77,11 +77,11 @@
                 self.rate_controller.record_failure(state.id)
                 self.outlier_detection.eject(state, now_ns, BASE_EJECTION_NS)
             case AttemptResult.RESET:
-                # The network's fault: a lower rate would not help.
+                # Attributed to the network: a lower rate would not help.
                 self.rate_controller.record_success()
 
     def _record_success(self, request: Request, attempt: Attempt, elapsed_ns: int, now_ns: int) -> None:
-        """Learn from a response; one after the latency objective counts as a failure."""
+        """Record a response; one after the latency objective counts as a failure."""
         state = attempt.endpoint_state
         state.record_response(attempt.sent_ns)
         if not request.stalled:
@@ -95,7 +95,7 @@
             state.clear_failures_and_ejection()
 
     def _record_timeout(self, request: Request, attempt: Attempt, elapsed_ns: int, now_ns: int) -> None:
-        """Learn from an attempt that was cut off: it would have taken longer than it did."""
+        """Record an attempt that timed out, with an estimate of how long it would have taken."""
         self._record_late(request, attempt.endpoint_state.id)
         expected_ns = self.latency_model.latency_at(attempt.load)
         full_duration_ns = max(TIMED_OUT_DURATION_FACTOR * elapsed_ns, expected_ns)
@@ -103,7 +103,7 @@
         self.outlier_detection.eject_overloaded(attempt, now_ns)
 
     def _record_late(self, request: Request, endpoint_id: int) -> None:
-        """Count a late end as a failure, unless it is attributed to the throttle or to a stall."""
+        """Count a late response or a timeout as a failure, unless a throttle or a stall caused it."""
         if request.delayed_by_throttle:
             self.rate_controller.record_late_not_attributed()
         else:
@@ -112,8 +112,8 @@
     def record_overdue(self, attempt: Attempt, now_ns: int) -> None:
         """Eject the endpoint of an overdue attempt.
 
-        Where the endpoint has answered a later request, the response is considered lost and no longer counts
-        as in flight.
+        If the endpoint has answered a later request, the response is considered lost, and the attempt no
+        longer counts as in flight.
         """
         state = attempt.endpoint_state
         self.outlier_detection.eject_overloaded(attempt, now_ns)
@@ -124,7 +124,7 @@
     def exclude_stalled_samples(
         self, requests: Iterable[Request], states: Iterable[EndpointState], now_ns: int
     ) -> None:
-        """Exclude samples taken during an event loop stall: the proxy's delay is no fault of endpoints."""
+        """Exclude samples taken during an event loop stall: the proxy caused the delay, not the endpoints."""
         for request in requests:
             request.mark_stalled()
         for state in states:
--- a/loadbalancer/policy/outlier_detection.py
+++ b/loadbalancer/policy/outlier_detection.py
@@ -1,19 +1,19 @@
-"""When an endpoint that fails is ejected, and for how long (interface types: loadbalancer/messages.py).
-
-`OutlierDetection.eject` ejects an endpoint: after its first failure for a base time, which is doubled for
-each further failure in a row, EJECTION_DOUBLINGS_MAX times at most, and capped at EJECTION_MAX_NS. The result
-is multiplied by a random factor from EJECTION_JITTER_MIN to EJECTION_JITTER_MAX. The base time depends on the
-failure:
-
-- no connection, also where this proxy's own connection limit allows none, or a reset that is attributed to
-  the endpoint: BASE_EJECTION_NS;
-- an attempt that took too long or was rejected (`eject_overloaded`): the time that it was expected to take,
-  at most the shortest latency objective.
-
-No endpoint is ejected while EJECTED_FRACTION_MAX of those that one of its pools draws from are. Pacing
-(`SlowStart.apply_pacing`) uses the same `ejected_until_ns`, so that paced endpoints count as ejected. The
-next successful response of an endpoint that has failed clears its failures and ends its ejection or pacing;
-so does a restart that the endpoint list reports.
+"""Ejection of endpoints that fail (interface types: loadbalancer/messages.py).
+
+`OutlierDetection.eject` ejects an endpoint for a base time after its first failure. The time doubles with
+each further failure in a row, at most EJECTION_DOUBLINGS_MAX times, and is capped at EJECTION_MAX_NS. It is
+then multiplied by a random factor from EJECTION_JITTER_MIN to EJECTION_JITTER_MAX. The base time depends on
+the failure:
+
+- no connection (also if this proxy's own connection limit is reached), or a reset that is attributed to the
+  endpoint: BASE_EJECTION_NS;
+- an attempt that took too long or was rejected (`eject_overloaded`): its expected duration, at most the
+  shortest latency objective.
+
+An endpoint is not ejected while EJECTED_FRACTION_MAX of the endpoints that one of its pools draws from are
+ejected. Pacing (`SlowStart.apply_pacing`) uses the same `ejected_until_ns`, so paced endpoints count as
+ejected. The next successful response of an endpoint that has failed clears its failures and ends its ejection
+or pacing; so does a restart that the endpoint list reports.
 """
 
 import random
@@ -39,7 +39,7 @@
 
 
 class OutlierDetection:
-    """Ejects endpoints that fail, and tells resets of an endpoint from those of the network."""
+    """Ejects endpoints that fail, and tells resets by an endpoint from those that the network causes."""
 
     def __init__(
         self, fleet: Fleet, timers: TimerQueue[Timer], rng: random.Random, shortest_objective_ns: int
@@ -48,14 +48,14 @@
         self.timers = timers
         self.rng = rng
         self.shortest_objective_ns = shortest_objective_ns
-        self.recent_attempts = 0.0  # over the endpoints in use, decayed over time
+        self.recent_attempts = 0.0  # ended, over the endpoints in use; decayed over time
         self.recent_resets = 0.0
 
     def eject_overloaded(self, attempt: Attempt, now_ns: int) -> None:
         """Eject an endpoint that did not finish an attempt in time, or had no capacity for it.
 
-        One very costly request must not eject its endpoint for as long as it would have run: it is cut off,
-        and its client sends it again, to the next endpoint and the next.
+        The base time is capped because a very costly request that times out is retried by its client, and
+        would eject one endpoint after another for as long as it should have run there.
         """
         base_ns = min(attempt.expected_ns, self.shortest_objective_ns)
         self.eject(attempt.endpoint_state, now_ns, base_ns)
@@ -63,8 +63,8 @@
     def eject(self, state: EndpointState, now_ns: int, base_ns: float) -> None:
         """Eject a failing endpoint, unless too many are ejected already.
 
-        The ejection time is `base_ns`, doubled for each failure in a row before this one. While an endpoint
-        is ejected further failures are ignored: attempts in flight at a hung endpoint fail together.
+        The ejection time is `base_ns`, doubled for each failure in a row before this one. Further failures
+        of an ejected endpoint are ignored, because attempts in flight at a hung endpoint fail together.
         """
         if state.ejected_until_ns <= now_ns:
             state.record_failure()
@@ -74,13 +74,13 @@
         self.timers.schedule(state.ejected_until_ns, ServeQueue())
 
     def _ejection_ns(self, consecutive_failures: int, base_ns: float) -> int:
-        """Return for how long an endpoint is ejected, given its failures in a row with the newest one."""
+        """Return how long an endpoint is ejected, given its failures in a row including the newest."""
         doublings = min(consecutive_failures - 1, EJECTION_DOUBLINGS_MAX)
         ejection_ns = min(base_ns * 2**doublings, EJECTION_MAX_NS)
         return int(ejection_ns * self.rng.uniform(EJECTION_JITTER_MIN, EJECTION_JITTER_MAX))
 
     def _may_eject(self, state: EndpointState, now_ns: int) -> bool:
-        """Tell whether few endpoints are ejected or paced in each pool that draws from this one."""
+        """Tell whether each pool that draws from this endpoint has few ejected or paced ones."""
         pools = self.fleet.pools.values()
         return all(
             self._has_few_ejected(pool, now_ns)
@@ -89,15 +89,15 @@
         )
 
     def _has_few_ejected(self, pool: EndpointPool, now_ns: int) -> bool:
-        """Tell whether fewer than EJECTED_FRACTION_MAX of the endpoints are ejected or paced.
+        """Tell whether less than EJECTED_FRACTION_MAX of a pool's endpoints are ejected or paced.
 
-        This lets a pool's only endpoint be ejected too.
+        The only endpoint of a pool may be ejected too.
         """
         ejected = sum(state.ejected_until_ns > now_ns for state in pool.endpoints[: pool.draw_width])
         return ejected < EJECTED_FRACTION_MAX * pool.draw_width
 
     def record_attempt_end(self, state: EndpointState, *, was_reset: bool) -> bool:
-        """Count an attempt that has ended; tell whether it is a reset that is attributed to its endpoint."""
+        """Count an attempt that has ended; return whether it is a reset attributed to its endpoint."""
         state.record_ended_attempt(was_reset=was_reset)
         self.recent_attempts += 1
         if not was_reset:
@@ -106,11 +106,11 @@
         return self._are_resets_unlikely_by_chance(state)
 
     def _are_resets_unlikely_by_chance(self, state: EndpointState) -> bool:
-        """Tell whether an endpoint's resets in a row set it apart from the other endpoints.
+        """Tell whether an endpoint's resets in a row are too unlikely, given the resets of the others.
 
-        Where connections break at all endpoints alike (a bad network, a middlebox, connections closed
-        as a request is sent) a reset is not attributed to the endpoint: by chance this would eject most of a
-        healthy fleet.
+        If connections break at all endpoints alike (a bad network, a middlebox, connections closed as a
+        request is sent), a reset is not attributed to the endpoint: most of a healthy fleet would be ejected
+        by chance.
         """
         other_attempts = max(1.0, self.recent_attempts - state.recent_attempts)
         reset_fraction = (self.recent_resets - state.recent_resets) / other_attempts
