--- a/loadbalancer/policy/forwarding.py
+++ b/loadbalancer/policy/forwarding.py
@@ -1,4 +1,4 @@
-"""What starting an attempt changes (interface types: loadbalancer/messages.py)."""
+"""The start of an attempt (interface types: loadbalancer/messages.py)."""
 
 from loadbalancer.messages import Forward
 from loadbalancer.policy.attempt_timing import attempt_timeout_ns, expected_duration_ns, overdue_after_ns
@@ -13,7 +13,7 @@
 
 
 class Forwarding:
-    """Starts attempts: counts them at their endpoint, paces it, and times them."""
+    """Starts attempts: counts them at their endpoint, applies slow start, and sets the overdue timer."""
 
     def __init__(
         self,
@@ -43,5 +43,5 @@
         return Forward(request.id, state.id, attempt_timeout_ns(request, now_ns))
 
     def _relative_cost(self, request: Request) -> float:
-        """Return a request's cost as a multiple of the mean, at least 1: the unit of slow start's budget."""
+        """Return a request's cost as a multiple of the mean, at least 1, by which slow start paces."""
         return max(1.0, self.latency_model.expected_ns(request) / self.latency_model.mean_ns)
--- a/loadbalancer/policy/hedging.py
+++ b/loadbalancer/policy/hedging.py
@@ -7,9 +7,8 @@
 def should_hedge(request: Request, overdue: Attempt, queue_length: int, limits: Limits, now_ns: int) -> bool:
     """Tell whether a second attempt, at another endpoint, is worth its load.
 
-    Its response must be expected before the latency objective (times in ns), and it must not take an
-    endpoint from the `queue_length` requests that wait. Where a cancellation stops nothing, the overdue
-    attempt continues and a hedged request only adds to the load.
+    Its response must be expected before the latency objective, and it must not take an endpoint from queued
+    requests. If attempts cannot be cancelled the overdue one continues, and a hedged request only adds load.
     """
     if queue_length or not limits.cancellation:
         return False
--- a/loadbalancer/policy/retry_candidates.py
+++ b/loadbalancer/policy/retry_candidates.py
@@ -1,4 +1,4 @@
-"""The endpoints among which a request may be retried (interface types: loadbalancer/messages.py)."""
+"""The endpoints at which a request may be retried (interface types: loadbalancer/messages.py)."""
 
 import random
 
@@ -9,8 +9,8 @@
 from loadbalancer.state.endpoint_state import EndpointState
 from loadbalancer.state.request import Attempt, Request
 
-ENDPOINTS_OUTSIDE_POOL_MAX = 16  # for one request: the work must not grow with the list
-UNUSED_STATES_MAX = 64  # stored states of endpoints outside the pools, before unused ones are discarded
+ENDPOINTS_OUTSIDE_POOL_MAX = 16  # per request: the cost must not grow with the endpoint list
+UNUSED_STATES_MAX = 64  # states of endpoints outside the pools; beyond this, unused ones are discarded
 
 
 class RetryCandidates:
@@ -21,10 +21,10 @@
         self.rng = rng
 
     def find(self, request: Request, now_ns: int) -> list[EndpointState] | None:
-        """Return the endpoints to which a request may be forwarded again; None: all of its pool.
+        """Return the endpoints to which a request may be forwarded again, or None for all of its pool.
 
-        Once a request may have run, its retries must stay in the zone or cell of the endpoint where it did,
-        if its idempotency key is recognised only there.
+        Once a request may have run at an endpoint, its retries must stay in that endpoint's zone or cell if
+        only the endpoints there recognise its idempotency key.
         """
         request_class = request.request_class
         if request_class.idempotency is Idempotency.IDEMPOTENT:
@@ -43,7 +43,7 @@
         return in_pool + self._group_outside_pool(request, reference, now_ns)
 
     def _group_outside_pool(self, request: Request, reference: Endpoint, now_ns: int) -> list[EndpointState]:
-        """Return some endpoints of a reference endpoint's zone or cell that are in no pool of this proxy."""
+        """Return some endpoints in the zone or cell of `reference` that are in none of this proxy's pools."""
         pool = request.pool
         fleet = self.fleet_updater.fleet
         if len(pool.endpoints) == len(pool.placement.ring):
--- a/loadbalancer/policy/retry_eligibility.py
+++ b/loadbalancer/policy/retry_eligibility.py
@@ -10,14 +10,14 @@
 ATTEMPTS_IN_FLIGHT_MAX = 1
 HEDGED_ATTEMPTS_IN_FLIGHT_MAX = 2
 
-# Of one request: without a limit, a proxy that can't send would be given the same request again and again.
+# Per request: without a limit, a proxy that can't send would retry the same request again and again.
 UNCOUNTED_ATTEMPTS_MAX = 16
 
 
 def may_have_run(result: AttemptResult, rules: Rules) -> bool:
     """Tell whether an attempt with this result may have had its effect at the endpoint.
 
-    A rejection is no proof that it never ran where endpoints also reject requests that they have begun.
+    A rejection is no proof that it never ran if endpoints also reject requests that they have begun.
     """
     if result is AttemptResult.REJECTED:
         return rules.rejected_may_have_run
@@ -37,7 +37,7 @@
     """Tell whether an attempt at an endpoint may start now.
 
     It may not after the request's final response or its deadline, beyond the limits on attempts, outside the
-    request's placement, or where an earlier attempt may have run and a second one could take effect again.
+    request's placement, or if an earlier attempt may have run and another could take effect a second time.
     """
     if request.finished or request.streaming or now_ns >= request.deadline_ns:
         return False
@@ -52,7 +52,7 @@
 
 
 def _has_used_its_attempts(request: Request, limits: Limits) -> bool:
-    """Tell whether a request has had all its attempts; those never begun have a limit of their own."""
+    """Tell whether a request has no attempts left; those that were never begun have a separate limit."""
     if len(request.attempts) < limits.max_attempts:
         return False
     uncounted = request.uncounted_attempts
@@ -60,14 +60,14 @@
 
 
 def _may_repeat(request: Request, endpoint: Endpoint, now_ns: int, limits: Limits) -> bool:
-    """Tell whether another attempt has no second effect, whatever came of the earlier ones."""
+    """Tell whether another attempt can have no second effect, whatever the earlier ones did."""
     request_class = request.request_class
     unproven = [attempt for attempt in request.attempts if attempt.may_have_run]
     if not unproven or request_class.idempotency is Idempotency.IDEMPOTENT:
         return True
     if request_class.idempotency is not Idempotency.IDEMPOTENCY_KEY:
         return False
-    # An attempt that needs a new connection is sent only after the time to connect.
+    # If the attempt needs a new connection, the request is sent only once that is established.
     latest_send_ns = now_ns + limits.connect_timeout_ns
     if latest_send_ns - unproven[0].sent_ns >= request_class.deduplication_window_ns:
         return False
@@ -78,8 +78,8 @@
 def should_retry(request: Request, candidates: Iterable[EndpointState], now_ns: int, limits: Limits) -> bool:
     """Tell whether a request without an attempt in flight is queued again; it needs no second token.
 
-    It is until its queue deadline, if an attempt at one of the candidates may start: a request that can't be
-    forwarded anywhere is rejected at once.
+    It must be before its queue deadline, and an attempt at one of the candidates must be safe: a request
+    that cannot be forwarded anywhere is rejected at once.
     """
     if now_ns >= request.queue_deadline_ns:
         return False
--- a/loadbalancer/policy/slow_start.py
+++ b/loadbalancer/policy/slow_start.py
@@ -1,6 +1,6 @@
 """Slow start: pacing of endpoints that are warming up (interface types: loadbalancer/messages.py).
 
-An endpoint that is overloaded while it warms up fails for good (`Rules.overload_factor`).
+An endpoint that is overloaded while it warms up fails permanently (`Rules.overload_factor`).
 """
 
 import random
@@ -14,7 +14,7 @@
 from loadbalancer.state.timer_queue import TimerQueue
 from loadbalancer.units import NANOSECONDS_PER_SECOND
 
-OVERLOAD_BUDGET_FRACTION = 0.7  # of the rate that overloads an endpoint which is warming up
+OVERLOAD_BUDGET_FRACTION = 0.7  # of the rate that overloads an endpoint that is warming up
 THROUGHPUT_SMOOTHING = 0.2  # weight of the newest feedback tick
 
 
@@ -37,9 +37,9 @@
         return bool(started_ns) and now_ns - started_ns < self.rules.slow_start_ns
 
     def pacing_interval_ns(self, state: EndpointState, now_ns: int) -> int:
-        """Return the least time between two sends of this proxy to an endpoint that is warming up.
+        """Return the minimum interval between this proxy's attempts at an endpoint that is warming up.
 
-        All sharing proxies together must stay within what the endpoint can carry now.
+        All proxies that share the endpoint must together stay within its current capacity.
         """
         capacity = self._capacity_fraction(state, now_ns)
         throughput = self._warm_throughput(state)
@@ -47,45 +47,45 @@
         return int(NANOSECONDS_PER_SECOND / sends_per_s)
 
     def _capacity_fraction(self, state: EndpointState, now_ns: int) -> float:
-        """Return the fraction of its full capacity that an endpoint has while it warms up."""
+        """Return the fraction of its full capacity that an endpoint has now, while it warms up."""
         rules = self.rules
         initial = rules.slow_start_initial_capacity
         return initial + (1 - initial) * (now_ns - state.endpoint.started_ns) / rules.slow_start_ns
 
     def _warm_throughput(self, state: EndpointState) -> float:
-        """Return how many requests a second this proxy may expect a warm endpoint to carry for it.
+        """Return the requests per second that a warm endpoint is estimated to serve for this proxy.
 
-        That is what endpoints are seen to carry, or this proxy's part of what they finish. The latency that
-        a request adds isn't used: late load reports make it several times too small.
+        That is the throughput observed, or this proxy's part of the rate at which endpoints finish requests.
+        The latency that a request adds is not used: late load reports make it several times too small.
         """
         finished = NANOSECONDS_PER_SECOND / self.latency_model.service_interval_ns
         return max(self.sustained_throughput, finished / self._sharing_proxies(state))
 
     def _sharing_proxies(self, state: EndpointState) -> float:
-        """Return how many proxies may send to an endpoint, over all pools that admit it.
+        """Return how many proxies may send to an endpoint, over all pools that allow it.
 
-        Other proxies may have it in the subset of another pool than this one.
+        Other proxies may have it in the subset of a different pool than this proxy.
         """
         pools = self.fleet.pools.values()
         sharing_proxies = sum(pool.sharing_proxies for pool in pools if pool.allows(state.endpoint))
         return max(1.0, min(self.proxy_count, sharing_proxies))
 
     def apply_pacing(self, state: EndpointState, now_ns: int, intervals: float) -> None:
-        """Send nothing to an endpoint that is warming up for this many of its pacing intervals."""
+        """Send nothing for this many pacing intervals to an endpoint that is warming up."""
         pause_ns = int(intervals * self.pacing_interval_ns(state, now_ns))
         state.extend_ejection(now_ns + pause_ns)
         self.timers.schedule(state.ejected_until_ns, ServeQueue())
 
     def spread_first_attempts(self, states: Iterable[EndpointState], now_ns: int, rng: random.Random) -> None:
-        """Delay the first attempts at endpoints that have just started, by a random part of the interval.
+        """Delay first attempts at endpoints that have just started by a random part of the pacing interval.
 
-        All proxies are notified of a start together: their first attempts must not come together.
+        All proxies are notified of a start at once: without the delay their first attempts would coincide.
         """
         for state in states:
             if self.is_warming_up(state, now_ns):
                 self.apply_pacing(state, now_ns, rng.random())
 
     def record_throughput(self, attempts_per_second: float) -> None:
-        """Learn from the attempts per second that the subset carried, once each feedback tick."""
+        """Update the sustained throughput from the subset's attempts per second, at each feedback tick."""
         throughput = attempts_per_second / max(1, self.fleet.subset_size)
         self.sustained_throughput += THROUGHPUT_SMOOTHING * (throughput - self.sustained_throughput)
