--- a/loadbalancer/policy/attempt_results.py
+++ b/loadbalancer/policy/attempt_results.py
@@ -27,14 +27,14 @@
 
     def __init__(
         self,
-        outlier_detection: OutlierDetection,
-        concurrency_limit: ConcurrencyLimit,
-        rate_controller: RateController,
+        outliers: OutlierDetection,
+        limit: ConcurrencyLimit,
+        rate: RateController,
         latency_model: LatencyModel,
     ) -> None:
-        self.outlier_detection = outlier_detection
-        self.concurrency_limit = concurrency_limit
-        self.rate_controller = rate_controller
+        self.outlier_detection = outliers
+        self.concurrency_limit = limit
+        self.rate_controller = rate
         self.latency_model = latency_model
 
     def record(self, request: Request, attempt: Attempt, event: AttemptEnded, now_ns: int) -> None:
--- a/loadbalancer/policy/balancer.py
+++ b/loadbalancer/policy/balancer.py
@@ -72,9 +72,9 @@
         )
         self.load_probing = LoadProbing(self.selection, self.timers, enabled=probing_enabled)
         self.attempt_results = AttemptResults(
-            outlier_detection=self.outlier_detection,
-            concurrency_limit=self.concurrency_limit,
-            rate_controller=self.rate_controller,
+            outliers=self.outlier_detection,
+            limit=self.concurrency_limit,
+            rate=self.rate_controller,
             latency_model=self.latency_model,
         )
         self.actions: list[messages.Action] = []
@@ -101,7 +101,7 @@
             retry_candidates=RetryCandidates(self.fleet_updater, self.rng),
             load_probing=self.load_probing,
             forwarding=Forwarding(
-                concurrency_limit=self.concurrency_limit,
+                limit=self.concurrency_limit,
                 latency_model=self.latency_model,
                 slow_start=self.slow_start,
                 timers=self.timers,
--- a/loadbalancer/policy/forwarding.py
+++ b/loadbalancer/policy/forwarding.py
@@ -17,12 +17,12 @@
 
     def __init__(
         self,
-        concurrency_limit: ConcurrencyLimit,
+        limit: ConcurrencyLimit,
         latency_model: LatencyModel,
         slow_start: SlowStart,
         timers: TimerQueue[Timer],
     ) -> None:
-        self.concurrency_limit = concurrency_limit
+        self.concurrency_limit = limit
         self.latency_model = latency_model
         self.slow_start = slow_start
         self.timers = timers
