--- a/loadbalancer/policy/discovery_retry.py
+++ b/loadbalancer/policy/discovery_retry.py
@@ -1,4 +1,4 @@
-"""When discovery is polled again after a failure (interface types: loadbalancer/messages.py)."""
+"""Backoff of calls to discovery (interface types: loadbalancer/messages.py)."""
 
 import random
 
@@ -9,7 +9,7 @@
 from loadbalancer.units import NANOSECONDS_PER_MILLISECOND
 
 FIRST_POLL_SPREAD_FRACTION = 0.25
-# What a failed call missed has to be known 6 seconds later.
+# Changes that a failed call missed must be known within 6 seconds.
 BACKOFF_MAX_NS = 4500 * NANOSECONDS_PER_MILLISECOND
 BACKOFF_MAX_POLL_INTERVAL_FRACTION = 0.8
 BACKOFF_MIN_DIVISOR = 3
@@ -22,10 +22,11 @@
 class DiscoveryRetry:
     """Jittered backoff of the calls to discovery, so that many proxies don't call it at the same time.
 
-    Discovery may be available again since the failed call was made, and the next call has to come in time: a
-    call that was in flight for longer was a watch that discovery held open. The wide jitter of the first
-    backoff spreads proxies whose watches ended together. Updates that a silent watch missed count as notified
-    a second after its timeout: the next call is made at once and, if it fails, the one after that soon.
+    The duration of a failed call counts as part of the backoff: discovery may have become available since the
+    call was made, and the next call must not be late. A call that lasted BACKOFF_MAX_NS or longer was a watch
+    that discovery held open, and does not count. The wide jitter of the first backoff spreads the proxies
+    whose watches ended together. Updates that a silent watch missed count as notified one second after its
+    timeout: the next call is made at once and, if it fails, the one after that soon.
     """
 
     def __init__(self, settings: Settings, timers: TimerQueue[Timer], rng: random.Random) -> None:
@@ -34,14 +35,14 @@
         self.poll_interval_ns = settings.rules.poll_interval_ns
         self.discovery_pushes = settings.discovery_pushes
         self.call_in_flight = settings.discovery_pushes
-        self.watch_timed_out = False  # the last call ended with a watch timeout
+        self.watch_timed_out = False  # the last call was a watch that timed out
         self.consecutive_failures = 0
         self.called_ns = 0
 
     def schedule_first_poll(self, now_ns: int) -> None:
-        """Set the timer for the first call, spread over the proxies that start together.
+        """Set the timer for the first call, with a random delay that spreads proxies that start together.
 
-        Where discovery pushes, the first call is made without one.
+        Where discovery pushes, the first call needs no timer.
         """
         if not self.discovery_pushes:
             delay_ns = int(self.rng.random() * self.poll_interval_ns * FIRST_POLL_SPREAD_FRACTION)
@@ -68,7 +69,7 @@
         return int(backoff_ns)
 
     def _backoff_max_ns(self, now_ns: int) -> float:
-        """Return the longest backoff: less after a call that took long, unless it was a held watch."""
+        """Return the longest backoff, which is shorter after a long call unless that was a held watch."""
         backoff_max_ns = min(BACKOFF_MAX_NS, self.poll_interval_ns * BACKOFF_MAX_POLL_INTERVAL_FRACTION)
         call_duration_ns = now_ns - self.called_ns
         if call_duration_ns >= BACKOFF_MAX_NS:
@@ -76,12 +77,12 @@
         return max(backoff_max_ns / BACKOFF_MIN_DIVISOR, backoff_max_ns - call_duration_ns)
 
     def record_list(self, kind: EndpointUpdateKind) -> None:
-        """Record that entries came; those cached before a restart say nothing about discovery."""
+        """Record that entries came; cached ones from before a restart say nothing about discovery."""
         if kind is not EndpointUpdateKind.CACHED:
             self.consecutive_failures = 0
 
     def start_call(self, now_ns: int) -> bool:
-        """Record that a call is due, and tell whether to make it: not while one is in flight."""
+        """Record that a call is due, and return whether to make it: not while another is in flight."""
         if self.call_in_flight:
             return False
         self.call_in_flight = True
--- a/loadbalancer/policy/fleet_updates.py
+++ b/loadbalancer/policy/fleet_updates.py
@@ -1,4 +1,4 @@
-"""How an endpoint list changes table, states and pools of the fleet.
+"""Applies endpoint lists to the fleet: its endpoint table, endpoint states and pools.
 
 Types of the interface: loadbalancer/messages.py.
 """
@@ -17,7 +17,7 @@
 
 
 class FleetUpdater:
-    """Applies endpoint lists to the fleet, and decides which endpoint states are stored."""
+    """Applies endpoint lists to the fleet, and decides for which endpoints a state is stored."""
 
     def __init__(
         self, settings: Settings, fleet: Fleet, live_weights: LiveWeights, *, draws_from_reserve: bool
@@ -43,7 +43,7 @@
         return [state for state in fleet.endpoints.values() if state.in_subset and state not in unchanged]
 
     def states(self, endpoint_ids: Iterable[int], now_ns: int) -> list[EndpointState]:
-        """Return the states of listed endpoints, which are stored from now on."""
+        """Return the states of listed endpoints, and store those that are new."""
         return [self._state(endpoint_id, now_ns) for endpoint_id in endpoint_ids]
 
     def discard_unused_states(self) -> None:
@@ -56,13 +56,13 @@
         return not (state.id in self.fleet.pooled_ids or state.in_flight or state.overdue)
 
     def _ids_to_confirm(self, kind: EndpointUpdateKind) -> set[int]:
-        """Return the ids which a list must name to stay listed: all for a complete list, else none."""
+        """Return the ids that a list must contain to stay listed: all for a complete list, else none."""
         return set() if kind is EndpointUpdateKind.DELTA else set(self.fleet.table.attributes)
 
     def _record_entries(
         self, entries: Iterable[Endpoint], unlisted: set[int], now_ns: int
     ) -> set[EndpointState]:
-        """Record the entries of a list, take their ids off `unlisted`, return the restarted endpoints."""
+        """Record the entries of a list and remove their ids from `unlisted`; return restarted endpoints."""
         table = self.fleet.table
         states = self.fleet.endpoints
         has_live_weights = self.live_weights.enabled
@@ -76,21 +76,21 @@
             if state is None:
                 continue
             if endpoint.started_ns != state.endpoint.started_ns:
-                state.clear_failures_and_ejection()  # those of the process before the restart
+                state.clear_failures_and_ejection()  # they are those of the process before the restart
                 restarted.add(state)
             state.update_entry(endpoint)
             self.live_weights.record(state, now_ns)
         return restarted
 
     def _remove_unlisted(self, endpoint_ids: Iterable[int]) -> None:
-        """Remove endpoints that a complete list no longer names."""
+        """Remove endpoints that a complete list no longer contains."""
         for endpoint_id in endpoint_ids:
             self.fleet.table.remove(endpoint_id)
             if endpoint_id in self.fleet.endpoints:
                 self.fleet.endpoints[endpoint_id].mark_removed()
 
     def _rebuild_pools(self, now_ns: int) -> None:
-        """Choose all pools' subsets again; they depend on the ready endpoints alone, not on their history."""
+        """Choose the subsets of all pools again, which depend on the ready endpoints alone, not on history."""
         fleet = self.fleet
         pools = fleet.pools.values()
         subsets = [choose_subset(self.settings, pool.placement) for pool in pools]
@@ -122,11 +122,11 @@
             state.join_subset()
 
     def _states_of_keys(self, keys: Iterable[RingKey], now_ns: int) -> list[EndpointState]:
-        """Return the states of the endpoints with these ring keys, which are stored from now on."""
+        """Return the states of the endpoints with these ring keys, and store those that are new."""
         return [self._state(unmix64(key), now_ns) for key in keys]
 
     def _state(self, endpoint_id: int, now_ns: int) -> EndpointState:
-        """Return the state of a listed endpoint, which is stored from now on."""
+        """Return the state of a listed endpoint, and store it if it is new."""
         state = self.fleet.endpoints.get(endpoint_id)
         if state is None:
             rank = reserve_rank(self.settings, endpoint_id)
@@ -137,5 +137,5 @@
 
 
 def _reserve_rank(state: EndpointState) -> int:
-    """Return the key by which a reserve is sorted."""
+    """Return the sort key of a reserve."""
     return state.reserve_rank
--- a/loadbalancer/policy/live_weights.py
+++ b/loadbalancer/policy/live_weights.py
@@ -1,6 +1,6 @@
 """The load that the live weights of the endpoint list imply (types: loadbalancer/messages.py).
 
-A live weight is the endpoint's size divided by (1 + requests in flight from all proxies, for each core).
+A live weight is the endpoint's size / (1 + requests in flight per core, from all proxies).
 """
 
 from loadbalancer.messages import Endpoint
@@ -13,9 +13,10 @@
 
 
 class LiveWeights:
-    """Learns the weight of an idle endpoint of each machine type: the largest that was seen.
+    """Estimates loads from weights.
 
-    From that and an endpoint's current weight follows its load.
+    The largest weight seen for a machine type is taken for that of an idle endpoint; dividing it by an
+    endpoint's current weight gives the load.
     """
 
     def __init__(self, settings: Settings) -> None:
@@ -23,7 +24,7 @@
         self._idle_weights: dict[str, float] = {}  # by machine type
 
     def observe(self, endpoint: Endpoint) -> None:
-        """Learn from the weight of a listed endpoint."""
+        """Update the idle weight of a machine type from the weight of a listed endpoint."""
         if _is_valid(endpoint.weight):
             largest = self._idle_weights.get(endpoint.machine_type, 0.0)
             self._idle_weights[endpoint.machine_type] = max(largest, endpoint.weight)
--- a/loadbalancer/policy/load_estimate.py
+++ b/loadbalancer/policy/load_estimate.py
@@ -1,7 +1,7 @@
 """The load of an endpoint, estimated from its last load report (types: loadbalancer/messages.py).
 
-Loads are requests in flight, from all proxies. A report shows the others' requests; once it is too old, only
-the requests of this proxy are known.
+The load of an endpoint is the number of requests in flight there, from all proxies. A load report includes
+the other proxies' requests; once it is too old, only this proxy's own requests are known.
 """
 
 from collections.abc import Iterable
@@ -21,16 +21,17 @@
 
 
 def estimated_load(state: EndpointState, now_ns: int) -> float:
-    """Return the load of an endpoint: as reported, but never below this proxy's requests in flight."""
+    """Return the load of an endpoint: as reported, but at least this proxy's requests in flight."""
     if has_fresh_load(state, now_ns):
         return max(state.in_flight, state.reported_load)
     return state.in_flight + state.overdue
 
 
 def is_loaded(states: Iterable[EndpointState], now_ns: int) -> bool:
-    """Tell whether ready endpoints report a request each on average; where none reports, assume so.
+    """Tell whether ready endpoints report one request in flight each or more, on average.
 
-    Endpoints with fewer requests in flight are not overloaded, and would gain nothing from less traffic.
+    With fewer, endpoints are not overloaded, and less traffic would not help. If none reports, they count
+    as loaded.
     """
     loads = [
         state.reported_load
--- a/loadbalancer/policy/load_probing.py
+++ b/loadbalancer/policy/load_probing.py
@@ -1,7 +1,8 @@
 """Load probing before an attempt, by health checks (types: loadbalancer/messages.py).
 
-Where proxies are many, a proxy's own requests in flight say little of an endpoint's load. A request draws a
-few endpoints, waits in its queue for their load reports, for 10 ms at most, and goes to the least loaded one.
+With many proxies, a proxy's own requests in flight say little about an endpoint's load. Therefore a few
+endpoints are drawn for each request, which waits in its queue for their load reports, for at most 10 ms, and
+is forwarded to the least loaded one.
 """
 
 from loadbalancer.messages import AttemptResult, CheckHealth, HealthCheckEnded
@@ -22,7 +23,7 @@
 
 
 def is_probing_enabled(settings: Settings) -> bool:
-    """Tell whether loads are probed: where health checks report them at little cost."""
+    """Tell whether loads are probed: if health checks report them, and cost little enough."""
     price = settings.prices.health_check * (PROBED_ENDPOINTS + REPEATED_PROBES)
     is_load_reported = IN_FLIGHT_COLUMN in settings.load_report_columns
     return settings.limits.health_checks and is_load_reported and price <= PROBING_PRICE_MAX_PER_REQUEST
@@ -49,9 +50,9 @@
         return checks
 
     def record_result(self, state: EndpointState, event: HealthCheckEnded, now_ns: int) -> list[CheckHealth]:
-        """Record the load, and return one more health check if the connection of the first one broke.
+        """Record the reported load, and return a second health check if the first one's connection broke.
 
-        Any connection may break by chance, and the request would wait for nothing.
+        Any connection may break by chance, and the request would then wait until the probe timeout.
         """
         if event.load_report is not None:
             state.record_load(event.load_report.get(IN_FLIGHT_COLUMN), now_ns)
@@ -61,7 +62,7 @@
         return []
 
     def is_waiting(self, request: Request, now_ns: int) -> bool:
-        """Tell whether a request still waits for the load of an endpoint."""
+        """Tell whether a request still waits for a load report."""
         if now_ns >= request.probed_ns + PROBE_TIMEOUT_NS:
             return False
         return not all(self._is_load_known(state, request) for state in request.probed_endpoints)
@@ -77,5 +78,5 @@
         ]
 
     def _is_load_known(self, state: EndpointState, request: Request) -> bool:
-        """Tell whether an endpoint's load was reported for a request, or so shortly before that it counts."""
+        """Tell whether an endpoint's load was reported during a request's probing, or shortly before."""
         return state.reported_ns > request.probed_ns - PROBED_LOAD_MAX_AGE_NS
--- a/loadbalancer/policy/subset_size.py
+++ b/loadbalancer/policy/subset_size.py
@@ -1,4 +1,4 @@
-"""How large a proxy's subset is (interface types: loadbalancer/messages.py)."""
+"""The size of a proxy's subset (interface types: loadbalancer/messages.py)."""
 
 from loadbalancer.settings import Settings
 from loadbalancer.state.hash_ring import unit_hash
@@ -6,29 +6,32 @@
 FULL_SUBSET_SIZE = 10  # large enough that pauses of single endpoints don't matter
 SUBSET_SIZE_MIN = 4
 SUBSET_SIZE_MIN_WITH_CONNECTION_PRICE = 1
-SHARING_PROXIES_MAX = 6  # proxies that share an endpoint so that their subsets are larger
+SHARING_PROXIES_MAX = 6  # proxies that may share an endpoint so that subsets are larger
 LARGE_DEPLOYMENT_PROXIES = 512
-# In a large deployment several proxies share each endpoint: one with little traffic leaves none idle.
+# In a large deployment several proxies share each endpoint: a proxy with little traffic leaves none idle.
 LARGE_DEPLOYMENT_SUBSET_SIZE = 64
-LARGE_DEPLOYMENT_SHARING_PROXIES_MIN = 2  # golden-ratio steps are up to 1.9 times their mean apart
+LARGE_DEPLOYMENT_SHARING_PROXIES_MIN = 2  # golden-ratio steps are up to 1.9 times the mean step
 PROXY_OFFSET_SALT = 1
 
 
 def is_large_deployment(settings: Settings) -> bool:
-    """Tell whether proxies are so many that subsets are large and lie in segments of the ring."""
+    """Tell whether there are so many proxies that subsets are large and lie in segments of the ring."""
     return settings.proxy_count >= LARGE_DEPLOYMENT_PROXIES
 
 
 def proxy_offset(settings: Settings) -> float:
-    """Return a number from 0 to 1 of this proxy's own: no change of the list affects all proxies at once."""
+    """Return a number from 0 to 1, different for each proxy.
+
+    With it, no change of the endpoint list affects the subset sizes or segments of all proxies at once.
+    """
     return unit_hash(settings.proxy_index, PROXY_OFFSET_SALT)
 
 
 def subset_size(settings: Settings, endpoints: int, proxies: int) -> int:
     """Return the size of this proxy's subset, given the numbers of endpoints and proxies of its ring.
 
-    It is the full size if few proxies share each endpoint then, and never so small that endpoints are left
-    out.
+    It is the full size if few enough proxies then share each endpoint, and never so small that some endpoint
+    is in no subset.
     """
     size_if_shared = SHARING_PROXIES_MAX * endpoints / proxies
     if is_large_deployment(settings):
@@ -46,7 +49,7 @@
 def _large_deployment_subset_size(
     settings: Settings, endpoints: int, proxies: int, size_if_shared: float
 ) -> int:
-    """Return the subset's size in a large deployment, before the least size is applied."""
+    """Return the subset size in a large deployment, before the minimum is applied."""
     offset = proxy_offset(settings)
     size_to_cover_all = int(LARGE_DEPLOYMENT_SHARING_PROXIES_MIN * endpoints / proxies + offset)
     return max(min(LARGE_DEPLOYMENT_SUBSET_SIZE, int(size_if_shared + offset)), size_to_cover_all)
--- a/loadbalancer/policy/subsetting.py
+++ b/loadbalancer/policy/subsetting.py
@@ -1,13 +1,15 @@
-"""Which endpoints this proxy uses: deterministic subsetting.
+"""Deterministic subsetting: which endpoints this proxy uses.
 
 Types of the interface: loadbalancer/messages.py.
 
-A subset is a run of consecutive keys of a hash ring that all proxies compute alike, so that a proxy's own
-requests in flight are a measure of each endpoint's load; a reserve is kept in addition. Where open
-connections have a price subsets are small, and lie in the proxy's own zone if crossing zones has a price too.
-In a large deployment the ring is cut into segments by key. A subset begins by rank in its segment: subsets
-are spread evenly whatever the keys are, and a change of the endpoint list moves only those of one segment, by
-one endpoint.
+A subset is a run of consecutive keys on a hash ring that all proxies compute alike. Few proxies share an
+endpoint, so a proxy's own requests in flight are a measure of its load. In addition each proxy has a reserve.
+If open connections have a price, subsets are small; if crossing zones has a price too, they lie in the
+proxy's own zone.
+
+In a large deployment the ring is divided into segments of the key space, and the start of a subset is a rank
+in its segment. This spreads subsets evenly whatever the keys are, and a change of the endpoint list moves
+only the subsets of one segment, by one endpoint.
 """
 
 from sortedcontainers import SortedList
@@ -19,9 +21,9 @@
 from loadbalancer.state.placement import Placement
 from loadbalancer.state.subset import Subset
 
-SEGMENT_PROXIES_MIN = 256  # with fewer the endpoints of a segment are not evenly used
+SEGMENT_PROXIES_MIN = 256  # with fewer, the endpoints of a segment are not used evenly
 SEGMENT_ENDPOINTS_MIN = 2048
-# The reserve: endpoints outside the subset, which replace its losses and serve retries with idempotency keys.
+# The reserve: endpoints that replace those lost from the subset, and serve retries with idempotency keys.
 ZONE_RESERVE_SIZE = 128  # those that follow the subset on its ring
 REMOTE_RESERVE_SIZE = 128  # those from the ring of all zones
 RESERVE_SIZE = ZONE_RESERVE_SIZE + REMOTE_RESERVE_SIZE
@@ -59,9 +61,9 @@
 
 
 def new_endpoint_table(settings: Settings) -> EndpointTable:
-    """Return an empty table, with the rings by zone and by cell that are needed.
+    """Return an empty table, with rings by zone and by cell if these settings need them.
 
-    Subsets, and retries with an idempotency key, need them.
+    Subsets need rings by zone; retries with an idempotency key need those of its deduplication scope.
     """
     scopes = {request_class.deduplication_scope for request_class in settings.request_classes.values()}
     return EndpointTable(
@@ -71,9 +73,9 @@
 
 
 def _keeps_to_own_zone(settings: Settings) -> bool:
-    """Tell whether proxies use the endpoints of their own zones: if connections and crossing zones cost.
+    """Tell whether subsets lie in the proxies' own zones: if connections and crossing zones have prices.
 
-    With fewer proxies than zones the endpoints of zones without a proxy would be idle.
+    Not with fewer proxies than zones: endpoints in zones without a proxy would be idle.
     """
     prices = settings.prices
     has_prices = prices.connection > 0 and prices.cross_zone > 0
@@ -84,7 +86,8 @@
 def _subset_ring(settings: Settings, placement: Placement) -> SortedList[RingKey]:
     """Return the ring on which this proxy's subset lies: that of its zone, or that of all zones.
 
-    Few endpoints of one zone may be failing or draining together, and a busy zone could use no other one.
+    A zone with few endpoints is not used alone: they may all fail or drain at once, and under high load no
+    other zone could help.
     """
     if not _keeps_to_own_zone(settings):
         return placement.ring
@@ -95,7 +98,8 @@
 def _sharing_proxies(settings: Settings, *, is_partial: bool) -> int:
     """Return how many proxies have their subsets on the same ring.
 
-    Which proxies use a part of the ready endpoints isn't known: they count as evenly spread over the zones.
+    If a ring has only part of the ready endpoints, which proxies use it is not known: proxies are assumed
+    to be spread evenly over the zones.
     """
     proxies = max(1, settings.proxy_count)
     return max(1, proxies // _zone_count(settings)) if is_partial else proxies
@@ -108,8 +112,8 @@
 def _ring_position(settings: Settings, *, is_partial: bool) -> float:
     """Return where on its ring this proxy's subset begins (0 to 1).
 
-    Golden-ratio steps are even over most sets of proxies. Those of one zone may be every n-th proxy, for
-    which a second ratio is needed.
+    Golden-ratio steps spread most sets of proxies evenly. The proxies of one zone may be every n-th one,
+    which needs a second ratio.
     """
     index = settings.proxy_index
     if is_partial and is_large_deployment(settings):
@@ -132,7 +136,7 @@
 def _first_rank_in_segment(
     settings: Settings, ring: SortedList[RingKey], position: float, proxies: int
 ) -> int:
-    """Return the rank at which a subset begins, counted from the start of its segment of the key space."""
+    """Return the rank at which a subset begins, at its position within a segment of the key space."""
     segments = _segment_count(settings, len(ring), proxies)
     segment = int(position * segments)
     low, high = segment_ranks(ring, segment, segments)
@@ -140,7 +144,7 @@
 
 
 def _segment_count(settings: Settings, endpoints: int, proxies: int) -> int:
-    """Return into how many segments this proxy divides the ring, a power of two."""
+    """Return the number of segments into which this proxy divides the ring, a power of two."""
     scaled_endpoints = int(endpoints * 2 ** proxy_offset(settings))
     segments_max = min(proxies // SEGMENT_PROXIES_MIN, scaled_endpoints // SEGMENT_ENDPOINTS_MIN)
     return 1 << max(0, segments_max.bit_length() - 1)
