--- a/loadbalancer/policy/fleet_updates.py
+++ b/loadbalancer/policy/fleet_updates.py
@@ -90,7 +90,7 @@
                 self.fleet.endpoints[endpoint_id].mark_removed()
 
     def _rebuild_pools(self, now_ns: int) -> None:
-        """Choose the subsets of all pools again, which depend on the ready endpoints alone, not on history."""
+        """Choose the subsets of all pools again; they depend only on the ready endpoints, not on history."""
         fleet = self.fleet
         pools = fleet.pools.values()
         subsets = [choose_subset(self.settings, pool.placement) for pool in pools]
