--- a/loadbalancer/policy/retry_eligibility.py
+++ b/loadbalancer/policy/retry_eligibility.py
@@ -41,7 +41,7 @@
     """
     if request.finished or request.streaming or now_ns >= request.deadline_ns:
         return False
-    if _has_used_its_attempts(request, limits):
+    if _has_no_attempts_left(request, limits):
         return False
     if endpoint.status is not EndpointStatus.READY or not request.pool.allows(endpoint):
         return False
@@ -51,7 +51,7 @@
     return _may_repeat(request, endpoint, now_ns=now_ns, limits=limits)
 
 
-def _has_used_its_attempts(request: Request, limits: Limits) -> bool:
+def _has_no_attempts_left(request: Request, limits: Limits) -> bool:
     """Tell whether a request has no attempts left; those that were never begun have a separate limit."""
     if len(request.attempts) < limits.max_attempts:
         return False
@@ -62,16 +62,16 @@
 def _may_repeat(request: Request, endpoint: Endpoint, now_ns: int, limits: Limits) -> bool:
     """Tell whether another attempt can have no second effect, whatever the earlier ones did."""
     request_class = request.request_class
-    unproven = [attempt for attempt in request.attempts if attempt.may_have_run]
-    if not unproven or request_class.idempotency is Idempotency.IDEMPOTENT:
+    possibly_run = [attempt for attempt in request.attempts if attempt.may_have_run]
+    if not possibly_run or request_class.idempotency is Idempotency.IDEMPOTENT:
         return True
     if request_class.idempotency is not Idempotency.IDEMPOTENCY_KEY:
         return False
     # If the attempt needs a new connection, the request is sent only once that is established.
     latest_send_ns = now_ns + limits.connect_timeout_ns
-    if latest_send_ns - unproven[0].sent_ns >= request_class.deduplication_window_ns:
+    if latest_send_ns - possibly_run[0].sent_ns >= request_class.deduplication_window_ns:
         return False
-    earlier_endpoints = [attempt.endpoint_state.endpoint for attempt in unproven]
+    earlier_endpoints = [attempt.endpoint_state.endpoint for attempt in possibly_run]
     return all(same_deduplication_group(request_class, earlier, endpoint) for earlier in earlier_endpoints)
 
 
