--- a/loadbalancer/policy/subsetting.py
+++ b/loadbalancer/policy/subsetting.py
@@ -34,12 +34,16 @@
 def choose_subset(settings: Settings, placement: Placement) -> Subset:
     """Return this proxy's subset and reserve among the ready endpoints that a placement allows."""
     ring = _subset_ring(settings, placement)
-    is_partial = len(ring) < len(placement.ring) or placement.allowed_zones is not None
-    sharing_proxies = _sharing_proxies(settings, is_partial=is_partial)
-    position = _ring_position(settings, is_partial=is_partial)
+    is_partial_ring = len(ring) < len(placement.ring) or placement.allowed_zones is not None
+    sharing_proxies = _sharing_proxies(settings, is_partial_ring=is_partial_ring)
+    position = _ring_position(settings, is_partial_ring=is_partial_ring)
     size = subset_size(settings, len(ring), sharing_proxies)
     first = _first_rank(
-        settings=settings, ring=ring, position=position, proxies=sharing_proxies, is_partial=is_partial
+        settings=settings,
+        ring=ring,
+        position=position,
+        proxies=sharing_proxies,
+        is_partial_ring=is_partial_ring,
     )
     assigned = ring_slice(ring, first, size)
     zone_reserve = _zone_reserve(ring=ring, full_ring=placement.ring, first=first + size, assigned_count=size)
@@ -67,13 +71,13 @@
     """
     scopes = {request_class.deduplication_scope for request_class in settings.request_classes.values()}
     return EndpointTable(
-        index_zones=_keeps_to_own_zone(settings) or DeduplicationScope.ZONE in scopes,
+        index_zones=_prefers_own_zone(settings) or DeduplicationScope.ZONE in scopes,
         index_cells=DeduplicationScope.CELL in scopes,
     )
 
 
-def _keeps_to_own_zone(settings: Settings) -> bool:
-    """Tell whether subsets lie in the proxies' own zones: if connections and crossing zones have prices.
+def _prefers_own_zone(settings: Settings) -> bool:
+    """Tell whether subsets should lie in the proxies' zones: if connections and crossing zones have prices.
 
     Not with fewer proxies than zones: endpoints in zones without a proxy would be idle.
     """
@@ -89,46 +93,46 @@
     A zone with few endpoints is not used alone: they may all fail or drain at once, and under high load no
     other zone could help.
     """
-    if not _keeps_to_own_zone(settings):
+    if not _prefers_own_zone(settings):
         return placement.ring
     zone_ring = placement.by_zone.get(settings.zone, placement.ring)
     return zone_ring if len(zone_ring) >= FULL_SUBSET_SIZE else placement.ring
 
 
-def _sharing_proxies(settings: Settings, *, is_partial: bool) -> int:
+def _sharing_proxies(settings: Settings, *, is_partial_ring: bool) -> int:
     """Return how many proxies have their subsets on the same ring.
 
     If a ring has only part of the ready endpoints, which proxies use it is not known: proxies are assumed
     to be spread evenly over the zones.
     """
     proxies = max(1, settings.proxy_count)
-    return max(1, proxies // _zone_count(settings)) if is_partial else proxies
+    return max(1, proxies // _zone_count(settings)) if is_partial_ring else proxies
 
 
 def _zone_count(settings: Settings) -> int:
     return max(1, len(settings.zones))
 
 
-def _ring_position(settings: Settings, *, is_partial: bool) -> float:
+def _ring_position(settings: Settings, *, is_partial_ring: bool) -> float:
     """Return where on its ring this proxy's subset begins (0 to 1).
 
     Golden-ratio steps spread most sets of proxies evenly. The proxies of one zone may be every n-th one,
     which needs a second ratio.
     """
     index = settings.proxy_index
-    if is_partial and is_large_deployment(settings):
+    if is_partial_ring and is_large_deployment(settings):
         round_number, number_in_round = divmod(index, _zone_count(settings))
         return (round_number * GOLDEN_RATIO_FRACTION + number_in_round * SILVER_RATIO_FRACTION) % 1
     return index * GOLDEN_RATIO_FRACTION % 1
 
 
 def _first_rank(
-    settings: Settings, ring: SortedList[RingKey], position: float, proxies: int, *, is_partial: bool
+    settings: Settings, ring: SortedList[RingKey], position: float, proxies: int, *, is_partial_ring: bool
 ) -> int:
     """Return the rank on its ring at which this proxy's subset begins."""
     if is_large_deployment(settings):
         return _first_rank_in_segment(settings=settings, ring=ring, position=position, proxies=proxies)
-    if is_partial:
+    if is_partial_ring:
         return int(position * len(ring))
     return settings.proxy_index * len(ring) // proxies
 
