--- a/loadbalancer/policy/subset_size.py
+++ b/loadbalancer/policy/subset_size.py
@@ -33,23 +33,23 @@
     It is the full size if few enough proxies then share each endpoint, and never so small that some endpoint
     is in no subset.
     """
-    size_if_shared = SHARING_PROXIES_MAX * endpoints / proxies
+    size_at_max_sharing = SHARING_PROXIES_MAX * endpoints / proxies
     if is_large_deployment(settings):
         size = _large_deployment_subset_size(
-            settings=settings, endpoints=endpoints, proxies=proxies, size_if_shared=size_if_shared
+            settings=settings, endpoints=endpoints, proxies=proxies, size_at_max_sharing=size_at_max_sharing
         )
     else:
         size_to_cover_all = -(-endpoints // proxies)
-        size = max(min(FULL_SUBSET_SIZE, int(size_if_shared)), size_to_cover_all)
+        size = max(min(FULL_SUBSET_SIZE, int(size_at_max_sharing)), size_to_cover_all)
     has_connection_price = settings.prices.connection > 0
     size_min = SUBSET_SIZE_MIN_WITH_CONNECTION_PRICE if has_connection_price else SUBSET_SIZE_MIN
     return min(endpoints, max(size_min, size))
 
 
 def _large_deployment_subset_size(
-    settings: Settings, endpoints: int, proxies: int, size_if_shared: float
+    settings: Settings, endpoints: int, proxies: int, size_at_max_sharing: float
 ) -> int:
     """Return the subset size in a large deployment, before the minimum is applied."""
     offset = proxy_offset(settings)
     size_to_cover_all = int(LARGE_DEPLOYMENT_SHARING_PROXIES_MIN * endpoints / proxies + offset)
-    return max(min(LARGE_DEPLOYMENT_SUBSET_SIZE, int(size_if_shared + offset)), size_to_cover_all)
+    return max(min(LARGE_DEPLOYMENT_SUBSET_SIZE, int(size_at_max_sharing + offset)), size_to_cover_all)
