--- a/loadbalancer/policy/fleet_updates.py
+++ b/loadbalancer/policy/fleet_updates.py
@@ -71,7 +71,7 @@
             unlisted.discard(endpoint.id)
             table.upsert(endpoint)
             if has_live_weights:
-                self.live_weights.observe(endpoint)
+                self.live_weights.update_idle_weight(endpoint)
             state = states.get(endpoint.id)
             if state is None:
                 continue
@@ -79,7 +79,7 @@
                 state.clear_failures_and_ejection()  # they are those of the process before the restart
                 restarted.add(state)
             state.update_entry(endpoint)
-            self.live_weights.record(state, now_ns)
+            self.live_weights.record_implied_load(state, now_ns)
         return restarted
 
     def _remove_unlisted(self, endpoint_ids: Iterable[int]) -> None:
@@ -132,7 +132,7 @@
             rank = reserve_rank(self.settings, endpoint_id)
             state = EndpointState(endpoint_id, self.fleet.table.endpoint(endpoint_id), rank)
             self.fleet.add(state)
-            self.live_weights.record(state, now_ns)
+            self.live_weights.record_implied_load(state, now_ns)
         return state
 
 
--- a/loadbalancer/policy/live_weights.py
+++ b/loadbalancer/policy/live_weights.py
@@ -23,13 +23,13 @@
         self.enabled = settings.weight_source is WeightSource.LIVE
         self._idle_weights: dict[str, float] = {}  # by machine type
 
-    def observe(self, endpoint: Endpoint) -> None:
+    def update_idle_weight(self, endpoint: Endpoint) -> None:
         """Update the idle weight of a machine type from the weight of a listed endpoint."""
         if _is_valid(endpoint.weight):
             largest = self._idle_weights.get(endpoint.machine_type, 0.0)
             self._idle_weights[endpoint.machine_type] = max(largest, endpoint.weight)
 
-    def record(self, state: EndpointState, now_ns: int) -> None:
+    def record_implied_load(self, state: EndpointState, now_ns: int) -> None:
         """Record the load that an endpoint's weight implies as if it had been reported."""
         endpoint = state.endpoint
         if self.enabled and _is_valid(endpoint.weight):
