--- a/loadbalancer/policy/fleet_updates.py
+++ b/loadbalancer/policy/fleet_updates.py
@@ -42,9 +42,9 @@
         unchanged = previous_subset - restarted
         return [state for state in fleet.endpoints.values() if state.in_subset and state not in unchanged]
 
-    def states(self, endpoint_ids: Iterable[int], now_ns: int) -> list[EndpointState]:
+    def get_or_add_states(self, endpoint_ids: Iterable[int], now_ns: int) -> list[EndpointState]:
         """Return the states of listed endpoints, and store those that are new."""
-        return [self._state(endpoint_id, now_ns) for endpoint_id in endpoint_ids]
+        return [self._get_or_add_state(endpoint_id, now_ns) for endpoint_id in endpoint_ids]
 
     def discard_unused_states(self) -> None:
         """Discard the states of endpoints that are in no pool and have no attempt of this proxy."""
@@ -123,9 +123,9 @@
 
     def _states_of_keys(self, keys: Iterable[RingKey], now_ns: int) -> list[EndpointState]:
         """Return the states of the endpoints with these ring keys, and store those that are new."""
-        return [self._state(unmix64(key), now_ns) for key in keys]
+        return [self._get_or_add_state(unmix64(key), now_ns) for key in keys]
 
-    def _state(self, endpoint_id: int, now_ns: int) -> EndpointState:
+    def _get_or_add_state(self, endpoint_id: int, now_ns: int) -> EndpointState:
         """Return the state of a listed endpoint, and store it if it is new."""
         state = self.fleet.endpoints.get(endpoint_id)
         if state is None:
--- a/loadbalancer/policy/retry_candidates.py
+++ b/loadbalancer/policy/retry_candidates.py
@@ -58,7 +58,7 @@
             count=ENDPOINTS_OUTSIDE_POOL_MAX,
         )
         outside_ids = [endpoint_id for endpoint_id in group_ids if endpoint_id not in fleet.pooled_ids]
-        return self.fleet_updater.states(outside_ids, now_ns)
+        return self.fleet_updater.get_or_add_states(outside_ids, now_ns)
 
 
 def _first_that_may_have_run(request: Request) -> Attempt | None:
