--- a/tests/policy/test_attempt_results.py
+++ b/tests/policy/test_attempt_results.py
@@ -20,7 +20,7 @@
 from tests.support.rule_checker import FinalAnswer
 
 
-def test_resets_do_not_cut_the_rate() -> None:
+def test_resets_do_not_reduce_the_rate() -> None:
     harness = PolicyHarness(endpoint_count=4)
     for i in range(40):
         harness.give(arrival(i, harness.now_ns))
@@ -51,7 +51,7 @@
         assert (rate.rate < 100) is falls
 
 
-def test_mistakes_of_the_caller_are_not_counted() -> None:
+def test_invalid_events_are_not_counted() -> None:
     # An attempt never made, one at another endpoint, an endpoint never listed, an id that is open already.
     harness = PolicyHarness(endpoint_count=2)
     harness.give(arrival(1, harness.now_ns))
--- a/tests/policy/test_attempt_timing.py
+++ b/tests/policy/test_attempt_timing.py
@@ -10,7 +10,7 @@
 from tests.support.requests import make_request, make_state
 
 
-def test_the_expected_duration_follows_the_endpoints_speed() -> None:
+def test_expected_duration_is_scaled_by_the_relative_latency() -> None:
     state = make_state()
     state.relative_latency = 1.5
     request = make_request(cost_hint_ns=40 * NANOSECONDS_PER_MILLISECOND)  # expected before any sample
@@ -18,18 +18,18 @@
     assert expected_ns == 60 * NANOSECONDS_PER_MILLISECOND
 
 
-def test_an_attempt_ends_with_the_objective_where_a_late_response_has_no_value() -> None:
+def test_attempt_times_out_at_the_objective_if_late_has_no_value() -> None:
     now_ns = START + 100 * NANOSECONDS_PER_MILLISECOND
     assert attempt_timeout_ns(make_request(), now_ns) == 200 * NANOSECONDS_PER_MILLISECOND
     assert attempt_timeout_ns(make_request(), now_ns + READ.latency_objective_ns) == 1
 
 
-def test_an_attempt_has_no_timeout_where_a_late_response_has_a_value_or_is_streamed() -> None:
+def test_attempt_has_no_timeout_if_late_has_a_value_or_is_streamed() -> None:
     for changes in ({"late_weight_factor": 0.2}, {"stream": True}):
         request_class = dataclasses.replace(READ, **changes)
         assert attempt_timeout_ns(make_request(request_class), START) == 0
 
 
-def test_an_attempt_is_overdue_three_deviations_beyond_its_expected_duration() -> None:
+def test_attempt_is_overdue_beyond_expectation_and_three_deviations() -> None:
     assert overdue_after_ns(1000.0, deviation=0.0) == 1300
     assert overdue_after_ns(1000.0, deviation=0.5) == 2800
--- a/tests/policy/test_draw_width.py
+++ b/tests/policy/test_draw_width.py
@@ -15,11 +15,11 @@
     return EndpointPool(Placement(None, None), endpoints=states, subset_size=subset_size)
 
 
-def test_it_is_the_subset_and_one_endpoint_more_while_the_queue_is_blocked() -> None:
+def test_width_is_the_subset_plus_one_while_the_queue_is_blocked() -> None:
     pool = make_pool(endpoint_count=6, subset_size=4)
     assert draw_width(pool, queue_is_blocked=False) == 4
     assert draw_width(pool, queue_is_blocked=True) == 5
 
 
-def test_it_is_no_more_than_the_pool_has() -> None:
+def test_width_is_at_most_the_pool_size() -> None:
     assert draw_width(make_pool(endpoint_count=4, subset_size=4), queue_is_blocked=True) == 4
--- a/tests/policy/test_hedging.py
+++ b/tests/policy/test_hedging.py
@@ -19,7 +19,7 @@
         (0, False, 100, False),
     ],
 )
-def test_a_request_is_hedged_in_time_and_where_it_takes_nothing_from_others(
+def test_hedging_needs_time_an_empty_queue_and_cancellation(
     queue_length: int, cancellation: bool, after_ms: int, hedged: bool
 ) -> None:
     request = make_request()
--- a/tests/policy/test_load_estimate.py
+++ b/tests/policy/test_load_estimate.py
@@ -44,7 +44,7 @@
 
 
 @pytest.mark.parametrize("load", [-5.0, 1e300, float("nan"), float("inf")])
-def test_impossible_load_report_is_ignored(load: float) -> None:
+def test_invalid_load_report_is_ignored(load: float) -> None:
     harness = PolicyHarness(endpoint_count=2)
     for i in range(6):
         harness.give(arrival(i, harness.now_ns))
--- a/tests/policy/test_random_days.py
+++ b/tests/policy/test_random_days.py
@@ -36,7 +36,9 @@
 
 @hyp(derandomize=True, deadline=None, max_examples=120)
 @given(st.integers(0, 10**6), st.booleans(), st.booleans(), st.integers(1, 9))
-def test_random_days_keep_the_rules(seed: int, hedging: bool, push: bool, endpoint_count: int) -> None:
+def test_random_event_sequences_keep_the_rules(
+    seed: int, hedging: bool, push: bool, endpoint_count: int
+) -> None:
     rng = random.Random(seed)
     limits = Limits(
         max_attempts=rng.choice([1, 2, 3, 5]),
--- a/tests/policy/test_retry_eligibility.py
+++ b/tests/policy/test_retry_eligibility.py
@@ -169,9 +169,7 @@
 
 
 @pytest.mark.parametrize(("gone_ms", "again"), [(140, True), (160, False)])
-def test_retry_with_a_key_leaves_time_to_connect_inside_the_deduplication_window(
-    gone_ms: int, again: bool
-) -> None:
+def test_keyed_retry_leaves_time_to_connect_in_deduplication_window(gone_ms: int, again: bool) -> None:
     limits = Limits(
         max_attempts=3, connect_timeout_ns=250 * NANOSECONDS_PER_MILLISECOND
     )  # of the window's 400 ms
@@ -181,7 +179,7 @@
     assert bool(actions_of_type(Forward, harness.finish("r1", AttemptResult.RESET))) is again
 
 
-def test_no_tenants_and_unknown_class_work() -> None:
+def test_requests_without_tenants_or_a_known_class_are_handled() -> None:
     harness = PolicyHarness(settings(tenants={}))
     harness.give(arrival(1, harness.now_ns, tenant=""))
     harness.finish("r1")
@@ -219,7 +217,7 @@
 @pytest.mark.parametrize(
     ("request_class", "after_ms", "retried"), [(READ, 99, True), (READ, 100, False), (PAY, 99, False)]
 )
-def test_a_request_is_queued_again_until_its_queue_deadline_where_an_attempt_is_safe(
+def test_safe_retry_is_queued_until_the_queue_deadline(
     request_class: RequestClass, after_ms: int, retried: bool
 ) -> None:
     request = make_request(request_class)
@@ -231,7 +229,7 @@
     assert not should_retry(request, [], now_ns, Limits(max_attempts=2))
 
 
-def test_attempts_that_were_never_begun_do_not_use_up_the_attempts_of_a_request() -> None:
+def test_attempts_never_begun_do_not_count_towards_max_attempts() -> None:
     # Guards against drains that reject a request while another endpoint could serve it.
     request = make_request(READ)
     request.queue_deadline_ns = START + 1
--- a/tests/policy/test_slow_start.py
+++ b/tests/policy/test_slow_start.py
@@ -228,7 +228,7 @@
 
 @pytest.mark.parametrize("proxy_count", PROXY_COUNTS)
 @pytest.mark.parametrize("name", CASES)
-def test_endpoint_that_warms_up_gets_no_more_than_its_budget(name: str, proxy_count: int) -> None:
+def test_endpoint_that_warms_up_gets_at_most_its_budget(name: str, proxy_count: int) -> None:
     # What each proxy sends is little; together it may overload the endpoint.
     overload, fleet = CASES[name].run(proxy_count, seed=2)
     assert 0 < overload <= 1
@@ -244,7 +244,7 @@
     ("proxy_count", "case"),
     [(4, LONG), (30, LONG), (200, replace(LONG, endpoint_count=1000, load=0.1, crashed_fraction=0.1))],
 )
-def test_endpoint_of_a_long_list_gets_no_more_than_its_budget(proxy_count: int, case: Case) -> None:
+def test_endpoint_of_a_long_list_gets_at_most_its_budget(proxy_count: int, case: Case) -> None:
     overload, fleet = case.run(proxy_count, seed=2)
     assert 0 < overload <= 1
     assert fleet.served > 0
--- a/tests/policy/test_subset_size.py
+++ b/tests/policy/test_subset_size.py
@@ -58,7 +58,7 @@
     assert len(subset_of("east", 1, 60, Prices(cross_zone=0.01))) == 4
 
 
-def test_subset_of_few_proxies_is_wide_whatever_the_prices() -> None:
+def test_subset_of_few_proxies_is_large_whatever_the_prices() -> None:
     # All of a small subset may drain or reject while other endpoints are idle (event487).
     prices = Prices(connection=0.03, cross_zone=0.025)
     for proxy_count in (2, 4):
--- a/tests/policy/test_subsetting.py
+++ b/tests/policy/test_subsetting.py
@@ -127,7 +127,7 @@
 
 @hypothesis_settings(max_examples=150, deadline=None, derandomize=True)
 @given(st.lists(st.tuples(st.booleans(), st.lists(LIST_ENTRIES, max_size=40)), max_size=8), st.booleans())
-def test_the_table_depends_on_the_last_entry_of_each_endpoint_alone(
+def test_table_depends_only_on_the_last_entry_of_each_endpoint(
     updates: list[tuple[bool, list[Endpoint]]], zone_aware: bool
 ) -> None:
     # The table must not depend on its history: complete lists, changes, drains, returns, doubles.
@@ -189,7 +189,7 @@
     assert sum(count_moved(before, after[:proxy_count])) <= 0.002 * members
 
 
-def test_a_growing_list_moves_few_members_at_once_where_segments_double() -> None:
+def test_growing_list_moves_few_members_when_segments_double() -> None:
     # Not all proxies may change to more and shorter segments at the same length of the list.
     proxy_count = 1030
     endpoints = endpoints_in_all_zones(4300)
@@ -240,7 +240,7 @@
     return counts, balancer
 
 
-def test_an_update_costs_the_same_at_a_thousand_and_at_thirty_thousand_endpoints(
+def test_update_cost_does_not_grow_from_1000_to_30000_endpoints(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     small, _ = cost_of_updates(monkeypatch, 1000)
@@ -328,7 +328,7 @@
     assert len(harness.balancer.fleet.endpoints) <= LARGE_DEPLOYMENT_SUBSET_SIZE + RESERVE_SIZE
 
 
-def test_an_endpoint_that_left_the_subset_gets_no_request_that_checked_its_load() -> None:
+def test_endpoint_that_left_the_subset_is_no_longer_available() -> None:
     # No update reaches the discarded state to which the request still refers.
     harness = PolicyHarness(proxy_settings(8800, index=3), endpoint_count=0)
     harness.give(EndpointUpdate(EndpointUpdateKind.CACHED, endpoints_in_all_zones(2000)))
