--- a/tests/policy/test_slow_start.py
+++ b/tests/policy/test_slow_start.py
@@ -49,7 +49,7 @@
     client_timeout_ns=800 * NANOSECONDS_PER_MILLISECOND,
 )
 PAY = replace(READ, name="pay", idempotency=Idempotency.NON_IDEMPOTENT)
-SWITCH = replace(
+ZONE_KEYED = replace(
     READ,
     name="switch",
     idempotency=Idempotency.IDEMPOTENCY_KEY,
@@ -57,7 +57,7 @@
     deduplication_window_ns=1200 * NANOSECONDS_PER_MILLISECOND,
     client_timeout_ns=2 * NANOSECONDS_PER_SECOND,
 )
-CELL = replace(SWITCH, name="cell", deduplication_scope=DeduplicationScope.CELL)
+CELL_KEYED = replace(ZONE_KEYED, name="cell", deduplication_scope=DeduplicationScope.CELL)
 SLOW = replace(
     READ,
     name="slow",
@@ -77,7 +77,7 @@
     endpoint_count: int = 12
     endpoint_rate: float = 50.0  # requests of mean work a second that one endpoint can serve
     load: float = 0.7  # offered, as a fraction of what all endpoints can serve
-    traffic: Sequence[Traffic] = (Traffic(READ, 0.4), Traffic(PAY, 0.3), Traffic(SWITCH, 0.3, 2.0))
+    traffic: Sequence[Traffic] = (Traffic(READ, 0.4), Traffic(PAY, 0.3), Traffic(ZONE_KEYED, 0.3, 2.0))
     crashed_fraction: float = 0.3  # of the endpoints; 0: one endpoint
     uneven_traffic: bool = False  # some proxies get many times the traffic of others
     proxies_restart: bool = False  # the proxies have just started too, and have no estimates yet
@@ -194,10 +194,10 @@
 PRICES = Prices(connection=0.03, cross_zone=0.025, handshake=0.03)
 HEDGING = replace(LIMITS, hedging=True)
 PROBING = replace(HEDGING, health_checks=True)
-COSTLY = (Traffic(READ, 0.85), Traffic(LARGE, 0.15, 6.0))
-COSTLY_MIX = (Traffic(READ, 0.8), Traffic(LARGE, 0.2, 4.0))
+COSTLY_TRAFFIC = (Traffic(READ, 0.85), Traffic(LARGE, 0.15, 6.0))
+COSTLY_TRAFFIC_MIX = (Traffic(READ, 0.8), Traffic(LARGE, 0.2, 4.0))
 MACHINE_TYPES = ("large", "small")
-KEYED = (Traffic(CELL, 0.5), Traffic(SWITCH, 0.5))
+KEYED_TRAFFIC = (Traffic(CELL_KEYED, 0.5), Traffic(ZONE_KEYED, 0.5))
 
 CASES = {
     "one start": Case(crashed_fraction=0.0),
@@ -214,14 +214,14 @@
     "uneven": Case(uneven_traffic=True, load=1.0),
     "hedging": Case(limits=HEDGING, load=1.1),
     "load probing": Case(limits=PROBING, load_reports=True),
-    "costly": Case(traffic=COSTLY, machine_types=MACHINE_TYPES, error_share=1.0, seconds_after=1.5),
-    "costly, served": Case(traffic=COSTLY, machine_types=MACHINE_TYPES, load=0.9),
+    "costly": Case(traffic=COSTLY_TRAFFIC, machine_types=MACHINE_TYPES, error_share=1.0, seconds_after=1.5),
+    "costly, served": Case(traffic=COSTLY_TRAFFIC, machine_types=MACHINE_TYPES, load=0.9),
     "costly, restart": Case(
-        traffic=COSTLY_MIX, machine_types=MACHINE_TYPES, error_share=1.0, proxies_restart=True
+        traffic=COSTLY_TRAFFIC_MIX, machine_types=MACHINE_TYPES, error_share=1.0, proxies_restart=True
     ),
     "lists differ": Case(endpoint_count=24, missing_fraction=0.3, load=0.5, error_share=1.0),
     "one by one": Case(endpoint_count=24, crashed_fraction=0.6, one_by_one=True, load=0.4, error_share=1.0),
-    "idempotency key": Case(traffic=KEYED, load=1.0),
+    "idempotency key": Case(traffic=KEYED_TRAFFIC, load=1.0),
     "zones and prices": Case(prices=PRICES, zones=ZONES, endpoint_count=24, load_reports=True),
 }
 
@@ -235,14 +235,18 @@
     assert fleet.served > 0
 
 
-LONG = Case(
+LONG_LIST = Case(
     endpoint_count=3000, load=0.05, endpoint_rate=20.0, seconds_before=0.2, seconds_after=0.5, error_share=1.0
 )
 
 
 @pytest.mark.parametrize(
     ("proxy_count", "case"),
-    [(4, LONG), (30, LONG), (200, replace(LONG, endpoint_count=1000, load=0.1, crashed_fraction=0.1))],
+    [
+        (4, LONG_LIST),
+        (30, LONG_LIST),
+        (200, replace(LONG_LIST, endpoint_count=1000, load=0.1, crashed_fraction=0.1)),
+    ],
 )
 def test_endpoint_of_a_long_list_gets_at_most_its_budget(proxy_count: int, case: Case) -> None:
     overload, fleet = case.run(proxy_count, seed=2)
