--- a/tests/policy/test_attempt_results.py
+++ b/tests/policy/test_attempt_results.py
@@ -43,12 +43,12 @@
 def test_overload_of_a_small_subset_lowers_the_rate() -> None:
     # Incident i430663: of a subset of four, three and more could fail all day and the rate never fell.
     throttle = Throttle("ash", 1.0, random.Random(1), 0)
-    for failing, falls in ((2, False), (4, True)):
-        rate = RateController(throttle.weight, 0)
-        rate.interval.successes = 4
-        rate.interval.failures = Counter(dict.fromkeys(range(failing), 6))
-        rate.adjust([throttle], NANOSECONDS_PER_SECOND, 4)
-        assert (rate.rate < 100) is falls
+    for failing, is_lowered in ((2, False), (4, True)):
+        controller = RateController(throttle.weight, 0)
+        controller.interval.successes = 4
+        controller.interval.failures = Counter(dict.fromkeys(range(failing), 6))
+        controller.adjust([throttle], NANOSECONDS_PER_SECOND, 4)
+        assert (controller.rate < 100) is is_lowered
 
 
 def test_invalid_events_are_not_counted() -> None:
@@ -56,20 +56,20 @@
     harness = PolicyHarness(endpoint_count=2)
     harness.give(arrival(1, harness.now_ns))
     sent = harness.attempts["r1"][0][0].id
-    balancer, good = harness.balancer, harness.attempt_ended("r1", 0, AttemptResult.OK)
+    balancer, valid = harness.balancer, harness.attempt_ended("r1", 0, AttemptResult.OK)
     balancer.handle(
         harness.now_ns,
         [
-            good._replace(attempt=3),
-            good._replace(attempt=-1),
-            good._replace(endpoint_id=99),
-            good._replace(endpoint_id=3 - sent),
+            valid._replace(attempt=3),
+            valid._replace(attempt=-1),
+            valid._replace(endpoint_id=99),
+            valid._replace(endpoint_id=3 - sent),
             arrival(1, harness.now_ns),
         ],
     )
     assert balancer.fleet.endpoints[sent].in_flight == 1
     assert len(balancer.requests) == 1
-    harness.give(good)
+    harness.give(valid)
     assert balancer.fleet.endpoints[sent].in_flight == 0
     assert not balancer.requests
 
@@ -92,11 +92,12 @@
 
 def test_lost_answer_does_not_count_as_in_flight() -> None:
     # Attempts whose responses a bad network loses must not use up the concurrency limit of good endpoints.
-    for lost, sent in ((True, 2), (False, 0)):  # an endpoint that answers nobody is hung, and ejected
-        harness = harness_with_an_overdue_attempt(lost)
+    # An endpoint that sends no response at all is considered hung, and is ejected.
+    for others_answered, forwarded in ((True, 2), (False, 0)):
+        harness = harness_with_an_overdue_attempt(others_answered)
         harness.give(arrival("a", harness.now_ns), arrival("b", harness.now_ns))
         harness.advance(1 * NANOSECONDS_PER_MILLISECOND)
-        assert len({"ra", "rb"} & set(harness.attempts)) == sent
+        assert len({"ra", "rb"} & set(harness.attempts)) == forwarded
 
 
 def test_removed_endpoint_is_kept_until_its_overdue_attempt_ends() -> None:
