--- a/tests/policy/test_random_days.py
+++ b/tests/policy/test_random_days.py
@@ -5,7 +5,7 @@
 import random
 
 from hypothesis import given
-from hypothesis import settings as hyp
+from hypothesis import settings as hypothesis_settings
 from hypothesis import strategies as st
 
 from loadbalancer.messages import (
@@ -34,7 +34,7 @@
 RESULTS = [AttemptResult.OK] * 6 + [r for r in AttemptResult if r is not AttemptResult.TIMEOUT]
 
 
-@hyp(derandomize=True, deadline=None, max_examples=120)
+@hypothesis_settings(derandomize=True, deadline=None, max_examples=120)
 @given(st.integers(0, 10**6), st.booleans(), st.booleans(), st.integers(1, 9))
 def test_random_event_sequences_keep_the_rules(
     seed: int, hedging: bool, push: bool, endpoint_count: int
@@ -54,15 +54,15 @@
         seed,
         0,
     )
-    pool = make_mixed_endpoints(endpoint_count)
-    harness.give(EndpointUpdate(EndpointUpdateKind.CACHED, pool))
+    endpoints = make_mixed_endpoints(endpoint_count)
+    harness.give(EndpointUpdate(EndpointUpdateKind.CACHED, endpoints))
     for number in range(rng.randint(5, 120)):
         for _ in range(rng.choice([0, 1, 1, 2, 12])):
             request_class = rng.choice([READ, PAY, CELL, ANY, NEAR, BIG])
-            ident = f"{number}-{rng.random()}"
+            request_number = f"{number}-{rng.random()}"
             harness.give(
                 arrival(
-                    ident,
+                    request_number,
                     harness.now_ns,
                     request_class,
                     rng.choice(["ash", "birch"]),
@@ -74,15 +74,17 @@
             if rng.random() < 0.4:
                 harness.give(harness.attempt_ended(request, attempt, rng.choice(RESULTS)))
         if rng.random() < 0.1:
-            open_ones = [r for r in harness.request_classes if r not in harness.answers]
-            if open_ones:
-                harness.give(ClientDisconnected(rng.choice(open_ones)))
+            unanswered = [r for r in harness.request_classes if r not in harness.answers]
+            if unanswered:
+                harness.give(ClientDisconnected(rng.choice(unanswered)))
         if rng.random() < 0.1:
-            i = rng.randrange(len(pool))
-            started = harness.now_ns if rng.random() < 0.5 else pool[i].started_ns
-            pool[i] = pool[i]._replace(status=rng.choice(list(EndpointStatus)), started_ns=started)
+            i = rng.randrange(len(endpoints))
+            started = harness.now_ns if rng.random() < 0.5 else endpoints[i].started_ns
+            endpoints[i] = endpoints[i]._replace(status=rng.choice(list(EndpointStatus)), started_ns=started)
             kind = rng.choice([EndpointUpdateKind.DELTA, EndpointUpdateKind.FULL, EndpointUpdateKind.CACHED])
-            harness.give(EndpointUpdate(kind, [pool[i]] if kind is EndpointUpdateKind.DELTA else pool))
+            harness.give(
+                EndpointUpdate(kind, [endpoints[i]] if kind is EndpointUpdateKind.DELTA else endpoints)
+            )
         if not push and rng.random() < 0.05:
             harness.give(EndpointUpdate(EndpointUpdateKind.FAILED))
         harness.advance(rng.choice([0, 1, 10, 50]) * NANOSECONDS_PER_MILLISECOND)
