--- a/tests/policy/test_retry_eligibility.py
+++ b/tests/policy/test_retry_eligibility.py
@@ -168,14 +168,14 @@
     assert harness.answers["r1"] is FinalAnswer.DISCONNECTED
 
 
-@pytest.mark.parametrize(("gone_ms", "again"), [(140, True), (160, False)])
-def test_keyed_retry_leaves_time_to_connect_in_deduplication_window(gone_ms: int, again: bool) -> None:
+@pytest.mark.parametrize(("elapsed_ms", "again"), [(140, True), (160, False)])
+def test_keyed_retry_leaves_time_to_connect_in_deduplication_window(elapsed_ms: int, again: bool) -> None:
     limits = Limits(
         max_attempts=3, connect_timeout_ns=250 * NANOSECONDS_PER_MILLISECOND
     )  # of the window's 400 ms
     harness = PolicyHarness(settings(limits=limits))
     harness.give(arrival(1, harness.now_ns, ANY, wait_ns=2 * NANOSECONDS_PER_SECOND))
-    harness.now_ns += gone_ms * NANOSECONDS_PER_MILLISECOND
+    harness.now_ns += elapsed_ms * NANOSECONDS_PER_MILLISECOND
     assert bool(actions_of_type(Forward, harness.finish("r1", AttemptResult.RESET))) is again
 
 
