--- a/tests/policy/test_subsetting.py
+++ b/tests/policy/test_subsetting.py
@@ -269,11 +269,11 @@
     assert balancer.fleet.endpoints == states
 
 
-def remaining(subset: Subset, gone: set[int]) -> tuple[int, int]:
+def remaining(subset: Subset, lost_ids: set[int]) -> tuple[int, int]:
     """Return how many endpoints are left of a subset, without and with its reserve."""
     return (
-        len([k for k in subset.assigned if unmix64(k) not in gone]),
-        len([k for k in subset if unmix64(k) not in gone]),
+        len([k for k in subset.assigned if unmix64(k) not in lost_ids]),
+        len([k for k in subset if unmix64(k) not in lost_ids]),
     )
 
 
