--- a/tests/policy/test_attempt_results.py
+++ b/tests/policy/test_attempt_results.py
@@ -1,4 +1,4 @@
-"""What attempts that end, late, twice or at the wrong endpoint, do to the state and the rate."""
+"""The effect of attempt results on the state and the rate, including late, repeated and invalid ones."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
         harness.give(arrival(i, harness.now_ns))
         harness.finish(f"r{i}", AttemptResult.RESET)
         harness.finish(f"r{i}")
-    # The first reset of all counts as the endpoint's own fault.
+    # The first reset ever is attributed to its endpoint, because no other endpoint has resets yet.
     assert sum(harness.balancer.rate_controller.interval.failures.values()) <= 1
 
 
@@ -41,7 +41,7 @@
 
 
 def test_overload_of_a_small_subset_lowers_the_rate() -> None:
-    # Incident i430663: of a subset of four, three and more could fail all day and the rate never fell.
+    # The rate never fell while three or more of a subset of four failed (incident i430663).
     throttle = Throttle("ash", 1.0, random.Random(1), 0)
     for failing, is_lowered in ((2, False), (4, True)):
         controller = RateController(throttle.weight, 0)
@@ -52,7 +52,7 @@
 
 
 def test_invalid_events_are_not_counted() -> None:
-    # An attempt never made, one at another endpoint, an endpoint never listed, an id that is open already.
+    # The events: attempts that were never made, endpoints not listed or not used, a repeated request id.
     harness = PolicyHarness(endpoint_count=2)
     harness.give(arrival(1, harness.now_ns))
     sent = harness.attempts["r1"][0][0].id
@@ -75,7 +75,7 @@
 
 
 def harness_with_an_overdue_attempt(later_ones_answered: bool) -> PolicyHarness:
-    """Return a harness whose only endpoint takes two at once and never sends the first answer."""
+    """Return a harness whose only endpoint never responds to the first attempt; two may be in flight."""
     harness = PolicyHarness(settings(limits=Limits(cancellation=True)), endpoint_count=1)
     harness.balancer.concurrency_limit.limit = 2
     harness.give(arrival("lost", harness.now_ns, wait_ns=NANOSECONDS_PER_SECOND))
@@ -91,7 +91,7 @@
 
 
 def test_lost_answer_does_not_count_as_in_flight() -> None:
-    # Attempts whose responses a bad network loses must not use up the concurrency limit of good endpoints.
+    # Responses lost by the network must not use up the concurrency limit of healthy endpoints.
     # An endpoint that sends no response at all is considered hung, and is ejected.
     for others_answered, forwarded in ((True, 2), (False, 0)):
         harness = harness_with_an_overdue_attempt(others_answered)
--- a/tests/policy/test_attempt_timing.py
+++ b/tests/policy/test_attempt_timing.py
@@ -1,4 +1,4 @@
-"""How long an attempt should take, and may take."""
+"""Expected duration, timeout and overdue time of an attempt."""
 
 from __future__ import annotations
 
@@ -13,7 +13,8 @@
 def test_expected_duration_is_scaled_by_the_relative_latency() -> None:
     state = make_state()
     state.relative_latency = 1.5
-    request = make_request(cost_hint_ns=40 * NANOSECONDS_PER_MILLISECOND)  # expected before any sample
+    # Before any sample the cost hint is the expected duration.
+    request = make_request(cost_hint_ns=40 * NANOSECONDS_PER_MILLISECOND)
     expected_ns = expected_duration_ns(request, state, LatencyModel(READ.latency_objective_ns))
     assert expected_ns == 60 * NANOSECONDS_PER_MILLISECOND
 
--- a/tests/policy/test_discovery_retry.py
+++ b/tests/policy/test_discovery_retry.py
@@ -1,4 +1,4 @@
-"""When discovery is polled again."""
+"""Backoff of calls to discovery."""
 
 from __future__ import annotations
 
@@ -37,7 +37,7 @@
     harness.advance(5 * NANOSECONDS_PER_SECOND)
     for _ in range(3):
         assert WatchEndpoints(True) in harness.give(EndpointUpdate(EndpointUpdateKind.WATCH_TIMED_OUT))
-    # Silence is no failure: the pause after one is as short as ever.
+    # A watch timeout is no failure: the backoff after the next failure is still that of a first one.
     assert WatchEndpoints(True) not in harness.give(EndpointUpdate(EndpointUpdateKind.FAILED))
     assert WatchEndpoints(True) in harness.advance(1500 * NANOSECONDS_PER_MILLISECOND)
 
--- a/tests/policy/test_draw_width.py
+++ b/tests/policy/test_draw_width.py
@@ -1,4 +1,4 @@
-"""How many endpoints random choices are drawn from."""
+"""The number of endpoints that random choices are drawn from."""
 
 from __future__ import annotations
 
--- a/tests/policy/test_fleet_updates.py
+++ b/tests/policy/test_fleet_updates.py
@@ -1,4 +1,4 @@
-"""What endpoint lists and their updates change for this proxy."""
+"""The effect of endpoint lists and their updates on a proxy."""
 
 from __future__ import annotations
 
--- a/tests/policy/test_hedging.py
+++ b/tests/policy/test_hedging.py
@@ -13,7 +13,7 @@
 @pytest.mark.parametrize(
     ("queue_length", "cancellation", "after_ms", "hedged"),
     [
-        (0, True, 250, True),  # 50 ms are expected, the objective is 300 ms
+        (0, True, 250, True),  # the expected duration is 50 ms, the latency objective 300 ms
         (0, True, 251, False),
         (1, True, 100, False),
         (0, False, 100, False),
--- a/tests/policy/test_load_estimate.py
+++ b/tests/policy/test_load_estimate.py
@@ -1,4 +1,4 @@
-"""Loads that endpoints report, or that their live weights imply."""
+"""Load estimates from load reports and from live weights."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 
 def test_live_weights_show_the_less_loaded_endpoint() -> None:
-    # With one request in flight at most, this proxy's own counts don't tell the endpoints apart.
+    # With at most one request in flight, this proxy's own counts cannot distinguish the endpoints.
     harness = PolicyHarness(settings(weight_source=WeightSource.LIVE), endpoint_count=2)
     harness.give(live_weights_update([1.0, 1.0]), live_weights_update([0.1, 0.5]))
     for i in range(12):
--- a/tests/policy/test_load_probing.py
+++ b/tests/policy/test_load_probing.py
@@ -66,7 +66,7 @@
 
 
 def test_idle_endpoint_is_never_considered_late() -> None:
-    # One costly request may have made it look slow.
+    # A single costly request may have raised its relative latency.
     harness = probing_harness(endpoint_count=1)
     harness.balancer.fleet.endpoints[1].relative_latency = 9.0
     harness.give(arrival(1, harness.now_ns, wait_ns=100 * NANOSECONDS_PER_MILLISECOND))
--- a/tests/policy/test_outlier_detection.py
+++ b/tests/policy/test_outlier_detection.py
@@ -1,4 +1,4 @@
-"""When an endpoint that fails is ejected."""
+"""Ejection of endpoints that fail."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 def test_attempts_that_time_out_together_count_as_one_failure() -> None:
-    # A pause of one endpoint must not eject it for seconds.
+    # A short pause of an endpoint must not cause an ejection of seconds.
     harness = PolicyHarness(endpoint_count=1)
     for i in range(6):
         harness.give(arrival(i, harness.now_ns, wait_ns=100 * NANOSECONDS_PER_MILLISECOND))
@@ -18,7 +18,7 @@
 def outliers_after_resets(resets: dict[int, int]) -> set[int]:
     """Return the endpoints whose last reset is attributed to them.
 
-    Each endpoint has ended 20 attempts without a reset before these resets in a row.
+    Before these resets in a row, 20 attempts at each endpoint have ended without a reset.
     """
     harness = PolicyHarness(endpoint_count=4)
     endpoints = harness.balancer.fleet.endpoints
@@ -37,9 +37,9 @@
 
 
 def test_reset_is_attributed_to_an_endpoint_that_differs_from_the_others() -> None:
-    # Where no other endpoint resets, one reset is enough.
+    # If no other endpoint resets connections, one reset is enough.
     assert outliers_after_resets({1: 1}) == {1}
-    # Where all others reset, one reset is not attributed to the endpoint.
+    # If all others do, one reset is not attributed to the endpoint.
     assert outliers_after_resets({2: 9, 3: 9, 4: 9, 1: 1}) == {2, 3, 4}
-    # An endpoint that resets all attempts is an outlier, whatever the others do.
+    # Six resets in a row are attributed to the endpoint, whatever the others do.
     assert outliers_after_resets({2: 9, 3: 9, 4: 9, 1: 6}) == {1, 2, 3, 4}
--- a/tests/policy/test_random_days.py
+++ b/tests/policy/test_random_days.py
@@ -1,4 +1,4 @@
-"""Random legal days, each action checked by the harness."""
+"""Random sequences of valid events; the harness checks each action."""
 
 from __future__ import annotations
 
--- a/tests/policy/test_retry_eligibility.py
+++ b/tests/policy/test_retry_eligibility.py
@@ -1,4 +1,4 @@
-"""Which attempts and final answers of a request are legal (rules 1 to 3, placement)."""
+"""Which attempts and final responses of a request are allowed: retries, placement and limits."""
 
 from __future__ import annotations
 
@@ -128,7 +128,7 @@
 def test_rejection_proves_that_nothing_ran_only_where_the_rules_say_so(
     request_class: RequestClass, rejected_may_have_run: bool, answer: FinalAnswer | None
 ) -> None:
-    # Endpoints may also reject requests that they have begun, and a retry would take effect twice.
+    # Endpoints may also reject requests that they have begun: a retry could take effect a second time.
     rules = Rules(slow_start_ns=4 * NANOSECONDS_PER_SECOND, rejected_may_have_run=rejected_may_have_run)
     harness = PolicyHarness(settings(rules=rules))
     harness.give(arrival(1, harness.now_ns, request_class))
@@ -170,9 +170,8 @@
 
 @pytest.mark.parametrize(("elapsed_ms", "again"), [(140, True), (160, False)])
 def test_keyed_retry_leaves_time_to_connect_in_deduplication_window(elapsed_ms: int, again: bool) -> None:
-    limits = Limits(
-        max_attempts=3, connect_timeout_ns=250 * NANOSECONDS_PER_MILLISECOND
-    )  # of the window's 400 ms
+    # The deduplication window is 400 ms.
+    limits = Limits(max_attempts=3, connect_timeout_ns=250 * NANOSECONDS_PER_MILLISECOND)
     harness = PolicyHarness(settings(limits=limits))
     harness.give(arrival(1, harness.now_ns, ANY, wait_ns=2 * NANOSECONDS_PER_SECOND))
     harness.now_ns += elapsed_ms * NANOSECONDS_PER_MILLISECOND
@@ -230,7 +229,7 @@
 
 
 def test_attempts_never_begun_do_not_count_towards_max_attempts() -> None:
-    # Guards against drains that reject a request while another endpoint could serve it.
+    # Otherwise draining endpoints use up max_attempts, and a request is rejected that others could serve.
     request = make_request(READ)
     request.queue_deadline_ns = START + 1
     drained, other = (make_state(endpoint) for endpoint in make_endpoints(2))
--- a/tests/policy/test_selection.py
+++ b/tests/policy/test_selection.py
@@ -1,4 +1,4 @@
-"""How an endpoint is selected."""
+"""Endpoint selection."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 def test_all_endpoints_are_scanned_only_where_a_drawn_one_is_unavailable(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    # The work for a request must not grow with the subset (event8052: CPU time was exhausted).
+    # The cost of a request must not grow with the subset; it once used up all CPU time (event8052).
     harness = PolicyHarness(endpoint_count=10)
     harness.give(arrival("warm", harness.now_ns))
     harness.balancer.concurrency_limit.limit = 5  # all are available
@@ -33,7 +33,7 @@
         drawn = selection.draw(pool, RANDOM_CHOICES, later_ns)
         assert len(drawn) >= RANDOM_CHOICES
         assert all(is_available(selection, state, later_ns) for state in drawn)
-        assert checks <= RANDOM_CHOICES + 1  # with the last choice
+        assert checks <= RANDOM_CHOICES + 1  # the last choice is checked too
     for state in pool.endpoints[1:]:
         state.eject_until(later_ns + NANOSECONDS_PER_SECOND)
     assert set(selection.draw(pool, RANDOM_CHOICES, later_ns)) <= set(pool.endpoints[:1])
--- a/tests/policy/test_slow_start.py
+++ b/tests/policy/test_slow_start.py
@@ -1,4 +1,4 @@
-"""Slow start (rule 4): all proxies together must not overload an endpoint that is warming up.
+"""Slow start: all proxies together must not overload an endpoint that is warming up.
 
 `python -m tests.policy.test_slow_start 10` runs the cases with more seeds than the tests.
 """
@@ -75,27 +75,27 @@
     """Some endpoints crash and restart; all proxies are notified at the same time."""
 
     endpoint_count: int = 12
-    endpoint_rate: float = 50.0  # requests of mean work a second that one endpoint can serve
-    load: float = 0.7  # offered, as a fraction of what all endpoints can serve
+    endpoint_rate: float = 50.0  # requests of mean cost per second that one endpoint can serve
+    load: float = 0.7  # offered load, as a fraction of what all endpoints can serve
     traffic: Sequence[Traffic] = (Traffic(READ, 0.4), Traffic(PAY, 0.3), Traffic(ZONE_KEYED, 0.3, 2.0))
     crashed_fraction: float = 0.3  # of the endpoints; 0: one endpoint
     uneven_traffic: bool = False  # some proxies get many times the traffic of others
     proxies_restart: bool = False  # the proxies have just started too, and have no estimates yet
     capacity: int = 40
-    error_share: float = 0.0  # of the requests to a restarted endpoint, which responds at once with an error
+    error_share: float = 0.0  # fraction of requests that a restarted endpoint answers at once with an error
     limits: Limits = LIMITS
     prices: Prices = field(default_factory=Prices)
     zones: Sequence[str] = ("east",)
     load_reports: bool = False
     cores: int = 2
     machine_types: Sequence[str] = ("",)
-    missing_fraction: float = 0.0  # of the endpoints, that each proxy's first list lacks; different ones
-    one_by_one: bool = False  # the endpoints restart one by one, so that the list changes all the time
+    missing_fraction: float = 0.0  # of the endpoints, missing from each proxy's first list at random
+    one_by_one: bool = False  # endpoints restart one by one, so that the list changes continuously
     seconds_before: float = 1.5
     seconds_after: float = 1.25
 
     def run(self, proxy_count: int, seed: int) -> tuple[float, FleetModel]:
-        """Return the highest overload of an endpoint that warmed up (above 1: too much), and the fleet."""
+        """Return the highest overload of a restarted endpoint (above 1: over its budget), and the fleet."""
         rng = random.Random(seed)
         fleet = self.make_fleet(proxy_count, seed, rng)
         crashed = self.crashed_endpoints(fleet)
@@ -229,7 +229,7 @@
 @pytest.mark.parametrize("proxy_count", PROXY_COUNTS)
 @pytest.mark.parametrize("name", CASES)
 def test_endpoint_that_warms_up_gets_at_most_its_budget(name: str, proxy_count: int) -> None:
-    # What each proxy sends is little; together it may overload the endpoint.
+    # Each proxy sends little, but all proxies together may overload the endpoint.
     overload, fleet = CASES[name].run(proxy_count, seed=2)
     assert 0 < overload <= 1
     assert fleet.served > 0
--- a/tests/policy/test_subset_size.py
+++ b/tests/policy/test_subset_size.py
@@ -1,4 +1,4 @@
-"""How large a proxy's subset is and where it lies, by the number of proxies and the prices."""
+"""Size and position of a proxy's subset, by the number of proxies and the prices."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
 
 def test_subsets_are_shared_by_few_proxies() -> None:
-    # If all proxies share an endpoint, none knows its load by its own requests (incident ib66e0d).
+    # If all proxies share an endpoint, their own requests tell little about its load (incident ib66e0d).
     sizes = {
         proxy_count: len(default_subset(settings(proxy_index=1, proxy_count=proxy_count), make_endpoints(30)))
         for proxy_count in (3, 20, 400)
@@ -45,7 +45,7 @@
 
 
 def test_subset_is_small_and_in_the_zone_where_connections_have_a_price() -> None:
-    # Many proxies must not fill every endpoint's table of connections, each of which costs work.
+    # Many proxies must not use up the connections of every endpoint; each connection costs work.
     prices = Prices(connection=0.03, cross_zone=0.01)
     for zone in ("east", "west"):
         subsets = [subset_of(zone, proxy_index, 60, prices) for proxy_index in range(60)]
@@ -59,7 +59,7 @@
 
 
 def test_subset_of_few_proxies_is_large_whatever_the_prices() -> None:
-    # All of a small subset may drain or reject while other endpoints are idle (event487).
+    # All endpoints of a small subset may drain or reject while others are idle (event487).
     prices = Prices(connection=0.03, cross_zone=0.025)
     for proxy_count in (2, 4):
         subsets = [
--- a/tests/policy/test_subsetting.py
+++ b/tests/policy/test_subsetting.py
@@ -1,4 +1,4 @@
-"""The endpoint table and the subsets: the same however the list came about, even, and stable."""
+"""Endpoint table and subsets: independent of the order of updates, evenly spread and stable."""
 
 from __future__ import annotations
 
@@ -57,7 +57,7 @@
 
 
 def proxy_settings(proxy_count: int, zone_aware: bool = False, index: int = 0) -> Settings:
-    """Return the settings of one of these proxies, which keep to their zones or not."""
+    """Return the settings of one of these proxies; zone-aware ones have prices for crossing zones."""
     prices = Prices(connection=0.03, cross_zone=0.02) if zone_aware else Prices()
     return settings(
         proxy_index=index,
@@ -81,7 +81,7 @@
 
 
 def contents(config: Settings, table: EndpointTable) -> object:
-    """Return all that a table holds, and the subsets that a proxy chooses from it."""
+    """Return the contents of a table, and the subsets that a proxy chooses from it."""
     return (
         table.attributes,
         [
@@ -130,7 +130,7 @@
 def test_table_depends_only_on_the_last_entry_of_each_endpoint(
     updates: list[tuple[bool, list[Endpoint]]], zone_aware: bool
 ) -> None:
-    # The table must not depend on its history: complete lists, changes, drains, returns, doubles.
+    # The result must not depend on the order of full lists, deltas, drains, returns and repeated entries.
     config = replace(proxy_settings(40, zone_aware), zones=ZONES[:3])
     balancer = Balancer(config, 1, START)
     last_entries: dict[int, Endpoint] = {}
@@ -190,7 +190,7 @@
 
 
 def test_growing_list_moves_few_members_when_segments_double() -> None:
-    # Not all proxies may change to more and shorter segments at the same length of the list.
+    # Proxies must not all switch to more, shorter segments at the same length of the list.
     proxy_count = 1030
     endpoints = endpoints_in_all_zones(4300)
     table = table_of(proxy_settings(proxy_count), endpoints[:3900])
@@ -203,7 +203,7 @@
         after = subsets_of_all(table, proxy_count, False)
         moved_max = max(moved_max, sum(count_moved(before, after)))
         before = after
-    assert moved_max < 0.5 * sum(map(len, before))  # forty changes at once
+    assert moved_max < 0.5 * sum(map(len, before))  # 40 endpoints are added at once
 
 
 def cost_of_updates(monkeypatch: pytest.MonkeyPatch, count: int) -> tuple[Counter[str], Balancer]:
@@ -260,7 +260,7 @@
     balancer.handle(START, [EndpointUpdate(EndpointUpdateKind.FULL, endpoints)])
     attributes = dict(balancer.fleet.table.attributes)
     states = dict(balancer.fleet.endpoints)
-    # The hash is called for any change of a ring.
+    # Any change of a ring calls the hash, which would fail now.
     monkeypatch.setattr(placement, "mix64", None)
     monkeypatch.setattr(hash_ring, "mix64", None)
     update = EndpointUpdate(EndpointUpdateKind.FULL, list(reversed(endpoints)))
@@ -270,7 +270,7 @@
 
 
 def remaining(subset: Subset, lost_ids: set[int]) -> tuple[int, int]:
-    """Return how many endpoints are left of a subset, without and with its reserve."""
+    """Return how many endpoints of a subset remain, without and with its reserve."""
     return (
         len([k for k in subset.assigned if unmix64(k) not in lost_ids]),
         len([k for k in subset if unmix64(k) not in lost_ids]),
@@ -306,7 +306,7 @@
 
 @pytest.mark.parametrize("request_class", [ZONE, CELL])
 def test_a_retry_with_an_idempotency_key_finds_its_group_in_a_long_list(request_class: RequestClass) -> None:
-    # Few or none of the hundred endpoints of a cell are in use.
+    # Few or none of the 100 endpoints of a cell are in the subset or the reserve.
     harness = PolicyHarness(proxy_settings(8800, index=3), endpoint_count=0)
     harness.give(EndpointUpdate(EndpointUpdateKind.CACHED, endpoints_in_all_zones(30_000)))
     retried = 0
@@ -329,7 +329,7 @@
 
 
 def test_endpoint_that_left_the_subset_is_no_longer_available() -> None:
-    # No update reaches the discarded state to which the request still refers.
+    # A request that probed the endpoint still refers to its discarded state, which gets no more updates.
     harness = PolicyHarness(proxy_settings(8800, index=3), endpoint_count=0)
     harness.give(EndpointUpdate(EndpointUpdateKind.CACHED, endpoints_in_all_zones(2000)))
     fleet = harness.balancer.fleet
