--- a/loadbalancer/policy/attempt_results.py
+++ b/loadbalancer/policy/attempt_results.py
@@ -18,7 +18,7 @@
 
 
 def is_event_loop_stall(timer_delay_ns: int) -> bool:
-    """Tell whether a timer that fires this late, in ns, shows that the event loop was stalled."""
+    """Return whether a timer that fires this late, in ns, shows that the event loop was stalled."""
     return timer_delay_ns > EVENT_LOOP_STALL_NS
 
 
--- a/loadbalancer/policy/fleet_updates.py
+++ b/loadbalancer/policy/fleet_updates.py
@@ -52,7 +52,7 @@
             self.fleet.discard(state)
 
     def _is_unused(self, state: EndpointState) -> bool:
-        """Tell whether an endpoint is in no pool and has no attempt of this proxy."""
+        """Return whether an endpoint is in no pool and has no attempt of this proxy."""
         return not (state.id in self.fleet.pooled_ids or state.in_flight or state.overdue)
 
     def _ids_to_confirm(self, kind: EndpointUpdateKind) -> set[int]:
--- a/loadbalancer/policy/hedging.py
+++ b/loadbalancer/policy/hedging.py
@@ -5,7 +5,7 @@
 
 
 def should_hedge(request: Request, overdue: Attempt, queue_length: int, limits: Limits, now_ns: int) -> bool:
-    """Tell whether a second attempt, at another endpoint, is worth its load.
+    """Return whether a second attempt, at another endpoint, is worth its load.
 
     Its response must be expected before the latency objective, and it must not take an endpoint from queued
     requests. If attempts cannot be cancelled the overdue one continues, and a hedged request only adds load.
--- a/loadbalancer/policy/load_estimate.py
+++ b/loadbalancer/policy/load_estimate.py
@@ -16,7 +16,7 @@
 
 
 def has_fresh_load(state: EndpointState, now_ns: int) -> bool:
-    """Tell whether the last load report is recent enough to be used."""
+    """Return whether the last load report is recent enough to be used."""
     return now_ns - state.reported_ns < LOAD_REPORT_MAX_AGE_NS
 
 
@@ -28,7 +28,7 @@
 
 
 def is_loaded(states: Iterable[EndpointState], now_ns: int) -> bool:
-    """Tell whether ready endpoints report one request in flight each or more, on average.
+    """Return whether ready endpoints report one request in flight each or more, on average.
 
     With fewer, endpoints are not overloaded, and less traffic would not help. If none reports, they count
     as loaded.
--- a/loadbalancer/policy/load_probing.py
+++ b/loadbalancer/policy/load_probing.py
@@ -23,7 +23,7 @@
 
 
 def is_probing_enabled(settings: Settings) -> bool:
-    """Tell whether loads are probed: if health checks report them, and cost little enough."""
+    """Return whether loads are probed: if health checks report them, and cost little enough."""
     price = settings.prices.health_check * (PROBED_ENDPOINTS + REPEATED_PROBES)
     is_load_reported = IN_FLIGHT_COLUMN in settings.load_report_columns
     return settings.limits.health_checks and is_load_reported and price <= PROBING_PRICE_MAX_PER_REQUEST
@@ -62,7 +62,7 @@
         return []
 
     def is_waiting(self, request: Request, now_ns: int) -> bool:
-        """Tell whether a request still waits for a load report."""
+        """Return whether a request still waits for a load report."""
         if now_ns >= request.probed_ns + PROBE_TIMEOUT_NS:
             return False
         return not all(self._is_load_known(state, request) for state in request.probed_endpoints)
@@ -78,5 +78,5 @@
         ]
 
     def _is_load_known(self, state: EndpointState, request: Request) -> bool:
-        """Tell whether an endpoint's load was reported during a request's probing, or shortly before."""
+        """Return whether an endpoint's load was reported during a request's probing, or shortly before."""
         return state.reported_ns > request.probed_ns - PROBED_LOAD_MAX_AGE_NS
--- a/loadbalancer/policy/outlier_detection.py
+++ b/loadbalancer/policy/outlier_detection.py
@@ -80,7 +80,7 @@
         return int(ejection_ns * self.rng.uniform(EJECTION_JITTER_MIN, EJECTION_JITTER_MAX))
 
     def _may_eject(self, state: EndpointState, now_ns: int) -> bool:
-        """Tell whether each pool that draws from this endpoint has few ejected or paced ones."""
+        """Return whether each pool that draws from this endpoint has few ejected or paced ones."""
         pools = self.fleet.pools.values()
         return all(
             self._has_few_ejected(pool, now_ns)
@@ -89,7 +89,7 @@
         )
 
     def _has_few_ejected(self, pool: EndpointPool, now_ns: int) -> bool:
-        """Tell whether less than EJECTED_FRACTION_MAX of a pool's endpoints are ejected or paced.
+        """Return whether less than EJECTED_FRACTION_MAX of a pool's endpoints are ejected or paced.
 
         The only endpoint of a pool may be ejected too.
         """
@@ -106,7 +106,7 @@
         return self._are_resets_unlikely_by_chance(state)
 
     def _are_resets_unlikely_by_chance(self, state: EndpointState) -> bool:
-        """Tell whether an endpoint's resets in a row are too unlikely, given the resets of the others.
+        """Return whether an endpoint's resets in a row are too unlikely, given the resets of the others.
 
         If connections break at all endpoints alike (a bad network, a middlebox, connections closed as a
         request is sent), a reset is not attributed to the endpoint: most of a healthy fleet would be ejected
--- a/loadbalancer/policy/retry_eligibility.py
+++ b/loadbalancer/policy/retry_eligibility.py
@@ -15,7 +15,7 @@
 
 
 def may_have_run(result: AttemptResult, rules: Rules) -> bool:
-    """Tell whether an attempt with this result may have had its effect at the endpoint.
+    """Return whether an attempt with this result may have had its effect at the endpoint.
 
     A rejection is no proof that it never ran if endpoints also reject requests that they have begun.
     """
@@ -25,7 +25,7 @@
 
 
 def same_deduplication_group(request_class: RequestClass, first: Endpoint, other: Endpoint) -> bool:
-    """Tell whether two endpoints recognise each other's idempotency keys of this class."""
+    """Return whether two endpoints recognise each other's idempotency keys of this class."""
     if request_class.deduplication_scope is DeduplicationScope.ALL:
         return True
     if first.zone != other.zone:
@@ -34,7 +34,7 @@
 
 
 def may_forward(request: Request, endpoint: Endpoint, now_ns: int, limits: Limits) -> bool:
-    """Tell whether an attempt at an endpoint may start now.
+    """Return whether an attempt at an endpoint may start now.
 
     It may not after the request's final response or its deadline, beyond the limits on attempts, outside the
     request's placement, or if an earlier attempt may have run and another could take effect a second time.
@@ -52,7 +52,7 @@
 
 
 def _has_no_attempts_left(request: Request, limits: Limits) -> bool:
-    """Tell whether a request has no attempts left; those that were never begun have a separate limit."""
+    """Return whether a request has no attempts left; those that were never begun have a separate limit."""
     if len(request.attempts) < limits.max_attempts:
         return False
     uncounted = request.uncounted_attempts
@@ -60,7 +60,7 @@
 
 
 def _may_repeat(request: Request, endpoint: Endpoint, now_ns: int, limits: Limits) -> bool:
-    """Tell whether another attempt can have no second effect, whatever the earlier ones did."""
+    """Return whether another attempt can have no second effect, whatever the earlier ones did."""
     request_class = request.request_class
     possibly_run = [attempt for attempt in request.attempts if attempt.may_have_run]
     if not possibly_run or request_class.idempotency is Idempotency.IDEMPOTENT:
@@ -76,7 +76,7 @@
 
 
 def should_retry(request: Request, candidates: Iterable[EndpointState], now_ns: int, limits: Limits) -> bool:
-    """Tell whether a request without an attempt in flight is queued again; it needs no second token.
+    """Return whether a request without an attempt in flight is queued again; it needs no second token.
 
     It must be before its queue deadline, and an attempt at one of the candidates must be safe: a request
     that cannot be forwarded anywhere is rejected at once.
@@ -87,7 +87,7 @@
 
 
 def may_reject(request: Request) -> bool:
-    """Tell whether a request may be answered as rejected: its client may retry it without a second effect."""
+    """Return whether a request may be rejected: its client may retry it without a second effect."""
     request_class = request.request_class
     if request_class.idempotency is Idempotency.IDEMPOTENT:
         return True
--- a/loadbalancer/policy/selection.py
+++ b/loadbalancer/policy/selection.py
@@ -56,7 +56,7 @@
         return RESERVE_MAX_IN_FLIGHT
 
     def is_available(self, state: EndpointState, now_ns: int) -> bool:
-        """Tell whether an endpoint may be sent a request now."""
+        """Return whether an endpoint may be sent a request now."""
         return (
             state.endpoint.status is EndpointStatus.READY
             and now_ns >= state.ejected_until_ns
@@ -111,7 +111,7 @@
         return choice
 
     def would_respond_late(self, request: Request, state: EndpointState, now_ns: int) -> bool:
-        """Tell whether an endpoint, by its load report, would respond after the latency objective.
+        """Return whether an endpoint, by its load report, would respond after the latency objective.
 
         An endpoint without a recent load report, or that reports no load, is never considered late.
         """
--- a/loadbalancer/policy/subset_size.py
+++ b/loadbalancer/policy/subset_size.py
@@ -15,7 +15,7 @@
 
 
 def is_large_deployment(settings: Settings) -> bool:
-    """Tell whether there are so many proxies that subsets are large and lie in segments of the ring."""
+    """Return whether there are so many proxies that subsets are large and lie in segments of the ring."""
     return settings.proxy_count >= LARGE_DEPLOYMENT_PROXIES
 
 
--- a/loadbalancer/policy/subsetting.py
+++ b/loadbalancer/policy/subsetting.py
@@ -77,7 +77,7 @@
 
 
 def _prefers_own_zone(settings: Settings) -> bool:
-    """Tell whether subsets should lie in the proxies' zones: if connections and crossing zones have prices.
+    """Return whether subsets should lie in the proxies' zones: if connections and crossing zones have prices.
 
     Not with fewer proxies than zones: endpoints in zones without a proxy would be idle.
     """
@@ -155,7 +155,7 @@
 
 
 def _fits_into_reserve(full_ring: SortedList[RingKey], assigned_count: int) -> bool:
-    """Tell whether the reserve holds all endpoints outside the subset."""
+    """Return whether the reserve holds all endpoints outside the subset."""
     return len(full_ring) - assigned_count <= RESERVE_SIZE
 
 
