--- a/tests/process/test_configuration_reload.py
+++ b/tests/process/test_configuration_reload.py
@@ -1,4 +1,4 @@
-"""Which changes of a configuration a reload takes up, and which it reports as needing a restart."""
+"""Which changes of the configuration a reload applies, and which it logs as needing a restart."""
 
 from __future__ import annotations
 
@@ -20,13 +20,13 @@
 OTHER_ADDRESS: Address = ("127.0.0.2", 2)
 
 
-def reload(path: Path, current: Configuration) -> list[Address]:
-    moves: list[Address] = []
-    asyncio.run(ConfigurationReloader(str(path), current, moves.append).reload())
-    return moves
+def reload_configuration(path: Path, current: Configuration) -> list[Address]:
+    handovers: list[Address] = []
+    asyncio.run(ConfigurationReloader(str(path), current, handovers.append).reload())
+    return handovers
 
 
-def written(folder: Path, **changes: object) -> Path:
+def write_configuration(folder: Path, **changes: object) -> Path:
     path = folder / "config.json"
     raw = {"name": "n0", "listen": "127.0.0.1:80", "discovery": "127.0.0.1:1", "seed": "1", "settings": {}}
     path.write_text(json.dumps(raw | changes))
@@ -54,14 +54,14 @@
     assert changes_that_need_a_restart(CONFIGURATION, changed) == names
 
 
-def test_a_reload_moves_discovery_and_names_what_needs_a_restart(
+def test_a_reload_hands_over_discovery_and_logs_what_needs_a_restart(
     tmp_path: Path, caplog: pytest.LogCaptureFixture
 ) -> None:
-    current = read_configuration(str(written(tmp_path)))
-    path = written(tmp_path, discovery="127.0.0.2:2", limits={"sockets": 2048})
+    current = read_configuration(str(write_configuration(tmp_path)))
+    path = write_configuration(tmp_path, discovery="127.0.0.2:2", limits={"sockets": 2048})
     with caplog.at_level(logging.INFO):
-        moves = reload(path, current)
-    assert moves == [OTHER_ADDRESS]
+        handovers = reload_configuration(path, current)
+    assert handovers == [OTHER_ADDRESS]
     assert [record.getMessage() for record in caplog.records] == [
         "n0: reload: discovery at 127.0.0.2:2",
         "n0: reload: changed sockets needs a restart",
@@ -69,15 +69,15 @@
 
 
 def test_a_reload_of_a_bad_file_changes_nothing(tmp_path: Path, caplog: pytest.LogCaptureFixture) -> None:
-    path = written(tmp_path, discovery="nowhere")
-    moves = reload(path, CONFIGURATION)
-    assert moves == []
+    path = write_configuration(tmp_path, discovery="nowhere")
+    handovers = reload_configuration(path, CONFIGURATION)
+    assert handovers == []
     assert [record.getMessage() for record in caplog.records] == [
         f"n0: reload: {path}: not an IP address and port: 'nowhere'; the old configuration stays"
     ]
 
 
 def test_a_reload_ignores_the_endpoint_list_of_the_file(tmp_path: Path) -> None:
-    # The list in the file is older than what discovery has sent since.
-    path = written(tmp_path, discovery="127.0.0.2:2", known={"seq": "no number"})
-    assert reload(path, CONFIGURATION) == [OTHER_ADDRESS]
+    # The list in the file is older than the updates that discovery has sent since.
+    path = write_configuration(tmp_path, discovery="127.0.0.2:2", known={"seq": "no number"})
+    assert reload_configuration(path, CONFIGURATION) == [OTHER_ADDRESS]
--- a/tests/proxy/test_attempts.py
+++ b/tests/proxy/test_attempts.py
@@ -47,7 +47,7 @@
 LARGE_BODY_BYTES = 60_000
 
 
-async def test_a_timed_out_attempt_closes_its_connection_and_drops_the_late_response() -> None:
+async def test_timed_out_attempt_closes_its_connection_and_drops_late_response() -> None:
     release = asyncio.Event()
 
     async def late(_received: ReceivedMessage, writer: asyncio.StreamWriter) -> None:
@@ -71,13 +71,13 @@
         assert (await client.exchange(request())).body == b"fresh"
         assert endpoint.opened_connections == 2
         await wait_until(lambda: endpoint.closed_connections == 1)
-        assert [(o.result, o.attempt) for o in policy.events_of(AttemptEnded)] == [
+        assert [(end.result, end.attempt) for end in policy.events_of(AttemptEnded)] == [
             (AttemptResult.TIMEOUT, 0),
             (AttemptResult.OK, 1),
         ]
 
 
-async def test_a_timed_out_attempt_has_closed_before_the_policy_is_told() -> None:
+async def test_timed_out_attempt_is_closed_before_the_policy_is_notified() -> None:
     with socket.create_server((HOST, 0)) as listener:
         listener.setblocking(False)
         accepted: list[socket.socket] = []
@@ -86,7 +86,7 @@
 
         def check_closed(event: Event) -> Iterable[Action]:
             if isinstance(event, AttemptEnded) and event.result is AttemptResult.TIMEOUT:
-                ended.append(accepted[0].recv(65536))  # empty at the end of the stream
+                ended.append(accepted[0].recv(65536))  # empty if the connection is closed
                 return [Fail(event.request_id)]
             return ()
 
@@ -124,7 +124,7 @@
     def react(event: Event) -> Iterable[Action]:
         if isinstance(event, RequestArrived):
             timeout = event.deadline_ns - time.monotonic_ns()
-            time.sleep(0.02)  # the process gets no processor for a while
+            time.sleep(0.02)  # simulates a process that is not scheduled for a while
             return [Forward(event.request_id, policy.endpoint_ids()[0], timeout), SetTimer(timeout, "end")]
         if isinstance(event, AttemptEnded) and event.result is AttemptResult.TIMEOUT:
             return [Reject(event.request_id)]
@@ -142,46 +142,56 @@
     "timeout_ns", [0, 2000 * NANOSECONDS_PER_MILLISECOND], ids=["to the deadline", "to its timeout"]
 )
 @pytest.mark.parametrize("attempts", [1, 2])
-async def test_a_late_connection_shortens_the_forwarded_deadline(
+async def test_slow_connect_shortens_the_forwarded_deadline(
     monkeypatch: pytest.MonkeyPatch, attempts: int, timeout_ns: int
 ) -> None:
     connect_ns = 40 * NANOSECONDS_PER_MILLISECOND
-    ends: list[int] = []  # of the attempts, by the clock
-    received: list[int] = []  # when the last one had come
+    deadlines_ns: list[int] = []  # when the attempts time out, on the monotonic clock
+    received_ns: list[int] = []  # when the attempts arrived at the endpoint
 
     async def respond(_received: ReceivedMessage, writer: asyncio.StreamWriter) -> None:
-        received.append(time.monotonic_ns())
+        received_ns.append(time.monotonic_ns())
         writer.write(format_response(200))
 
     def forward(event: Event) -> Iterable[Action]:
-        if isinstance(event, (RequestArrived, AttemptEnded)) and len(ends) < attempts:
+        if isinstance(event, (RequestArrived, AttemptEnded)) and len(deadlines_ns) < attempts:
             arrival = policy.events_of(RequestArrived)[0]
             deadline = arrival.deadline_ns + POLICY_DEADLINE_MARGIN_NS - PROXY_DEADLINE_MARGIN_NS
-            ends.append(client.proxy._decision_time_ns + timeout_ns if timeout_ns else deadline)
+            deadlines_ns.append(client.proxy._decision_time_ns + timeout_ns if timeout_ns else deadline)
             endpoints = policy.endpoint_ids()
-            return [Forward(arrival.request_id, endpoints[-1 if len(ends) == attempts else 0], timeout_ns)]
+            return [
+                Forward(
+                    arrival.request_id,
+                    endpoints[-1 if len(deadlines_ns) == attempts else 0],
+                    timeout_ns,
+                )
+            ]
         return ()
 
     refusing, endpoint = await FakeEndpoint(never_respond).start(), await FakeEndpoint(respond).start()
     refusing.stop()
-    policy, up = ScriptedPolicy(forward), asyncio.Event()
+    policy, may_connect = ScriptedPolicy(forward), asyncio.Event()
     async with running_proxy(policy, refusing, endpoint) as client:
         await connect(client)
-        hold_connections(monkeypatch, up, endpoint.port)
+        hold_connections(monkeypatch, may_connect, endpoint.port)
         await client.send(request())
-        await wait_until(lambda: len(ends) == attempts)
-        begun = time.monotonic_ns()
-        await wait_until(lambda: time.monotonic_ns() - begun >= connect_ns)
-        opened = time.monotonic_ns()
-        up.set()
+        await wait_until(lambda: len(deadlines_ns) == attempts)
+        started_ns = time.monotonic_ns()
+        await wait_until(lambda: time.monotonic_ns() - started_ns >= connect_ns)
+        connected_ns = time.monotonic_ns()
+        may_connect.set()
         assert (await client.read()).status == 200
-        told_ns = int(endpoint.requests[0].headers["req-deadline-ms"]) * NANOSECONDS_PER_MILLISECOND
-        # It was written between these two times, and what it tells is in whole milliseconds.
-        assert ends[-1] - received[0] - NANOSECONDS_PER_MILLISECOND < told_ns <= ends[-1] - opened
+        forwarded_ns = int(endpoint.requests[0].headers["req-deadline-ms"]) * NANOSECONDS_PER_MILLISECOND
+        # The header was written between these two times, and is in whole milliseconds.
+        assert (
+            deadlines_ns[-1] - received_ns[0] - NANOSECONDS_PER_MILLISECOND
+            < forwarded_ns
+            <= deadlines_ns[-1] - connected_ns
+        )
 
 
-async def test_attempts_that_are_never_begun_do_not_use_up_the_attempts_of_a_request() -> None:
-    # Guards against a hedged request, or one to a drained endpoint, that takes the place of a retry.
+async def test_attempts_that_never_start_do_not_count_towards_the_limit() -> None:
+    # Guards against a hedged attempt, or one at a drained endpoint, that leaves no attempt for a retry.
     release = asyncio.Event()
 
     async def reset_when_released(_received: ReceivedMessage, writer: asyncio.StreamWriter) -> None:
@@ -206,13 +216,13 @@
     policy.react = react
     async with running_proxy(policy, first, drained, second, hedging=True, max_attempts=2) as client:
         row = entry("s1", drained.port, health="draining")
-        client.proxy.list_applier.on_watch_result(read_live_list(list_json(2, row)))
+        client.proxy.list_applier.on_discovery_result(read_live_list(list_json(2, row)))
         await client.send(request())
         await wait_until(lambda: first.requests)
         client.proxy.dispatch(TimerExpired("overdue"))
         release.set()
         assert (await client.read()).status == 200
-    assert [(ended.result, ended.counts) for ended in policy.events_of(AttemptEnded)] == [
+    assert [(ended.result, ended.counts_as_attempt) for ended in policy.events_of(AttemptEnded)] == [
         (AttemptResult.NOT_SENT, False),
         (AttemptResult.RESET, True),
         (AttemptResult.NOT_SENT, False),
@@ -220,8 +230,8 @@
     ]
 
 
-async def test_a_request_of_which_no_byte_was_sent_is_rejected_and_not_failed_at_its_timeout() -> None:
-    # Guards against a request that is not idempotent and fails although its client may send it again.
+async def test_unsent_request_is_rejected_instead_of_failed_at_its_timeout() -> None:
+    # Guards against failing a request that is not idempotent although its client could safely send it again.
     unreachable = await Machine(respond_with(200), refuses=False).start()
     policy = RecordingPolicy(Balancer(proxy_settings(max_attempts=2), 1, time.monotonic_ns()))
     async with running_proxy(policy, unreachable, max_attempts=2) as client:
@@ -233,10 +243,10 @@
     assert [(ended.result, ended.was_written) for ended in ends] == [(AttemptResult.TIMEOUT, False)]
 
 
-async def test_a_request_that_the_system_took_in_part_never_ends_once_its_client_has_left(
+async def test_partially_sent_request_is_not_completed_after_a_disconnect(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    # Guards against a late last byte: the endpoint would run a request that nobody waits for.
+    # Guards against sending the last byte after the disconnect: the endpoint would run an abandoned request.
     loop = asyncio.get_running_loop()
     with socket.socket() as listener:
         listener.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, SMALL_BUFFER_BYTES)
