--- a/scale_test/__main__.py
+++ b/scale_test/__main__.py
@@ -24,12 +24,14 @@
 EXIT_REFUSED = 2
 EXIT_INTERRUPTED = 130
 NOTES = """\
-'loaded' is the first real balancer, the one with clients; 'real' are the others. Of balancers, the median,
-99th and worst are over them; a hollow one's processor time and memory are its part of its process, and with
-a change it waits until those before it in its process have applied it.
-'in force, by next call': until the balancer calls for what is newer than the change. It sends that call when
-it has read the response, and that may be shortly before the policy applies it: see 'by module' for that.
-What changed while discovery was down counts from its return."""
+'loaded' is the first real balancer, the one with clients; 'real' are the others. For figures of balancers,
+the median, 99th percentile and worst are taken over the balancers of the group. A hollow balancer's processor
+time and memory are an equal share of its process's, and it applies a change only after the balancers before
+it in its process have done so.
+'in force, by next call' is the time from a change to the balancer's next call that asks for newer changes.
+A balancer sends that call when it has read the response, which may be shortly before its policy applies the
+change; 'in force, by module' is the time until the policy has applied it.
+Changes made while discovery was down are timed from its return."""
 POSITIVE = click.IntRange(min=1)
 COUNT = click.IntRange(min=0)
 SECONDS = click.FloatRange(min=0.0, max=86_400.0, min_open=True)
@@ -37,47 +39,52 @@
 
 @dataclass(frozen=True)
 class Option:
-    """An option of the command line: the type of its value, and its help."""
+    """A command-line option: the click type of its value, and its help text."""
 
     kind: Any
     help: str
 
 
 OPTIONS = {
-    "upstreams": Option(click.IntRange(1, 1_000_000), "Upstreams in the list."),
-    "real": Option(COUNT, "Balancers run as the deploy file says; the first gets clients."),
-    "hollow": Option(COUNT, "Balancers with no clients, many in a process."),
-    "hollow_processes": Option(POSITIVE, "Processes for the hollow ones."),
-    "replicas": Option(COUNT, "replicas_of_me in all settings; 0: as many as run."),
-    "zones": Option(click.IntRange(1, MAX_ZONES), "Zones that the upstreams are in."),
-    "duration": Option(SECONDS, "Seconds that the course takes."),
-    "quiet": Option(SECONDS, "Seconds without changes, before the course."),
+    "upstreams": Option(click.IntRange(1, 1_000_000), "Upstreams in the endpoint list."),
+    "real": Option(COUNT, "Real balancers, run as the deploy file says; clients send requests to the first."),
+    "hollow": Option(COUNT, "Hollow balancers: without clients, many in one process."),
+    "hollow_processes": Option(POSITIVE, "Processes that the hollow balancers are spread over."),
+    "replicas": Option(COUNT, "replicas_of_me in the settings of all balancers; 0: as many as run."),
+    "zones": Option(click.IntRange(1, MAX_ZONES), "Zones that the upstreams are spread over."),
+    "duration": Option(SECONDS, "Seconds that the scenario takes."),
+    "quiet": Option(SECONDS, "Seconds without changes, before the scenario."),
     "changes": Option(
-        click.FloatRange(min=0.0, max=10_000.0), "List changes a second; 0: as on an ordinary day."
+        click.FloatRange(min=0.0, max=10_000.0), "List changes a second; 0: the rate of an ordinary day."
     ),
-    "configured": Option(COUNT, "Changes of configuration a day, at 160,000 upstreams."),
-    "restarted": Option(COUNT, "Restarted or replaced upstreams a day, at 160,000."),
-    "failed": Option(COUNT, "Failed upstreams a day, at 160,000."),
+    "configured": Option(
+        COUNT, "Configuration changes a day among 160,000 upstreams; scaled to --upstreams."
+    ),
+    "restarted": Option(COUNT, "Restarts or replacements a day among 160,000 upstreams; scaled."),
+    "failed": Option(COUNT, "Failures a day among 160,000 upstreams; scaled."),
     "course": Option(
         click.Choice([scenario.value for scenario in Scenario]),
-        "day: churn; zone: and an outage of a zone, which comes back cold; "
-        "back: and an outage of discovery, then all call at once.",
+        "Scenario. day: ordinary churn; zone: churn and an outage of one zone, which comes back cold; "
+        "back: churn and an outage of discovery, after which all balancers call at once.",
     ),
     "wholes": Option(
         click.IntRange(0, 1000),
-        "Full lists sent to the one with clients and a hollow one, at the end.",
+        "Full lists sent at the end to the balancer with clients and to one hollow balancer.",
+    ),
+    "mode": Option(click.Choice(["ask", "push"]), "registry_mode in the settings of all balancers."),
+    "requests": Option(
+        click.FloatRange(min=0.0, max=5000.0),
+        "Requests a second that clients send to the first real balancer.",
     ),
-    "mode": Option(click.Choice(["ask", "push"]), "How the settings say that lists come."),
-    "requests": Option(click.FloatRange(min=0.0, max=5000.0), "Requests a second to that balancer."),
-    "known": Option(bool, "Whether the configuration holds the list."),
-    "held": Option(COUNT, "Bytes that a balancer uses for an upstream: for the estimate of memory."),
-    "patience": Option(SECONDS, "Seconds until all have to be ready."),
-    "seed": Option(int, "Seed of the course, of the clients and of the balancers."),
+    "known": Option(bool, "Whether the balancers' configuration files hold the endpoint list."),
+    "held": Option(COUNT, "Bytes that a balancer holds for an upstream; used to estimate the memory needed."),
+    "patience": Option(SECONDS, "Seconds within which all balancers have to be ready."),
+    "seed": Option(int, "Seed of the scenario, the clients and the balancers."),
 }
 
 
 def current_commit() -> str:
-    """The commit that is run, with a mark where files differ from it."""
+    """The commit that runs, marked as dirty if files differ from it."""
     completed = subprocess.run(
         ["git", "describe", "--always", "--dirty"], cwd=ROOT, capture_output=True, text=True, check=False
     )
@@ -98,7 +105,7 @@
 
 
 def write_figures(path: Path, plan: Plan, commit: str, result: ExperimentResult) -> None:
-    """Write the figures, with what they were measured on."""
+    """Write the figures as JSON, with the commit, arguments and machine that they were measured with."""
     content = {
         "commit": commit,
         "arguments": asdict(plan),
@@ -111,7 +118,7 @@
 
 
 def plan_options(command: Callable[..., None]) -> Callable[..., None]:
-    """Add an option for each field of the plan."""
+    """Add a command-line option for each field of the plan."""
     default = Plan()
     for field in reversed(fields(Plan)):
         option = OPTIONS[field.name]
@@ -130,15 +137,15 @@
     "--json",
     "path",
     type=click.Path(dir_okay=False, writable=True, path_type=Path),
-    help="Write the figures to this file too.",
+    help="Also write the figures to this file, as JSON.",
 )
 def command(path: Path | None, **arguments: Any) -> None:  # noqa: ANN401 - click passes any option type
-    """Measure what the list of upstreams costs balancers, and how fast a change is in force."""
+    """Measure what the endpoint list costs balancers, and how soon a change of it is in force."""
     plan = Plan(**arguments)
     plan.check()
     if path is not None and not path.parent.is_dir():
         raise PlanError(f"--json {path}: no such folder")
-    commit = current_commit()  # before the run: the folder may change meanwhile
+    commit = current_commit()  # before the run: the working tree may change during it
     result = asyncio.run(run_until_signal(plan))
     click.echo(report.format_table(result.rows, [*result.notes, NOTES]))
     if path is not None:
@@ -146,7 +153,7 @@
 
 
 def main() -> int:
-    """Run the command; returns its exit status, and prints an error in one line."""
+    """Run the command; returns its exit status. An error is printed as one line."""
     try:
         command(standalone_mode=False)
     except click.exceptions.Exit as error:
