--- a/scale_test/__main__.py
+++ b/scale_test/__main__.py
@@ -21,7 +21,7 @@
 from scale_test.experiment import ExperimentResult, run_experiment
 from scale_test.plan import MAX_ZONES, Plan, Scenario
 
-EXIT_REFUSED = 2
+EXIT_ERROR = 2
 EXIT_INTERRUPTED = 130
 NOTES = """\
 'loaded' is the first real balancer, the one with clients; 'real' are the others. For figures of balancers,
@@ -41,7 +41,7 @@
 class Option:
     """A command-line option: the click type of its value, and its help text."""
 
-    kind: Any
+    value_type: Any
     help: str
 
 
@@ -123,9 +123,9 @@
     for field in reversed(fields(Plan)):
         option = OPTIONS[field.name]
         name = field.name.replace("_", "-")
-        flag = f"--{name}/--no-{name}" if option.kind is bool else f"--{name}"
+        flag = f"--{name}/--no-{name}" if option.value_type is bool else f"--{name}"
         decorate = click.option(
-            flag, field.name, type=option.kind, help=option.help, default=getattr(default, field.name)
+            flag, field.name, type=option.value_type, help=option.help, default=getattr(default, field.name)
         )
         command = decorate(command)
     return command
@@ -160,10 +160,10 @@
         return error.exit_code
     except click.ClickException as error:
         click.echo(f"scale: {error.format_message()}", err=True)
-        return EXIT_REFUSED
+        return EXIT_ERROR
     except ScaleTestError as error:
         click.echo(f"scale: {error}", err=True)
-        return EXIT_REFUSED
+        return EXIT_ERROR
     except (KeyboardInterrupt, asyncio.CancelledError, click.exceptions.Abort):
         click.echo("scale: stopped", err=True)
         return EXIT_INTERRUPTED
