--- a/scale_test/plan.py
+++ b/scale_test/plan.py
@@ -1,4 +1,4 @@
-"""The sizes of an experiment, and their limits."""
+"""The arguments of an experiment, and the limits on what it may use of the machine."""
 
 from __future__ import annotations
 
@@ -17,11 +17,11 @@
 MAX_PROCESSES = 200
 MAX_ZONES = 40
 ZONES_PER_REGION = 10
-MEMORY_FRACTION = 0.5  # of the machine's, at most
-PROCESS_MB = 40  # a Python process without data
-ROW_BYTES = 700  # of one row in the fake discovery: its text, also in a full list that is being sent
+MEMORY_FRACTION = 0.5  # of the machine's memory that an experiment may use
+PROCESS_MB = 40  # used by a Python process that holds no data
+ROW_BYTES = 700  # used by the fake discovery for a row: its text, and its part of a full list being sent
 
-# What changes on an ordinary day where there are TARGET_UPSTREAMS.
+# Changes on an ordinary day in a list of TARGET_UPSTREAMS.
 TARGET_UPSTREAMS = 160_000
 CONFIGURED_PER_DAY = 84_000
 RESTARTED_PER_DAY = 59_000
@@ -37,41 +37,44 @@
 
 
 class ChangeKind(StrEnum):
-    """What may change about an upstream on an ordinary day."""
+    """What happens to single upstreams on an ordinary day."""
 
     CONFIGURED = "configured"
     RESTARTED = "restarted"
     FAILED = "failed"
 
 
-# A restart is a drain and a return, a failure is a removal and a return.
+# List changes that each kind makes: a restart drains and returns, a failure is removed and returns.
 LIST_CHANGES = {ChangeKind.CONFIGURED: 1, ChangeKind.RESTARTED: 2, ChangeKind.FAILED: 2}
 
 
 @dataclass(frozen=True)
 class Plan:
-    """The arguments of an experiment, named as the command line's options."""
-
-    upstreams: int = 1000
-    real: int = 2
-    hollow: int = 10
-    hollow_processes: int = 2
-    replicas: int = 0
-    zones: int = MAX_ZONES
-    duration: float = 30.0
-    quiet: float = 15.0
-    changes: float = 0.0
-    configured: int = CONFIGURED_PER_DAY
-    restarted: int = RESTARTED_PER_DAY
-    failed: int = FAILED_PER_DAY
-    course: str = Scenario.CHURN.value
-    wholes: int = 5
-    mode: str = "ask"
-    requests: float = 136.0
-    known: bool = True
-    held: int = 4000
-    patience: float = 120.0
-    seed: int = 1
+    """The arguments of an experiment.
+
+    The field names are those of the command line's options and the keys of "arguments" in the JSON files.
+    """
+
+    upstreams: int = 1000  # in the endpoint list
+    real: int = 2  # balancers run as the deploy file says
+    hollow: int = 10  # balancers without clients
+    hollow_processes: int = 2  # that the hollow balancers are spread over
+    replicas: int = 0  # balancers according to the settings of each; 0: as many as run
+    zones: int = MAX_ZONES  # that the upstreams are spread over
+    duration: float = 30.0  # of the scenario, in seconds
+    quiet: float = 15.0  # seconds without changes, before the scenario
+    changes: float = 0.0  # of the list, per second; 0: the rate of an ordinary day
+    configured: int = CONFIGURED_PER_DAY  # configuration changes, among TARGET_UPSTREAMS
+    restarted: int = RESTARTED_PER_DAY  # restarts and replacements, among TARGET_UPSTREAMS
+    failed: int = FAILED_PER_DAY  # failures, among TARGET_UPSTREAMS
+    course: str = Scenario.CHURN.value  # the scenario, by the value of the enum
+    wholes: int = 5  # full lists sent at the end, to the loaded balancer and to a hollow one
+    mode: str = "ask"  # registry_mode in the balancers' settings
+    requests: float = 136.0  # per second, from clients to the loaded balancer
+    known: bool = True  # whether the balancers' configuration files hold the endpoint list
+    held: int = 4000  # bytes that a balancer holds for an upstream, for the estimate of memory
+    patience: float = 120.0  # seconds within which all balancers have to be ready, and to call discovery
+    seed: int = 1  # of the scenario, the clients and the balancers
 
     @property
     def scenario(self) -> Scenario:
@@ -85,7 +88,7 @@
 
     @property
     def replica_count(self) -> int:
-        """How many balancers there are by the settings of each."""
+        """How many balancers the settings of each say that there are."""
         return self.replicas or self.balancers
 
     @property
@@ -95,13 +98,13 @@
 
     @property
     def memory(self) -> int:
-        """The estimated memory in bytes; the memory used is checked throughout the run."""
+        """An estimate of the memory needed, in bytes; the memory used is checked throughout the run."""
         held_bytes = self.upstreams * (ROW_BYTES + self.balancers * self.held)
         return self.processes * PROCESS_MB * BYTES_PER_MB + held_bytes
 
     @property
     def mix(self) -> dict[ChangeKind, int]:
-        """Changes a day of each kind, at the target's number of upstreams."""
+        """Changes a day of each kind, among TARGET_UPSTREAMS."""
         return {
             ChangeKind.CONFIGURED: self.configured,
             ChangeKind.RESTARTED: self.restarted,
@@ -116,7 +119,7 @@
 
     @property
     def hollow_shares(self) -> list[int]:
-        """How many hollow balancers each of their processes holds."""
+        """The number of hollow balancers in each of their processes."""
         if not self.hollow:
             return []
         return [
@@ -153,18 +156,18 @@
         if not any(self.mix.values()):
             yield "nothing changes: --configured, --restarted and --failed are all 0"
         if self.processes > MAX_PROCESSES:
-            yield f"{self.processes} processes, but at most {MAX_PROCESSES} may run"
+            yield f"the plan takes {self.processes} processes, but at most {MAX_PROCESSES} may run"
         limit = memory_limit()
         if self.memory > limit:
             memory_mb = math.ceil(self.memory / BYTES_PER_MB)
-            yield f"about {memory_mb} MB of memory, but at most {limit // BYTES_PER_MB} MB may be used"
+            yield f"the plan takes about {memory_mb} MB, but at most {limit // BYTES_PER_MB} MB may be used"
 
 
 def memory_limit() -> int:
-    """How many bytes an experiment may use."""
+    """Bytes of memory that an experiment may use."""
     return int(psutil.virtual_memory().total * MEMORY_FRACTION)
 
 
 def zone_name(number: int) -> str:
-    """The name of a zone, as its region and its number there."""
+    """The name of a zone: its region, and its number in the region."""
     return f"r{number // ZONES_PER_REGION}-z{number % ZONES_PER_REGION}"
