--- a/scale_test/plan.py
+++ b/scale_test/plan.py
@@ -45,7 +45,7 @@
 
 
 # List changes that each kind makes: a restart drains and returns, a failure is removed and returns.
-LIST_CHANGES = {ChangeKind.CONFIGURED: 1, ChangeKind.RESTARTED: 2, ChangeKind.FAILED: 2}
+LIST_CHANGES_PER_KIND = {ChangeKind.CONFIGURED: 1, ChangeKind.RESTARTED: 2, ChangeKind.FAILED: 2}
 
 
 @dataclass(frozen=True)
@@ -103,8 +103,8 @@
         return self.processes * PROCESS_MB * BYTES_PER_MB + held_bytes
 
     @property
-    def mix(self) -> dict[ChangeKind, int]:
-        """Changes a day of each kind, among TARGET_UPSTREAMS."""
+    def upstream_changes_per_day(self) -> dict[ChangeKind, int]:
+        """Upstream changes a day of each kind, among TARGET_UPSTREAMS."""
         return {
             ChangeKind.CONFIGURED: self.configured,
             ChangeKind.RESTARTED: self.restarted,
@@ -114,8 +114,10 @@
     @property
     def changes_a_second(self) -> float:
         """List changes a second."""
-        changes_a_day = sum(LIST_CHANGES[kind] * count for kind, count in self.mix.items())
-        return self.changes or changes_a_day / SECONDS_PER_DAY * self.upstreams / TARGET_UPSTREAMS
+        list_changes_a_day = sum(
+            LIST_CHANGES_PER_KIND[kind] * count for kind, count in self.upstream_changes_per_day.items()
+        )
+        return self.changes or list_changes_a_day / SECONDS_PER_DAY * self.upstreams / TARGET_UPSTREAMS
 
     @property
     def hollow_shares(self) -> list[int]:
@@ -153,7 +155,7 @@
             yield f"--replicas {self.replicas} is less than the {self.balancers} balancers that run"
         if self.zones > self.upstreams:
             yield f"--zones {self.zones} is more than --upstreams {self.upstreams}"
-        if not any(self.mix.values()):
+        if not any(self.upstream_changes_per_day.values()):
             yield "nothing changes: --configured, --restarted and --failed are all 0"
         if self.processes > MAX_PROCESSES:
             yield f"the plan takes {self.processes} processes, but at most {MAX_PROCESSES} may run"
--- a/scale_test/scenarios.py
+++ b/scale_test/scenarios.py
@@ -11,7 +11,7 @@
 from typing import Any
 
 from scale_test.fake_discovery import FakeDiscovery
-from scale_test.plan import LIST_CHANGES, ChangeKind, Plan, Scenario
+from scale_test.plan import LIST_CHANGES_PER_KIND, ChangeKind, Plan, Scenario
 from scale_test.registry import Health
 
 RETURN_S = 4.0  # a restarted or failed upstream is back after this, or a fifth of the experiment
@@ -57,9 +57,11 @@
     start = now = time.monotonic()
     end = start + plan.duration
     away_s = min(RETURN_S, plan.duration / 5)
-    kinds = list(plan.mix)
-    weights = list(plan.mix.values())
-    list_changes = sum(LIST_CHANGES[kind] * weight for kind, weight in plan.mix.items())
+    kinds = list(plan.upstream_changes_per_day)
+    weights = list(plan.upstream_changes_per_day.values())
+    list_changes = sum(
+        LIST_CHANGES_PER_KIND[kind] * weight for kind, weight in plan.upstream_changes_per_day.items()
+    )
     rate = plan.changes_a_second * sum(weights) / list_changes
     schedule = [ScheduledChange(start + rng.expovariate(rate))]
     while schedule[0].at_s < end:
