--- a/scale_test/cluster.py
+++ b/scale_test/cluster.py
@@ -97,7 +97,7 @@
                 *(self._start_real(number, deployment.run, writer) for number in range(plan.real))
             )
             hollow = await asyncio.gather(
-                *(self._start_hollow(number, writer) for number in range(len(plan.hollow_shares)))
+                *(self._start_hollow(number, writer) for number in range(len(plan.hollow_counts)))
             )
         self.real = [started.process for started in real]
         self.hollow = [started.helper for started in hollow]
--- a/scale_test/measurements.py
+++ b/scale_test/measurements.py
@@ -113,8 +113,8 @@
             Group.REAL: [cpu_seconds(process) for process in cluster.real[loaded:]],
             Group.LOADED: [cpu_seconds(process) for process in cluster.real[:loaded]],
             Group.HOLLOW: [
-                cpu_seconds(helper.process) / share
-                for helper, share in zip(cluster.hollow, self._plan.hollow_shares, strict=True)
+                cpu_seconds(helper.process) / count
+                for helper, count in zip(cluster.hollow, self._plan.hollow_counts, strict=True)
             ],
             Group.DISCOVERY: [cpu_seconds(cluster.discovery.process)],
         }
@@ -138,10 +138,10 @@
     def _hollow_memory(self) -> list[Memory]:
         """A hollow balancer's part of its process, less what the process had before it held any."""
         found = []
-        for helper, share in zip(self._cluster.hollow, self._plan.hollow_shares, strict=True):
+        for helper, count in zip(self._cluster.hollow, self._plan.hollow_counts, strict=True):
             used = memory_of(helper.process)
             empty = helper.empty_bytes / BYTES_PER_MB
-            found.append(Memory((used.now - empty) / share, (used.peak - empty) / share))
+            found.append(Memory((used.now - empty) / count, (used.peak - empty) / count))
         return found
 
     # -- the list --
--- a/scale_test/plan.py
+++ b/scale_test/plan.py
@@ -13,11 +13,11 @@
 from scale_test.units import BYTES_PER_MB
 
 SECONDS_PER_DAY = 86_400
-HELPERS = 3  # discovery, upstreams, clients
+SINGLE_HELPERS = 3  # discovery, upstreams, clients
 MAX_PROCESSES = 200
 MAX_ZONES = 40
 ZONES_PER_REGION = 10
-MEMORY_FRACTION = 0.5  # of the machine's memory that an experiment may use
+MAX_MEMORY_FRACTION = 0.5  # of the machine's memory that an experiment may use
 PROCESS_MB = 40  # used by a Python process that holds no data
 ROW_BYTES = 700  # used by the fake discovery for a row: its text, and its part of a full list being sent
 
@@ -94,10 +94,10 @@
     @property
     def processes(self) -> int:
         """All processes, this one included."""
-        return 1 + HELPERS + self.real + self.hollow_processes
+        return 1 + SINGLE_HELPERS + self.real + self.hollow_processes
 
     @property
-    def memory(self) -> int:
+    def estimated_bytes(self) -> int:
         """An estimate of the memory needed, in bytes; the memory used is checked throughout the run."""
         held_bytes = self.upstreams * (ROW_BYTES + self.balancers * self.held)
         return self.processes * PROCESS_MB * BYTES_PER_MB + held_bytes
@@ -120,7 +120,7 @@
         return self.changes or list_changes_a_day / SECONDS_PER_DAY * self.upstreams / TARGET_UPSTREAMS
 
     @property
-    def hollow_shares(self) -> list[int]:
+    def hollow_counts(self) -> list[int]:
         """The number of hollow balancers in each of their processes."""
         if not self.hollow:
             return []
@@ -160,14 +160,17 @@
         if self.processes > MAX_PROCESSES:
             yield f"the plan takes {self.processes} processes, but at most {MAX_PROCESSES} may run"
         limit = memory_limit()
-        if self.memory > limit:
-            memory_mb = math.ceil(self.memory / BYTES_PER_MB)
-            yield f"the plan takes about {memory_mb} MB, but at most {limit // BYTES_PER_MB} MB may be used"
+        if self.estimated_bytes > limit:
+            estimated_mb = math.ceil(self.estimated_bytes / BYTES_PER_MB)
+            yield (
+                f"the plan takes about {estimated_mb} MB of memory, "
+                f"but at most {limit // BYTES_PER_MB} MB may be used"
+            )
 
 
 def memory_limit() -> int:
     """Bytes of memory that an experiment may use."""
-    return int(psutil.virtual_memory().total * MEMORY_FRACTION)
+    return int(psutil.virtual_memory().total * MAX_MEMORY_FRACTION)
 
 
 def zone_name(number: int) -> str:
