--- a/scale_test/experiment.py
+++ b/scale_test/experiment.py
@@ -1,4 +1,4 @@
-"""One experiment: starts the processes, takes them through the phases, gathers the figures, ends all."""
+"""One experiment: starts the processes, runs the phases, collects the figures and ends the processes."""
 
 from __future__ import annotations
 
@@ -17,17 +17,17 @@
 from scale_test.records import BalancerReport
 from scale_test.report import Phase, Row
 
-WARM_UP_S = 1.0  # of traffic before it counts
-# After a full list has been read, until it is in force.
+WARM_UP_S = 1.0  # of client traffic before the first phase
+# The pause after a full list has been read, until it is in force: fixed, and by its rows.
 FULL_LIST_PAUSE_S = 1.0
 ROWS_PER_SECOND = 80_000
 NOTIFIED_WITHIN_S = 8.0  # balancers count as notified of a version 6 s after discovery has it
-FULL_LIST_TIMEOUT_S = 30.0  # until the call that follows a full list
+FULL_LIST_TIMEOUT_S = 30.0  # from the wait for a watch to the call that follows the full list
 
 
 @dataclass(frozen=True)
 class ExperimentResult:
-    """The rows of the report, and notes to them."""
+    """The rows of the report, and the notes on them."""
 
     rows: list[Row]
     notes: list[str]
@@ -42,7 +42,7 @@
         self._measurements = Measurements(self._cluster)
 
     async def run(self) -> ExperimentResult:
-        """Run it, and end it early where something goes wrong; no process is left.
+        """Run the phases, and end all processes, also where a phase fails or a process has ended.
 
         Raises:
             ExperimentError: It could not continue.
@@ -69,7 +69,7 @@
         measurements.add_start_times(await self._cluster.start())
         discovery = self._cluster.discovery
         if not await discovery.wait_settled(plan.patience):
-            raise ExperimentError(f"not all balancers have called discovery within {plan.patience:g} s")
+            raise ExperimentError(f"not all balancers called discovery within {plan.patience:g} s")
         clients = await self._start_clients()
         async with measurements.phase(Phase.QUIET):
             await asyncio.sleep(plan.quiet)
@@ -83,7 +83,7 @@
         await self._gather_reports(clients)
 
     async def _start_clients(self) -> LoadHelper | None:
-        """Start the clients of the loaded balancer, if there is one."""
+        """Start the clients of the loaded balancer, if the plan has one, and let their traffic warm up."""
         plan = self._plan
         if not plan.loaded:
             return None
@@ -95,7 +95,7 @@
     async def _send_full_lists(self) -> None:
         """Send full lists to the loaded balancer and to a hollow one.
 
-        A hollow one records when a list is in force; a real one's next call shows only that it was read.
+        A hollow balancer records when the list is in force; a real one's next call only shows that it was read.
         """
         plan = self._plan
         numbers = list(range(plan.loaded))
@@ -105,12 +105,14 @@
         pause_s = min(FULL_LIST_PAUSE_S + plan.upstreams / ROWS_PER_SECOND, plan.quiet)
         for _, number in itertools.product(range(plan.wholes), numbers):
             if not await self._cluster.discovery.send_full_list(number, timeout_s):
-                self._measurements.notes.append(f"balancer {number} could not be sent a full list")
+                self._measurements.notes.append(
+                    f"balancer {number} took no full list in time; no more were sent"
+                )
                 break
             await asyncio.sleep(pause_s)
 
     async def _gather_reports(self, clients: LoadHelper | None) -> None:
-        """Get the helpers' reports, and add their figures."""
+        """Fetch the helpers' reports, and add the figures from them."""
         measurements = self._measurements
         discovery = await self._cluster.discovery.report()
         hollow = await self._hollow_reports()
@@ -121,7 +123,7 @@
             measurements.add_request_figures(await clients.report(), discovery, tail_ns)
 
     async def _hollow_reports(self) -> list[BalancerReport]:
-        """The hollow balancers' reports, by their numbers: they are assigned to their processes in turn."""
+        """The hollow balancers' reports in order of number; numbers are dealt to the processes in turn."""
         reports = [await helper.report() for helper in self._cluster.hollow]
         in_turn = itertools.chain.from_iterable(itertools.zip_longest(*reports))
         return [report for report in in_turn if report is not None]
