--- a/scale_test/experiment.py
+++ b/scale_test/experiment.py
@@ -20,8 +20,8 @@
 WARM_UP_S = 1.0  # of client traffic before the first phase
 # The pause after a full list has been read, until it is in force: fixed, and by its rows.
 FULL_LIST_PAUSE_S = 1.0
-ROWS_PER_SECOND = 80_000
-NOTIFIED_WITHIN_S = 8.0  # balancers count as notified of a version 6 s after discovery has it
+FULL_LIST_ROWS_PER_S = 80_000
+MIN_SETTLE_TIMEOUT_S = 8.0  # balancers count as notified of a version 6 s after discovery has it
 FULL_LIST_TIMEOUT_S = 30.0  # from the wait for a watch to the call that follows the full list
 
 
@@ -47,18 +47,18 @@
         Raises:
             ExperimentError: It could not continue.
         """
-        watching = asyncio.create_task(self._cluster.watch())
-        running = asyncio.create_task(self._run_phases())
+        watch_task = asyncio.create_task(self._cluster.watch())
+        phases_task = asyncio.create_task(self._run_phases())
         try:
-            done, _ = await asyncio.wait({watching, running}, return_when=asyncio.FIRST_COMPLETED)
+            done, _ = await asyncio.wait({watch_task, phases_task}, return_when=asyncio.FIRST_COMPLETED)
             for task in done:
                 task.result()
         except TimeoutError as error:
             raise ExperimentError(f"not all balancers were ready within {self._plan.patience:g} s") from error
         finally:
-            watching.cancel()
-            running.cancel()
-            await asyncio.gather(watching, running, return_exceptions=True)
+            watch_task.cancel()
+            phases_task.cancel()
+            await asyncio.gather(watch_task, phases_task, return_exceptions=True)
             await self._cluster.kill()
         rows = [row for row in self._measurements.rows if row.count]
         return ExperimentResult(rows, self._measurements.notes)
@@ -75,7 +75,7 @@
             await asyncio.sleep(plan.quiet)
         async with measurements.phase(Phase.SCENARIO):
             await discovery.run_scenario()
-        settled = await discovery.wait_settled(min(plan.patience, max(plan.duration, NOTIFIED_WITHIN_S)))
+        settled = await discovery.wait_settled(min(plan.patience, max(plan.duration, MIN_SETTLE_TIMEOUT_S)))
         if not settled:
             measurements.notes.append("some balancers did not have the newest list when the run ended")
         await self._send_full_lists()
@@ -95,14 +95,14 @@
     async def _send_full_lists(self) -> None:
         """Send full lists to the loaded balancer and to a hollow one.
 
-        A hollow balancer records when the list is in force; a real one's next call only shows that it was read.
+        A hollow balancer records when the list is in force; a real one's next call shows only its reading.
         """
         plan = self._plan
         numbers = list(range(plan.loaded))
         if plan.loaded and plan.hollow:
             numbers.append(plan.real)
         timeout_s = min(plan.patience, FULL_LIST_TIMEOUT_S)
-        pause_s = min(FULL_LIST_PAUSE_S + plan.upstreams / ROWS_PER_SECOND, plan.quiet)
+        pause_s = min(FULL_LIST_PAUSE_S + plan.upstreams / FULL_LIST_ROWS_PER_S, plan.quiet)
         for _, number in itertools.product(range(plan.wholes), numbers):
             if not await self._cluster.discovery.send_full_list(number, timeout_s):
                 self._measurements.notes.append(
@@ -125,8 +125,8 @@
     async def _hollow_reports(self) -> list[BalancerReport]:
         """The hollow balancers' reports in order of number; numbers are dealt to the processes in turn."""
         reports = [await helper.report() for helper in self._cluster.hollow]
-        in_turn = itertools.chain.from_iterable(itertools.zip_longest(*reports))
-        return [report for report in in_turn if report is not None]
+        interleaved = itertools.chain.from_iterable(itertools.zip_longest(*reports))
+        return [report for report in interleaved if report is not None]
 
 
 async def run_experiment(plan: Plan) -> ExperimentResult:
