--- a/scale_test/scenarios.py
+++ b/scale_test/scenarios.py
@@ -1,4 +1,4 @@
-"""What happens to the endpoint list: a day's churn, an outage of a zone, an outage of discovery."""
+"""The scenarios: ordinary churn of the endpoint list, an outage of a zone, an outage of discovery."""
 
 from __future__ import annotations
 
@@ -14,13 +14,13 @@
 from scale_test.plan import LIST_CHANGES_PER_KIND, ChangeKind, Plan, Scenario
 from scale_test.registry import Health
 
-RETURN_S = 4.0  # a restarted or failed upstream is back after this, or a fifth of the experiment
-ZONE_STEPS = 10  # in which a zone's upstreams change
+RETURN_S = 4.0  # until a restarted or failed upstream returns; at most a fifth of the scenario
+ZONE_STEPS = 10  # list versions over which the upstreams of a zone change
 ZONE_STEP_S = 0.1
-# Of discovery's outage, as fractions of the experiment.
+# Of discovery's outage, as fractions of the scenario's duration.
 OUTAGE_START_FRACTION = 0.2
 OUTAGE_DURATION_FRACTION = 0.3
-NEW_CHANGE = -1
+NEW_CHANGE = -1  # in place of a row: the row is yet to be drawn
 
 ScenarioFunction = Callable[[FakeDiscovery, Plan, random.Random], Coroutine[Any, Any, None]]
 
@@ -33,7 +33,7 @@
 
 @dataclass(frozen=True, order=True)
 class ScheduledChange:
-    """When a new change happens, or the upstream of a row returns."""
+    """The time at which the upstream of a row returns, or a new change happens."""
 
     at_s: float
     returning_row: int = NEW_CHANGE
@@ -41,7 +41,7 @@
 
 @dataclass(frozen=True)
 class ZonePhase:
-    """The health of all upstreams of a zone from a fraction of the experiment on."""
+    """The health that all upstreams of a zone get after a fraction of the scenario's duration."""
 
     fraction: float
     health: Health
@@ -53,7 +53,7 @@
 async def churn(
     discovery: FakeDiscovery, plan: Plan, rng: random.Random, excluded_rows: frozenset[int] = frozenset()
 ) -> None:
-    """Change configurations, restart upstreams and let them fail, at random, except for excluded rows."""
+    """Configure, restart and fail upstreams at random, except those in the excluded rows."""
     start = now = time.monotonic()
     end = start + plan.duration
     away_s = min(RETURN_S, plan.duration / 5)
@@ -75,7 +75,7 @@
         row = rng.randrange(plan.upstreams)
         kind = rng.choices(kinds, weights)[0]
         if discovery.registry.health[row] is not Health.UP or row in excluded_rows:
-            continue  # it is away already
+            continue  # it has not returned yet, or belongs to the zone that is out
         discovery.change([row], HEALTH_AFTER[kind])
         if kind is not ChangeKind.CONFIGURED:
             heapq.heappush(schedule, ScheduledChange(due.at_s + away_s, row))
@@ -83,7 +83,7 @@
 
 
 async def zone_outage(discovery: FakeDiscovery, plan: Plan, rng: random.Random) -> None:
-    """Beside the day's churn: one zone drains, is removed and returns without warm-up."""
+    """Ordinary churn, while one zone drains, is removed and returns with restarted upstreams."""
     lost = rng.randrange(plan.zones)
     rows = [row for row in range(plan.upstreams) if plan.zone_of(row) == lost]
     churning = asyncio.create_task(churn(discovery, plan, rng, frozenset(rows)))
@@ -99,7 +99,7 @@
 
 
 async def discovery_outage(discovery: FakeDiscovery, plan: Plan, rng: random.Random) -> None:
-    """Beside the day's churn: discovery is down for three tenths of the time; then all get full lists."""
+    """Ordinary churn, while discovery is down for a time, after which all balancers get full lists."""
     churning = asyncio.create_task(churn(discovery, plan, rng))
     await asyncio.sleep(OUTAGE_START_FRACTION * plan.duration)
     discovery.begin_outage()
