--- a/scale_test/scenarios.py
+++ b/scale_test/scenarios.py
@@ -14,7 +14,7 @@
 from scale_test.plan import LIST_CHANGES_PER_KIND, ChangeKind, Plan, Scenario
 from scale_test.registry import Health
 
-RETURN_S = 4.0  # until a restarted or failed upstream returns; at most a fifth of the scenario
+RETURN_DELAY_S = 4.0  # until a restarted or failed upstream returns; at most a fifth of the scenario
 ZONE_STEPS = 10  # list versions over which the upstreams of a zone change
 ZONE_STEP_S = 0.1
 # Of discovery's outage, as fractions of the scenario's duration.
@@ -24,7 +24,7 @@
 
 ScenarioFunction = Callable[[FakeDiscovery, Plan, random.Random], Coroutine[Any, Any, None]]
 
-HEALTH_AFTER = {
+HEALTH_AFTER_CHANGE = {
     ChangeKind.CONFIGURED: None,
     ChangeKind.RESTARTED: Health.DRAINING,
     ChangeKind.FAILED: Health.REMOVED,
@@ -43,7 +43,7 @@
 class ZonePhase:
     """The health that all upstreams of a zone get after a fraction of the scenario's duration."""
 
-    fraction: float
+    start_fraction: float
     health: Health
 
 
@@ -56,7 +56,7 @@
     """Configure, restart and fail upstreams at random, except those in the excluded rows."""
     start = now = time.monotonic()
     end = start + plan.duration
-    away_s = min(RETURN_S, plan.duration / 5)
+    return_delay_s = min(RETURN_DELAY_S, plan.duration / 5)
     kinds = list(plan.upstream_changes_per_day)
     weights = list(plan.upstream_changes_per_day.values())
     list_changes = sum(
@@ -76,36 +76,36 @@
         kind = rng.choices(kinds, weights)[0]
         if discovery.registry.health[row] is not Health.UP or row in excluded_rows:
             continue  # it has not returned yet, or belongs to the zone that is out
-        discovery.change([row], HEALTH_AFTER[kind])
+        discovery.change([row], HEALTH_AFTER_CHANGE[kind])
         if kind is not ChangeKind.CONFIGURED:
-            heapq.heappush(schedule, ScheduledChange(due.at_s + away_s, row))
+            heapq.heappush(schedule, ScheduledChange(due.at_s + return_delay_s, row))
     await asyncio.sleep(max(0.0, end - now))
 
 
 async def zone_outage(discovery: FakeDiscovery, plan: Plan, rng: random.Random) -> None:
     """Ordinary churn, while one zone drains, is removed and returns with restarted upstreams."""
-    lost = rng.randrange(plan.zones)
-    rows = [row for row in range(plan.upstreams) if plan.zone_of(row) == lost]
-    churning = asyncio.create_task(churn(discovery, plan, rng, frozenset(rows)))
+    zone = rng.randrange(plan.zones)
+    rows = [row for row in range(plan.upstreams) if plan.zone_of(row) == zone]
+    churn_task = asyncio.create_task(churn(discovery, plan, rng, frozenset(rows)))
     start = time.monotonic()
     for phase in ZONE_PHASES:
-        await asyncio.sleep(start + phase.fraction * plan.duration - time.monotonic())
+        await asyncio.sleep(start + phase.start_fraction * plan.duration - time.monotonic())
         for step in range(ZONE_STEPS):
             changed = rows[step::ZONE_STEPS]
             if changed:
                 discovery.change(changed, phase.health, restarted=phase.health is Health.UP)
                 await asyncio.sleep(min(ZONE_STEP_S, plan.duration / 100))
-    await churning
+    await churn_task
 
 
 async def discovery_outage(discovery: FakeDiscovery, plan: Plan, rng: random.Random) -> None:
     """Ordinary churn, while discovery is down for a time, after which all balancers get full lists."""
-    churning = asyncio.create_task(churn(discovery, plan, rng))
+    churn_task = asyncio.create_task(churn(discovery, plan, rng))
     await asyncio.sleep(OUTAGE_START_FRACTION * plan.duration)
     discovery.begin_outage()
     await asyncio.sleep(OUTAGE_DURATION_FRACTION * plan.duration)
     discovery.end_outage()
-    await churning
+    await churn_task
 
 
 SCENARIOS: dict[Scenario, ScenarioFunction] = {
