--- a/scale_test/measurements.py
+++ b/scale_test/measurements.py
@@ -1,4 +1,4 @@
-"""The figures of an experiment, measured on its processes and taken from their reports."""
+"""The figures of an experiment: measured on its processes, or calculated from their reports."""
 
 from __future__ import annotations
 
@@ -28,14 +28,14 @@
 
 @dataclass(frozen=True)
 class Memory:
-    """Resident memory of a balancer, in MB."""
+    """Resident memory of a balancer or process, in MB."""
 
     now: float
     peak: float
 
 
 def cpu_seconds(process: ChildProcess) -> float:
-    """Processor seconds of a process so far."""
+    """Processor seconds that a process has used so far."""
     times = psutil.Process(process.pid).cpu_times()
     return float(times.user + times.system)
 
@@ -47,7 +47,7 @@
 
 
 class Measurements:
-    """Collects the rows of the report and notes to them."""
+    """Collects the rows of the report, and the notes on them."""
 
     def __init__(self, cluster: Cluster) -> None:
         self.rows: list[Row] = []
@@ -58,7 +58,7 @@
 
     @property
     def balancer_groups(self) -> dict[Group, range]:
-        """The balancers' numbers by group."""
+        """The numbers of the balancers in each group; discovery counts its callers by the same numbers."""
         plan = self._plan
         return {
             Group.REAL: range(plan.loaded, plan.real),
@@ -69,11 +69,11 @@
     def add(
         self, figure: str, phase: Phase, group: Group, unit: str, values: Iterable[float | WeightedValue]
     ) -> None:
-        """Add a row."""
+        """Add a row that summarizes these values."""
         self.rows.append(summarize(figure, phase, group, unit, values))
 
     def add_start_times(self, times: StartTimes) -> None:
-        """Add how long the balancers took until they were ready."""
+        """Add the times that the balancers took to become ready."""
         self.add("time to ready", Phase.START, Group.REAL, "s", times.real_s)
         self.add("time to ready", Phase.START, Group.HOLLOW, "s", times.hollow_s)
 
@@ -81,7 +81,7 @@
 
     @contextlib.asynccontextmanager
     async def phase(self, phase: Phase) -> AsyncIterator[None]:
-        """Measure processor time and calls to discovery within the context."""
+        """Measure processor time and traffic with discovery within the context, as those of a phase."""
         traffic_before = await self._cluster.discovery.traffic()
         cpu_before = self._cpu_seconds()
         begun_ns = time.monotonic_ns()
@@ -106,7 +106,7 @@
                 self.add(figure, phase, group, "", rates)
 
     def _cpu_seconds(self) -> dict[Group, list[float]]:
-        """Processor seconds of each balancer so far; a hollow one's are its part of its process."""
+        """Processor seconds so far of balancers and discovery; of hollow ones, the mean in each process."""
         cluster = self._cluster
         loaded = self._plan.loaded
         return {
@@ -122,7 +122,7 @@
     # -- memory --
 
     def add_memory(self) -> None:
-        """Add the memory of each balancer."""
+        """Add the memory of each balancer, now and at its peak."""
         real = [memory_of(process) for process in self._cluster.real]
         loaded = self._plan.loaded
         memory = {
@@ -136,7 +136,7 @@
             self.add("memory peak", Phase.END, group, "MB", [each.peak for each in seen])
 
     def _hollow_memory(self) -> list[Memory]:
-        """A hollow balancer's part of its process, less what the process had before it held any."""
+        """The mean of the hollow balancers of each process, without the memory of the empty process."""
         found = []
         for helper, count in zip(self._cluster.hollow, self._plan.hollow_counts, strict=True):
             used = memory_of(helper.process)
@@ -144,10 +144,10 @@
             found.append(Memory((used.now - empty) / count, (used.peak - empty) / count))
         return found
 
-    # -- the list --
+    # -- the endpoint list --
 
     def add_list_figures(self, discovery: DiscoveryReport, hollow: Sequence[BalancerReport]) -> None:
-        """Add how fast changes and full lists were in force."""
+        """Add how soon changes and full lists were in force."""
         ended_ns = self._windows[Phase.SCENARIO].ended_ns
         versions = [
             version for version in analysis.effective_versions(discovery) if version.at_ns <= ended_ns
@@ -171,7 +171,10 @@
         self._add_policy_times(hollow)
 
     def _add_full_list_reading(self, discovery: DiscoveryReport, group: Group) -> None:
-        """Add how long full lists took to read since the scenario began, and how many were rejected."""
+        """Add the times in which full lists were read, from the scenario's start on, and those rejected.
+
+        Lists that no call followed are left out.
+        """
         begun_ns = self._windows[Phase.SCENARIO].begun_ns
         read_ms = []
         rejected_counts = []
@@ -189,7 +192,7 @@
         self.add("whole lists turned down", Phase.ALL, group, "", rejected_counts)
 
     def _add_policy_times(self, hollow: Sequence[BalancerReport]) -> None:
-        """Add how long the policy took over changes.
+        """Add the time that the policy took to apply changes: those of a single row, and all.
 
         The rows of a zone or a full list arrive in one response; single changes show the time of one row.
         """
@@ -208,7 +211,7 @@
     def full_list_delays(
         self, discovery: DiscoveryReport, hollow: Sequence[BalancerReport]
     ) -> list[FullListDelay]:
-        """How long each full list took at the hollow balancers until it was in force."""
+        """The delay of each full list sent to a hollow balancer, until it was in force there."""
         numbers = self.balancer_groups[Group.HOLLOW]
         return [
             delay
@@ -221,12 +224,15 @@
     def add_request_figures(
         self, samples: Sequence[RequestSample], discovery: DiscoveryReport, tail_ns: int
     ) -> None:
-        """Add what the loaded balancer added to requests, and to those open while it read a full list.
+        """Add the time that the loaded balancer added to requests, by phase, and those not served.
+
+        The phase of full lists is the time in which the balancer read one after the scenario.
+
 
         Args:
-            samples: The clients' requests.
-            discovery: What discovery reported; the loaded balancer is its first caller.
-            tail_ns: How long after the next call a full list is in force at most.
+            samples: The requests of the clients.
+            discovery: The report of discovery; the loaded balancer is its first caller.
+            tail_ns: The longest time from a call that follows a full list until that list was in force.
         """
         ended_ns = self._windows[Phase.SCENARIO].ended_ns
         answers = [answer for answer in discovery.callers[0].full_lists if answer.begun_ns > ended_ns]
