--- a/scale_test/measurements.py
+++ b/scale_test/measurements.py
@@ -66,7 +66,7 @@
             Group.HOLLOW: range(plan.real, plan.balancers),
         }
 
-    def add(
+    def add_row(
         self, figure: str, phase: Phase, group: Group, unit: str, values: Iterable[float | WeightedValue]
     ) -> None:
         """Add a row that summarizes these values."""
@@ -74,8 +74,8 @@
 
     def add_start_times(self, times: StartTimes) -> None:
         """Add the times that the balancers took to become ready."""
-        self.add("time to ready", Phase.START, Group.REAL, "s", times.real_s)
-        self.add("time to ready", Phase.START, Group.HOLLOW, "s", times.hollow_s)
+        self.add_row("time to ready", Phase.START, Group.REAL, "s", times.real_s)
+        self.add_row("time to ready", Phase.START, Group.HOLLOW, "s", times.hollow_s)
 
     # -- processor time and traffic --
 
@@ -92,18 +92,18 @@
         self._windows[phase] = Window(begun_ns, ended_ns)
         seconds = (ended_ns - begun_ns) / NS_PER_S
         for group, before in cpu_before.items():
-            spent = [
+            cpu_ms_per_s = [
                 (after - earlier) * 1000 / seconds
                 for earlier, after in zip(before, cpu_after[group], strict=True)
             ]
-            self.add("processor time a second", phase, group, "ms", spent)
+            self.add_row("processor time a second", phase, group, "ms", cpu_ms_per_s)
         for figure, count_of in TRAFFIC_FIGURES.items():
             for group, numbers in self.balancer_groups.items():
                 rates = [
                     (count_of(traffic_after[number]) - count_of(traffic_before[number])) / seconds
                     for number in numbers
                 ]
-                self.add(figure, phase, group, "", rates)
+                self.add_row(figure, phase, group, "", rates)
 
     def _cpu_seconds(self) -> dict[Group, list[float]]:
         """Processor seconds so far of balancers and discovery; of hollow ones, the mean in each process."""
@@ -130,19 +130,19 @@
             Group.LOADED: real[:loaded],
             Group.HOLLOW: self._hollow_memory(),
         }
-        for group, seen in memory.items():
-            self.add("memory now", Phase.END, group, "MB", [each.now for each in seen])
-        for group, seen in memory.items():
-            self.add("memory peak", Phase.END, group, "MB", [each.peak for each in seen])
+        for group, balancers in memory.items():
+            self.add_row("memory now", Phase.END, group, "MB", [each.now for each in balancers])
+        for group, balancers in memory.items():
+            self.add_row("memory peak", Phase.END, group, "MB", [each.peak for each in balancers])
 
     def _hollow_memory(self) -> list[Memory]:
         """The mean of the hollow balancers of each process, without the memory of the empty process."""
-        found = []
+        means = []
         for helper, count in zip(self._cluster.hollow, self._plan.hollow_counts, strict=True):
             used = memory_of(helper.process)
-            empty = helper.empty_bytes / BYTES_PER_MB
-            found.append(Memory((used.now - empty) / count, (used.peak - empty) / count))
-        return found
+            empty_mb = helper.empty_bytes / BYTES_PER_MB
+            means.append(Memory((used.now - empty_mb) / count, (used.peak - empty_mb) / count))
+        return means
 
     # -- the endpoint list --
 
@@ -155,19 +155,21 @@
         self.notes.append(f"{sum(version.rows for version in versions)} changes in {len(versions)} versions")
         for group, numbers in self.balancer_groups.items():
             callers = [discovery.callers[number] for number in numbers]
-            found = [analysis.delays_by_calls(versions, caller) for caller in callers]
-            delays = [delay for each in found for delay in each.delays_ms]
-            missing = [each.missing_rows for each in found]
-            self.add("in force, by next call", Phase.SCENARIO, group, "ms", delays)
-            self.add("changes never in force", Phase.SCENARIO, group, "", missing)
+            delays_by_caller = [analysis.delays_by_calls(versions, caller) for caller in callers]
+            delays = [delay for each in delays_by_caller for delay in each.delays_ms]
+            missing_rows = [each.missing_rows for each in delays_by_caller]
+            self.add_row("in force, by next call", Phase.SCENARIO, group, "ms", delays)
+            self.add_row("changes never in force", Phase.SCENARIO, group, "", missing_rows)
             if discovery.outages:
                 rejected = [caller.rejected for caller in callers]
-                self.add("calls refused by discovery", Phase.SCENARIO, group, "", rejected)
+                self.add_row("calls refused by discovery", Phase.SCENARIO, group, "", rejected)
             self._add_full_list_reading(discovery, group)
         delays = [delay for balancer in hollow for delay in analysis.delays_by_policy(versions, balancer)]
-        self.add("in force, by module", Phase.SCENARIO, Group.HOLLOW, "ms", delays)
-        full_lists = [delay.in_force_ns / NS_PER_MS for delay in self.full_list_delays(discovery, hollow)]
-        self.add("whole list in force", Phase.ALL, Group.HOLLOW, "ms", full_lists)
+        self.add_row("in force, by module", Phase.SCENARIO, Group.HOLLOW, "ms", delays)
+        full_list_delays_ms = [
+            delay.in_force_ns / NS_PER_MS for delay in self.full_list_delays(discovery, hollow)
+        ]
+        self.add_row("whole list in force", Phase.ALL, Group.HOLLOW, "ms", full_list_delays_ms)
         self._add_policy_times(hollow)
 
     def _add_full_list_reading(self, discovery: DiscoveryReport, group: Group) -> None:
@@ -188,8 +190,8 @@
                 else:
                     rejected += 1
             rejected_counts.append(rejected)
-        self.add("whole list read", Phase.ALL, group, "ms", read_ms)
-        self.add("whole lists turned down", Phase.ALL, group, "", rejected_counts)
+        self.add_row("whole list read", Phase.ALL, group, "ms", read_ms)
+        self.add_row("whole lists turned down", Phase.ALL, group, "", rejected_counts)
 
     def _add_policy_times(self, hollow: Sequence[BalancerReport]) -> None:
         """Add the time that the policy took to apply changes: those of a single row, and all.
@@ -205,8 +207,8 @@
         ]
         single = [(change.done_ns - change.begun_ns) / NS_PER_MS for change in changes if change.rows == 1]
         all_changes = [(change.done_ns - change.begun_ns) / NS_PER_MS for change in changes]
-        self.add("module's part of a single change", Phase.SCENARIO, Group.HOLLOW, "ms", single)
-        self.add("module's part of that", Phase.SCENARIO, Group.HOLLOW, "ms", all_changes)
+        self.add_row("module's part of a single change", Phase.SCENARIO, Group.HOLLOW, "ms", single)
+        self.add_row("module's part of that", Phase.SCENARIO, Group.HOLLOW, "ms", all_changes)
 
     def full_list_delays(
         self, discovery: DiscoveryReport, hollow: Sequence[BalancerReport]
@@ -240,5 +242,5 @@
         windows[Phase.FULL_LIST] = analysis.full_list_windows(answers, tail_ns)
         for phase, spans in windows.items():
             times = analysis.added_times(samples, spans)
-            self.add("time added to a request", phase, Group.LOADED, "ms", times.added_ms)
-            self.add("requests not served", phase, Group.LOADED, "", [times.not_served])
+            self.add_row("time added to a request", phase, Group.LOADED, "ms", times.added_ms)
+            self.add_row("requests not served", phase, Group.LOADED, "", [times.not_served])
