--- a/scale_test/analysis.py
+++ b/scale_test/analysis.py
@@ -1,4 +1,4 @@
-"""Times from the processes' reports: until changes and full lists were in force, and of requests."""
+"""Delays calculated from the processes' reports: of changes and full lists, and of requests."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 from scale_test.report import WeightedValue
 from scale_test.units import NS_PER_MS
 
-FULL_LIST_TAIL_NS = 250 * NS_PER_MS  # a full list may delay requests for so long after it is in force
+FULL_LIST_TAIL_NS = 250 * NS_PER_MS  # a full list may still delay requests for this long once it is in force
 
 
 @dataclass(frozen=True)
@@ -30,13 +30,13 @@
     ended_ns: int
 
     def overlaps(self, sample: RequestSample) -> bool:
-        """Whether the request was open in this span."""
+        """Whether the request was open at some time in this window."""
         return sample.sent_ns < self.ended_ns and sample.answered_ns > self.begun_ns
 
 
 @dataclass(frozen=True)
 class ChangeDelays:
-    """From each change to the balancer's next call that names it, in ms, and how many rows have had none."""
+    """Delays in ms from changes to the balancer's next call that names them, and the rows without one."""
 
     delays_ms: list[WeightedValue]
     missing_rows: int
@@ -44,7 +44,7 @@
 
 @dataclass(frozen=True)
 class FullListDelay:
-    """How long a full list took until it was in force, and how much of that came after the next call."""
+    """The time until a full list was in force, and the part of it after the balancer's next call."""
 
     in_force_ns: int
     after_next_call_ns: int
@@ -52,14 +52,14 @@
 
 @dataclass(frozen=True)
 class AddedTimes:
-    """The time that the balancer added to each request, in ms, and the number that were not served."""
+    """The time that the balancer added to each served request, in ms, and the number not served."""
 
     added_ms: list[float]
     not_served: int
 
 
 def effective_versions(report: DiscoveryReport) -> list[ListVersion]:
-    """The versions in order; what changed while discovery was down counts from its return."""
+    """The list's versions in order; those made while discovery was down get the time of its return."""
 
     def effective_ns(at_ns: int, outages: Iterable[Outage]) -> int:
         for outage in outages:
@@ -73,7 +73,7 @@
 
 
 def delays_by_calls(versions: Sequence[ListVersion], caller: CallerRecord) -> ChangeDelays:
-    """From each change to the balancer's next call that names its version or a newer one."""
+    """The delay of each change until the balancer's next call that names its version or a newer one."""
     seen = caller.versions_seen
     delays_ms = []
     missing_rows = 0
@@ -88,10 +88,10 @@
 
 
 def delays_by_policy(versions: Sequence[ListVersion], balancer: BalancerReport) -> list[WeightedValue]:
-    """From each change until it was in force, in ms, where a response held it.
+    """The delay in ms of each change until it was in force, where a response held it.
 
-    A long response is applied in slices, and only its end counts; a later and shorter one may be in force
-    before that.
+    A long response is applied in slices and counts from its last one; a later, shorter response may be in
+    force before that.
     """
     delays = []
     for version in versions:
@@ -102,7 +102,7 @@
 
 
 def in_force_ns(balancer: BalancerReport, version: int) -> int | None:
-    """When the first response that holds this version was in force to its last row; None: never."""
+    """When the last row of the first response that holds this version was in force; None: never."""
     for answer in balancer.in_force:
         if answer.version >= version:
             return answer.at_ns if answer.at_ns < NEVER_NS else None
@@ -110,7 +110,7 @@
 
 
 def full_list_delays(caller: CallerRecord, balancer: BalancerReport) -> list[FullListDelay]:
-    """Of each full list that was followed by a call: how long it took until it was in force."""
+    """The delay of each full list until it was in force; lists that no call followed are left out."""
     delays = []
     for answer in caller.full_lists:
         at_ns = in_force_ns(balancer, answer.version)
@@ -120,7 +120,11 @@
 
 
 def full_list_windows(answers: Iterable[FullListAnswer], tail_ns: int) -> list[Window]:
-    """From the start of sending a full list to the next call, and beyond until it is in force."""
+    """The windows in which full lists may delay requests.
+
+    Each begins as discovery sends the list, and ends FULL_LIST_TAIL_NS after the list is in force, which is
+    taken to be `tail_ns` after the balancer's next call.
+    """
     return [
         Window(answer.begun_ns, answer.next_call_ns + tail_ns + FULL_LIST_TAIL_NS)
         for answer in answers
@@ -129,7 +133,7 @@
 
 
 def added_times(samples: Iterable[RequestSample], windows: Sequence[Window]) -> AddedTimes:
-    """What the balancer added to requests that were open in one of these spans."""
+    """The time that the balancer added to the requests that were open in one of these windows."""
     added_ms = []
     not_served = 0
     for sample in samples:
--- a/scale_test/records.py
+++ b/scale_test/records.py
@@ -1,4 +1,7 @@
-"""What the processes of an experiment report to it, as JSON; times are of the monotonic clock."""
+"""What the processes of an experiment report to it, as JSON.
+
+Records are read from JSON by the names of their fields. Times are nanoseconds of the monotonic clock.
+"""
 
 from __future__ import annotations
 
@@ -8,12 +11,12 @@
 
 Json = Mapping[str, Any]
 
-NEVER_NS = 2**62  # of a response that was not in force when the experiment ended
+NEVER_NS = 2**62  # the time of a response that was not in force when the experiment ended
 
 
 @dataclass(frozen=True, slots=True)
 class VersionSeen:
-    """A balancer showed that it had a version, by calling for what is newer."""
+    """A version that a balancer showed to have, as it called for newer changes."""
 
     at_ns: int
     version: int
@@ -21,28 +24,28 @@
 
 @dataclass(slots=True)
 class FullListAnswer:
-    """A full list that was sent to a balancer, and the balancer's next call."""
+    """A response with the full list, and the balancer's next call after it."""
 
-    begun_ns: int
+    begun_ns: int  # when discovery began to send it
     version: int
     next_call_ns: int | None = None
-    accepted: bool = False  # whether the next call named this version, or a newer one
+    accepted: bool = False  # whether the next call named this version or a newer one
 
 
 @dataclass(slots=True)
 class CallerRecord:
-    """The calls of one balancer to discovery, and what was sent in response."""
+    """The calls of one balancer to discovery, and the responses to them."""
 
     calls: int = 0
-    rejected: int = 0
-    received: int = 0  # bytes
-    sent: int = 0  # bytes
-    versions_seen: list[VersionSeen] = field(default_factory=list)
+    rejected: int = 0  # calls made while discovery was down
+    received: int = 0  # bytes that discovery received from it
+    sent: int = 0  # bytes that discovery sent to it
+    versions_seen: list[VersionSeen] = field(default_factory=list)  # in rising order
     full_lists: list[FullListAnswer] = field(default_factory=list)
 
     @classmethod
     def from_json(cls, raw: Json) -> CallerRecord:
-        """Read what discovery's process reports."""
+        """Read the record of a caller from discovery's report."""
         return cls(
             raw["calls"],
             raw["rejected"],
@@ -55,16 +58,16 @@
 
 @dataclass(frozen=True, slots=True)
 class CallerTraffic:
-    """Calls of one balancer to discovery so far, and their bytes."""
+    """The number of calls of one balancer to discovery so far, and the bytes in each direction."""
 
     calls: int
-    received: int
-    sent: int
+    received: int  # bytes that discovery received from it
+    sent: int  # bytes that discovery sent to it
 
 
 @dataclass(frozen=True, slots=True)
 class ListVersion:
-    """A version of the list: when it was made, and how many rows changed in it."""
+    """A version of the list: when it was made, and the number of rows that it changed."""
 
     version: int
     at_ns: int
@@ -73,7 +76,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Outage:
-    """A time in which discovery was down."""
+    """A span of time in which discovery was down."""
 
     begun_ns: int
     ended_ns: int
@@ -81,7 +84,7 @@
 
 @dataclass(frozen=True, slots=True)
 class DiscoveryReport:
-    """What discovery recorded: its callers by the balancers' numbers, the list's versions, its outages."""
+    """What discovery recorded: its callers in order of balancer number, the list's versions, its outages."""
 
     callers: list[CallerRecord]
     versions: list[ListVersion]
@@ -89,7 +92,7 @@
 
     @classmethod
     def from_json(cls, raw: Json) -> DiscoveryReport:
-        """Read what discovery's process reports."""
+        """Read the report of discovery's process."""
         return cls(
             [CallerRecord.from_json(caller) for caller in raw["callers"]],
             [ListVersion(**version) for version in raw["versions"]],
@@ -99,7 +102,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PolicyChange:
-    """A change of the list that a policy applied."""
+    """A change of the list that a hollow balancer's policy applied."""
 
     begun_ns: int
     done_ns: int
@@ -108,7 +111,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AnswerInForce:
-    """A response of discovery, and when its last row was in force; NEVER_NS where it was not."""
+    """A response of discovery, and when its last row was in force; NEVER_NS: it was not."""
 
     version: int
     at_ns: int
@@ -116,14 +119,14 @@
 
 @dataclass(frozen=True, slots=True)
 class BalancerReport:
-    """What a hollow balancer recorded of the list; responses are in order of arrival."""
+    """What a hollow balancer recorded: changes of the list, and responses in order of arrival."""
 
     changes: list[PolicyChange]
     in_force: list[AnswerInForce]
 
     @classmethod
     def from_json(cls, raw: Json) -> BalancerReport:
-        """Read what a process of hollow balancers reports of one."""
+        """Read one balancer's part of the report of a process of hollow balancers."""
         return cls(
             [PolicyChange(**change) for change in raw["changes"]],
             [AnswerInForce(**answer) for answer in raw["in_force"]],
@@ -132,7 +135,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestSample:
-    """A client's request, and the time that the balancer added to the upstream's; None: not served."""
+    """A client's request, and the time that it took beyond the upstream's own; None: not served."""
 
     sent_ns: int
     answered_ns: int
--- a/scale_test/report.py
+++ b/scale_test/report.py
@@ -1,4 +1,4 @@
-"""The report: rows of figures, as a table and as JSON."""
+"""The report of an experiment: its rows, as a table and as JSON."""
 
 from __future__ import annotations
 
@@ -12,13 +12,13 @@
 HISTOGRAM_STEPS_PER_UNIT = 1000
 HISTOGRAM_MAX_STEPS = 10**13
 HISTOGRAM_DIGITS = 3
-INTEGER_FROM = 100  # figures from here on are shown without decimals
+INTEGER_FROM = 100  # figures of at least this are shown without decimals
 HEADER = ("figure", "phase", "of", "median", "99th", "worst", "unit", "count")
 RIGHT_ALIGNED = {"median", "99th", "worst", "count"}
 
 
 class Group(StrEnum):
-    """Whose figures a row has."""
+    """The processes that a row is about; the values are those in the JSON files."""
 
     REAL = "real"
     LOADED = "loaded"  # the real balancer that has clients
@@ -39,7 +39,7 @@
 
 @dataclass(frozen=True)
 class Row:
-    """One figure, over balancers or over changes or requests."""
+    """One figure, summarized over balancers, changes or requests."""
 
     figure: str
     phase: str
@@ -53,7 +53,7 @@
 
 @dataclass(frozen=True)
 class WeightedValue:
-    """A value that stands for several."""
+    """A value that counts as several equal ones."""
 
     value: float
     count: int
@@ -82,18 +82,18 @@
 
 
 def format_value(value: float) -> str:
-    """A figure with three digits, or more before the point."""
+    """A figure with three significant digits, or all those before the decimal point."""
     return f"{value:.3g}" if value < INTEGER_FROM else f"{value:.0f}"
 
 
 def format_row(row: Row) -> list[str]:
-    """The cells of a row."""
+    """The cells of a row, in the order of HEADER."""
     values = [format_value(value) for value in (row.median, row.p99, row.worst)]
     return [row.figure, row.phase, row.group, *values, row.unit, str(row.count)]
 
 
 def format_table(rows: Sequence[Row], notes: Sequence[str]) -> str:
-    """The report as a table with notes."""
+    """The report as a text table, followed by the notes."""
     lines = [list(HEADER), *(format_row(row) for row in rows)]
     widths = [max(map(len, column)) for column in zip(*lines, strict=True)]
 
@@ -108,7 +108,7 @@
 
 
 def rows_as_json(rows: Sequence[Row]) -> list[dict[str, Any]]:
-    """The rows for a file, rounded."""
+    """The rows for the JSON file, with values rounded to three decimals."""
 
     def rounded(value: object) -> object:
         return round(value, 3) if isinstance(value, float) else value
