--- a/scale_test/analysis.py
+++ b/scale_test/analysis.py
@@ -11,7 +11,7 @@
     BalancerReport,
     CallerRecord,
     DiscoveryReport,
-    FullListAnswer,
+    FullListResponse,
     ListVersion,
     Outage,
     RequestSample,
@@ -103,32 +103,32 @@
 
 def in_force_ns(balancer: BalancerReport, version: int) -> int | None:
     """When the last row of the first response that holds this version was in force; None: never."""
-    for answer in balancer.in_force:
-        if answer.version >= version:
-            return answer.at_ns if answer.at_ns < NEVER_NS else None
+    for response in balancer.in_force:
+        if response.version >= version:
+            return response.at_ns if response.at_ns < NEVER_NS else None
     return None
 
 
 def full_list_delays(caller: CallerRecord, balancer: BalancerReport) -> list[FullListDelay]:
     """The delay of each full list until it was in force; lists that no call followed are left out."""
     delays = []
-    for answer in caller.full_lists:
-        at_ns = in_force_ns(balancer, answer.version)
-        if answer.next_call_ns is not None and at_ns is not None:
-            delays.append(FullListDelay(at_ns - answer.begun_ns, max(0, at_ns - answer.next_call_ns)))
+    for response in caller.full_lists:
+        at_ns = in_force_ns(balancer, response.version)
+        if response.next_call_ns is not None and at_ns is not None:
+            delays.append(FullListDelay(at_ns - response.begun_ns, max(0, at_ns - response.next_call_ns)))
     return delays
 
 
-def full_list_windows(answers: Iterable[FullListAnswer], tail_ns: int) -> list[Window]:
+def full_list_windows(responses: Iterable[FullListResponse], tail_ns: int) -> list[Window]:
     """The windows in which full lists may delay requests.
 
     Each begins as discovery sends the list, and ends FULL_LIST_TAIL_NS after the list is in force, which is
     taken to be `tail_ns` after the balancer's next call.
     """
     return [
-        Window(answer.begun_ns, answer.next_call_ns + tail_ns + FULL_LIST_TAIL_NS)
-        for answer in answers
-        if answer.next_call_ns is not None
+        Window(response.begun_ns, response.next_call_ns + tail_ns + FULL_LIST_TAIL_NS)
+        for response in responses
+        if response.next_call_ns is not None
     ]
 
 
--- a/scale_test/fake_discovery.py
+++ b/scale_test/fake_discovery.py
@@ -14,7 +14,7 @@
 from urllib.parse import parse_qs, urlsplit
 
 from scale_test.http_messages import END_OF_HEAD, ok_head
-from scale_test.records import CallerRecord, FullListAnswer, Outage, VersionSeen
+from scale_test.records import CallerRecord, FullListResponse, Outage, VersionSeen
 from scale_test.registry import Health, Registry
 
 HOST = "127.0.0.1"
@@ -144,7 +144,7 @@
         after = call.after
         if call.wants_full_list or after is None or not self.registry.knows_changes_after(after):
             body = self.registry.full_list()
-            call.caller.full_lists.append(FullListAnswer(time.monotonic_ns(), self.registry.version))
+            call.caller.full_lists.append(FullListResponse(time.monotonic_ns(), self.registry.version))
             return body
         return self.registry.changes_after(after)
 
--- a/scale_test/hollow.py
+++ b/scale_test/hollow.py
@@ -20,7 +20,7 @@
 from loadbalancer.proxy.endpoint_list_reader import EndpointListReader
 from loadbalancer.proxy.proxy import Proxy
 from scale_test.child_process import commands_of, serve
-from scale_test.records import NEVER_NS, AnswerInForce, BalancerReport, PolicyChange
+from scale_test.records import NEVER_NS, BalancerReport, PolicyChange, ResponseInForce
 
 
 class TimedPolicy:
@@ -107,7 +107,9 @@
         for proxy in self._proxies:
             proxy.close()
         return [
-            BalancerReport(proxy.changes, [AnswerInForce(*answer) for answer in proxy.list_applier.in_force])
+            BalancerReport(
+                proxy.changes, [ResponseInForce(*answer) for answer in proxy.list_applier.in_force]
+            )
             for proxy in self._proxies
         ]
 
--- a/scale_test/measurements.py
+++ b/scale_test/measurements.py
@@ -182,11 +182,11 @@
         rejected_counts = []
         for number in self.balancer_groups[group]:
             rejected = 0
-            for answer in discovery.callers[number].full_lists:
-                if answer.begun_ns < begun_ns or answer.next_call_ns is None:
+            for response in discovery.callers[number].full_lists:
+                if response.begun_ns < begun_ns or response.next_call_ns is None:
                     continue
-                if answer.accepted:
-                    read_ms.append((answer.next_call_ns - answer.begun_ns) / NS_PER_MS)
+                if response.accepted:
+                    read_ms.append((response.next_call_ns - response.begun_ns) / NS_PER_MS)
                 else:
                     rejected += 1
             rejected_counts.append(rejected)
@@ -237,9 +237,9 @@
             tail_ns: The longest time from a call that follows a full list until that list was in force.
         """
         ended_ns = self._windows[Phase.SCENARIO].ended_ns
-        answers = [answer for answer in discovery.callers[0].full_lists if answer.begun_ns > ended_ns]
+        responses = [response for response in discovery.callers[0].full_lists if response.begun_ns > ended_ns]
         windows = {phase: [window] for phase, window in self._windows.items()}
-        windows[Phase.FULL_LIST] = analysis.full_list_windows(answers, tail_ns)
+        windows[Phase.FULL_LIST] = analysis.full_list_windows(responses, tail_ns)
         for phase, spans in windows.items():
             times = analysis.added_times(samples, spans)
             self.add_row("time added to a request", phase, Group.LOADED, "ms", times.added_ms)
--- a/scale_test/records.py
+++ b/scale_test/records.py
@@ -23,7 +23,7 @@
 
 
 @dataclass(slots=True)
-class FullListAnswer:
+class FullListResponse:
     """A response with the full list, and the balancer's next call after it."""
 
     begun_ns: int  # when discovery began to send it
@@ -41,7 +41,7 @@
     received: int = 0  # bytes that discovery received from it
     sent: int = 0  # bytes that discovery sent to it
     versions_seen: list[VersionSeen] = field(default_factory=list)  # in rising order
-    full_lists: list[FullListAnswer] = field(default_factory=list)
+    full_lists: list[FullListResponse] = field(default_factory=list)
 
     @classmethod
     def from_json(cls, raw: Json) -> CallerRecord:
@@ -52,7 +52,7 @@
             raw["received"],
             raw["sent"],
             [VersionSeen(**seen) for seen in raw["versions_seen"]],
-            [FullListAnswer(**answer) for answer in raw["full_lists"]],
+            [FullListResponse(**response) for response in raw["full_lists"]],
         )
 
 
@@ -110,7 +110,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class AnswerInForce:
+class ResponseInForce:
     """A response of discovery, and when its last row was in force; NEVER_NS: it was not."""
 
     version: int
@@ -122,14 +122,14 @@
     """What a hollow balancer recorded: changes of the list, and responses in order of arrival."""
 
     changes: list[PolicyChange]
-    in_force: list[AnswerInForce]
+    in_force: list[ResponseInForce]
 
     @classmethod
     def from_json(cls, raw: Json) -> BalancerReport:
         """Read one balancer's part of the report of a process of hollow balancers."""
         return cls(
             [PolicyChange(**change) for change in raw["changes"]],
-            [AnswerInForce(**answer) for answer in raw["in_force"]],
+            [ResponseInForce(**response) for response in raw["in_force"]],
         )
 
 
--- a/tests/scale_test/test_analysis.py
+++ b/tests/scale_test/test_analysis.py
@@ -6,14 +6,14 @@
 from scale_test.analysis import FullListDelay, Window
 from scale_test.records import (
     NEVER_NS,
-    AnswerInForce,
     BalancerReport,
     CallerRecord,
     DiscoveryReport,
-    FullListAnswer,
+    FullListResponse,
     ListVersion,
     Outage,
     RequestSample,
+    ResponseInForce,
     VersionSeen,
 )
 from scale_test.report import WeightedValue
@@ -24,12 +24,12 @@
     return value * NS_PER_MS
 
 
-# A long answer is put in force in slices; a later, shorter one may be in force before its end.
-ANSWERS = ((3, ms(50)), (5, ms(90)), (6, ms(60)), (9, NEVER_NS), (9, ms(99)))
-BALANCER = BalancerReport([], [AnswerInForce(*answer) for answer in ANSWERS])
+# A long response is put in force in slices; a later, shorter one may be in force before its end.
+RESPONSES = ((3, ms(50)), (5, ms(90)), (6, ms(60)), (9, NEVER_NS), (9, ms(99)))
+BALANCER = BalancerReport([], [ResponseInForce(*response) for response in RESPONSES])
 FULL_LISTS = [
-    *(FullListAnswer(ms(20), version, ms(70), True) for version in (5, 6, 8)),
-    FullListAnswer(ms(20), 3),
+    *(FullListResponse(ms(20), version, ms(70), True) for version in (5, 6, 8)),
+    FullListResponse(ms(20), 3),
 ]
 
 
@@ -45,8 +45,8 @@
 
 
 def test_requests_count_for_a_full_list_until_some_time_after_it_is_in_force() -> None:
-    answers = [FULL_LISTS[0], FULL_LISTS[3]]
-    assert analysis.full_list_windows(answers, ms(20)) == [Window(ms(20), ms(340))]
+    responses = [FULL_LISTS[0], FULL_LISTS[3]]
+    assert analysis.full_list_windows(responses, ms(20)) == [Window(ms(20), ms(340))]
 
 
 def test_requests_that_were_open_in_a_window_are_counted_as_served_or_not() -> None:
