--- a/scale_test/errors.py
+++ b/scale_test/errors.py
@@ -1,4 +1,4 @@
-"""Errors that end an experiment; the command prints each in one line."""
+"""Errors that end an experiment; the command prints them as one line."""
 
 
 class ScaleTestError(Exception):
@@ -6,8 +6,8 @@
 
 
 class PlanError(ScaleTestError):
-    """The plan is rejected: its arguments contradict each other, or exceed the machine."""
+    """The plan is rejected: its arguments contradict each other, or ask for more than the machine allows."""
 
 
 class ExperimentError(ScaleTestError):
-    """The experiment can't continue: a process has ended, memory or time has run out."""
+    """The experiment can't continue: a process has ended, or it ran out of memory or time."""
--- a/scale_test/subset_balance.py
+++ b/scale_test/subset_balance.py
@@ -1,4 +1,4 @@
-"""python -m scale_test.subset_balance: how even all subsets are, and how much one change moves."""
+"""python -m scale_test.subset_balance: how even the balancers' subsets are, and how much one change moves."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 def choose_subsets(table: EndpointTable, balancers: int, zones: list[str]) -> Subsets:
-    """The subset of each of so many balancers, spread over the zones in turn."""
+    """The subset of each balancer; the balancers are assigned to the zones in turn."""
     subsets = []
     for index in range(balancers):
         settings = Settings(
@@ -36,12 +36,15 @@
 
 
 def count_moved(before: Subsets, after: Subsets) -> int:
-    """Memberships added to the subsets of balancers that existed before."""
+    """The number of endpoints added to subsets; balancers that are only in `after` don't count."""
     return sum(len(new - old) for old, new in zip(before, after, strict=False))
 
 
 def figures(upstreams: int, balancers: int, *, zoned: bool) -> dict[str, float]:
-    """Count memberships over all balancers, and those moved by one balancer more or one upstream gone."""
+    """Count the memberships of all subsets, and those that one more balancer or one fewer upstream moves.
+
+    A membership is one upstream in the subset of one balancer.
+    """
     plan = Plan(upstreams=upstreams)
     zones = [zone_name(number) for number in range(plan.zones)] if zoned else []
     ids = [preferred_id(f"s-{number:08x}") for number in range(upstreams)]
@@ -69,7 +72,7 @@
 
 
 def endpoint_table(plan: Plan, ids: list[int], balancers: int, zones: list[str]) -> EndpointTable:
-    """A table of the plan's upstreams with these ids."""
+    """A table of the plan's upstreams, with these ids."""
     prices = ZONED_PRICES if zones else Prices()
     table = new_endpoint_table(Settings(proxy_count=balancers, zones=zones, prices=prices))
     table.add_placement(Placement(None, None))
@@ -84,7 +87,7 @@
 @click.option("--upstreams", type=click.IntRange(min=40), default=160_000)
 @click.option("--balancers", type=click.IntRange(min=1), default=8_800)
 def main(upstreams: int, balancers: int) -> None:
-    """Print the figures without zones and with them."""
+    """Print the figures for balancers without zones, and for balancers in zones."""
     for zoned in (False, True):
         click.echo("in their zones" if zoned else "without zones")
         for name, value in figures(upstreams, balancers, zoned=zoned).items():
--- a/scale_test/units.py
+++ b/scale_test/units.py
@@ -1,4 +1,4 @@
-"""Units of time and memory."""
+"""Factors between units of time and of memory."""
 
 from __future__ import annotations
 
