--- a/scale_test/subset_balance.py
+++ b/scale_test/subset_balance.py
@@ -40,7 +40,7 @@
     return sum(len(new - old) for old, new in zip(before, after, strict=False))
 
 
-def figures(upstreams: int, balancers: int, *, zoned: bool) -> dict[str, float]:
+def balance_figures(upstreams: int, balancers: int, *, zoned: bool) -> dict[str, float]:
     """Count the memberships of all subsets, and those that one more balancer or one fewer upstream moves.
 
     A membership is one upstream in the subset of one balancer.
@@ -90,7 +90,7 @@
     """Print the figures for balancers without zones, and for balancers in zones."""
     for zoned in (False, True):
         click.echo("in their zones" if zoned else "without zones")
-        for name, value in figures(upstreams, balancers, zoned=zoned).items():
+        for name, value in balance_figures(upstreams, balancers, zoned=zoned).items():
             click.echo(f"  {name}: {value:,.4g}" if value % 1 else f"  {name}: {value:,.0f}")
 
 
