--- a/scale_test/analysis.py
+++ b/scale_test/analysis.py
@@ -58,18 +58,16 @@
     not_served: int
 
 
-def effective_versions(report: DiscoveryReport) -> list[ListVersion]:
+def adjust_for_outages(report: DiscoveryReport) -> list[ListVersion]:
     """The list's versions in order; those made while discovery was down get the time of its return."""
 
-    def effective_ns(at_ns: int, outages: Iterable[Outage]) -> int:
+    def adjusted_ns(at_ns: int, outages: Iterable[Outage]) -> int:
         for outage in outages:
             if outage.begun_ns <= at_ns < outage.ended_ns:
                 return outage.ended_ns
         return at_ns
 
-    return [
-        replace(version, at_ns=effective_ns(version.at_ns, report.outages)) for version in report.versions
-    ]
+    return [replace(version, at_ns=adjusted_ns(version.at_ns, report.outages)) for version in report.versions]
 
 
 def delays_by_calls(versions: Sequence[ListVersion], caller: CallerRecord) -> ChangeDelays:
--- a/scale_test/measurements.py
+++ b/scale_test/measurements.py
@@ -150,7 +150,7 @@
         """Add how soon changes and full lists were in force."""
         ended_ns = self._windows[Phase.SCENARIO].ended_ns
         versions = [
-            version for version in analysis.effective_versions(discovery) if version.at_ns <= ended_ns
+            version for version in analysis.adjust_for_outages(discovery) if version.at_ns <= ended_ns
         ]
         self.notes.append(f"{sum(version.rows for version in versions)} changes in {len(versions)} versions")
         for group, numbers in self.balancer_groups.items():
@@ -240,7 +240,7 @@
         responses = [response for response in discovery.callers[0].full_lists if response.begun_ns > ended_ns]
         windows = {phase: [window] for phase, window in self._windows.items()}
         windows[Phase.FULL_LIST] = analysis.full_list_windows(responses, tail_ns)
-        for phase, spans in windows.items():
-            times = analysis.added_times(samples, spans)
+        for phase, phase_windows in windows.items():
+            times = analysis.added_times(samples, phase_windows)
             self.add_row("time added to a request", phase, Group.LOADED, "ms", times.added_ms)
             self.add_row("requests not served", phase, Group.LOADED, "", [times.not_served])
--- a/scale_test/report.py
+++ b/scale_test/report.py
@@ -12,7 +12,7 @@
 HISTOGRAM_STEPS_PER_UNIT = 1000
 HISTOGRAM_MAX_STEPS = 10**13
 HISTOGRAM_DIGITS = 3
-INTEGER_FROM = 100  # figures of at least this are shown without decimals
+NO_DECIMALS_FROM = 100  # figures of at least this are shown without decimals
 HEADER = ("figure", "phase", "of", "median", "99th", "worst", "unit", "count")
 RIGHT_ALIGNED = {"median", "99th", "worst", "count"}
 
@@ -83,7 +83,7 @@
 
 def format_value(value: float) -> str:
     """A figure with three significant digits, or all those before the decimal point."""
-    return f"{value:.3g}" if value < INTEGER_FROM else f"{value:.0f}"
+    return f"{value:.3g}" if value < NO_DECIMALS_FROM else f"{value:.0f}"
 
 
 def format_row(row: Row) -> list[str]:
--- a/tests/scale_test/test_analysis.py
+++ b/tests/scale_test/test_analysis.py
@@ -63,8 +63,8 @@
 def test_what_changed_in_an_outage_counts_from_its_end() -> None:
     versions = [ListVersion(version, ms(at), 1) for version, at in ((2, 9), (3, 10), (4, 19), (5, 20))]
     report = DiscoveryReport([], versions, [Outage(ms(10), ms(20))])
-    effective = analysis.effective_versions(report)
-    assert [version.at_ns for version in effective] == [ms(9), ms(20), ms(20), ms(20)]
+    adjusted = analysis.adjust_for_outages(report)
+    assert [version.at_ns for version in adjusted] == [ms(9), ms(20), ms(20), ms(20)]
 
 
 def test_a_change_is_counted_until_the_next_call_that_names_it_or_a_newer_one() -> None:
