--- a/tests/scale_test/__init__.py
+++ b/tests/scale_test/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of the scale test: its command, its parts and the slopes."""
+"""Tests of the scale test: its command, its modules and the slopes."""
--- a/tests/scale_test/test_analysis.py
+++ b/tests/scale_test/test_analysis.py
@@ -1,4 +1,4 @@
-"""From reports to times: when changes and full lists were in force."""
+"""Delays calculated from reports: of changes, of full lists and of requests."""
 
 from __future__ import annotations
 
@@ -24,7 +24,8 @@
     return value * NS_PER_MS
 
 
-# A long response is put in force in slices; a later, shorter one may be in force before its end.
+# Version and time in force of each response. A long one is applied in slices, so that a later, shorter one
+# may be in force before its end: version 6 before version 5.
 RESPONSES = ((3, ms(50)), (5, ms(90)), (6, ms(60)), (9, NEVER_NS), (9, ms(99)))
 BALANCER = BalancerReport([], [ResponseInForce(*response) for response in RESPONSES])
 FULL_LISTS = [
@@ -33,41 +34,41 @@
 ]
 
 
-def test_a_change_is_in_force_with_the_end_of_the_first_answer_that_holds_it() -> None:
+def test_a_change_is_in_force_with_the_first_response_that_holds_it() -> None:
     versions = [ListVersion(version, ms(10), version) for version in (2, 4, 5, 6, 8, 10)]
     delays = analysis.delays_by_policy(versions, BALANCER)
     assert delays == [WeightedValue(*delay) for delay in ((40, 2), (80, 4), (80, 5), (50, 6))]
 
 
-def test_a_full_list_is_in_force_some_time_after_the_next_call() -> None:
+def test_full_list_delays_tell_the_time_after_the_next_call() -> None:
     delays = analysis.full_list_delays(CallerRecord(full_lists=FULL_LISTS), BALANCER)
     assert delays == [FullListDelay(ms(70), ms(20)), FullListDelay(ms(40), 0)]
 
 
-def test_requests_count_for_a_full_list_until_some_time_after_it_is_in_force() -> None:
+def test_a_full_list_window_ends_some_time_after_the_list_is_in_force() -> None:
     responses = [FULL_LISTS[0], FULL_LISTS[3]]
     assert analysis.full_list_windows(responses, ms(20)) == [Window(ms(20), ms(340))]
 
 
-def test_requests_that_were_open_in_a_window_are_counted_as_served_or_not() -> None:
+def test_only_requests_open_in_a_window_count_as_served_or_not() -> None:
     samples = [
-        RequestSample(ms(5), ms(10), ms(1)),  # it ended as the window began
+        RequestSample(ms(5), ms(10), ms(1)),  # ended as the window began
         RequestSample(ms(5), ms(11), ms(2)),
         RequestSample(ms(12), ms(30), None),
-        RequestSample(ms(20), ms(30), ms(3)),  # it was sent as the window ended
+        RequestSample(ms(20), ms(30), ms(3)),  # sent as the window ended
     ]
     times = analysis.added_times(samples, [Window(ms(10), ms(20))])
     assert times == analysis.AddedTimes([2.0], 1)
 
 
-def test_what_changed_in_an_outage_counts_from_its_end() -> None:
+def test_changes_made_in_an_outage_count_from_its_end() -> None:
     versions = [ListVersion(version, ms(at), 1) for version, at in ((2, 9), (3, 10), (4, 19), (5, 20))]
     report = DiscoveryReport([], versions, [Outage(ms(10), ms(20))])
     adjusted = analysis.adjust_for_outages(report)
     assert [version.at_ns for version in adjusted] == [ms(9), ms(20), ms(20), ms(20)]
 
 
-def test_a_change_is_counted_until_the_next_call_that_names_it_or_a_newer_one() -> None:
+def test_a_change_counts_until_the_next_call_that_names_it_or_a_newer_one() -> None:
     caller = CallerRecord(versions_seen=[VersionSeen(ms(15), 2), VersionSeen(ms(30), 4)])
     versions = [ListVersion(version, ms(10), version) for version in (2, 3, 5)]
     delays = analysis.delays_by_calls(versions, caller)
--- a/tests/scale_test/test_command.py
+++ b/tests/scale_test/test_command.py
@@ -1,4 +1,4 @@
-"""The command `python -m scale_test`: what it refuses, and small experiments from start to end."""
+"""The command `python -m scale_test`: arguments that it rejects, and small complete experiments."""
 
 from __future__ import annotations
 
@@ -39,17 +39,19 @@
 
 
 def remaining_processes() -> list[int]:
-    """Processes of an experiment that are still there."""
+    """The processes of experiments started by this test process that still run."""
     found = []
     for process in psutil.process_iter():
-        with contextlib.suppress(psutil.Error):  # it may end meanwhile; an ended one has no environment
+        with contextlib.suppress(
+            psutil.Error
+        ):  # it may end meanwhile, or be a zombie, which has no environment
             if process.environ().get("SCALE_TEST") == str(os.getpid()):
                 found.append(process.pid)
     return found
 
 
 def start_command(*arguments: str) -> subprocess.Popen[str]:
-    """Start the command; its processes carry a mark, by which those that remain are found."""
+    """Start the command; remaining_processes() finds its processes by the environment variable."""
     return subprocess.Popen(
         [*COMMAND, *arguments],
         stdout=subprocess.PIPE,
@@ -60,7 +62,7 @@
 
 
 @pytest.mark.parametrize(
-    ("arguments", "says"),
+    ("arguments", "message"),
     [
         (["--upstreams", "0"], "0 is not in the range"),
         (["--upstreams", "many"], "is not a valid integer"),
@@ -79,17 +81,19 @@
         (["much"], "unexpected extra argument"),
     ],
 )
-def test_what_cannot_be_run_is_one_plain_line(arguments: list[str], says: str) -> None:
-    done = subprocess.run([*COMMAND, *arguments], capture_output=True, text=True, check=False, timeout=60)
-    assert done.returncode == 2
-    assert not done.stdout
-    assert done.stderr.startswith("scale: ")
-    assert says in done.stderr
-    assert done.stderr.count("\n") == 1
+def test_rejected_arguments_give_one_line_and_status_2(arguments: list[str], message: str) -> None:
+    completed = subprocess.run(
+        [*COMMAND, *arguments], capture_output=True, text=True, check=False, timeout=60
+    )
+    assert completed.returncode == 2
+    assert not completed.stdout
+    assert completed.stderr.startswith("scale: ")
+    assert message in completed.stderr
+    assert completed.stderr.count("\n") == 1
 
 
 @pytest.mark.parametrize("course", ["day", "zone", "back"])
-def test_a_small_run_reports_all_and_leaves_no_process(course: str, tmp_path: Path) -> None:
+def test_a_small_experiment_reports_all_figures_and_leaves_no_process(course: str, tmp_path: Path) -> None:
     path = tmp_path / "figures.json"
     process = start_command(*SMALL, "--course", course, "--json", str(path))
     out, err = process.communicate(timeout=60)
@@ -119,18 +123,18 @@
     assert rows["changes never in force", "course", "hollow"]["worst"] == 0
     assert rows["changes never in force", "course", "loaded"]["worst"] == 0
     by_call, by_module = (rows[f"in force, by {how}", "course", "hollow"] for how in ("next call", "module"))
-    assert by_call["count"] == by_module["count"] > 0  # each change, at each of the three
+    assert by_call["count"] == by_module["count"] > 0  # each change, at each of the three hollow balancers
     for figure, _, _ in rows:
         assert figure in out
     assert not remaining_processes()
 
 
-def test_an_interrupt_leaves_no_process() -> None:
+def test_an_interrupted_experiment_leaves_no_process() -> None:
     process = start_command(*SMALL, "--duration", "60")
-    seen: list[int] = []
-    while len(seen) < 6:  # the command, its four helpers and the real balancer
+    running: list[int] = []
+    while len(running) < 6:  # the command, its four helpers and the real balancer
         assert process.poll() is None
-        seen = remaining_processes()
+        running = remaining_processes()
     process.send_signal(signal.SIGINT)
     out, err = process.communicate(timeout=60)
     assert (process.returncode, out, err) == (130, "", "scale: stopped\n")
