--- a/scale_test/measurements.py
+++ b/scale_test/measurements.py
@@ -130,10 +130,10 @@
             Group.LOADED: real[:loaded],
             Group.HOLLOW: self._hollow_memory(),
         }
-        for group, balancers in memory.items():
-            self.add_row("memory now", Phase.END, group, "MB", [each.now for each in balancers])
-        for group, balancers in memory.items():
-            self.add_row("memory peak", Phase.END, group, "MB", [each.peak for each in balancers])
+        for group, memories in memory.items():
+            self.add_row("memory now", Phase.END, group, "MB", [each.now for each in memories])
+        for group, memories in memory.items():
+            self.add_row("memory peak", Phase.END, group, "MB", [each.peak for each in memories])
 
     def _hollow_memory(self) -> list[Memory]:
         """The mean of the hollow balancers of each process, without the memory of the empty process."""
@@ -157,9 +157,9 @@
             callers = [discovery.callers[number] for number in numbers]
             delays_by_caller = [analysis.delays_by_calls(versions, caller) for caller in callers]
             delays = [delay for each in delays_by_caller for delay in each.delays_ms]
-            missing_rows = [each.missing_rows for each in delays_by_caller]
+            missing_counts = [each.missing_rows for each in delays_by_caller]
             self.add_row("in force, by next call", Phase.SCENARIO, group, "ms", delays)
-            self.add_row("changes never in force", Phase.SCENARIO, group, "", missing_rows)
+            self.add_row("changes never in force", Phase.SCENARIO, group, "", missing_counts)
             if discovery.outages:
                 rejected = [caller.rejected for caller in callers]
                 self.add_row("calls refused by discovery", Phase.SCENARIO, group, "", rejected)
--- a/tests/scale_test/test_analysis.py
+++ b/tests/scale_test/test_analysis.py
@@ -34,7 +34,7 @@
 ]
 
 
-def test_a_change_is_in_force_with_the_first_response_that_holds_it() -> None:
+def test_a_change_is_in_force_with_the_end_of_the_first_response_with_it() -> None:
     versions = [ListVersion(version, ms(10), version) for version in (2, 4, 5, 6, 8, 10)]
     delays = analysis.delays_by_policy(versions, BALANCER)
     assert delays == [WeightedValue(*delay) for delay in ((40, 2), (80, 4), (80, 5), (50, 6))]
