--- a/loadbalancer/proxy/discovery_handover.py
+++ b/loadbalancer/proxy/discovery_handover.py
@@ -1,4 +1,4 @@
-"""The handover to another address of discovery."""
+"""The handover to a new address of discovery."""
 
 from __future__ import annotations
 
@@ -7,18 +7,23 @@
 from collections.abc import Callable
 
 from loadbalancer.proxy.backoff import Backoff
-from loadbalancer.proxy.discovery_call import DiscoveryCall, DiscoveryTarget, WatchFailure, WatchResult
+from loadbalancer.proxy.discovery_call import (
+    DiscoveryCall,
+    DiscoveryFailure,
+    DiscoveryResult,
+    DiscoveryTarget,
+)
 from loadbalancer.proxy.endpoint_list import EndpointList
 
-# For the complete list of the new address, which must be there within 4 s: this and the margin of each call.
-# A shorter wait would not help, since a discovery with many callers serves abandoned calls before the retry.
+# The complete list of the new address must be received within 4 s: this wait and the margin of each call.
+# A shorter wait would not help: a discovery with many callers serves the abandoned call before its retry.
 HANDOVER_WAIT_S = 3.0
 
 
 class DiscoveryHandover:
-    """Calls a new address for the complete list, with retries and backoff, until it responds.
+    """Requests the complete list from a new address, with retries and backoff, until it is received.
 
-    Meanwhile the client keeps its watch at the old address.
+    Meanwhile the client continues its watch at the old address.
     """
 
     def __init__(
@@ -26,7 +31,7 @@
         target: DiscoveryTarget,
         rng: random.Random,
         on_complete: Callable[[EndpointList], None],
-        on_failure: Callable[[WatchFailure], None],
+        on_failure: Callable[[DiscoveryFailure], None],
     ) -> None:
         """Set up a handover; `start` begins it.
 
@@ -49,24 +54,25 @@
         return self._call is not None
 
     def start(self) -> None:
-        """Call the new address for the complete list."""
+        """Request the complete list from the new address."""
         self._retry_timer = None
         self._call = self.target.call("", HANDOVER_WAIT_S, self._on_call_ended)
 
     def abandon(self) -> None:
-        """End the handover without a report."""
+        """End the handover; neither callback is called afterwards."""
         if self._call is not None:
             self._call.abandon()
         if self._retry_timer is not None:
             self._retry_timer.cancel()
         self.target.close()
 
-    def _on_call_ended(self, result: WatchResult) -> None:
+    def _on_call_ended(self, result: DiscoveryResult) -> None:
         self._call = None
         if isinstance(result, EndpointList) and result.complete:
             self._on_complete(result)
             return
         self.backoff.record_failure()
         self._retry_timer = asyncio.get_running_loop().call_later(self.backoff.delay_s(), self.start)
-        # A list that is incomplete, or older than the current one, is a failure too.
-        self._on_failure(result if isinstance(result, WatchFailure) else WatchFailure.CALL_FAILED)
+        # An incomplete list counts as a failure too, and so does one that is older than the current list: the
+        # reader returns an empty list in its place.
+        self._on_failure(result if isinstance(result, DiscoveryFailure) else DiscoveryFailure.CALL_FAILED)
--- a/tests/policy/test_attempt_results.py
+++ b/tests/policy/test_attempt_results.py
@@ -1,4 +1,4 @@
-"""What attempts that end, late, twice or at the wrong endpoint, do to the state and the rate."""
+"""The effect of attempt results on the state and the rate, including late, repeated and invalid ones."""
 
 from __future__ import annotations
 
@@ -20,13 +20,13 @@
 from tests.support.rule_checker import FinalAnswer
 
 
-def test_resets_do_not_cut_the_rate() -> None:
+def test_resets_do_not_reduce_the_rate() -> None:
     harness = PolicyHarness(endpoint_count=4)
     for i in range(40):
         harness.give(arrival(i, harness.now_ns))
         harness.finish(f"r{i}", AttemptResult.RESET)
         harness.finish(f"r{i}")
-    # The first reset of all counts as the endpoint's own fault.
+    # The first reset ever is attributed to its endpoint, because no other endpoint has resets yet.
     assert sum(harness.balancer.rate_controller.interval.failures.values()) <= 1
 
 
@@ -41,41 +41,41 @@
 
 
 def test_overload_of_a_small_subset_lowers_the_rate() -> None:
-    # Incident i430663: of a subset of four, three and more could fail all day and the rate never fell.
+    # The rate never fell while three or more of a subset of four failed (incident i430663).
     throttle = Throttle("ash", 1.0, random.Random(1), 0)
-    for failing, falls in ((2, False), (4, True)):
-        rate = RateController(throttle.weight, 0)
-        rate.interval.successes = 4
-        rate.interval.failures = Counter(dict.fromkeys(range(failing), 6))
-        rate.adjust([throttle], NANOSECONDS_PER_SECOND, 4)
-        assert (rate.rate < 100) is falls
+    for failing, is_lowered in ((2, False), (4, True)):
+        controller = RateController(throttle.weight, 0)
+        controller.interval.successes = 4
+        controller.interval.failures = Counter(dict.fromkeys(range(failing), 6))
+        controller.adjust([throttle], NANOSECONDS_PER_SECOND, 4)
+        assert (controller.rate < 100) is is_lowered
 
 
-def test_mistakes_of_the_caller_are_not_counted() -> None:
-    # An attempt never made, one at another endpoint, an endpoint never listed, an id that is open already.
+def test_invalid_events_are_not_counted() -> None:
+    # The events: attempts that were never made, endpoints not listed or not used, a repeated request id.
     harness = PolicyHarness(endpoint_count=2)
     harness.give(arrival(1, harness.now_ns))
     sent = harness.attempts["r1"][0][0].id
-    balancer, good = harness.balancer, harness.attempt_ended("r1", 0, AttemptResult.OK)
+    balancer, valid = harness.balancer, harness.attempt_ended("r1", 0, AttemptResult.OK)
     balancer.handle(
         harness.now_ns,
         [
-            good._replace(attempt=3),
-            good._replace(attempt=-1),
-            good._replace(endpoint_id=99),
-            good._replace(endpoint_id=3 - sent),
+            valid._replace(attempt=3),
+            valid._replace(attempt=-1),
+            valid._replace(endpoint_id=99),
+            valid._replace(endpoint_id=3 - sent),
             arrival(1, harness.now_ns),
         ],
     )
     assert balancer.fleet.endpoints[sent].in_flight == 1
     assert len(balancer.requests) == 1
-    harness.give(good)
+    harness.give(valid)
     assert balancer.fleet.endpoints[sent].in_flight == 0
     assert not balancer.requests
 
 
 def harness_with_an_overdue_attempt(later_ones_answered: bool) -> PolicyHarness:
-    """Return a harness whose only endpoint takes two at once and never sends the first answer."""
+    """Return a harness whose only endpoint never responds to the first attempt; two may be in flight."""
     harness = PolicyHarness(settings(limits=Limits(cancellation=True)), endpoint_count=1)
     harness.balancer.concurrency_limit.limit = 2
     harness.give(arrival("lost", harness.now_ns, wait_ns=NANOSECONDS_PER_SECOND))
@@ -91,12 +91,13 @@
 
 
 def test_lost_answer_does_not_count_as_in_flight() -> None:
-    # Attempts whose responses a bad network loses must not use up the concurrency limit of good endpoints.
-    for lost, sent in ((True, 2), (False, 0)):  # an endpoint that answers nobody is hung, and ejected
-        harness = harness_with_an_overdue_attempt(lost)
+    # Responses lost by the network must not use up the concurrency limit of healthy endpoints.
+    # An endpoint that sends no response at all is considered hung, and is ejected.
+    for others_answered, forwarded in ((True, 2), (False, 0)):
+        harness = harness_with_an_overdue_attempt(others_answered)
         harness.give(arrival("a", harness.now_ns), arrival("b", harness.now_ns))
         harness.advance(1 * NANOSECONDS_PER_MILLISECOND)
-        assert len({"ra", "rb"} & set(harness.attempts)) == sent
+        assert len({"ra", "rb"} & set(harness.attempts)) == forwarded
 
 
 def test_removed_endpoint_is_kept_until_its_overdue_attempt_ends() -> None:
--- a/tests/proxy/test_requests.py
+++ b/tests/proxy/test_requests.py
@@ -1,4 +1,4 @@
-"""Requests over loopback sockets: from their arrival to the one final answer."""
+"""Requests over loopback sockets, from their arrival to their one final response."""
 
 from __future__ import annotations
 
@@ -80,28 +80,28 @@
     assert ended.elapsed_ns > 0
 
 
-async def test_a_proxy_with_the_real_policy_serves() -> None:
+async def test_a_proxy_with_the_real_policy_serves_requests() -> None:
     endpoint = await FakeEndpoint(respond_with(200, b'{"inflight": 1}')).start()
     async with running_proxy(
         Balancer(proxy_settings(health_checks=True), 1, time.monotonic_ns()), endpoint
     ) as client:
         for _ in range(3):
             assert (await client.exchange(request())).status == 200
-    assert sum(g.start_line.startswith("GET /read") for g in endpoint.requests) == 3
+    assert sum(message.start_line.startswith("GET /read") for message in endpoint.requests) == 3
 
 
-async def test_a_rejection_is_answered_at_once_with_retry_after() -> None:
+async def test_a_rejection_is_sent_at_once_with_retry_after() -> None:
     policy = ScriptedPolicy(
         lambda e: (
             [Reject(e.request_id, 437 * NANOSECONDS_PER_MILLISECOND)] if isinstance(e, RequestArrived) else ()
         )
     )
     async with running_proxy(policy) as client:
-        begun = time.monotonic()
+        started_s = time.monotonic()
         response = await client.exchange(request())
         assert response.status == 503
         assert response.headers["retry-after"] == "0.437"
-        assert time.monotonic() - begun < 2.5  # of the five seconds that the client would wait
+        assert time.monotonic() - started_s < 2.5  # well within the 5 s that the client waits
 
 
 async def test_a_proxy_within_its_ready_delay_is_not_ready_but_serves() -> None:
@@ -114,7 +114,7 @@
         assert (await connect(client)).status == 200
 
 
-async def test_one_attempt_at_a_time_and_none_after_the_final_answer() -> None:
+async def test_one_attempt_at_a_time_and_none_after_the_final_response() -> None:
     endpoint = await FakeEndpoint(never_respond).start()
     policy = ScriptedPolicy()
 
@@ -133,7 +133,7 @@
         client.proxy.dispatch(TimerExpired("now"))
         assert (await client.read()).status == 504
         await wait_until(lambda: endpoint.closed_connections == 1)
-        ended = {(o.attempt, o.result, o.request_complete) for o in policy.events_of(AttemptEnded)}
+        ended = {(end.attempt, end.result, end.request_complete) for end in policy.events_of(AttemptEnded)}
         assert ended == {
             (1, AttemptResult.NOT_SENT, False),
             (0, AttemptResult.CANCELLED, True),
@@ -141,7 +141,7 @@
         }
         assert len(endpoint.requests) == 1
         assert policy.deepest_call == 1
-        assert (await connect(client)).status == 200  # one answer only
+        assert (await connect(client)).status == 200  # one response only
 
 
 async def test_a_client_disconnect_cancels_its_request() -> None:
@@ -153,19 +153,19 @@
         client.close()
         await wait_until(lambda: endpoint.closed_connections == 1)
         assert policy.events_of(ClientDisconnected) == [ClientDisconnected("1")]
-        assert [(o.result, o.request_complete) for o in policy.events_of(AttemptEnded)] == [
+        assert [(end.result, end.request_complete) for end in policy.events_of(AttemptEnded)] == [
             (AttemptResult.CANCELLED, True)
         ]
         assert not client.proxy._pending_requests
         assert not client.proxy._pending_requests._by_client
 
 
-async def test_a_request_that_the_policy_leaves_open_fails_at_its_deadline() -> None:
+async def test_a_request_that_the_policy_ignores_fails_at_its_deadline() -> None:
     policy = ScriptedPolicy()
     async with running_proxy(policy) as client:
-        begun = time.monotonic()
+        started_s = time.monotonic()
         assert (await client.exchange(request(deadline_ms=80))).status == 504
-        assert time.monotonic() - begun > 0.05
+        assert time.monotonic() - started_s > 0.05
         assert policy.events_of(ClientDisconnected) == [ClientDisconnected("1")]
 
 
@@ -204,7 +204,7 @@
 @pytest.mark.parametrize(
     "order", [("response", "disconnect"), ("disconnect", "response"), ("disconnect",), ("response",)]
 )
-async def test_timeout_disconnect_and_late_response_in_one_turn_end_a_request_once(
+async def test_simultaneous_timeout_disconnect_and_response_end_a_request_once(
     order: tuple[str, ...],
 ) -> None:
     writers: list[asyncio.StreamWriter] = []
@@ -227,7 +227,7 @@
                 )
             else:
                 client_socket.shutdown(socket.SHUT_WR)
-        time.sleep(0.15)  # the attempt's timeout expires too, all in one turn
+        time.sleep(0.15)  # the attempt's timeout expires too: all events are handled in one turn of the loop
         await wait_until(lambda: policy.events_of(AttemptEnded))
         await wait_until(lambda: not client.proxy._pending_requests)
         assert len(policy.events_of(AttemptEnded)) == 1
