--- a/scale_test/analysis.py
+++ b/scale_test/analysis.py
@@ -46,7 +46,7 @@
 class FullListDelay:
     """The time until a full list was in force, and the part of it after the balancer's next call."""
 
-    in_force_ns: int
+    total_ns: int
     after_next_call_ns: int
 
 
--- a/scale_test/measurements.py
+++ b/scale_test/measurements.py
@@ -167,7 +167,7 @@
         delays = [delay for balancer in hollow for delay in analysis.delays_by_policy(versions, balancer)]
         self.add_row("in force, by module", Phase.SCENARIO, Group.HOLLOW, "ms", delays)
         full_list_delays_ms = [
-            delay.in_force_ns / NS_PER_MS for delay in self.full_list_delays(discovery, hollow)
+            delay.total_ns / NS_PER_MS for delay in self.full_list_delays(discovery, hollow)
         ]
         self.add_row("whole list in force", Phase.ALL, Group.HOLLOW, "ms", full_list_delays_ms)
         self._add_policy_times(hollow)
