--- a/scale_test/__main__.py
+++ b/scale_test/__main__.py
@@ -69,7 +69,7 @@
     ),
     "wholes": Option(
         click.IntRange(0, 1000),
-        "Full lists sent at the end to the balancer with clients and to one hollow balancer.",
+        "Full lists sent at the end to the balancer with clients, and as many to one hollow balancer.",
     ),
     "mode": Option(click.Choice(["ask", "push"]), "registry_mode in the settings of all balancers."),
     "requests": Option(
--- a/scale_test/plan.py
+++ b/scale_test/plan.py
@@ -68,7 +68,7 @@
     restarted: int = RESTARTED_PER_DAY  # restarts and replacements, among TARGET_UPSTREAMS
     failed: int = FAILED_PER_DAY  # failures, among TARGET_UPSTREAMS
     course: str = Scenario.CHURN.value  # the scenario, by the value of the enum
-    wholes: int = 5  # full lists sent at the end, to the loaded balancer and to a hollow one
+    wholes: int = 5  # full lists sent at the end to the loaded balancer, and as many to a hollow one
     mode: str = "ask"  # registry_mode in the balancers' settings
     requests: float = 136.0  # per second, from clients to the loaded balancer
     known: bool = True  # whether the balancers' configuration files hold the endpoint list
