--- a/scale_test/scenarios.py
+++ b/scale_test/scenarios.py
@@ -1,4 +1,4 @@
-"""What happens to the endpoint list: a day's churn, an outage of a zone, an outage of discovery."""
+"""The scenarios: ordinary churn of the endpoint list, an outage of a zone, an outage of discovery."""
 
 from __future__ import annotations
 
@@ -11,20 +11,20 @@
 from typing import Any
 
 from scale_test.fake_discovery import FakeDiscovery
-from scale_test.plan import LIST_CHANGES, ChangeKind, Plan, Scenario
+from scale_test.plan import LIST_CHANGES_PER_KIND, ChangeKind, Plan, Scenario
 from scale_test.registry import Health
 
-RETURN_S = 4.0  # a restarted or failed upstream is back after this, or a fifth of the experiment
-ZONE_STEPS = 10  # in which a zone's upstreams change
+RETURN_DELAY_S = 4.0  # until a restarted or failed upstream returns; at most a fifth of the scenario
+ZONE_STEPS = 10  # list versions over which the upstreams of a zone change
 ZONE_STEP_S = 0.1
-# Of discovery's outage, as fractions of the experiment.
+# Of discovery's outage, as fractions of the scenario's duration.
 OUTAGE_START_FRACTION = 0.2
 OUTAGE_DURATION_FRACTION = 0.3
-NEW_CHANGE = -1
+NEW_CHANGE = -1  # in place of a row: the row is yet to be drawn
 
 ScenarioFunction = Callable[[FakeDiscovery, Plan, random.Random], Coroutine[Any, Any, None]]
 
-HEALTH_AFTER = {
+HEALTH_AFTER_CHANGE = {
     ChangeKind.CONFIGURED: None,
     ChangeKind.RESTARTED: Health.DRAINING,
     ChangeKind.FAILED: Health.REMOVED,
@@ -33,7 +33,7 @@
 
 @dataclass(frozen=True, order=True)
 class ScheduledChange:
-    """When a new change happens, or the upstream of a row returns."""
+    """The time at which the upstream of a row returns, or a new change happens."""
 
     at_s: float
     returning_row: int = NEW_CHANGE
@@ -41,9 +41,9 @@
 
 @dataclass(frozen=True)
 class ZonePhase:
-    """The health of all upstreams of a zone from a fraction of the experiment on."""
+    """The health that all upstreams of a zone get after a fraction of the scenario's duration."""
 
-    fraction: float
+    start_fraction: float
     health: Health
 
 
@@ -53,13 +53,15 @@
 async def churn(
     discovery: FakeDiscovery, plan: Plan, rng: random.Random, excluded_rows: frozenset[int] = frozenset()
 ) -> None:
-    """Change configurations, restart upstreams and let them fail, at random, except for excluded rows."""
+    """Configure, restart and fail upstreams at random, except those in the excluded rows."""
     start = now = time.monotonic()
     end = start + plan.duration
-    away_s = min(RETURN_S, plan.duration / 5)
-    kinds = list(plan.mix)
-    weights = list(plan.mix.values())
-    list_changes = sum(LIST_CHANGES[kind] * weight for kind, weight in plan.mix.items())
+    return_delay_s = min(RETURN_DELAY_S, plan.duration / 5)
+    kinds = list(plan.upstream_changes_per_day)
+    weights = list(plan.upstream_changes_per_day.values())
+    list_changes = sum(
+        LIST_CHANGES_PER_KIND[kind] * weight for kind, weight in plan.upstream_changes_per_day.items()
+    )
     rate = plan.changes_a_second * sum(weights) / list_changes
     schedule = [ScheduledChange(start + rng.expovariate(rate))]
     while schedule[0].at_s < end:
@@ -73,37 +75,37 @@
         row = rng.randrange(plan.upstreams)
         kind = rng.choices(kinds, weights)[0]
         if discovery.registry.health[row] is not Health.UP or row in excluded_rows:
-            continue  # it is away already
-        discovery.change([row], HEALTH_AFTER[kind])
+            continue  # it has not returned yet, or belongs to the zone that is out
+        discovery.change([row], HEALTH_AFTER_CHANGE[kind])
         if kind is not ChangeKind.CONFIGURED:
-            heapq.heappush(schedule, ScheduledChange(due.at_s + away_s, row))
+            heapq.heappush(schedule, ScheduledChange(due.at_s + return_delay_s, row))
     await asyncio.sleep(max(0.0, end - now))
 
 
 async def zone_outage(discovery: FakeDiscovery, plan: Plan, rng: random.Random) -> None:
-    """Beside the day's churn: one zone drains, is removed and returns without warm-up."""
-    lost = rng.randrange(plan.zones)
-    rows = [row for row in range(plan.upstreams) if plan.zone_of(row) == lost]
-    churning = asyncio.create_task(churn(discovery, plan, rng, frozenset(rows)))
+    """Ordinary churn, while one zone drains, is removed and returns with restarted upstreams."""
+    zone = rng.randrange(plan.zones)
+    rows = [row for row in range(plan.upstreams) if plan.zone_of(row) == zone]
+    churn_task = asyncio.create_task(churn(discovery, plan, rng, frozenset(rows)))
     start = time.monotonic()
     for phase in ZONE_PHASES:
-        await asyncio.sleep(start + phase.fraction * plan.duration - time.monotonic())
+        await asyncio.sleep(start + phase.start_fraction * plan.duration - time.monotonic())
         for step in range(ZONE_STEPS):
             changed = rows[step::ZONE_STEPS]
             if changed:
                 discovery.change(changed, phase.health, restarted=phase.health is Health.UP)
                 await asyncio.sleep(min(ZONE_STEP_S, plan.duration / 100))
-    await churning
+    await churn_task
 
 
 async def discovery_outage(discovery: FakeDiscovery, plan: Plan, rng: random.Random) -> None:
-    """Beside the day's churn: discovery is down for three tenths of the time; then all get full lists."""
-    churning = asyncio.create_task(churn(discovery, plan, rng))
+    """Ordinary churn, while discovery is down for a time, after which all balancers get full lists."""
+    churn_task = asyncio.create_task(churn(discovery, plan, rng))
     await asyncio.sleep(OUTAGE_START_FRACTION * plan.duration)
     discovery.begin_outage()
     await asyncio.sleep(OUTAGE_DURATION_FRACTION * plan.duration)
     discovery.end_outage()
-    await churning
+    await churn_task
 
 
 SCENARIOS: dict[Scenario, ScenarioFunction] = {
