--- a/scale_test/child_process.py
+++ b/scale_test/child_process.py
@@ -1,7 +1,7 @@
-"""The processes of an experiment: each leads a process group of its own, and none outlives the experiment.
+"""The child processes of an experiment. Each leads a process group, so that its children are killed with it.
 
-A helper is a child process that carries out commands: one JSON line each on its standard input, and one line
-each in return.
+A helper is a child process that executes commands: it reads each as one line of JSON from its standard
+input, and writes the result as one line of JSON to its standard output.
 """
 
 from __future__ import annotations
@@ -23,13 +23,13 @@
 from scale_test.deployment import ROOT
 from scale_test.errors import ExperimentError
 
-MAX_LINE_BYTES = 2**30
+MAX_LINE_BYTES = 2**30  # a report is one line; asyncio's default limit is 64 KiB
 
 Commands = Mapping[str, Callable[..., Awaitable[object]]]
 
 
 class HelperRole(StrEnum):
-    """What a helper does; the value is its module."""
+    """What a helper does; the value is its module in `scale_test`."""
 
     DISCOVERY = "discovery_process"
     HOLLOW = "hollow"
@@ -37,7 +37,7 @@
 
 
 class ChildProcess:
-    """A process started by the experiment, and its log."""
+    """A process started by the experiment, and its log file."""
 
     def __init__(self, name: str, process: asyncio.subprocess.Process, log: Path) -> None:
         self.name = name
@@ -46,14 +46,22 @@
 
     @property
     def pid(self) -> int:
-        """The process id."""
+        """The process id, which is also the id of its process group."""
         return self.process.pid
 
     @classmethod
     async def start(
         cls, name: str, folder: Path, *command: str, piped: bool = False, **env: str
     ) -> ChildProcess:
-        """Start it with a temporary folder of its own; `piped` connects its standard input and output."""
+        """Start a process with its own temporary folder and log file.
+
+        Args:
+            name: Names the process in errors, and its files in the folder.
+            folder: The folder of the experiment.
+            command: The program and its arguments.
+            piped: Whether standard input and output are pipes; otherwise input is empty and output is logged.
+            env: Environment variables beside those of this process.
+        """
         temporary = folder / f"{name}.tmp"
         temporary.mkdir()
         log = folder / f"{name}.log"
@@ -72,19 +80,19 @@
 
     @classmethod
     async def start_helper(cls, role: HelperRole, name: str, folder: Path) -> ChildProcess:
-        """Start a helper."""
+        """Start a helper process of this role."""
         return await cls.start(name, folder, sys.executable, "-m", f"scale_test.{role}", piped=True)
 
     def ended_error(self) -> ExperimentError:
-        """The error that says that it has ended, with the last line of its log."""
+        """Return an error that says that the process exited, with the last line of its log."""
         lines = self.log.read_text(errors="replace").strip().splitlines()
-        return ExperimentError(f"{self.name} has ended: {lines[-1] if lines else 'its log is empty'}")
+        return ExperimentError(f"{self.name} exited: {lines[-1] if lines else 'its log is empty'}")
 
     async def call(self, command: str, **arguments: object) -> Any:  # noqa: ANN401 - any JSON value
-        """Give a helper one command, and wait for its result.
+        """Send a helper one command, and wait for its result.
 
         Raises:
-            ExperimentError: The helper has ended.
+            ExperimentError: The helper exited before it returned a result.
         """
         assert self.process.stdin is not None
         assert self.process.stdout is not None
@@ -98,7 +106,7 @@
         return orjson.loads(line)
 
     async def kill(self) -> None:
-        """End it and its process group, and wait for its end."""
+        """Kill the process and its process group, and wait until it has exited."""
         if self.process.returncode is None:
             with contextlib.suppress(ProcessLookupError):
                 os.killpg(self.pid, signal.SIGKILL)
@@ -106,13 +114,13 @@
 
 
 def commands_of(handler: object) -> Commands:
-    """The public coroutine methods of an object, by name."""
+    """Return the public coroutine methods of an object, by name: each is a command."""
     methods = inspect.getmembers(handler, inspect.iscoroutinefunction)
     return {name: method for name, method in methods if not name.startswith("_")}
 
 
 async def serve(commands: Commands) -> None:
-    """Carry out commands, in a helper, until the experiment closes the pipe."""
+    """Execute commands from standard input, one at a time, until the experiment closes the pipe."""
     loop = asyncio.get_running_loop()
     reader = asyncio.StreamReader(limit=MAX_LINE_BYTES)
     await loop.connect_read_pipe(lambda: asyncio.StreamReaderProtocol(reader), sys.stdin)
--- a/scale_test/cluster.py
+++ b/scale_test/cluster.py
@@ -19,22 +19,22 @@
 from scale_test.plan import Plan, memory_limit
 from scale_test.units import BYTES_PER_MB, NS_PER_S
 
-MAX_CONCURRENT_STARTS = 4  # of balancers: they share the machine
+MAX_CONCURRENT_STARTS = 4  # of balancers: they share the machine's processors
 MEMORY_CHECK_INTERVAL_S = 0.25
 READY_POLL_S = 0.02
-HOSTS_PER_SUBNET = 250
+HOSTS_PER_SUBNET = 250  # hosts 1 to 250 of each 127.8.x.0/24
 
 
 @dataclass(frozen=True)
 class StartTimes:
-    """Seconds until each balancer was ready."""
+    """Seconds that each balancer took to become ready."""
 
     real_s: list[float]
     hollow_s: list[float]
 
 
 def free_address(number: int) -> Address:
-    """A free port on a loopback address of its own."""
+    """Find a free port on the loopback address of this balancer number."""
     host = f"127.8.{number // HOSTS_PER_SUBNET}.{number % HOSTS_PER_SUBNET + 1}"
     with socket.socket() as probe:
         probe.bind((host, 0))
@@ -42,7 +42,7 @@
 
 
 async def is_ready(address: Address) -> bool:
-    """Whether the balancer at this address reports that it is ready."""
+    """Whether the balancer at this address passes its readiness check."""
     try:
         reader, writer = await asyncio.open_connection(*address)
     except OSError:
@@ -57,7 +57,7 @@
 
 
 class Cluster:
-    """Starts the processes, watches them and ends them all."""
+    """Starts, monitors and kills the processes of an experiment."""
 
     discovery: DiscoveryHelper
 
@@ -67,22 +67,22 @@
         self.processes: list[ChildProcess] = []
         self.real: list[ChildProcess] = []
         self.hollow: list[HollowHelper] = []
-        self.discovery_addresses: list[Address] = []  # by the balancers' numbers: real ones first
+        self.discovery_addresses: list[Address] = []  # indexed by balancer number; real balancers come first
         self.listen_addresses = [free_address(number) for number in range(plan.real)]
         self._start_slots = asyncio.Semaphore(MAX_CONCURRENT_STARTS)
 
     async def start_helper(self, role: HelperRole, name: str) -> ChildProcess:
-        """Start a helper that is watched and ended with the others."""
+        """Start a helper process that is monitored and killed with the others."""
         process = await ChildProcess.start_helper(role, name, self.folder)
         self.processes.append(process)
         return process
 
     async def start(self) -> StartTimes:
-        """Start all; returns when all balancers are ready.
+        """Start all processes, and wait until all balancers are ready.
 
         Raises:
-            ExperimentError: A process has ended.
-            TimeoutError: Not all were ready in time.
+            ExperimentError: A process exited.
+            TimeoutError: Not all balancers were ready within `plan.patience` seconds.
         """
         plan = self.plan
         upstreams = LoadHelper(await self.start_helper(HelperRole.LOAD, "upstreams"))
@@ -115,7 +115,7 @@
             await build.kill()
 
     async def _start_real(self, number: int, run: str, writer: ConfigurationWriter) -> StartedReal:
-        """Start a real balancer as the platform does, and wait until it reports that it is ready."""
+        """Start a real balancer by the deploy file's `run` command, and wait until it is ready."""
         async with self._start_slots:
             address = self.listen_addresses[number]
             configuration = writer.configuration(number)
@@ -139,7 +139,11 @@
             return StartedReal(process, time.monotonic() - started_s)
 
     async def _start_hollow(self, number: int, writer: ConfigurationWriter) -> StartedHollow:
-        """Start one process of hollow balancers: those whose number is its own modulo the processes."""
+        """Start one process of hollow balancers.
+
+        Hollow balancers are assigned to the processes round-robin. The process first reads the
+        configuration without starting a balancer, so that its memory before the first balancer is known.
+        """
         async with self._start_slots:
             plan = self.plan
             helper = HollowHelper(await self.start_helper(HelperRole.HOLLOW, f"hollow{number}"))
@@ -153,28 +157,28 @@
             return StartedHollow(helper, ready_ns)
 
     async def watch(self) -> None:
-        """Watch the processes until one has ended or they need too much memory.
+        """Monitor the processes until one exits or together they exceed the memory limit.
 
         Raises:
-            ExperimentError: Always; says which.
+            ExperimentError: Always; it names the process that exited, or the memory used.
         """
         while True:
             used = memory_used_by(self.processes)
             limit = memory_limit()
             if used > limit:
                 raise ExperimentError(
-                    f"{used // BYTES_PER_MB} MB of memory used, but at most {limit // BYTES_PER_MB} MB may be"
+                    f"{used // BYTES_PER_MB} MB of memory used; the limit is {limit // BYTES_PER_MB} MB"
                 )
             await asyncio.sleep(MEMORY_CHECK_INTERVAL_S)
 
     async def kill(self) -> None:
-        """End all processes."""
+        """Kill all processes and wait until they have exited."""
         await asyncio.gather(*(process.kill() for process in self.processes))
 
 
 @dataclass(frozen=True)
 class StartedReal:
-    """A real balancer, and the seconds until it was ready."""
+    """A real balancer, and the seconds that it took to become ready."""
 
     process: ChildProcess
     ready_s: float
@@ -182,17 +186,17 @@
 
 @dataclass(frozen=True)
 class StartedHollow:
-    """A process of hollow balancers, and the nanoseconds that each of them took."""
+    """A process of hollow balancers, and the nanoseconds that each balancer took to start."""
 
     helper: HollowHelper
     ready_ns: list[int]
 
 
 def memory_used_by(processes: Sequence[ChildProcess]) -> int:
-    """The memory of these processes together.
+    """Return the total resident bytes of these processes.
 
     Raises:
-        ExperimentError: One of them has ended.
+        ExperimentError: One of them has exited.
     """
     used = 0
     for process in processes:
