--- a/scale_test/cluster.py
+++ b/scale_test/cluster.py
@@ -88,7 +88,7 @@
         upstreams = LoadHelper(await self.start_helper(HelperRole.LOAD, "upstreams"))
         self.discovery = DiscoveryHelper(await self.start_helper(HelperRole.DISCOVERY, "discovery"))
         known = self.folder / "known.json"
-        self.discovery_addresses = await self.discovery.start(plan, await upstreams.upstreams(), known)
+        self.discovery_addresses = await self.discovery.start(plan, await upstreams.start_upstreams(), known)
         writer = ConfigurationWriter(plan, self.folder, self.discovery_addresses, known.read_bytes())
         deployment = read_deployment()
         await self._build(deployment.build)
--- a/scale_test/experiment.py
+++ b/scale_test/experiment.py
@@ -88,7 +88,7 @@
         if not plan.loaded:
             return None
         clients = LoadHelper(await self._cluster.start_helper(HelperRole.LOAD, "clients"))
-        await clients.clients(self._cluster.listen_addresses[0], plan.requests, plan.seed)
+        await clients.start_clients(self._cluster.listen_addresses[0], plan.requests, plan.seed)
         await asyncio.sleep(min(WARM_UP_S, plan.quiet))
         return clients
 
--- a/scale_test/helpers.py
+++ b/scale_test/helpers.py
@@ -50,13 +50,13 @@
     def __init__(self, process: ChildProcess) -> None:
         self.process = process
 
-    async def upstreams(self) -> list[str]:
+    async def start_upstreams(self) -> list[str]:
         """Start listening as the upstreams; returns their addresses."""
-        return [str(dial) for dial in await self.process.call("upstreams")]
+        return [str(dial) for dial in await self.process.call("start_upstreams")]
 
-    async def clients(self, address: Address, rate: float, seed: int) -> None:
+    async def start_clients(self, address: Address, rate: float, seed: int) -> None:
         """Start sending so many requests a second."""
-        await self.process.call("clients", address=address, rate=rate, seed=seed)
+        await self.process.call("start_clients", address=address, rate=rate, seed=seed)
 
     async def report(self) -> list[RequestSample]:
         """The requests that have ended."""
--- a/scale_test/load_generator.py
+++ b/scale_test/load_generator.py
@@ -60,7 +60,7 @@
 
 
 class LoadCommands:
-    """The commands: `upstreams`, or `clients` and then `report`."""
+    """The commands: `start_upstreams`, or `start_clients` and then `report`."""
 
     def __init__(self) -> None:
         self._servers: list[asyncio.Server] = []
@@ -68,13 +68,13 @@
         self._idle: list[Connection] = []
         self._tasks: set[asyncio.Task[None]] = set()
 
-    async def upstreams(self) -> object:
+    async def start_upstreams(self) -> object:
         """Start listening; returns the addresses as in the endpoint list."""
         for number in range(LISTENERS):
             self._servers.append(await asyncio.start_server(serve_upstream, f"127.9.0.{number + 1}", 0))
         return ["{}:{}".format(*server.sockets[0].getsockname()[:2]) for server in self._servers]
 
-    async def clients(self, address: tuple[str, int], rate: float, seed: int) -> object:
+    async def start_clients(self, address: tuple[str, int], rate: float, seed: int) -> object:
         """Start sending so many requests a second, at random times, without waiting for responses."""
         self._create_task(self._send_all(address, rate, random.Random(seed)))
         return True
