--- a/scale_test/helpers.py
+++ b/scale_test/helpers.py
@@ -70,9 +70,12 @@
         self.process = process
         self.empty_bytes = 0  # resident, before it held a balancer
 
-    async def start(self, config: Path, balancers: Sequence[Json]) -> list[int]:
+    async def start(self, config_path: Path, balancers: Sequence[Json]) -> list[int]:
         """Start balancers, one after the other; returns the nanoseconds that each took."""
-        return [int(ns) for ns in await self.process.call("start", config=str(config), nodes=balancers)]
+        return [
+            int(ns)
+            for ns in await self.process.call("start", config_path=str(config_path), balancers=balancers)
+        ]
 
     async def report(self) -> list[BalancerReport]:
         """Stop the balancers; returns what each recorded."""
--- a/scale_test/hollow.py
+++ b/scale_test/hollow.py
@@ -90,12 +90,12 @@
     def __init__(self) -> None:
         self._proxies: list[HollowProxy] = []
 
-    async def start(self, config: str, nodes: list[dict[str, Any]]) -> object:
+    async def start(self, config_path: str, balancers: list[dict[str, Any]]) -> object:
         """Start balancers one after the other; returns each one's ns, from its configuration on."""
         started_ns = []
-        for node in nodes:
+        for balancer in balancers:
             begun_ns = time.monotonic_ns()
-            proxy = hollow_proxy(config, node)
+            proxy = hollow_proxy(config_path, balancer)
             await proxy.start()
             started_ns.append(time.monotonic_ns() - begun_ns)
             self._proxies.append(proxy)
@@ -112,16 +112,16 @@
         ]
 
 
-def hollow_proxy(config: str, node: dict[str, Any]) -> HollowProxy:
+def hollow_proxy(config_path: str, balancer: dict[str, Any]) -> HollowProxy:
     """A balancer of the configuration that all share, with what is its own."""
-    base = read_configuration(config)  # read again each time: real balancers share no text
-    settings = replace(base.settings, proxy_index=node["me"], zone=node["zone"])
-    policy = TimedPolicy(Balancer(settings, node["seed"], time.monotonic_ns()))
+    base = read_configuration(config_path)  # read again each time: real balancers share no text
+    settings = replace(base.settings, proxy_index=balancer["me"], zone=balancer["zone"])
+    policy = TimedPolicy(Balancer(settings, balancer["seed"], time.monotonic_ns()))
     configuration = replace(
         base,
-        name=node["name"],
-        discovery=tuple(node["discovery"]),
-        seed=node["seed"],
+        name=balancer["name"],
+        discovery=tuple(balancer["discovery"]),
+        seed=balancer["seed"],
         settings=settings,
     )
     return HollowProxy(configuration, policy)
