--- a/scale_test/helpers.py
+++ b/scale_test/helpers.py
@@ -68,7 +68,7 @@
 
     def __init__(self, process: ChildProcess) -> None:
         self.process = process
-        self.empty_bytes = 0  # resident, before it held a balancer
+        self.baseline_rss_bytes = 0  # resident, before it held a balancer
 
     async def start(self, config_path: Path, balancers: Sequence[Json]) -> list[int]:
         """Start balancers, one after the other; returns the nanoseconds that each took."""
--- a/scale_test/measurements.py
+++ b/scale_test/measurements.py
@@ -140,7 +140,7 @@
         found = []
         for helper, share in zip(self._cluster.hollow, self._plan.hollow_shares, strict=True):
             used = memory_of(helper.process)
-            empty = helper.empty_bytes / BYTES_PER_MB
+            empty = helper.baseline_rss_bytes / BYTES_PER_MB
             found.append(Memory((used.now - empty) / share, (used.peak - empty) / share))
         return found
 
