--- a/scale_test/balancer_config.py
+++ b/scale_test/balancer_config.py
@@ -91,7 +91,7 @@
         path.write_bytes(text[:-1] + b',"known":%b}' % self._known_list)
         return path
 
-    def hollow_balancer(self, number: int) -> Json:
+    def hollow_overrides(self, number: int) -> Json:
         """What is a hollow balancer's own, beside the configuration that its process shares."""
         configuration = self.configuration(number)
         return {
--- a/scale_test/cluster.py
+++ b/scale_test/cluster.py
@@ -152,7 +152,7 @@
             path = writer.write(f"hollow{number}", first, "127.0.0.1:0")
             await helper.start(path, [])
             helper.baseline_rss_bytes = psutil.Process(helper.process.pid).memory_info().rss
-            ready_ns = await helper.start(path, [writer.hollow_balancer(each) for each in numbers])
+            ready_ns = await helper.start(path, [writer.hollow_overrides(each) for each in numbers])
             path.unlink()
             return StartedHollow(helper, ready_ns)
 
