--- a/scale_test/cluster.py
+++ b/scale_test/cluster.py
@@ -87,9 +87,11 @@
         plan = self.plan
         upstreams = LoadHelper(await self.start_helper(HelperRole.LOAD, "upstreams"))
         self.discovery = DiscoveryHelper(await self.start_helper(HelperRole.DISCOVERY, "discovery"))
-        known = self.folder / "known.json"
-        self.discovery_addresses = await self.discovery.start(plan, await upstreams.start_upstreams(), known)
-        writer = ConfigurationWriter(plan, self.folder, self.discovery_addresses, known.read_bytes())
+        known_path = self.folder / "known.json"
+        self.discovery_addresses = await self.discovery.start(
+            plan, await upstreams.start_upstreams(), known_path
+        )
+        writer = ConfigurationWriter(plan, self.folder, self.discovery_addresses, known_path.read_bytes())
         deployment = read_deployment()
         await self._build(deployment.build)
         async with asyncio.timeout(plan.patience):
--- a/scale_test/discovery_process.py
+++ b/scale_test/discovery_process.py
@@ -20,11 +20,11 @@
     discovery: FakeDiscovery
     plan: Plan
 
-    async def start(self, plan: dict[str, object], dials: list[str], known: str) -> object:
+    async def start(self, plan: dict[str, object], upstream_addresses: list[str], known_path: str) -> object:
         """Start listening, and write the list to a file; returns an address for each balancer."""
         self.plan = Plan(**plan)  # type: ignore[arg-type]
-        registry = Registry(self.plan, dials)
-        Path(known).write_bytes(registry.full_list() if self.plan.known else b"null")
+        registry = Registry(self.plan, upstream_addresses)
+        Path(known_path).write_bytes(registry.full_list() if self.plan.known else b"null")
         self.discovery = FakeDiscovery(registry, self.plan.balancers)
         return await self.discovery.start()
 
--- a/scale_test/helpers.py
+++ b/scale_test/helpers.py
@@ -18,9 +18,11 @@
     def __init__(self, process: ChildProcess) -> None:
         self.process = process
 
-    async def start(self, plan: Plan, dials: Sequence[str], known: Path) -> list[Address]:
+    async def start(self, plan: Plan, upstream_addresses: Sequence[str], known_path: Path) -> list[Address]:
         """Start listening, and write the list to a file; returns an address for each balancer."""
-        addresses = await self.process.call("start", plan=asdict(plan), dials=dials, known=str(known))
+        addresses = await self.process.call(
+            "start", plan=asdict(plan), upstream_addresses=upstream_addresses, known_path=str(known_path)
+        )
         return [(host, port) for host, port in addresses]
 
     async def run_scenario(self) -> None:
@@ -52,7 +54,7 @@
 
     async def start_upstreams(self) -> list[str]:
         """Start listening as the upstreams; returns their addresses."""
-        return [str(dial) for dial in await self.process.call("start_upstreams")]
+        return [str(upstream_address) for upstream_address in await self.process.call("start_upstreams")]
 
     async def start_clients(self, address: Address, rate: float, seed: int) -> None:
         """Start sending so many requests a second."""
--- a/scale_test/registry.py
+++ b/scale_test/registry.py
@@ -30,9 +30,9 @@
 class Registry:
     """Rows by number. A removed row is kept, but is not in full lists."""
 
-    def __init__(self, plan: Plan, dials: Sequence[str]) -> None:
+    def __init__(self, plan: Plan, upstream_addresses: Sequence[str]) -> None:
         self._plan = plan
-        self._dials = dials
+        self._addresses = upstream_addresses
         self.version = 1
         self.first_version = 1  # the log reaches back to it
         self.versions: list[ListVersion] = []
@@ -47,7 +47,7 @@
         share = f"{1 + version * VERSION_MARK:.6f}" if version else "1.0"
         zone = zone_name(self._plan.zone_of(number))
         return (
-            f'{{"host":"s-{number:08x}","dial":"{self._dials[number % len(self._dials)]}",'
+            f'{{"host":"s-{number:08x}","dial":"{self._addresses[number % len(self._addresses)]}",'
             f'"site":"{zone}","class":"m2","block":{number // UPSTREAMS_PER_BLOCK},'
             f'"health":"{self.health[number]}","share":{share},"born_ms":{self._born_ms[number]}}}'
         ).encode()
