--- a/scale_test/registry.py
+++ b/scale_test/registry.py
@@ -10,7 +10,7 @@
 from scale_test.records import ListVersion
 
 # A changed row's share is 1 plus this for each version, so that the row shows its version.
-VERSION_MARK = 1e-6
+SHARE_STEP_PER_VERSION = 1e-6
 UPSTREAMS_PER_BLOCK = 100
 
 
@@ -24,7 +24,7 @@
 
 def version_of_share(share: float) -> int:
     """The version in which a row with this share was changed last; 0: never."""
-    return round((share - 1) / VERSION_MARK)
+    return round((share - 1) / SHARE_STEP_PER_VERSION)
 
 
 class Registry:
@@ -34,7 +34,7 @@
         self._plan = plan
         self._addresses = upstream_addresses
         self.version = 1
-        self.first_version = 1  # the log reaches back to it
+        self.oldest_known_version = 1  # the log reaches back to it
         self.versions: list[ListVersion] = []
         self.health = [Health.UP] * plan.upstreams
         self._log: list[list[int]] = []  # rows changed, by version
@@ -44,7 +44,7 @@
         self._deltas: dict[int, bytes] = {}
 
     def _encode(self, number: int, version: int) -> bytes:
-        share = f"{1 + version * VERSION_MARK:.6f}" if version else "1.0"
+        share = f"{1 + version * SHARE_STEP_PER_VERSION:.6f}" if version else "1.0"
         zone = zone_name(self._plan.zone_of(number))
         return (
             f'{{"host":"s-{number:08x}","dial":"{self._addresses[number % len(self._addresses)]}",'
@@ -69,13 +69,13 @@
 
     def forget_changes(self) -> None:
         """Clear the log: a caller with an older version gets the full list."""
-        self.first_version = self.version
+        self.oldest_known_version = self.version
         self._log.clear()
         self._deltas.clear()
 
     def knows_changes_after(self, version: int) -> bool:
         """Whether the log holds all changes after a version."""
-        return self.first_version <= version <= self.version
+        return self.oldest_known_version <= version <= self.version
 
     def full_list(self) -> bytes:
         """The full list, encoded once for each version."""
@@ -93,7 +93,7 @@
         if version is None or not self.knows_changes_after(version):
             return self.full_list()
         if version not in self._deltas:
-            logged = self._log[version - self.first_version :]
+            logged = self._log[version - self.oldest_known_version :]
             changed = dict.fromkeys(number for rows in logged for number in rows)
             rows = b",".join(self._rows[number] for number in changed)
             self._deltas[version] = b'{"seq":%d,"whole":false,"hosts":[%b]}' % (self.version, rows)
