--- a/scale_test/fake_discovery.py
+++ b/scale_test/fake_discovery.py
@@ -32,7 +32,7 @@
     after: int | None  # the version that the balancer has
     writer: asyncio.StreamWriter
     completed: asyncio.Event = field(default_factory=asyncio.Event)
-    wants_full_list: bool = False
+    force_full_list: bool = False
     timer: asyncio.TimerHandle | None = None
 
 
@@ -49,7 +49,7 @@
         self._queue: asyncio.Queue[PendingCall] = asyncio.Queue()
         self._connections: set[asyncio.StreamWriter] = set()
         self._servers: list[asyncio.Server] = []
-        self._called = asyncio.Event()
+        self._call_received = asyncio.Event()
         self._worker: asyncio.Task[None] | None = None
 
     async def start(self) -> list[tuple[str, int]]:
@@ -117,7 +117,7 @@
             answer = caller.full_lists[-1]
             answer.next_call_ns = now_ns
             answer.accepted = after is not None and after >= answer.version
-        self._called.set()
+        self._call_received.set()
 
     def _end_watch(self, call: PendingCall) -> None:
         """A watch's wait is over: it joins the queue."""
@@ -142,7 +142,7 @@
 
     def _response_body(self, call: PendingCall) -> bytes:
         after = call.after
-        if call.wants_full_list or after is None or not self.registry.knows_changes_after(after):
+        if call.force_full_list or after is None or not self.registry.knows_changes_after(after):
             body = self.registry.full_list()
             call.caller.full_lists.append(FullListAnswer(time.monotonic_ns(), self.registry.version))
             return body
@@ -206,7 +206,7 @@
                 await self._wait_for_calls(lambda: any(call.caller is caller for call in self._watches))
                 watch = next(call for call in reversed(self._watches) if call.caller is caller)
                 sent_before = len(caller.full_lists)
-                watch.wants_full_list = True
+                watch.force_full_list = True
                 self.change([0])
                 await self._wait_for_calls(
                     lambda: (
@@ -218,7 +218,7 @@
             return False
         return True
 
-    async def _wait_for_calls(self, reached: Callable[[], bool]) -> None:
-        while not reached():
-            self._called.clear()
-            await self._called.wait()
+    async def _wait_for_calls(self, condition: Callable[[], bool]) -> None:
+        while not condition():
+            self._call_received.clear()
+            await self._call_received.wait()
