--- a/scale_test/load_generator.py
+++ b/scale_test/load_generator.py
@@ -93,9 +93,9 @@
         for number in itertools.count():
             due_s += rng.expovariate(rate)
             await asyncio.sleep(max(0.0, due_s - time.monotonic()))
-            self._create_task(self._sample(address, number))
+            self._create_task(self._send_and_record(address, number))
 
-    async def _sample(self, address: tuple[str, int], number: int) -> None:
+    async def _send_and_record(self, address: tuple[str, int], number: int) -> None:
         request = (
             b"GET /reading HTTP/1.1\r\nHost: scale\r\nReq-Id: %016x\r\nReq-Owner: ash\r\n"
             b"Req-Deadline-Ms: %d\r\n\r\n" % (number, DEADLINE_MS)
