--- a/scale_test/balancer_config.py
+++ b/scale_test/balancer_config.py
@@ -1,4 +1,4 @@
-"""The configuration files of the balancers of an experiment."""
+"""Writes the configuration files of the balancers of an experiment."""
 
 from __future__ import annotations
 
@@ -19,13 +19,13 @@
 
 
 def format_address(address: Address) -> str:
-    """An address as the configuration has it."""
+    """Format an address as `host:port`, as in the configuration file."""
     host, port = address
     return f"{host}:{port}"
 
 
 def settings(plan: Plan, index: int, zone: str) -> Json:
-    """The settings of the balancer with this index among all replicas."""
+    """Return the settings of the balancer with this index among all replicas."""
     profile = {
         "name": REQUEST_CLASS,
         "repeat": "read_like",
@@ -62,7 +62,7 @@
 
 
 class ConfigurationWriter:
-    """Writes the configuration of each balancer, by its number."""
+    """Writes the configuration files of balancers, each given by its number."""
 
     def __init__(
         self, plan: Plan, folder: Path, discovery_addresses: Sequence[Address], known_list: bytes
@@ -70,10 +70,13 @@
         self._plan = plan
         self._folder = folder
         self._discovery_addresses = discovery_addresses
-        self._known_list = known_list  # JSON text, shared: it is large
+        self._known_list = known_list  # encoded JSON, the same bytes for all balancers because it is large
 
     def configuration(self, number: int) -> Json:
-        """A balancer's configuration, without its address and the endpoint list."""
+        """Return a balancer's configuration without its listening address and the endpoint list.
+
+        The balancers that run take indexes spread evenly over those of all replicas.
+        """
         plan = self._plan
         index = number * plan.replica_count // plan.balancers
         return {
@@ -85,14 +88,14 @@
         }
 
     def write(self, name: str, number: int, listen: str) -> Path:
-        """Write a balancer's configuration, with the endpoint list."""
+        """Write a balancer's configuration file, which includes the endpoint list; returns its path."""
         path = self._folder / f"{name}.json"
         text = orjson.dumps({**self.configuration(number), "listen": listen})
         path.write_bytes(text[:-1] + b',"known":%b}' % self._known_list)
         return path
 
     def hollow_overrides(self, number: int) -> Json:
-        """What is a hollow balancer's own, beside the configuration that its process shares."""
+        """Return the values in which a hollow balancer differs from the configuration its process shares."""
         configuration = self.configuration(number)
         return {
             "name": configuration["name"],
--- a/scale_test/deployment.py
+++ b/scale_test/deployment.py
@@ -1,4 +1,4 @@
-"""The commands of the deploy file that build and run a balancer."""
+"""Reads the commands that build and run a balancer from the deploy file."""
 
 from __future__ import annotations
 
@@ -11,13 +11,13 @@
 
 @dataclass(frozen=True)
 class Deployment:
-    """Shell commands, to be run in the project's folder."""
+    """Shell commands, to be run in the project's root folder."""
 
     build: str
     run: str
 
 
 def read_deployment() -> Deployment:
-    """Read the deploy file."""
+    """Read the `build` and `run` commands of the deploy file."""
     raw = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())
     return Deployment(raw["build"], raw["run"])
--- a/scale_test/fake_discovery.py
+++ b/scale_test/fake_discovery.py
@@ -1,6 +1,6 @@
-"""A fake discovery service: full lists, watches, changes; calls get their responses in turn.
+"""A fake discovery service that serves full lists, changes and watches, and responds to calls in order.
 
-Each balancer has an address of its own to call, so that its calls and bytes can be counted.
+Each balancer calls its own address, so that its calls and bytes can be counted separately.
 """
 
 from __future__ import annotations
@@ -18,26 +18,26 @@
 from scale_test.registry import Health, Registry
 
 HOST = "127.0.0.1"
-MAX_WAIT_S = 60.0
+MAX_WAIT_S = 60.0  # of a watch, whatever its `wait_ms` asks for
 WRITE_CHUNK_BYTES = 256 * 1024
-MAX_WRITE_S = 0.1  # a slow reader delays the next call for so long at most
+MAX_WRITE_S = 0.1  # the longest time that a slow reader delays the response to the next call
 UNAVAILABLE = b"HTTP/1.1 503 Down\r\nContent-Length: 0\r\nConnection: close\r\n\r\n"
 
 
 @dataclass(eq=False)
 class PendingCall:
-    """A balancer's call that has no response yet."""
+    """A balancer's call that has not been responded to yet."""
 
     caller: CallerRecord
-    after: int | None  # the version that the balancer has
+    after: int | None  # the version that the balancer has; None: it asks for the full list
     writer: asyncio.StreamWriter
-    completed: asyncio.Event = field(default_factory=asyncio.Event)
-    force_full_list: bool = False
-    timer: asyncio.TimerHandle | None = None
+    completed: asyncio.Event = field(default_factory=asyncio.Event)  # the connection may read its next call
+    force_full_list: bool = False  # respond with the full list even where the changes are known
+    timer: asyncio.TimerHandle | None = None  # ends a watch after its wait
 
 
 class FakeDiscovery:
-    """Listens for each balancer, and responds from a registry."""
+    """Listens on one address for each balancer, and responds with the contents of a registry."""
 
     def __init__(self, registry: Registry, callers: int) -> None:
         self.registry = registry
@@ -45,15 +45,15 @@
         self.down = False
         self.outages: list[Outage] = []
         self._outage_begun_ns = 0
-        self._watches: dict[PendingCall, None] = {}  # with nothing new yet, in the order in which they came
-        self._queue: asyncio.Queue[PendingCall] = asyncio.Queue()
+        self._watches: dict[PendingCall, None] = {}  # those still waiting, in order of arrival
+        self._queue: asyncio.Queue[PendingCall] = asyncio.Queue()  # calls that are due for a response
         self._connections: set[asyncio.StreamWriter] = set()
         self._servers: list[asyncio.Server] = []
         self._call_received = asyncio.Event()
         self._worker: asyncio.Task[None] | None = None
 
     async def start(self) -> list[tuple[str, int]]:
-        """Listen; returns an address for each balancer."""
+        """Start listening; returns an address for each balancer, by its number."""
         self._worker = asyncio.create_task(self._respond_to_calls())
         for caller in self.callers:
             serve = functools.partial(self._serve, caller)
@@ -61,7 +61,7 @@
         return [server.sockets[0].getsockname()[:2] for server in self._servers]
 
     def close(self) -> None:
-        """Close all connections."""
+        """Stop listening and abort all connections."""
         if self._worker is not None:
             self._worker.cancel()
         for server in self._servers:
@@ -82,7 +82,7 @@
                 if self.down:
                     break
         except (OSError, asyncio.IncompleteReadError):
-            pass  # the balancer has closed it
+            pass  # the balancer has closed the connection, or an outage has aborted it
         finally:
             self._connections.discard(writer)
             writer.close()
@@ -120,7 +120,7 @@
         self._call_received.set()
 
     def _end_watch(self, call: PendingCall) -> None:
-        """A watch's wait is over: it joins the queue."""
+        """Queue a watch for its response, because the list has changed or its wait has expired."""
         if call in self._watches:
             del self._watches[call]
             if call.timer is not None:
@@ -159,14 +159,14 @@
     # -- commands of the experiment --
 
     def change(self, rows: Sequence[int], health: Health | None = None, *, restarted: bool = False) -> None:
-        """Change rows of the list, and end the watches."""
+        """Change rows of the list, and respond to all watches."""
         self.registry.change(rows, health, restarted=restarted)
         if not self.down:
             for call in list(self._watches):
                 self._end_watch(call)
 
     def begin_outage(self) -> None:
-        """Go down: watches end, and calls are rejected."""
+        """Begin an outage: abort all connections and their watches, and reject new calls."""
         self.down = True
         self._outage_begun_ns = time.monotonic_ns()
         for writer in self._connections:
@@ -176,7 +176,7 @@
         self._watches.clear()
 
     def end_outage(self) -> None:
-        """Come back without the log of changes: each caller gets the full list."""
+        """End the outage with an empty log of changes: callers with an older version get the full list."""
         self.registry.forget_changes()
         self.down = False
         self.outages.append(Outage(self._outage_begun_ns, time.monotonic_ns()))
@@ -198,7 +198,7 @@
         """Change a row, and send one balancer the full list in response to its watch.
 
         Returns:
-            Whether its next call has come in time.
+            Whether its next call came before the timeout.
         """
         caller = self.callers[number]
         try:
--- a/scale_test/hollow.py
+++ b/scale_test/hollow.py
@@ -1,4 +1,4 @@
-"""Hollow balancers: the real proxy, discovery client and policy, with no clients, many in one process."""
+"""Hollow balancers: the real proxy, discovery client and policy without clients, many in one process."""
 
 from __future__ import annotations
 
@@ -24,14 +24,14 @@
 
 
 class TimedPolicy:
-    """A policy, and how long it takes over changes of the list."""
+    """Wraps a policy and records how long it takes to apply changes of the endpoint list."""
 
     def __init__(self, policy: Balancer) -> None:
         self._policy = policy
         self.changes: list[PolicyChange] = []
 
     def handle(self, now_ns: int, events: Iterable[Event]) -> list[Action]:
-        """Let the policy handle the events, and record those that change the list."""
+        """Pass the events to the policy, and record the time of those that change the list."""
         events = list(events)
         begun_ns = time.monotonic_ns()
         actions = self._policy.handle(now_ns, events)
@@ -43,7 +43,7 @@
 
 
 class RecordingListApplier(EndpointListApplier):
-    """A list applier that records when each response of discovery was in force, to its last row."""
+    """A list applier that records when the last row of each discovery response came into force."""
 
     def __init__(
         self,
@@ -56,7 +56,10 @@
         self._waiting_tasks: set[asyncio.Task[None]] = set()
 
     def on_watch_result(self, result: WatchResult) -> None:
-        """Apply a response as usual, and record it."""
+        """Apply a response as usual, and record when it is in force.
+
+        Responses without rows are not recorded, unless they are a full list.
+        """
         super().on_watch_result(result)
         if not isinstance(result, EndpointList) or not (result.complete or len(result)):
             return
@@ -67,14 +70,14 @@
             self._waiting_tasks.add(wait)
             wait.add_done_callback(self._waiting_tasks.discard)
 
-    async def _record_in_force(self, index: int, applying: asyncio.Task[None]) -> None:
+    async def _record_in_force(self, index: int, apply_task: asyncio.Task[None]) -> None:
         self.in_force[index] = (self.in_force[index][0], NEVER_NS)
-        await asyncio.wait({applying})  # ends with the last of the lists that wait
+        await asyncio.wait({apply_task})  # the task ends when it has applied all pending lists
         self.in_force[index] = (self.in_force[index][0], time.monotonic_ns())
 
 
 class HollowProxy(Proxy):
-    """A proxy that records when its endpoint lists were in force."""
+    """A proxy that records when its endpoint lists came into force."""
 
     list_applier_class = RecordingListApplier
     list_applier: RecordingListApplier
@@ -85,13 +88,17 @@
 
 
 class HollowCommands:
-    """The commands: `start`, as often as needed, and then `report`."""
+    """The commands of this process: `start`, any number of times, and then `report`."""
 
     def __init__(self) -> None:
         self._proxies: list[HollowProxy] = []
 
     async def start(self, config_path: str, balancers: list[dict[str, Any]]) -> object:
-        """Start balancers one after the other; returns each one's ns, from its configuration on."""
+        """Start balancers one after the other.
+
+        Returns:
+            The nanoseconds that each took, the reading of its configuration included.
+        """
         started_ns = []
         for balancer in balancers:
             begun_ns = time.monotonic_ns()
@@ -103,7 +110,7 @@
         return started_ns
 
     async def report(self) -> object:
-        """Stop the balancers; returns what each has recorded."""
+        """Stop the balancers; returns what each recorded."""
         for proxy in self._proxies:
             proxy.close()
         return [
@@ -113,8 +120,11 @@
 
 
 def hollow_proxy(config_path: str, balancer: dict[str, Any]) -> HollowProxy:
-    """A balancer of the configuration that all share, with what is its own."""
-    base = read_configuration(config_path)  # read again each time: real balancers share no text
+    """Create a balancer from the configuration that all share, with its own values in place of some.
+
+    The file is read again for each balancer, so that balancers share no text, just as real ones don't.
+    """
+    base = read_configuration(config_path)
     settings = replace(base.settings, proxy_index=balancer["me"], zone=balancer["zone"])
     policy = TimedPolicy(Balancer(settings, balancer["seed"], time.monotonic_ns()))
     configuration = replace(
--- a/scale_test/load_generator.py
+++ b/scale_test/load_generator.py
@@ -1,4 +1,4 @@
-"""The child process that generates load: run once as the upstreams, and once as the clients of a balancer."""
+"""The load generator, a child process that plays either all upstreams or the clients of one balancer."""
 
 from __future__ import annotations
 
@@ -14,14 +14,14 @@
 from scale_test.http_messages import END_OF_HEAD, content_length, is_ok, ok_response
 from scale_test.records import RequestSample
 
-LISTENERS = 8  # all upstreams of the list lead to one of them
-SERVICE_TIME_S = 0.004  # of an upstream
-DEADLINE_MS = 2000
+LISTENERS = 8  # each upstream of the list has the address of one of them
+SERVICE_TIME_S = 0.004  # between an upstream's receipt of a request and its response
+DEADLINE_MS = 2000  # of each request
 
 
 @dataclass(frozen=True)
 class Connection:
-    """A client's connection to the balancer."""
+    """A client connection to the balancer."""
 
     reader: asyncio.StreamReader
     writer: asyncio.StreamWriter
@@ -41,13 +41,13 @@
 
     @property
     def upstream_ns(self) -> int:
-        """The time that the upstream took."""
+        """The time that the upstream took, by the two times in the body."""
         received, answered = self.body.split()
         return int(answered) - int(received)
 
 
 async def serve_upstream(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-    """Respond as an upstream: the body holds the times of the request and of the response."""
+    """Respond as an upstream; the body holds the times in ns of the request's receipt and of the response."""
     try:
         while True:
             await reader.readuntil(END_OF_HEAD)
@@ -60,7 +60,7 @@
 
 
 class LoadCommands:
-    """The commands: `start_upstreams`, or `start_clients` and then `report`."""
+    """The commands of this process: `start_upstreams`, or `start_clients` and then `report`."""
 
     def __init__(self) -> None:
         self._servers: list[asyncio.Server] = []
@@ -69,18 +69,21 @@
         self._tasks: set[asyncio.Task[None]] = set()
 
     async def start_upstreams(self) -> object:
-        """Start listening; returns the addresses as in the endpoint list."""
+        """Start listening as the upstreams; returns the addresses, formatted as in the endpoint list."""
         for number in range(LISTENERS):
             self._servers.append(await asyncio.start_server(serve_upstream, f"127.9.0.{number + 1}", 0))
         return ["{}:{}".format(*server.sockets[0].getsockname()[:2]) for server in self._servers]
 
     async def start_clients(self, address: tuple[str, int], rate: float, seed: int) -> object:
-        """Start sending so many requests a second, at random times, without waiting for responses."""
+        """Start sending requests at an average of `rate` per second, without waiting for responses.
+
+        The intervals between requests are exponentially distributed.
+        """
         self._create_task(self._send_all(address, rate, random.Random(seed)))
         return True
 
     async def report(self) -> object:
-        """The requests that have ended."""
+        """Return a sample of each request that has ended so far."""
         return self._samples
 
     def _create_task(self, work: Coroutine[Any, Any, None]) -> None:
@@ -108,11 +111,11 @@
             if response.is_ok:
                 added_ns = time.monotonic_ns() - sent_ns - response.upstream_ns
         except (OSError, TimeoutError, asyncio.IncompleteReadError):
-            pass  # it has not been served
+            pass  # the request is recorded as not served
         self._samples.append(RequestSample(sent_ns, time.monotonic_ns(), added_ns))
 
     async def _send(self, address: tuple[str, int], request: bytes) -> Response:
-        """Send a request, and once more where the balancer closed the connection as it was sent."""
+        """Send a request, and again on a new connection if its connection is closed before the response."""
         try:
             connection = self._idle.pop() if self._idle else await self._connect(address)
             return await self._exchange(connection, request)
--- a/scale_test/process_memory.py
+++ b/scale_test/process_memory.py
@@ -1,4 +1,4 @@
-"""The memory of a process, as the kernel's status file has it."""
+"""Reads the memory use of a process from `/proc/<pid>/status`."""
 
 from __future__ import annotations
 
@@ -8,12 +8,12 @@
 
 
 def resident_bytes(pid: int) -> int:
-    """Resident bytes now."""
+    """Return the resident memory of a process in bytes."""
     return _status_bytes(pid, "VmRSS")
 
 
 def peak_resident_bytes(pid: int) -> int:
-    """Resident bytes at their peak so far."""
+    """Return the peak of a process's resident memory so far in bytes."""
     return _status_bytes(pid, "VmHWM")
 
 
--- a/scale_test/registry.py
+++ b/scale_test/registry.py
@@ -1,4 +1,4 @@
-"""The endpoint list of the fake discovery: encoded rows, and a log of changes."""
+"""The endpoint list of the fake discovery: its rows, encoded as JSON, and a log of changes."""
 
 from __future__ import annotations
 
@@ -9,13 +9,13 @@
 from scale_test.plan import Plan, zone_name
 from scale_test.records import ListVersion
 
-# A changed row's share is 1 plus this for each version, so that the row shows its version.
+# A row changed in version N has the share 1 + N * this, so that the row itself shows its version.
 SHARE_STEP_PER_VERSION = 1e-6
 UPSTREAMS_PER_BLOCK = 100
 
 
 class Health(StrEnum):
-    """An upstream's health, as the list has it."""
+    """An upstream's health; the values are those of the endpoint list."""
 
     UP = "up"
     DRAINING = "draining"
@@ -23,21 +23,21 @@
 
 
 def version_of_share(share: float) -> int:
-    """The version in which a row with this share was changed last; 0: never."""
+    """Return the version in which a row with this share was last changed; 0: never."""
     return round((share - 1) / SHARE_STEP_PER_VERSION)
 
 
 class Registry:
-    """Rows by number. A removed row is kept, but is not in full lists."""
+    """The rows of the list by number. Removed rows are kept, but left out of full lists."""
 
     def __init__(self, plan: Plan, upstream_addresses: Sequence[str]) -> None:
         self._plan = plan
         self._addresses = upstream_addresses
         self.version = 1
-        self.oldest_known_version = 1  # the log reaches back to it
+        self.oldest_known_version = 1  # the log holds all changes after it
         self.versions: list[ListVersion] = []
         self.health = [Health.UP] * plan.upstreams
-        self._log: list[list[int]] = []  # rows changed, by version
+        self._log: list[list[int]] = []  # the rows changed in each version after the oldest known one
         self._born_ms = [0] * plan.upstreams
         self._rows = [self._encode(number, 0) for number in range(plan.upstreams)]
         self._full_list = b""
@@ -53,7 +53,13 @@
         ).encode()
 
     def change(self, rows: Iterable[int], health: Health | None = None, *, restarted: bool = False) -> None:
-        """Make one version in which these rows changed: their health, their start, or only their share."""
+        """Make a new version in which these rows change.
+
+        Args:
+            rows: Numbers of the rows. Their share changes in any case.
+            health: Their new health; None: unchanged.
+            restarted: Whether their start time becomes the present.
+        """
         rows = list(rows)
         self.version += 1
         for number in rows:
@@ -68,17 +74,17 @@
         self._deltas.clear()
 
     def forget_changes(self) -> None:
-        """Clear the log: a caller with an older version gets the full list."""
+        """Clear the log, so that a caller with an older version gets the full list."""
         self.oldest_known_version = self.version
         self._log.clear()
         self._deltas.clear()
 
     def knows_changes_after(self, version: int) -> bool:
-        """Whether the log holds all changes after a version."""
+        """Whether the log holds all changes made after a version."""
         return self.oldest_known_version <= version <= self.version
 
     def full_list(self) -> bytes:
-        """The full list, encoded once for each version."""
+        """Return the full list as JSON, which is encoded once for each version."""
         if not self._full_list:
             listed = (
                 row
@@ -89,7 +95,7 @@
         return self._full_list
 
     def changes_after(self, version: int | None) -> bytes:
-        """The changes after a version, or the full list where they aren't known."""
+        """Return the changes made after a version as JSON, or the full list if the log does not hold them."""
         if version is None or not self.knows_changes_after(version):
             return self.full_list()
         if version not in self._deltas:
