--- a/scale_test/helpers.py
+++ b/scale_test/helpers.py
@@ -84,7 +84,9 @@
         """
         return [
             int(ns)
-            for ns in await self.process.call("start", config_path=str(config_path), balancers=balancers)
+            for ns in await self.process.call(
+                "start", config_path=str(config_path), balancer_overrides=balancers
+            )
         ]
 
     async def report(self) -> list[BalancerReport]:
--- a/scale_test/hollow.py
+++ b/scale_test/hollow.py
@@ -93,16 +93,16 @@
     def __init__(self) -> None:
         self._proxies: list[HollowProxy] = []
 
-    async def start(self, config_path: str, balancers: list[dict[str, Any]]) -> object:
+    async def start(self, config_path: str, balancer_overrides: list[dict[str, Any]]) -> object:
         """Start balancers one after the other.
 
         Returns:
             The nanoseconds that each took, the reading of its configuration included.
         """
         started_ns = []
-        for balancer in balancers:
+        for overrides in balancer_overrides:
             begun_ns = time.monotonic_ns()
-            proxy = hollow_proxy(config_path, balancer)
+            proxy = hollow_proxy(config_path, overrides)
             await proxy.start()
             started_ns.append(time.monotonic_ns() - begun_ns)
             self._proxies.append(proxy)
@@ -119,19 +119,19 @@
         ]
 
 
-def hollow_proxy(config_path: str, balancer: dict[str, Any]) -> HollowProxy:
-    """Create a balancer from the configuration that all share, with its own values in place of some.
+def hollow_proxy(config_path: str, overrides: dict[str, Any]) -> HollowProxy:
+    """Create a balancer from the configuration that all share and from its own overrides.
 
     The file is read again for each balancer, so that balancers share no text, just as real ones don't.
     """
     base = read_configuration(config_path)
-    settings = replace(base.settings, proxy_index=balancer["me"], zone=balancer["zone"])
-    policy = TimedPolicy(Balancer(settings, balancer["seed"], time.monotonic_ns()))
+    settings = replace(base.settings, proxy_index=overrides["me"], zone=overrides["zone"])
+    policy = TimedPolicy(Balancer(settings, overrides["seed"], time.monotonic_ns()))
     configuration = replace(
         base,
-        name=balancer["name"],
-        discovery=tuple(balancer["discovery"]),
-        seed=balancer["seed"],
+        name=overrides["name"],
+        discovery=tuple(overrides["discovery"]),
+        seed=overrides["seed"],
         settings=settings,
     )
     return HollowProxy(configuration, policy)
