--- a/tests/scale_test/test_registry.py
+++ b/tests/scale_test/test_registry.py
@@ -1,4 +1,4 @@
-"""The registry: full lists, and what changed after a version."""
+"""The registry of the fake discovery: full lists, and the changes made after a version."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
     return [row["host"] for row in json.loads(text)["hosts"]]
 
 
-def test_the_list_is_given_in_full_or_as_what_changed() -> None:
+def test_returns_the_full_list_or_the_changes_after_a_version() -> None:
     registry = Registry(PLAN, ["127.0.0.1:1", "127.0.0.1:2"])
     assert json.loads(registry.full_list())["hosts"][3] == {
         "host": "s-00000003",
@@ -26,7 +26,7 @@
         "share": 1.0,
         "born_ms": 0,
     }
-    assert registry.full_list() is registry.full_list()  # put together once
+    assert registry.full_list() is registry.full_list()  # encoded once for each version
     registry.change([1], Health.DRAINING)
     registry.change([0, 2])
     registry.change([1], Health.REMOVED)
@@ -38,7 +38,7 @@
         "s-00000002": ("up", 3),
     }
     assert hosts(registry.changes_after(4)) == []
-    for after in (None, 0, 9):  # of these it knows nothing
+    for after in (None, 0, 9):  # none, older than the log, newer than the list
         assert json.loads(registry.changes_after(after))["whole"]
     assert hosts(registry.full_list()) == ["s-00000000", "s-00000002", "s-00000003"]
     registry.change([1], Health.UP, restarted=True)
