--- a/scale_test/slopes/policy_harness.py
+++ b/scale_test/slopes/policy_harness.py
@@ -38,9 +38,9 @@
         self.now_ns = NS_PER_S
         self.requests = 0
 
-    def handle(self, *events: Event, later_ns: int = EVENT_GAP_NS) -> list[Action]:
+    def handle(self, *events: Event, advance_ns: int = EVENT_GAP_NS) -> list[Action]:
         """Move the clock and give the policy these events."""
-        self.now_ns += later_ns
+        self.now_ns += advance_ns
         return self.balancer.handle(self.now_ns, events)
 
     def set_endpoints(self, endpoints: Sequence[Endpoint]) -> PolicyHarness:
@@ -49,12 +49,12 @@
         return self
 
     def arrive(
-        self, request_class: str = "c0", tenant: str = "t0", later_ns: int = REQUEST_GAP_NS
+        self, request_class: str = "c0", tenant: str = "t0", advance_ns: int = REQUEST_GAP_NS
     ) -> Forward | None:
         """Let a request arrive; returns its first attempt, or None where it is not forwarded at once."""
         self.requests += 1
         arrival = RequestArrived(str(self.requests), request_class, tenant, self.now_ns + REQUEST_TIMEOUT_NS)
-        for action in self.handle(arrival, later_ns=later_ns):
+        for action in self.handle(arrival, advance_ns=advance_ns):
             if isinstance(action, Forward):
                 return action
         return None
@@ -71,7 +71,7 @@
             elapsed_ns=ATTEMPT_NS,
             request_complete=True,
         )
-        return self.handle(ended, later_ns=REQUEST_GAP_NS)
+        return self.handle(ended, advance_ns=REQUEST_GAP_NS)
 
     def request_cpu_s(self, requests: int = 40) -> float:
         """Measure the processor time of one request, its outcome included."""
@@ -86,7 +86,7 @@
 
     def load_probing_figures(self, times: int = 6) -> Figures:
         """Measure the load probing of each half second: its mean and its longest processor time."""
-        self.handle(later_ns=LOAD_PROBING_INTERVAL_NS)  # starts the interval
+        self.handle(advance_ns=LOAD_PROBING_INTERVAL_NS)  # starts the interval
         durations_s = [self._load_probing_cpu_s() for _ in range(times)]
         return {"look_s": statistics.mean(durations_s), "look_top_s": max(durations_s)}
 
@@ -94,5 +94,5 @@
         end_ns = self.now_ns + LOAD_PROBING_INTERVAL_NS
         while self.now_ns < end_ns - PROBING_MARGIN_NS:  # some traffic, and all timers on time
             self.end(self.arrive(tenant=f"t{self.requests % SENDING_TENANTS}"))
-            self.handle(later_ns=TIMER_STEP_NS)
-        return timed(lambda: self.handle(later_ns=end_ns - self.now_ns)).cpu_s
+            self.handle(advance_ns=TIMER_STEP_NS)
+        return timed(lambda: self.handle(advance_ns=end_ns - self.now_ns)).cpu_s
