--- a/scale_test/slopes/policy_subjects.py
+++ b/scale_test/slopes/policy_subjects.py
@@ -44,7 +44,7 @@
     cpu_s: float
 
 
-class ListedPolicy:
+class PolicyWithReader:
     """A policy that has read the full list, and the reader that reads its changes."""
 
     def __init__(self, text: bytes, settings: Settings) -> None:
@@ -74,7 +74,7 @@
     settings = read_settings(raw_settings(2, routes, placed=routes > 1))
     read = timed(lambda: read_endpoints(text, EndpointListReader(0)))
     apply = timed(lambda: new_harness(settings).set_endpoints(read.result))
-    started = build_cost(lambda: ListedPolicy(text, settings), "start")
+    started = build_cost(lambda: PolicyWithReader(text, settings), "start")
     policy = started.result
     changes = [policy.apply_delta(rows[:1]) for _ in range(SINGLE_CHANGES)]
     figures = started.figures | {
@@ -126,7 +126,7 @@
     harness.set_endpoints([Endpoint(number + 1) for number in range(UPSTREAMS_PER_REQUEST * count)])
 
     def arrive_all() -> list[Forward | None]:
-        return [harness.arrive(later_ns=ARRIVAL_GAP_NS) for _ in range(count)]
+        return [harness.arrive(advance_ns=ARRIVAL_GAP_NS) for _ in range(count)]
 
     def end_all(attempts: Sequence[Forward | None]) -> None:
         for attempt in attempts:
@@ -137,5 +137,5 @@
     figures["arrive_s"] /= count
     figures["open"] = sum(attempt is not None for attempt in attempts)
     figures["end_s"] = timed(lambda: end_all(attempts[::2])).cpu_s / (count / 2)
-    figures["stall_s"] = timed(lambda: harness.handle(later_ns=STALL_NS)).cpu_s
+    figures["stall_s"] = timed(lambda: harness.handle(advance_ns=STALL_NS)).cpu_s
     return figures
