--- a/scale_test/slopes/policy_harness.py
+++ b/scale_test/slopes/policy_harness.py
@@ -20,9 +20,9 @@
 from scale_test.slopes.measuring import Figures, timed
 from scale_test.units import NS_PER_S
 
-LOAD_PROBING_INTERVAL_NS = NS_PER_S // 2
+FEEDBACK_INTERVAL_NS = NS_PER_S // 2
 TIMER_STEP_NS = NS_PER_S // 100
-PROBING_MARGIN_NS = NS_PER_S // 50  # the last part of the interval holds the probing alone
+FEEDBACK_MARGIN_NS = NS_PER_S // 50  # without traffic at the end of the interval, so that the tick runs alone
 EVENT_GAP_NS = 10**6
 REQUEST_GAP_NS = 10**4
 REQUEST_TIMEOUT_NS = 60 * NS_PER_S
@@ -84,15 +84,22 @@
 
         return timed(serve, 3).cpu_s / requests
 
-    def load_probing_figures(self, times: int = 6) -> Figures:
-        """Measure the load probing of each half second: its mean and its longest processor time."""
-        self.handle(advance_ns=LOAD_PROBING_INTERVAL_NS)  # starts the interval
-        durations_s = [self._load_probing_cpu_s() for _ in range(times)]
+    def measure_feedback_ticks(self, times: int = 6) -> Figures:
+        """Measure the feedback ticks of the policy, which run every half second.
+
+        Returns:
+            look_s: The mean processor time of a feedback tick.
+            look_top_s: The longest.
+        """
+        self.handle(advance_ns=FEEDBACK_INTERVAL_NS)  # the tick that starts the first interval
+        durations_s = [self._feedback_tick_cpu_s() for _ in range(times)]
         return {"look_s": statistics.mean(durations_s), "look_top_s": max(durations_s)}
 
-    def _load_probing_cpu_s(self) -> float:
-        end_ns = self.now_ns + LOAD_PROBING_INTERVAL_NS
-        while self.now_ns < end_ns - PROBING_MARGIN_NS:  # some traffic, and all timers on time
+    def _feedback_tick_cpu_s(self) -> float:
+        end_ns = self.now_ns + FEEDBACK_INTERVAL_NS
+        while (
+            self.now_ns < end_ns - FEEDBACK_MARGIN_NS
+        ):  # light traffic; steps are short, so that no timer is late
             self.end(self.arrive(tenant=f"t{self.requests % SENDING_TENANTS}"))
             self.handle(advance_ns=TIMER_STEP_NS)
         return timed(lambda: self.handle(advance_ns=end_ns - self.now_ns)).cpu_s
--- a/scale_test/slopes/policy_subjects.py
+++ b/scale_test/slopes/policy_subjects.py
@@ -68,7 +68,7 @@
 
 
 def upstreams(count: int, routes: int = 1) -> Figures:
-    """Upstreams in the list: reading it, applying it in full, one change, a zone's change, load probing."""
+    """Upstreams in the list: reading and applying it, one change, a zone's change, a feedback tick."""
     rows = [endpoint_row(number, routes) for number in range(count)]
     text = orjson.dumps(endpoint_list(rows))
     settings = read_settings(raw_settings(2, routes, placed=routes > 1))
@@ -84,7 +84,7 @@
         "change_b": changes[0].list_bytes,
         "change_s": statistics.median(change.cpu_s for change in changes),
     }
-    figures |= policy.harness.load_probing_figures()
+    figures |= policy.harness.measure_feedback_ticks()
     zone_rows = rows[:: len(ZONES)][: max(1, count // len(ZONES))]
     figures["zone_s"] = policy.apply_delta(zone_rows).cpu_s
     figures["request_s"] = policy.harness.request_cpu_s()
@@ -103,18 +103,18 @@
     endpoints = [Endpoint(number + 1) for number in range(10)]
     harness = PolicyHarness(started.result).set_endpoints(endpoints)
     figures = started.figures | {"config_b": len(text)}
-    figures |= harness.load_probing_figures()
+    figures |= harness.measure_feedback_ticks()
     figures["request_s"] = harness.request_cpu_s()
     return figures
 
 
 def tenants(count: int) -> Figures:
-    """Tenants in the settings, of which 40 send: start, load probing, a request."""
+    """Tenants in the settings, of which 40 send: start, a feedback tick, a request."""
     return settings_figures(raw_settings(tenants=count))
 
 
 def routes(count: int) -> Figures:
-    """Routes as request classes without placement: start, load probing, a request."""
+    """Routes as request classes without placement: start, a feedback tick, a request."""
     return settings_figures(raw_settings(routes=count))
 
 
