--- a/scale_test/slopes/inputs.py
+++ b/scale_test/slopes/inputs.py
@@ -14,8 +14,8 @@
 Json = dict[str, Any]
 
 
-def endpoint_row(number: int, machine_classes: int = 1, dial: str = "", **more: object) -> Json:
-    """One endpoint as discovery's list has it; `more` overrides fields of it."""
+def endpoint_row(number: int, machine_classes: int = 1, dial: str = "", **overrides: object) -> Json:
+    """One endpoint as discovery's list has it; `overrides` replaces fields of it."""
     return {
         "host": f"s-{number:08x}",
         "dial": dial or f"10.{number >> 16 & 255}.{number >> 8 & 255}.{number & 255}:3000",
@@ -25,7 +25,7 @@
         "health": "up",
         "share": 1.0,
         "born_ms": 0,
-        **more,
+        **overrides,
     }
 
 
