--- a/scale_test/slopes/real_balancer.py
+++ b/scale_test/slopes/real_balancer.py
@@ -84,7 +84,7 @@
         log = Path(folder) / "log"
         process = start_process(Path(folder), log, config)
         try:
-            yield RealBalancer(process.pid, await ready_port(process, log))
+            yield RealBalancer(process.pid, await wait_until_ready(process, log))
         finally:
             process.kill()
             process.wait()
@@ -106,7 +106,7 @@
         )
 
 
-async def ready_port(process: subprocess.Popen[bytes], log: Path) -> int:
+async def wait_until_ready(process: subprocess.Popen[bytes], log: Path) -> int:
     """Wait until the balancer logs that it is ready; returns its port."""
     while True:
         text = log.read_text()
