--- a/scale_test/slopes/policy_harness.py
+++ b/scale_test/slopes/policy_harness.py
@@ -73,7 +73,7 @@
         )
         return self.handle(ended, advance_ns=REQUEST_GAP_NS)
 
-    def request_cpu_s(self, requests: int = 40) -> float:
+    def measure_request_cpu_s(self, requests: int = 40) -> float:
         """Measure the processor time of one request, its outcome included."""
         classes = self.balancer.settings.request_classes
 
--- a/scale_test/slopes/policy_subjects.py
+++ b/scale_test/slopes/policy_subjects.py
@@ -87,7 +87,7 @@
     figures |= policy.harness.measure_feedback_ticks()
     zone_rows = rows[:: len(ZONES)][: max(1, count // len(ZONES))]
     figures["zone_s"] = policy.apply_delta(zone_rows).cpu_s
-    figures["request_s"] = policy.harness.request_cpu_s()
+    figures["request_s"] = policy.harness.measure_request_cpu_s()
     return figures
 
 
@@ -96,7 +96,7 @@
     return upstreams(count * UPSTREAMS_PER_SERVICE, count)
 
 
-def settings_figures(raw: Json) -> Figures:
+def measure_settings(raw: Json) -> Figures:
     """Measure a policy with these settings before ten endpoints."""
     text = orjson.dumps(raw)
     started = build_cost(lambda: Balancer(read_settings(json.loads(text)), 1, NS_PER_S), "start")
@@ -104,18 +104,18 @@
     harness = PolicyHarness(started.result).set_endpoints(endpoints)
     figures = started.figures | {"config_b": len(text)}
     figures |= harness.measure_feedback_ticks()
-    figures["request_s"] = harness.request_cpu_s()
+    figures["request_s"] = harness.measure_request_cpu_s()
     return figures
 
 
 def tenants(count: int) -> Figures:
     """Tenants in the settings, of which 40 send: start, a feedback tick, a request."""
-    return settings_figures(raw_settings(tenants=count))
+    return measure_settings(raw_settings(tenants=count))
 
 
 def routes(count: int) -> Figures:
     """Routes as request classes without placement: start, a feedback tick, a request."""
-    return settings_figures(raw_settings(routes=count))
+    return measure_settings(raw_settings(routes=count))
 
 
 def requests(count: int) -> Figures:
