--- a/scale_test/slopes/__init__.py
+++ b/scale_test/slopes/__init__.py
@@ -1,7 +1,7 @@
 """Slopes: what one more upstream, tenant, route, service, request or connection costs a balancer.
 
 `python -m scale_test.slopes` measures each subject at several sizes and fits a line to each figure. A figure
-is processor time (its name ends in `_s`; with `wall` in it, time on the wall clock), bytes (`_b`) or a count.
-The names of subjects and figures stay as they are, so that files of earlier runs under `docs/scale/` can be
-compared.
+whose name ends in `_s` is processor time in seconds, or wall-clock time if the name contains `wall`; `_b` is
+bytes; others are counts. Names of subjects and figures must not change, because results are compared with
+the files of earlier runs under `docs/scale/`.
 """
--- a/scale_test/slopes/__main__.py
+++ b/scale_test/slopes/__main__.py
@@ -2,9 +2,10 @@
 
     python -m scale_test.slopes [SUBJECT ...] [--json FILE]
 
-A subject is measured at several sizes: processor time (names end in _s; those with `wall` are on the wall
-clock), bytes (_b), counts. The first subjects run the policy and the list reader alone, in this process;
-those from `process` on start a real balancer by the deploy file's `run`, with fakes on loopback.
+Each subject is measured at several sizes. The figures are processor time (names end in _s; wall-clock time
+where they contain `wall`), bytes (_b) and counts. The subjects before `process` run the policy and the list
+reader alone, in this process; `process` and those after it start a real balancer by the deploy file's `run`
+command, with fakes of its upstreams and of discovery on loopback.
 """
 
 from __future__ import annotations
@@ -23,7 +24,7 @@
 
 
 def last_commit(*paths: str) -> str:
-    """The short name of the last commit that touched these paths."""
+    """Return the abbreviated hash of the last commit that changed these paths."""
     done = subprocess.run(
         ["git", "log", "-1", "--format=%h", "--", *paths], cwd=ROOT, capture_output=True, check=False
     )
@@ -31,7 +32,7 @@
 
 
 def add_to_file(path: Path, name: str, result: Json) -> None:
-    """Put a subject's result into the file, beside those of other subjects."""
+    """Add or replace a subject's result in the file, and keep those of other subjects."""
     content = orjson.loads(path.read_bytes()) if path.exists() else {"subjects": {}}
     content["balancer"] = last_commit("loadbalancer", "requirements.txt")
     content["tool"] = last_commit("scale_test/slopes")
@@ -44,7 +45,7 @@
 @click.option("--sizes", default="", help="sizes instead of the usual ones, as 10,100,1000")
 @click.option("--json", "path", type=click.Path(path_type=Path), help="add the results to this file")
 def main(subjects: Sequence[str], sizes: str, path: Path | None) -> None:
-    """Measure the subjects named, or all."""
+    """Measure the given subjects, or all if none is given."""
     for name in subjects or SUBJECTS:
         result = measure(name, [int(size) for size in sizes.split(",") if size])
         click.echo(format_table(name, result) + "\n")
--- a/scale_test/slopes/fakes.py
+++ b/scale_test/slopes/fakes.py
@@ -1,4 +1,4 @@
-"""Fakes of upstreams and of discovery on loopback, and a client."""
+"""Fake upstreams and a fake discovery service on loopback, and a client."""
 
 from __future__ import annotations
 
@@ -19,28 +19,28 @@
 
 @dataclass(frozen=True)
 class ListChange:
-    """A version of the list and the host that changed in it."""
+    """A version of the endpoint list, and the one host that changed in it."""
 
     version: int
     host: str
 
 
 class FakeServices:
-    """Upstreams (all at one address) and discovery; counts calls, bytes and connections."""
+    """Discovery, and upstreams that share one address; counts calls, bytes and connections."""
 
     def __init__(self, rows: Sequence[Json]) -> None:
         self.rows = {row["host"]: row for row in rows}
         self.version = 1
-        self.discovery_bytes = 0
-        self.responses = 0
-        self.watches = 0
-        self.upstream_connections = 0
-        self.upstream_delay_s = 0.0
+        self.discovery_bytes = 0  # of calls to discovery and of its responses
+        self.responses = 0  # of discovery
+        self.watches = 0  # calls for what is newer than a version
+        self.upstream_connections = 0  # open now
+        self.upstream_delay_s = 0.0  # before each response of an upstream
         self._changes: list[ListChange] = []
         self._changed = asyncio.Event()
 
     def change(self, host: str, **fields: object) -> None:
-        """Make a version in which these fields of a host's row changed, and end the watches."""
+        """Make a new version in which these fields of a host's row change, and respond to all watches."""
         self.version += 1
         self.rows[host] |= fields
         self._changes.append(ListChange(self.version, host))
@@ -48,7 +48,7 @@
         self._changed = asyncio.Event()
 
     async def serve_discovery(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        """Respond to a balancer's calls for the list and its watches."""
+        """Respond to a balancer's calls for the full list and to its watches."""
         async for head in read_heads(reader):
             query = head.split(b" ", 2)[1].decode().partition("?")[2]
             parameters = dict(part.split("=") for part in query.split("&") if part)
@@ -70,7 +70,7 @@
         return endpoint_list([self.rows[host] for host in hosts], self.version, full=False)
 
     async def serve_upstream(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        """Respond to requests as an upstream, each after the delay."""
+        """Respond to requests as an upstream, each after `upstream_delay_s`."""
         self.upstream_connections += 1
         async for _ in read_heads(reader):
             await asyncio.sleep(self.upstream_delay_s)
@@ -79,14 +79,14 @@
 
 
 async def read_heads(reader: asyncio.StreamReader) -> AsyncIterator[bytes]:
-    """The requests that come on a connection; none has a body."""
+    """Yield the head of each request on a connection until it is closed; requests have no body."""
     with suppress(OSError, asyncio.IncompleteReadError):
         while True:
             yield await reader.readuntil(END_OF_HEAD)
 
 
 def until_cancelled(handle: ConnectionHandler) -> ConnectionHandler:
-    """Let a handler end without an error when its task is cancelled, as at the end of the event loop."""
+    """Wrap a handler so that it ends without an error when its task is cancelled at the event loop's end."""
 
     async def handle_until_cancelled(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         with suppress(asyncio.CancelledError):
@@ -97,7 +97,7 @@
 
 
 class Client:
-    """One client's connection to the balancer."""
+    """A client with one connection to the balancer."""
 
     def __init__(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self._reader = reader
@@ -105,7 +105,7 @@
 
     @classmethod
     async def connect(cls, port: int) -> Client:
-        """Open a connection."""
+        """Connect to the balancer on this port."""
         return cls(*await asyncio.open_connection(HOST, port))
 
     async def get(self, request_id: int) -> bool:
@@ -116,7 +116,7 @@
 
         Raises:
             OSError: The connection was lost.
-            asyncio.IncompleteReadError: The connection was closed before the response's end.
+            asyncio.IncompleteReadError: The connection was closed before the end of the response.
         """
         self._writer.write(
             b"GET /c0 HTTP/1.1\r\nHost: h\r\nReq-Id: %d\r\nReq-Owner: t0\r\n"
--- a/scale_test/slopes/fit.py
+++ b/scale_test/slopes/fit.py
@@ -1,4 +1,4 @@
-"""The line through a figure's measured points, and the table of a subject."""
+"""Fits a line to the measured points of a figure, and formats a subject's results as a table."""
 
 from __future__ import annotations
 
@@ -9,14 +9,14 @@
 from scale_test.slopes.inputs import Json
 
 MILLISECOND_FROM_S = 1e-4  # shorter times are shown in microseconds
-WHOLE_NUMBER_FROM = 100
+WHOLE_NUMBER_FROM = 100  # smaller values are shown with three significant digits
 NAME_WIDTH = 20
 FIGURE_WIDTH = 11
 
 
 @dataclass(frozen=True)
 class Point:
-    """A figure at a size."""
+    """The value of a figure at one size."""
 
     size: float
     value: float
@@ -24,15 +24,15 @@
 
 @dataclass(frozen=True)
 class Slope:
-    """How a figure grows: `base + each * size`, and its power of the size over the last two points."""
+    """How a figure grows with the size: the fitted line is `base + each * size`."""
 
     base: float
-    each: float
-    power: float
+    each: float  # the cost of one more
+    power: float  # p where the figure grows as size**p between the last two points
 
 
 def fit(points: Sequence[Point]) -> Slope:
-    """Fit a line by least squares of the error relative to the size."""
+    """Fit a line by least squares, with each error taken relative to its size (weights 1 / size**2)."""
     weights = [1 / point.size**2 for point in points]
     total = sum(weights)
     weighted = list(zip(weights, points, strict=True))
@@ -47,7 +47,7 @@
 
 
 def growth_power(points: Sequence[Point]) -> float:
-    """The slope between the last two points on log-log axes; 0 where there is none."""
+    """Return the slope between the last two points on log-log axes; 0 where it is undefined."""
     if len(points) == 1:
         return 0.0
     before, last = points[-2:]
@@ -57,7 +57,7 @@
 
 
 def format_figure(value: float, name: str) -> str:
-    """A figure with its unit, by the suffix of its name."""
+    """Format a figure: times with their unit, by the `_s` suffix of the name, others as plain numbers."""
     if name.endswith("_s"):
         if abs(value) >= MILLISECOND_FROM_S:
             return f"{value * 1e3:.3g} ms"
@@ -66,7 +66,7 @@
 
 
 def format_table(name: str, result: Json) -> str:
-    """A subject's figures by size, each with its slope."""
+    """Format a subject's figures as a table: the value at each size, then `each` and `power` of the slope."""
     points = result["points"]
     lines = [[name, *(f"{point['size']:,}" for point in points), "each", "power"]]
     for key, slope in result["slopes"].items():
@@ -76,6 +76,6 @@
 
 
 def format_line(cells: Sequence[str]) -> str:
-    """One line of a table, its cells aligned to the right."""
+    """Format one line of a table with right-aligned cells."""
     first, *others = cells
     return " ".join([f"{first:>{NAME_WIDTH}}", *(f"{cell:>{FIGURE_WIDTH}}" for cell in others)])
--- a/scale_test/slopes/inputs.py
+++ b/scale_test/slopes/inputs.py
@@ -1,4 +1,4 @@
-"""Endpoint lists and settings of any size, in the JSON of discovery and of the configuration file."""
+"""Generates endpoint lists and settings of any size, as in discovery's JSON and in configuration files."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 def endpoint_row(number: int, machine_classes: int = 1, dial: str = "", **overrides: object) -> Json:
-    """One endpoint as discovery's list has it; `overrides` replaces fields of it."""
+    """Return one endpoint as a row of discovery's list; `overrides` replaces fields of it."""
     return {
         "host": f"s-{number:08x}",
         "dial": dial or f"10.{number >> 16 & 255}.{number >> 8 & 255}.{number & 255}:3000",
@@ -30,7 +30,7 @@
 
 
 def endpoint_list(rows: Sequence[Json], version: int = 1, *, full: bool = True) -> Json:
-    """A response of discovery: the full list, or only what changed."""
+    """Return a response of discovery: the full list, or only the rows that changed."""
     return {"seq": version, "whole": full, "hosts": list(rows)}
 
 
@@ -40,7 +40,7 @@
     Args:
         tenants: Number of tenants, each with an equal share.
         routes: Number of request classes.
-        placed: Whether each request class is allowed on one machine class alone.
+        placed: Whether each request class has placement: it is allowed on one machine class only.
     """
     profiles: list[Json] = []
     for number in range(routes):
--- a/scale_test/slopes/measuring.py
+++ b/scale_test/slopes/measuring.py
@@ -1,4 +1,4 @@
-"""Processor time and memory of a piece of work in this process."""
+"""Measures the processor time and memory of work done in this process."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 @dataclass(frozen=True)
 class Timed(Generic[T]):
-    """A result and the processor time, in seconds, that it took."""
+    """The result of some work, and the processor time in seconds that it took."""
 
     cpu_s: float
     result: T
@@ -24,14 +24,14 @@
 
 @dataclass(frozen=True)
 class Built(Generic[T]):
-    """A thing that was built, and the figures of building it."""
+    """An object that was built, and the figures of building it."""
 
     result: T
     figures: Figures
 
 
 def timed(work: Callable[[], T], times: int = 1) -> Timed[T]:
-    """Run the work some times; returns the median processor time and the last result."""
+    """Run some work one or more times; returns the median processor time and the last result."""
     durations_s = []
     for _ in range(times):
         started_s = time.process_time()
@@ -41,15 +41,15 @@
 
 
 def build_cost(build: Callable[[], T], name: str, undo: Callable[[T], object] = id) -> Built[T]:
-    """Build a thing twice: once for the processor time, once for memory.
+    """Build an object twice: once to measure processor time, once to measure memory.
 
     Args:
-        build: Makes the thing.
-        name: The time's figure is called `<name>_s`.
-        undo: Reverts side effects of the first run.
+        build: Builds the object.
+        name: The figure of the processor time is called `<name>_s`.
+        undo: Reverts the side effects of the first run.
 
     Returns:
-        The thing of the second run, with the time, the bytes and objects that stay, and the peak of bytes.
+        The object of the second run, with its figures.
     """
     gc.collect()
     first = timed(build)
@@ -64,9 +64,9 @@
     memory, peak = tracemalloc.get_traced_memory()
     tracemalloc.stop()
     figures = {
-        f"{name}_s": cpu_s,
-        "memory_b": memory,
-        "peak_b": peak,
-        "objects": len(gc.get_objects()) - objects_before,
+        f"{name}_s": cpu_s,  # processor time to build it
+        "memory_b": memory,  # bytes still allocated after building it
+        "peak_b": peak,  # most bytes allocated while building it
+        "objects": len(gc.get_objects()) - objects_before,  # added to those tracked by the collector
     }
     return Built(result, figures)
--- a/scale_test/slopes/policy_harness.py
+++ b/scale_test/slopes/policy_harness.py
@@ -1,4 +1,4 @@
-"""A policy harness: a balancer's decisions in this process, driven by a clock of its own."""
+"""A policy harness: runs the policy of a balancer in this process, on a simulated clock."""
 
 from __future__ import annotations
 
@@ -27,11 +27,11 @@
 REQUEST_GAP_NS = 10**4
 REQUEST_TIMEOUT_NS = 60 * NS_PER_S
 ATTEMPT_NS = 10**7
-SENDING_TENANTS = 40
+SENDING_TENANTS = 40  # tenants with traffic between feedback ticks
 
 
 class PolicyHarness:
-    """A policy and its clock: sends it events, and measures what they take."""
+    """Holds a policy and its clock, sends it events, and measures the processor time that they take."""
 
     def __init__(self, balancer: Balancer) -> None:
         self.balancer = balancer
@@ -39,19 +39,19 @@
         self.requests = 0
 
     def handle(self, *events: Event, advance_ns: int = EVENT_GAP_NS) -> list[Action]:
-        """Move the clock and give the policy these events."""
+        """Advance the clock, then pass these events to the policy."""
         self.now_ns += advance_ns
         return self.balancer.handle(self.now_ns, events)
 
     def set_endpoints(self, endpoints: Sequence[Endpoint]) -> PolicyHarness:
-        """Give the policy a full list of endpoints."""
+        """Pass the policy a full list of endpoints; returns this harness."""
         self.handle(EndpointUpdate(EndpointUpdateKind.FULL, endpoints))
         return self
 
     def arrive(
         self, request_class: str = "c0", tenant: str = "t0", advance_ns: int = REQUEST_GAP_NS
     ) -> Forward | None:
-        """Let a request arrive; returns its first attempt, or None where it is not forwarded at once."""
+        """Pass a new request to the policy; returns its attempt, or None if it is not forwarded at once."""
         self.requests += 1
         arrival = RequestArrived(str(self.requests), request_class, tenant, self.now_ns + REQUEST_TIMEOUT_NS)
         for action in self.handle(arrival, advance_ns=advance_ns):
@@ -60,7 +60,7 @@
         return None
 
     def end(self, attempt: Forward | None) -> list[Action]:
-        """End an attempt with a response; None is ignored."""
+        """End an attempt, and its request, with a successful response; None is ignored."""
         if attempt is None:
             return []
         ended = AttemptEnded(
@@ -74,7 +74,7 @@
         return self.handle(ended, advance_ns=REQUEST_GAP_NS)
 
     def measure_request_cpu_s(self, requests: int = 40) -> float:
-        """Measure the processor time of one request, its outcome included."""
+        """Measure the processor time of one request, from its arrival to the end of its attempt."""
         classes = self.balancer.settings.request_classes
 
         def serve() -> None:
--- a/scale_test/slopes/process_subjects.py
+++ b/scale_test/slopes/process_subjects.py
@@ -1,4 +1,7 @@
-"""Subjects that start a real balancer, with fakes of its upstreams and of discovery on loopback."""
+"""Subjects that start a real balancer, with fakes of its upstreams and of discovery on loopback.
+
+`RealBalancer.memory` adds the figures `rss_b` and `top_b`; they are described there.
+"""
 
 from __future__ import annotations
 
@@ -11,54 +14,55 @@
 from scale_test.slopes.real_balancer import RealBalancer, running_balancer
 from scale_test.units import NS_PER_S
 
-QUIET_S = 4.0  # without requests or changes
-SETTLED_ROWS_PER_SECOND = 20_000  # after half of QUIET_S a start takes so long for each row
-CHANGED_ROWS_PER_SECOND = 80_000  # after an eighth of QUIET_S a change takes so long for each row
+QUIET_S = 4.0  # the measured period without requests or changes
+SETTLED_ROWS_PER_SECOND = 20_000  # a start is given QUIET_S / 2, and a second for each 20,000 rows
+CHANGED_ROWS_PER_SECOND = 80_000  # a change is given QUIET_S / 8, and a second for each 80,000 rows
 LIST_POLL_S = 0.05
-MAX_LIST_RESPONSES = 3  # after so many without a watch, the balancer has rejected the list
+MAX_LIST_RESPONSES = 3  # a balancer that has had so many and does not watch rejects the list
 CHANGED_ENDPOINTS = 6
 ENDPOINTS_UNDER_LOAD = 64
-ENDPOINTS_WITH_MANY_SETTINGS = 100  # tenants or routes
+ENDPOINTS_WITH_MANY_SETTINGS = 100  # where the tenants or the routes are varied
 MIN_LOAD_S = 5.0
 MIN_LOAD_REQUESTS = 100
 WARM_UP_REQUESTS = 30
-FIRST_REQUEST_ID = 100  # of those that count
+FIRST_REQUEST_ID = 100  # of the measured requests; those of the warm-up have smaller ids
 CONNECTIONS_OPEN_S = 1.5
-SLOW_UPSTREAM_DELAY_S = 2.0
+SLOW_UPSTREAM_DELAY_S = 2.0  # longer than CONNECTIONS_OPEN_S, so that requests stay open meanwhile
 
 
 def fake_services(endpoints: int) -> FakeServices:
-    """Fakes with a list of so many endpoints."""
+    """Create fakes with a list of this many endpoints."""
     return FakeServices([endpoint_row(number) for number in range(endpoints)])
 
 
 async def list_is_accepted(services: FakeServices) -> bool:
-    """Wait until the balancer watches for changes; False where it keeps requesting the full list."""
+    """Wait until the balancer watches for changes; False if it keeps requesting the full list instead."""
     while not services.watches and services.responses < MAX_LIST_RESPONSES:
         await asyncio.sleep(LIST_POLL_S)
     return services.watches > 0
 
 
 async def measure_start(endpoints: int, settings: Json) -> Figures:
-    """Measure a process: its start, quiet time and single changes of the list.
+    """Measure a real balancer: its start, a quiet period and single changes of the list.
 
-    The list comes from discovery; where the balancer rejects it, from the configuration.
+    The list comes from discovery. If the balancer rejects it there, the measurement is repeated with the list
+    in the configuration file.
     """
-    figures: Figures = {"taken": 1}
+    figures: Figures = {"taken": 1}  # whether the balancer accepts the full list from discovery
     while True:
         services = fake_services(endpoints)
         async with running_balancer(services, settings, known=not figures["taken"]) as balancer:
             if not await list_is_accepted(services):
                 figures |= {"taken": 0, "list_b": services.discovery_bytes / services.responses}
                 continue
-            figures.setdefault("list_b", services.discovery_bytes)
+            figures.setdefault("list_b", services.discovery_bytes)  # bytes of the call and its response
             figures |= await measure_quiet(services, balancer, endpoints)
             quiet_cores = figures["quiet_cores"]
             return figures | await measure_changes(services, balancer, endpoints, quiet_cores)
 
 
 async def measure_quiet(services: FakeServices, balancer: RealBalancer, endpoints: int) -> Figures:
-    """Measure the start, and a quiet period."""
+    """Measure the start, and a period without requests or changes."""
     settle_s = QUIET_S / 2 + endpoints / SETTLED_ROWS_PER_SECOND
     await asyncio.sleep(settle_s)
     cpu_s = balancer.cpu_s()
@@ -66,9 +70,9 @@
     await asyncio.sleep(QUIET_S)
     quiet_cores = (balancer.cpu_s() - cpu_s) / QUIET_S
     return {
-        "start_s": cpu_s - quiet_cores * settle_s,
-        "quiet_cores": quiet_cores,
-        "quiet_rate_b": (services.discovery_bytes - discovery_bytes) / QUIET_S,
+        "start_s": cpu_s - quiet_cores * settle_s,  # to start, less the quiet processor time meanwhile
+        "quiet_cores": quiet_cores,  # processor time per second in the quiet period
+        "quiet_rate_b": (services.discovery_bytes - discovery_bytes) / QUIET_S,  # a second, with discovery
         **balancer.memory(),
     }
 
@@ -76,7 +80,7 @@
 async def measure_changes(
     services: FakeServices, balancer: RealBalancer, endpoints: int, quiet_cores: float
 ) -> Figures:
-    """Measure changes of one endpoint each, less the processor time of a quiet period."""
+    """Measure changes of one endpoint each, less the processor time that a quiet balancer uses meanwhile."""
     cpu_s = balancer.cpu_s()
     discovery_bytes = services.discovery_bytes
     gap_s = QUIET_S / 8 + endpoints / CHANGED_ROWS_PER_SECOND
@@ -84,28 +88,28 @@
         services.change(host, health="draining")
         await asyncio.sleep(gap_s)
     return {
-        "change_s": (balancer.cpu_s() - cpu_s) / CHANGED_ENDPOINTS - quiet_cores * gap_s,
-        "change_b": (services.discovery_bytes - discovery_bytes) / CHANGED_ENDPOINTS,
+        "change_s": (balancer.cpu_s() - cpu_s) / CHANGED_ENDPOINTS - quiet_cores * gap_s,  # for one change
+        "change_b": (services.discovery_bytes - discovery_bytes) / CHANGED_ENDPOINTS,  # to and from discovery
     }
 
 
 def process(count: int) -> Figures:
-    """A real process before so many upstreams: start, quiet, one change at a time from discovery."""
+    """Measure a real balancer with this many upstreams: start, quiet period, single changes of the list."""
     return asyncio.run(measure_start(count, raw_settings()))
 
 
 def process_tenants(count: int) -> Figures:
-    """A real process with so many tenants before 100 upstreams."""
+    """Measure a real balancer with this many tenants and 100 upstreams, as `process` does."""
     return asyncio.run(measure_start(ENDPOINTS_WITH_MANY_SETTINGS, raw_settings(tenants=count)))
 
 
 def process_routes(count: int) -> Figures:
-    """A real process with so many routes before 100 upstreams."""
+    """Measure a real balancer with this many routes and 100 upstreams, as `process` does."""
     return asyncio.run(measure_start(ENDPOINTS_WITH_MANY_SETTINGS, raw_settings(routes=count)))
 
 
 class RequestLoad:
-    """Requests to a balancer, on connections that are reused."""
+    """Sends requests to a balancer on connections that are reused."""
 
     def __init__(self, port: int) -> None:
         self.served = 0
@@ -114,7 +118,7 @@
         self._idle: list[Client] = []
 
     async def request(self, request_id: int) -> None:
-        """Send one request; once more on a new connection where its own was closed between requests."""
+        """Send one request, and again on a new connection if its connection is closed before the response."""
         client = self._idle.pop() if self._idle else await Client.connect(self._port)
         begun = time.monotonic()
         try:
@@ -126,14 +130,14 @@
         self._idle.append(client)
 
     async def warm_up(self) -> None:
-        """Send some requests that aren't counted."""
+        """Send some requests that are not measured."""
         for request_id in range(WARM_UP_REQUESTS):
             await self.request(request_id)
         self.served = 0
         self.wall_s.clear()
 
     async def run(self, requests: int, rate: int) -> None:
-        """Send so many requests, evenly at a rate per second, and wait until all have ended."""
+        """Send requests at even intervals, `rate` per second, and wait until all have ended."""
         begun = time.monotonic()
         async with asyncio.TaskGroup() as group:
             for number in range(requests):
@@ -142,7 +146,7 @@
 
 
 async def measure_rate(rate: int, seconds: float) -> Figures:
-    """Measure a balancer under so many requests a second."""
+    """Measure a balancer at a rate of requests per second."""
     services = fake_services(ENDPOINTS_UNDER_LOAD)
     requests = int(rate * seconds)
     async with running_balancer(services, raw_settings() | {"replicas_of_me": 1}, known=True) as balancer:
@@ -153,23 +157,23 @@
         cpu_s = balancer.cpu_s() - cpu_before_s
         wall_s = sorted(load.wall_s)
         return {
-            "cores": cpu_s / seconds,
-            "request_s": cpu_s / max(1, load.served),
-            "served": load.served,
-            "asked": requests,
-            "wall_half_s": wall_s[len(wall_s) // 2],
-            "wall_99_s": wall_s[len(wall_s) * 99 // 100],
+            "cores": cpu_s / seconds,  # processor time per second
+            "request_s": cpu_s / max(1, load.served),  # for each request served
+            "served": load.served,  # requests with status 200
+            "asked": requests,  # requests sent
+            "wall_half_s": wall_s[len(wall_s) // 2],  # median latency, the time in the fakes included
+            "wall_99_s": wall_s[len(wall_s) * 99 // 100],  # 99th percentile of the latency
             **balancer.memory(),
         }
 
 
 def rates(count: int) -> Figures:
-    """Requests a second through a real process; their wall time, the fakes' part of it included."""
+    """Measure a real balancer at this many requests per second."""
     return asyncio.run(measure_rate(count, max(MIN_LOAD_S, MIN_LOAD_REQUESTS / count)))
 
 
 async def measure_connections(count: int, *, with_requests: bool) -> Figures:
-    """Measure client connections, idle or each with a request that is open all the time."""
+    """Measure client connections that are idle, or of which each has an open request."""
     services = fake_services(2 * count if with_requests else ENDPOINTS_UNDER_LOAD)
     services.upstream_delay_s = SLOW_UPSTREAM_DELAY_S
     settings = raw_settings() | {"replicas_of_me": 1, "prices": {}, "zones": []}
@@ -183,20 +187,23 @@
             requests = [asyncio.create_task(client.get(number)) for number, client in enumerate(clients)]
         await asyncio.sleep(CONNECTIONS_OPEN_S)
         figures: Figures = {
-            "memory_b": balancer.memory()["rss_b"] - memory_before,
-            "upstream_connections": services.upstream_connections,
+            "memory_b": balancer.memory()["rss_b"] - memory_before,  # resident memory that they added
+            "upstream_connections": services.upstream_connections,  # open at the upstreams
         }
         results = await asyncio.gather(*requests, return_exceptions=True)
-        figures["all_s"] = balancer.cpu_s() - cpu_before_s
-        figures["served"] = sum(result is True for result in results)
+        figures["all_s"] = balancer.cpu_s() - cpu_before_s  # to open all, hold them and serve their requests
+        figures["served"] = sum(result is True for result in results)  # requests with status 200
         return figures
 
 
 def clients(count: int) -> Figures:
-    """Idle client connections at a real process for 1.5 s, opening included."""
+    """Measure a real balancer with this many idle client connections, which are open for 1.5 s."""
     return asyncio.run(measure_connections(count, with_requests=False))
 
 
 def connections(count: int) -> Figures:
-    """Requests open at once at a real process, each with a client's and an upstream's connection."""
+    """Measure a real balancer with this many open requests, each with its own client and upstream connection.
+
+    The requests are sent at once, and the upstreams respond to each after 2 s.
+    """
     return asyncio.run(measure_connections(count, with_requests=True))
--- a/scale_test/slopes/real_balancer.py
+++ b/scale_test/slopes/real_balancer.py
@@ -1,4 +1,4 @@
-"""A real balancer, started by the deploy file's `run` before the fakes."""
+"""Starts a real balancer by the deploy file's `run` command, with fakes as its upstreams and discovery."""
 
 from __future__ import annotations
 
@@ -22,37 +22,37 @@
 
 READY_LINE = "ready on port "
 READY_POLL_S = 0.05
-LOG_TAIL_CHARACTERS = 500
+LOG_TAIL_CHARACTERS = 500  # shown in the error about a balancer that exited
 
 
 class BalancerEndedError(ScaleTestError):
-    """The balancer has ended before it was ready."""
+    """The balancer exited before it was ready."""
 
 
 class RealBalancer:
-    """A running balancer and what it has used."""
+    """A running balancer, with its processor time and memory."""
 
     def __init__(self, pid: int, port: int) -> None:
         self.pid = pid
         self.port = port
 
     def cpu_s(self) -> float:
-        """Processor seconds of all its threads so far."""
+        """Return the processor seconds of all its threads so far."""
         tasks = Path(f"/proc/{self.pid}/task").iterdir()
         return sum(int((task / "schedstat").read_text().split()[0]) for task in tasks) / NS_PER_S
 
     def memory(self) -> Figures:
-        """Resident bytes now and at their peak."""
+        """Return the figures `rss_b`, its resident bytes now, and `top_b`, their peak so far."""
         return {"rss_b": resident_bytes(self.pid), "top_b": peak_resident_bytes(self.pid)}
 
 
 def port_of(server: asyncio.Server) -> int:
-    """The port that a server listens on."""
+    """Return the port that a server listens on."""
     return int(server.sockets[0].getsockname()[1])
 
 
 def configuration(services: FakeServices, discovery: str, settings: Json, *, known: bool) -> Json:
-    """The balancer's configuration file; with `known` it holds the full list."""
+    """Return the contents of the balancer's configuration file; with `known` it includes the full list."""
     config: Json = {
         "name": "n0",
         "listen": f"{HOST}:0",
@@ -70,10 +70,10 @@
 async def running_balancer(
     services: FakeServices, settings: Json, *, known: bool = False
 ) -> AsyncIterator[RealBalancer]:
-    """Start the fakes and a balancer, wait until it is ready, and stop all afterwards.
+    """Start the fakes and a balancer, wait until it is ready, and stop them all at the end of the context.
 
     Raises:
-        BalancerEndedError: The balancer has ended before it was ready.
+        BalancerEndedError: The balancer exited before it was ready.
     """
     discovery = await asyncio.start_server(until_cancelled(services.serve_discovery), HOST, 0)
     upstream = await asyncio.start_server(until_cancelled(services.serve_upstream), HOST, 0)
@@ -93,7 +93,7 @@
 
 
 def start_process(folder: Path, log: Path, config: Json) -> subprocess.Popen[bytes]:
-    """Start the balancer as the platform does."""
+    """Start the balancer by the deploy file's `run` command, with this configuration."""
     path = folder / "config.json"
     path.write_bytes(orjson.dumps(config))
     with log.open("wb") as file:
@@ -107,11 +107,17 @@
 
 
 async def wait_until_ready(process: subprocess.Popen[bytes], log: Path) -> int:
-    """Wait until the balancer logs that it is ready; returns its port."""
+    """Wait until the balancer logs that it is ready; returns its port.
+
+    Raises:
+        BalancerEndedError: The balancer exited before it was ready.
+    """
     while True:
         text = log.read_text()
         if READY_LINE in text:
             return int(text.partition(READY_LINE)[2].split()[0])
         if process.poll() is not None:
-            raise BalancerEndedError(f"the balancer has ended: {text[-LOG_TAIL_CHARACTERS:]}")
+            raise BalancerEndedError(
+                f"the balancer exited before it was ready; its log ends with: {text[-LOG_TAIL_CHARACTERS:]}"
+            )
         await asyncio.sleep(READY_POLL_S)
