--- a/scale_test/child_process.py
+++ b/scale_test/child_process.py
@@ -83,7 +83,7 @@
         """Start a helper process of this role."""
         return await cls.start(name, folder, sys.executable, "-m", f"scale_test.{role}", piped=True)
 
-    def ended_error(self) -> ExperimentError:
+    def exit_error(self) -> ExperimentError:
         """Return an error that says that the process exited, with the last line of its log."""
         lines = self.log.read_text(errors="replace").strip().splitlines()
         return ExperimentError(f"{self.name} exited: {lines[-1] if lines else 'its log is empty'}")
@@ -102,7 +102,7 @@
         line = await self.process.stdout.readline()
         if not line:
             await self.process.wait()
-            raise self.ended_error()
+            raise self.exit_error()
         return orjson.loads(line)
 
     async def kill(self) -> None:
--- a/scale_test/cluster.py
+++ b/scale_test/cluster.py
@@ -112,7 +112,7 @@
         build = await ChildProcess.start("build", self.folder, "/bin/sh", "-c", command)
         try:
             if await build.process.wait():
-                raise build.ended_error()
+                raise build.exit_error()
         finally:
             await build.kill()
 
@@ -205,7 +205,7 @@
         try:
             used += psutil.Process(process.pid).memory_info().rss
         except psutil.NoSuchProcess as error:
-            raise process.ended_error() from error
+            raise process.exit_error() from error
         if process.process.returncode is not None:
-            raise process.ended_error()
+            raise process.exit_error()
     return used
--- a/scale_test/slopes/real_balancer.py
+++ b/scale_test/slopes/real_balancer.py
@@ -25,7 +25,7 @@
 LOG_TAIL_CHARACTERS = 500  # shown in the error about a balancer that exited
 
 
-class BalancerEndedError(ScaleTestError):
+class BalancerExitedError(ScaleTestError):
     """The balancer exited before it was ready."""
 
 
@@ -73,7 +73,7 @@
     """Start the fakes and a balancer, wait until it is ready, and stop them all at the end of the context.
 
     Raises:
-        BalancerEndedError: The balancer exited before it was ready.
+        BalancerExitedError: The balancer exited before it was ready.
     """
     discovery = await asyncio.start_server(until_cancelled(services.serve_discovery), HOST, 0)
     upstream = await asyncio.start_server(until_cancelled(services.serve_upstream), HOST, 0)
@@ -110,14 +110,14 @@
     """Wait until the balancer logs that it is ready; returns its port.
 
     Raises:
-        BalancerEndedError: The balancer exited before it was ready.
+        BalancerExitedError: The balancer exited before it was ready.
     """
     while True:
         text = log.read_text()
         if READY_LINE in text:
             return int(text.partition(READY_LINE)[2].split()[0])
         if process.poll() is not None:
-            raise BalancerEndedError(
+            raise BalancerExitedError(
                 f"the balancer exited before it was ready; its log ends with: {text[-LOG_TAIL_CHARACTERS:]}"
             )
         await asyncio.sleep(READY_POLL_S)
