--- a/tests/scale_test/test_slopes.py
+++ b/tests/scale_test/test_slopes.py
@@ -1,4 +1,7 @@
-"""The slopes tool: its fit, and that a tiny run gives every figure. Counts only, no times."""
+"""The slopes tool: the fitted lines, and that small runs return every figure.
+
+Counts and sizes are checked, but no times: those vary from run to run.
+"""
 
 from __future__ import annotations
 
@@ -17,20 +20,20 @@
 from scale_test.slopes.subjects import SUBJECTS, measure
 
 
-def test_a_line_is_fitted_and_has_its_power() -> None:
+def test_fit_returns_the_line_and_the_power_of_growth() -> None:
     line = fit([Point(x, 3 + 2 * x) for x in (1, 10, 100, 1000)])
     assert line.base == pytest.approx(3)
     assert line.each == pytest.approx(2)
     assert fit([Point(x, x * x) for x in (1, 10, 100)]).power == pytest.approx(2)
 
 
-def test_a_figure_that_is_nothing_or_has_one_size_has_no_power() -> None:
+def test_the_power_is_zero_for_zero_values_or_a_single_size() -> None:
     assert fit([Point(1, 0.0), Point(10, 0.0)]) == Slope(0, 0, 0)
     assert fit([Point(10, 5.0)]) == Slope(5, 0, 0)
 
 
 @pytest.mark.parametrize(
-    ("name", "counted"),
+    ("name", "expected"),
     [
         ("upstreams", {"list_b", "change_b", "memory_b", "objects", "change_s", "zone_s", "look_s"}),
         ("services", {"list_b", "change_b", "memory_b", "objects", "change_s", "zone_s", "look_s"}),
@@ -39,22 +42,22 @@
         ("requests", {"open", "memory_b", "objects", "arrive_s", "end_s", "stall_s"}),
     ],
 )
-def test_a_tiny_run_gives_every_size_and_figure(name: str, counted: set[str]) -> None:
+def test_a_small_run_has_every_size_and_figure(name: str, expected: set[str]) -> None:
     result = measure(name, (1, 2, 4))
     assert [p["size"] for p in result["points"]] == [1, 2, 4]
-    assert counted <= set(result["slopes"])
+    assert expected <= set(result["slopes"])
     assert all(set(p) == {"size", *result["slopes"]} for p in result["points"])
 
 
-def test_sizes_span_two_decades_in_at_least_four_steps() -> None:
+def test_usual_sizes_are_at_least_four_and_span_two_decades() -> None:
     for subject in SUBJECTS.values():
         assert len(subject.sizes) >= 4
         assert subject.sizes[-1] >= 100 * subject.sizes[0]
 
 
-def test_counts_that_are_known_come_out() -> None:
+def test_list_bytes_and_open_requests_match_the_inputs() -> None:
     points = measure("upstreams", (50, 100))["points"]
-    rows = [len(orjson.dumps(endpoint_row(i))) + 1 for i in range(100)]  # a comma or the bracket ends each
+    rows = [len(orjson.dumps(endpoint_row(i))) + 1 for i in range(100)]  # with the comma or bracket after it
     envelope = len(orjson.dumps(endpoint_list([]))) - 1
     assert [p["list_b"] for p in points] == [envelope + sum(rows[:50]), envelope + sum(rows)]
     assert [p["open"] for p in measure("requests", (3, 30))["points"]] == [3, 30]
@@ -78,7 +81,7 @@
 
 
 @pytest.mark.usefixtures("built")
-def test_a_real_balancer_takes_a_list_and_its_changes(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_real_balancer_accepts_a_list_and_its_changes(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(process_subjects, "QUIET_S", 0.4)
     figures = process_subjects.process(8)
     assert figures["taken"] == 1
@@ -87,6 +90,6 @@
 
 
 @pytest.mark.usefixtures("built")
-def test_a_real_balancer_holds_what_is_open() -> None:
+def test_a_real_balancer_holds_concurrent_requests_open() -> None:
     figures = process_subjects.connections(3)
     assert (figures["upstream_connections"], figures["served"]) == (3, 3)
