--- a/tests/policy/test_slow_start.py
+++ b/tests/policy/test_slow_start.py
@@ -1,4 +1,4 @@
-"""Slow start (rule 4): all proxies together must not overload an endpoint that is warming up.
+"""Slow start: all proxies together must not overload an endpoint that is warming up.
 
 `python -m tests.policy.test_slow_start 10` runs the cases with more seeds than the tests.
 """
@@ -49,7 +49,7 @@
     client_timeout_ns=800 * NANOSECONDS_PER_MILLISECOND,
 )
 PAY = replace(READ, name="pay", idempotency=Idempotency.NON_IDEMPOTENT)
-SWITCH = replace(
+ZONE_KEYED = replace(
     READ,
     name="switch",
     idempotency=Idempotency.IDEMPOTENCY_KEY,
@@ -57,7 +57,7 @@
     deduplication_window_ns=1200 * NANOSECONDS_PER_MILLISECOND,
     client_timeout_ns=2 * NANOSECONDS_PER_SECOND,
 )
-CELL = replace(SWITCH, name="cell", deduplication_scope=DeduplicationScope.CELL)
+CELL_KEYED = replace(ZONE_KEYED, name="cell", deduplication_scope=DeduplicationScope.CELL)
 SLOW = replace(
     READ,
     name="slow",
@@ -75,27 +75,27 @@
     """Some endpoints crash and restart; all proxies are notified at the same time."""
 
     endpoint_count: int = 12
-    endpoint_rate: float = 50.0  # requests of mean work a second that one endpoint can serve
-    load: float = 0.7  # offered, as a fraction of what all endpoints can serve
-    traffic: Sequence[Traffic] = (Traffic(READ, 0.4), Traffic(PAY, 0.3), Traffic(SWITCH, 0.3, 2.0))
+    endpoint_rate: float = 50.0  # requests of mean cost per second that one endpoint can serve
+    load: float = 0.7  # offered load, as a fraction of what all endpoints can serve
+    traffic: Sequence[Traffic] = (Traffic(READ, 0.4), Traffic(PAY, 0.3), Traffic(ZONE_KEYED, 0.3, 2.0))
     crashed_fraction: float = 0.3  # of the endpoints; 0: one endpoint
     uneven_traffic: bool = False  # some proxies get many times the traffic of others
     proxies_restart: bool = False  # the proxies have just started too, and have no estimates yet
     capacity: int = 40
-    error_share: float = 0.0  # of the requests to a restarted endpoint, which responds at once with an error
+    error_share: float = 0.0  # fraction of requests that a restarted endpoint answers at once with an error
     limits: Limits = LIMITS
     prices: Prices = field(default_factory=Prices)
     zones: Sequence[str] = ("east",)
     load_reports: bool = False
     cores: int = 2
     machine_types: Sequence[str] = ("",)
-    missing_fraction: float = 0.0  # of the endpoints, that each proxy's first list lacks; different ones
-    one_by_one: bool = False  # the endpoints restart one by one, so that the list changes all the time
+    missing_fraction: float = 0.0  # of the endpoints, missing from each proxy's first list at random
+    one_by_one: bool = False  # endpoints restart one by one, so that the list changes continuously
     seconds_before: float = 1.5
     seconds_after: float = 1.25
 
     def run(self, proxy_count: int, seed: int) -> tuple[float, FleetModel]:
-        """Return the highest overload of an endpoint that warmed up (above 1: too much), and the fleet."""
+        """Return the highest overload of a restarted endpoint (above 1: over its budget), and the fleet."""
         rng = random.Random(seed)
         fleet = self.make_fleet(proxy_count, seed, rng)
         crashed = self.crashed_endpoints(fleet)
@@ -194,10 +194,10 @@
 PRICES = Prices(connection=0.03, cross_zone=0.025, handshake=0.03)
 HEDGING = replace(LIMITS, hedging=True)
 PROBING = replace(HEDGING, health_checks=True)
-COSTLY = (Traffic(READ, 0.85), Traffic(LARGE, 0.15, 6.0))
-COSTLY_MIX = (Traffic(READ, 0.8), Traffic(LARGE, 0.2, 4.0))
+COSTLY_TRAFFIC = (Traffic(READ, 0.85), Traffic(LARGE, 0.15, 6.0))
+COSTLY_TRAFFIC_MIX = (Traffic(READ, 0.8), Traffic(LARGE, 0.2, 4.0))
 MACHINE_TYPES = ("large", "small")
-KEYED = (Traffic(CELL, 0.5), Traffic(SWITCH, 0.5))
+KEYED_TRAFFIC = (Traffic(CELL_KEYED, 0.5), Traffic(ZONE_KEYED, 0.5))
 
 CASES = {
     "one start": Case(crashed_fraction=0.0),
@@ -214,37 +214,41 @@
     "uneven": Case(uneven_traffic=True, load=1.0),
     "hedging": Case(limits=HEDGING, load=1.1),
     "load probing": Case(limits=PROBING, load_reports=True),
-    "costly": Case(traffic=COSTLY, machine_types=MACHINE_TYPES, error_share=1.0, seconds_after=1.5),
-    "costly, served": Case(traffic=COSTLY, machine_types=MACHINE_TYPES, load=0.9),
+    "costly": Case(traffic=COSTLY_TRAFFIC, machine_types=MACHINE_TYPES, error_share=1.0, seconds_after=1.5),
+    "costly, served": Case(traffic=COSTLY_TRAFFIC, machine_types=MACHINE_TYPES, load=0.9),
     "costly, restart": Case(
-        traffic=COSTLY_MIX, machine_types=MACHINE_TYPES, error_share=1.0, proxies_restart=True
+        traffic=COSTLY_TRAFFIC_MIX, machine_types=MACHINE_TYPES, error_share=1.0, proxies_restart=True
     ),
     "lists differ": Case(endpoint_count=24, missing_fraction=0.3, load=0.5, error_share=1.0),
     "one by one": Case(endpoint_count=24, crashed_fraction=0.6, one_by_one=True, load=0.4, error_share=1.0),
-    "idempotency key": Case(traffic=KEYED, load=1.0),
+    "idempotency key": Case(traffic=KEYED_TRAFFIC, load=1.0),
     "zones and prices": Case(prices=PRICES, zones=ZONES, endpoint_count=24, load_reports=True),
 }
 
 
 @pytest.mark.parametrize("proxy_count", PROXY_COUNTS)
 @pytest.mark.parametrize("name", CASES)
-def test_endpoint_that_warms_up_gets_no_more_than_its_budget(name: str, proxy_count: int) -> None:
-    # What each proxy sends is little; together it may overload the endpoint.
+def test_endpoint_that_warms_up_gets_at_most_its_budget(name: str, proxy_count: int) -> None:
+    # Each proxy sends little, but all proxies together may overload the endpoint.
     overload, fleet = CASES[name].run(proxy_count, seed=2)
     assert 0 < overload <= 1
     assert fleet.served > 0
 
 
-LONG = Case(
+LONG_LIST = Case(
     endpoint_count=3000, load=0.05, endpoint_rate=20.0, seconds_before=0.2, seconds_after=0.5, error_share=1.0
 )
 
 
 @pytest.mark.parametrize(
     ("proxy_count", "case"),
-    [(4, LONG), (30, LONG), (200, replace(LONG, endpoint_count=1000, load=0.1, crashed_fraction=0.1))],
+    [
+        (4, LONG_LIST),
+        (30, LONG_LIST),
+        (200, replace(LONG_LIST, endpoint_count=1000, load=0.1, crashed_fraction=0.1)),
+    ],
 )
-def test_endpoint_of_a_long_list_gets_no_more_than_its_budget(proxy_count: int, case: Case) -> None:
+def test_endpoint_of_a_long_list_gets_at_most_its_budget(proxy_count: int, case: Case) -> None:
     overload, fleet = case.run(proxy_count, seed=2)
     assert 0 < overload <= 1
     assert fleet.served > 0
--- a/tests/proxy/test_attempt_responses.py
+++ b/tests/proxy/test_attempt_responses.py
@@ -1,4 +1,4 @@
-"""Results of attempts: what a response or a broken connection means to the policy."""
+"""Results of attempts: the result that the policy gets for a response or a broken connection."""
 
 from __future__ import annotations
 
@@ -78,7 +78,7 @@
         response = await client.exchange(request())
         assert response.status == (200 if result is AttemptResult.OK else 504)
         assert results(policy) == [result]
-        assert len(endpoint.requests) == 1  # nothing is retried without the policy
+        assert len(endpoint.requests) == 1  # the proxy retries nothing on its own
 
 
 @pytest.mark.parametrize(
@@ -100,7 +100,7 @@
         for number in (1, 2):
             assert (await client.exchange(request())).body == b"it"
             await wait_until(lambda number=number: len(policy.events_of(AttemptEnded)) == number)  # type: ignore[misc]
-        assert [(o.result, o.load_report) for o in policy.events_of(AttemptEnded)] == [
+        assert [(end.result, end.load_report) for end in policy.events_of(AttemptEnded)] == [
             (AttemptResult.OK, expected)
         ] * 2
 
@@ -128,7 +128,7 @@
     held: list[asyncio.StreamWriter] = []
 
     async def serve(_reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        held.append(writer)  # reads nothing: what is sent stays with the sender
+        held.append(writer)  # reads nothing, so that the sender can't write everything
 
     server = await asyncio.start_server(serve, HOST, 0, limit=1)
     policy = forwarding_policy(fail_unless_complete)
@@ -153,11 +153,11 @@
     with socket.create_server((HOST, 0)) as listener:
 
         async def create_connection(*args: object, **options: object) -> object:
-            made = await original(*args, **options)  # type: ignore[call-overload]
+            connection = await original(*args, **options)  # type: ignore[call-overload]
             accepted, _ = listener.accept()
             accepted.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
             accepted.close()
-            return made
+            return connection
 
         policy = forwarding_policy(fail_unless_complete)
         async with running_proxy(policy, initial_list=list_of_ports(listener.getsockname()[1])) as client:
--- a/tests/proxy/test_client_connection.py
+++ b/tests/proxy/test_client_connection.py
@@ -1,4 +1,4 @@
-"""One client's connection over loopback sockets: bad input, pipelining, keep-alive and flow control."""
+"""Client connections over loopback sockets: invalid input, pipelining, keep-alive and flow control."""
 
 from __future__ import annotations
 
@@ -81,7 +81,7 @@
         assert (await client.exchange(request("/pay", method="POST", body=b"x" * 64 * 1024))).status == 504
 
 
-async def test_request_beyond_the_maximum_of_pending_ones_is_rejected() -> None:
+async def test_request_beyond_the_maximum_of_pending_requests_is_rejected() -> None:
     async with running_proxy(ScriptedPolicy(), max_pending_requests=1) as client:
         await client.send(request())
         await wait_until(lambda: client.proxy._pending_requests)
@@ -90,7 +90,7 @@
         assert float(response.headers["retry-after"]) > 0
 
 
-async def test_id_of_a_pending_request_is_rejected() -> None:
+async def test_request_with_the_id_of_a_pending_one_is_rejected() -> None:
     policy = ScriptedPolicy(lambda event: [Fail("1")] if isinstance(event, TimerExpired) else ())
     async with running_proxy(policy) as client:
         await client.send(request(request_id="one"))
@@ -98,18 +98,20 @@
         assert (await client.new_client().exchange(request(request_id="one"))).status == 409
 
         client.proxy.dispatch(TimerExpired("now"))
-        assert (await client.read()).status == 504  # the pending one goes on as if nothing had come
+        assert (await client.read()).status == 504  # the pending request is not affected
 
         await client.send(request(request_id="one"))
         await wait_until(lambda: len(policy.events_of(RequestArrived)) == 2)
 
 
-@pytest.mark.parametrize("sent_apart", [False, True])
+@pytest.mark.parametrize("sent_separately", [False, True])
 @pytest.mark.parametrize("more", [request(), request() * 300, request()[:20], b"nonsense\r\n\r\n"])
-async def test_pipelined_request_is_rejected_and_ends_the_connection(more: bytes, sent_apart: bool) -> None:
+async def test_pipelined_request_is_rejected_and_ends_the_connection(
+    more: bytes, sent_separately: bool
+) -> None:
     policy = ScriptedPolicy()
     async with running_proxy(policy) as client:
-        if sent_apart:
+        if sent_separately:
             await client.send(request())
             await wait_until(lambda: policy.events_of(RequestArrived))
             await client.send(more)
@@ -117,8 +119,8 @@
             await client.send(request() + more)
         assert (await client.read()).status == 400
         assert await client.is_closed_by_proxy()
-        assert len(policy.events_of(RequestArrived)) == int(sent_apart)
-        assert len(policy.events_of(ClientDisconnected)) == int(sent_apart)
+        assert len(policy.events_of(RequestArrived)) == int(sent_separately)
+        assert len(policy.events_of(ClientDisconnected)) == int(sent_separately)
         assert not client.proxy._pending_requests
         assert not client.proxy._pending_requests._client_request_ids
 
@@ -147,7 +149,7 @@
         assert await client.is_closed_by_proxy()
 
 
-async def test_client_that_reads_no_response_is_not_read_from() -> None:
+async def test_proxy_stops_reading_from_a_client_that_reads_no_responses() -> None:
     async with running_proxy(ScriptedPolicy()) as client:
         await client.exchange(READY_REQUEST)
         assert client.writer is not None
@@ -170,7 +172,7 @@
 async def test_lingering_close_reads_a_bounded_number_of_bytes() -> None:
     async with running_proxy(ScriptedPolicy()) as client:
         await client.send(request("/pay", "Content-Length: 60000000", method="POST"))
-        assert (await client.read()).status == 413  # before the body comes
+        assert (await client.read()).status == 413  # before the body is received
         transport = transport_of(first_connection(client))
         await client.send(b"x" * 300_000)
         await wait_until(lambda: not transport.is_reading())
