--- a/scale_test/measurements.py
+++ b/scale_test/measurements.py
@@ -140,7 +140,7 @@
         means = []
         for helper, count in zip(self._cluster.hollow, self._plan.hollow_counts, strict=True):
             used = memory_of(helper.process)
-            empty_mb = helper.empty_bytes / BYTES_PER_MB
+            empty_mb = helper.baseline_rss_bytes / BYTES_PER_MB
             means.append(Memory((used.now - empty_mb) / count, (used.peak - empty_mb) / count))
         return means
 
--- a/scale_test/slopes/policy_harness.py
+++ b/scale_test/slopes/policy_harness.py
@@ -1,4 +1,4 @@
-"""A policy harness: a balancer's decisions in this process, driven by a clock of its own."""
+"""A policy harness: runs the policy of a balancer in this process, on a simulated clock."""
 
 from __future__ import annotations
 
@@ -20,47 +20,47 @@
 from scale_test.slopes.measuring import Figures, timed
 from scale_test.units import NS_PER_S
 
-LOAD_PROBING_INTERVAL_NS = NS_PER_S // 2
+FEEDBACK_INTERVAL_NS = NS_PER_S // 2
 TIMER_STEP_NS = NS_PER_S // 100
-PROBING_MARGIN_NS = NS_PER_S // 50  # the last part of the interval holds the probing alone
+FEEDBACK_MARGIN_NS = NS_PER_S // 50  # without traffic at the end of the interval, so that the tick runs alone
 EVENT_GAP_NS = 10**6
 REQUEST_GAP_NS = 10**4
 REQUEST_TIMEOUT_NS = 60 * NS_PER_S
 ATTEMPT_NS = 10**7
-SENDING_TENANTS = 40
+SENDING_TENANTS = 40  # tenants with traffic between feedback ticks
 
 
 class PolicyHarness:
-    """A policy and its clock: sends it events, and measures what they take."""
+    """Holds a policy and its clock, sends it events, and measures the processor time that they take."""
 
     def __init__(self, balancer: Balancer) -> None:
         self.balancer = balancer
         self.now_ns = NS_PER_S
         self.requests = 0
 
-    def handle(self, *events: Event, later_ns: int = EVENT_GAP_NS) -> list[Action]:
-        """Move the clock and give the policy these events."""
-        self.now_ns += later_ns
+    def handle(self, *events: Event, advance_ns: int = EVENT_GAP_NS) -> list[Action]:
+        """Advance the clock, then pass these events to the policy."""
+        self.now_ns += advance_ns
         return self.balancer.handle(self.now_ns, events)
 
     def set_endpoints(self, endpoints: Sequence[Endpoint]) -> PolicyHarness:
-        """Give the policy a full list of endpoints."""
+        """Pass the policy a full list of endpoints; returns this harness."""
         self.handle(EndpointUpdate(EndpointUpdateKind.FULL, endpoints))
         return self
 
     def arrive(
-        self, request_class: str = "c0", tenant: str = "t0", later_ns: int = REQUEST_GAP_NS
+        self, request_class: str = "c0", tenant: str = "t0", advance_ns: int = REQUEST_GAP_NS
     ) -> Forward | None:
-        """Let a request arrive; returns its first attempt, or None where it is not forwarded at once."""
+        """Pass a new request to the policy; returns its attempt, or None if it is not forwarded at once."""
         self.requests += 1
         arrival = RequestArrived(str(self.requests), request_class, tenant, self.now_ns + REQUEST_TIMEOUT_NS)
-        for action in self.handle(arrival, later_ns=later_ns):
+        for action in self.handle(arrival, advance_ns=advance_ns):
             if isinstance(action, Forward):
                 return action
         return None
 
     def end(self, attempt: Forward | None) -> list[Action]:
-        """End an attempt with a response; None is ignored."""
+        """End an attempt, and its request, with a successful response; None is ignored."""
         if attempt is None:
             return []
         ended = AttemptEnded(
@@ -71,10 +71,10 @@
             elapsed_ns=ATTEMPT_NS,
             request_complete=True,
         )
-        return self.handle(ended, later_ns=REQUEST_GAP_NS)
+        return self.handle(ended, advance_ns=REQUEST_GAP_NS)
 
-    def request_cpu_s(self, requests: int = 40) -> float:
-        """Measure the processor time of one request, its outcome included."""
+    def measure_request_cpu_s(self, requests: int = 40) -> float:
+        """Measure the processor time of one request, from its arrival to the end of its attempt."""
         classes = self.balancer.settings.request_classes
 
         def serve() -> None:
@@ -84,15 +84,22 @@
 
         return timed(serve, 3).cpu_s / requests
 
-    def load_probing_figures(self, times: int = 6) -> Figures:
-        """Measure the load probing of each half second: its mean and its longest processor time."""
-        self.handle(later_ns=LOAD_PROBING_INTERVAL_NS)  # starts the interval
-        durations_s = [self._load_probing_cpu_s() for _ in range(times)]
+    def measure_feedback_ticks(self, times: int = 6) -> Figures:
+        """Measure the feedback ticks of the policy, which run every half second.
+
+        Returns:
+            look_s: The mean processor time of a feedback tick.
+            look_top_s: The longest.
+        """
+        self.handle(advance_ns=FEEDBACK_INTERVAL_NS)  # the tick that starts the first interval
+        durations_s = [self._feedback_tick_cpu_s() for _ in range(times)]
         return {"look_s": statistics.mean(durations_s), "look_top_s": max(durations_s)}
 
-    def _load_probing_cpu_s(self) -> float:
-        end_ns = self.now_ns + LOAD_PROBING_INTERVAL_NS
-        while self.now_ns < end_ns - PROBING_MARGIN_NS:  # some traffic, and all timers on time
+    def _feedback_tick_cpu_s(self) -> float:
+        end_ns = self.now_ns + FEEDBACK_INTERVAL_NS
+        while (
+            self.now_ns < end_ns - FEEDBACK_MARGIN_NS
+        ):  # light traffic; steps are short, so that no timer is late
             self.end(self.arrive(tenant=f"t{self.requests % SENDING_TENANTS}"))
-            self.handle(later_ns=TIMER_STEP_NS)
-        return timed(lambda: self.handle(later_ns=end_ns - self.now_ns)).cpu_s
+            self.handle(advance_ns=TIMER_STEP_NS)
+        return timed(lambda: self.handle(advance_ns=end_ns - self.now_ns)).cpu_s
