--- a/loadbalancer/simulator_adapter.py
+++ b/loadbalancer/simulator_adapter.py
@@ -143,7 +143,7 @@
 def _integer(batch: Json, name: str) -> int:
     value = batch.get(name)
     if not is_integer(value):
-        raise MalformedInputError(f"{name}: {value!r} is not a whole number")
+        raise MalformedInputError(f"{name}: {value!r} is not an integer")
     return value
 
 
--- a/loadbalancer/simulator_wire.py
+++ b/loadbalancer/simulator_wire.py
@@ -77,14 +77,14 @@
 
 
 def is_integer(value: object) -> TypeGuard[int]:
-    """Tell whether a JSON value is a whole number; booleans are not, though `bool` is a subclass of `int`."""
+    """Tell whether a JSON value is an integer; booleans are not, though `bool` is a subclass of `int`."""
     return isinstance(value, int) and not isinstance(value, bool)
 
 
 def _integer(event: Json, name: str) -> int:
     value = event[name]
     if not is_integer(value):
-        raise TypeError(f"{name}: {value!r} is not a whole number")
+        raise TypeError(f"{name}: {value!r} is not an integer")
     return value
 
 
--- a/tests/simulator/test_simulator_adapter.py
+++ b/tests/simulator/test_simulator_adapter.py
@@ -146,7 +146,7 @@
         (batch(1, 1, *start_events(), {"t": "submit", "balancer": 0, "ticket": "t1"}), "KeyError 'kind'"),
         (
             batch(1, 1, *start_events(), {**request_arrived("t1", 1), "deadline_ns": "soon"}),
-            "deadline_ns: 'soon' is not a whole number",
+            "deadline_ns: 'soon' is not an integer",
         ),
         (
             batch(1, 1, *start_events(), {**request_arrived("t1", 1), "ticket": 7}),
