--- a/loadbalancer/messages.py
+++ b/loadbalancer/messages.py
@@ -1,13 +1,13 @@
 """The interface of the policy: the events that it handles and the actions that it returns.
 
-One `Balancer` (`loadbalancer/policy/balancer.py`) decides for one proxy. Time and random seed are passed to
-it: it opens no socket, reads no clock and starts no thread. All times are whole nanoseconds on the caller's
-clock, and all durations whole nanoseconds.
+One `Balancer` (`loadbalancer/policy/balancer.py`) decides for one proxy. It opens no socket, reads no clock
+and starts no thread: the time and the random seed are passed to it. All times are whole nanoseconds on the
+caller's clock, and all durations whole nanoseconds.
 
 Messages are named tuples instead of dataclasses: several are created for each request, and tuples are
 the fastest to create.
 
-Some messages the policy ignores or never returns; they exist because the simulator's wire and the proxy have
+The policy ignores or never returns some messages, which exist because the simulator's wire and the proxy have
 them: `FetchEndpoints` (`WatchEndpoints` brings the complete list as well), `SendGossip` and `GossipReceived`
 (each proxy decides by its own observations), `CloseIdleConnections` (idle connections time out in the proxy)
 and `LogMessage`.
@@ -45,11 +45,11 @@
 
     OK = "ok"
     ERROR = "error"  # an error response; may have run
-    REJECTED = "rejected"  # by the endpoint; never ran, unless `Rules.rejected_may_have_run`
+    REJECTED = "rejected"  # rejected by the endpoint; never ran, unless `Rules.rejected_may_have_run`
     TIMEOUT = "timeout"  # may have run, may still be running
-    CONNECT_FAILED = "connect_failed"  # no connection, or the proxy's connection limit is reached; never ran
+    CONNECT_FAILED = "connect_failed"  # no connection, or the connection limit is reached; never ran
     RESET = "reset"  # the connection broke; may have run
-    CANCELLED = "cancelled"  # by `CancelAttempt`; may have run
+    CANCELLED = "cancelled"  # ended by `CancelAttempt`; may have run
     NOT_SENT = "not_sent"  # the proxy did not send it; never ran
 
 
@@ -65,8 +65,8 @@
     status: EndpointStatus = EndpointStatus.READY
     zone: str = ""
     cell: int = 0  # the failure domain in its zone; requests with an idempotency key may have to stay in one
-    weight: float = 1.0  # its relative capacity; see `WeightSource`
-    started_ns: int = 0  # time of its last start; 0: long ago
+    weight: float = 1.0  # relative capacity; see `WeightSource`
+    started_ns: int = 0  # time of the last start; 0: long ago
     machine_type: str = ""
 
 
@@ -84,7 +84,7 @@
     """A client has sent a request, which must get exactly one final response."""
 
     request_id: str
-    class_name: str  # of its `RequestClass`
+    class_name: str  # name of the `RequestClass`
     tenant: str  # empty: none
     deadline_ns: int  # a response after this time is useless to the client
     cost_hint_ns: int = 0  # processing time that the client expects; 0: no hint
@@ -101,9 +101,9 @@
     result: AttemptResult
     elapsed_ns: int  # since the attempt started
     request_complete: bool = False  # the client has its final response
-    load_report: Mapping[str, float] | None = None  # came with the response; by column name
-    counts_as_attempt: bool = True  # towards `Limits.max_attempts`; False if the proxy never began it
-    was_written: bool = True  # the whole request may have reached the endpoint; if not, it never ran
+    load_report: Mapping[str, float] | None = None  # values by column name; None: no load report
+    counts_as_attempt: bool = True  # for `Limits.max_attempts`; False: the proxy never began it
+    was_written: bool = True  # the whole request may have reached the endpoint; False: it never ran
 
 
 class ResponseStarted(NamedTuple):
--- a/loadbalancer/settings.py
+++ b/loadbalancer/settings.py
@@ -2,11 +2,14 @@
 
 All times and durations are whole nanoseconds (`_ns`).
 
-Some settings are only here because the wire has them; the policy does not use them: of the limits `gossip`,
-`max_streams_per_connection`, `cpu_us_per_s` and `cpu_us_per_request`; of the rules `drain_notice_ns`,
-`overload_window_ns` and `answer_grace_ns`; of the prices all but `cross_zone`, `health_check` and
-`connection`; of a request class `priority_weight` and `latency_objective_stretch`; `Tenant.quota_per_s`,
-`over_quota_weight` and `client_retries_marked`.
+Neither the policy nor the proxy uses these settings, which are read only because the wire has them:
+
+- `Limits`: `gossip`, `max_streams_per_connection`, `cpu_us_per_s` and `cpu_us_per_request`
+- `Rules`: `drain_notice_ns`, `overload_window_ns` and `answer_grace_ns`
+- `Prices`: all but `cross_zone`, `health_check` and `connection`
+- `RequestClass`: `priority_weight` and `latency_objective_stretch`
+- `Tenant`: `quota_per_s`
+- `Settings`: `over_quota_weight` and `client_retries_marked`
 """
 
 from __future__ import annotations
@@ -48,16 +51,16 @@
     name: str
     # Retries.
     idempotency: Idempotency = Idempotency.IDEMPOTENT
-    deduplication_scope: DeduplicationScope = DeduplicationScope.ALL  # with an idempotency key
-    deduplication_window_ns: int = 0  # how long duplicates are dropped, from the first send that may have run
+    deduplication_scope: DeduplicationScope = DeduplicationScope.ALL  # for requests with a key
+    deduplication_window_ns: int = 0  # duplicates are dropped for this long after the first that may have run
     # Value of a response.
-    latency_objective_ns: int = 1_000_000_000  # a response within this has the full weight
-    priority_weight: float = 1.0  # the weight of a response in time
-    late_weight_factor: float = 0.0  # fraction of the weight that a response after the objective has
+    latency_objective_ns: int = 1_000_000_000  # a response within this time has the full weight
+    priority_weight: float = 1.0  # weight of a response within the objective
+    late_weight_factor: float = 0.0  # fraction of that weight for a later response
     stream: bool = False  # responses are streamed; `ResponseStarted` reports that one has begun
     latency_objective_stretch: float = 0.0  # the objective grows by this multiple of the request's own work
     client_timeout_ns: int = 0  # how long the client waits over all its attempts; 0: unknown
-    # Placement: only these endpoints may be used; None: no restriction.
+    # Placement: only endpoints in these zones and on these machine types may be used; None: no restriction.
     allowed_zones: frozenset[str] | None = None
     allowed_machine_types: frozenset[str] | None = None
 
@@ -67,8 +70,8 @@
     """A group of clients with a quota of its own."""
 
     name: str
-    quota_share: float = 1.0  # its fraction of the service
-    quota_per_s: float = 0.0  # requests per second, over all proxies, within that share; 0: unknown
+    quota_share: float = 1.0  # the tenant's quota, as a fraction of the whole service
+    quota_per_s: float = 0.0  # requests per second, over all proxies, within the quota; 0: unknown
 
 
 @dataclass(frozen=True, slots=True)
@@ -76,13 +79,13 @@
     """What a proxy may do, and the resources that it may use."""
 
     # Features.
-    max_attempts: int = 1  # per request; hedged ones count, those that the proxy never began do not
+    max_attempts: int = 1  # per request, hedged attempts included; attempts that never began don't count
     hedging: bool = False  # two attempts of a request may be in flight at the same time
     cancellation: bool = False  # attempts may be cancelled
     health_checks: bool = False  # health checks may be sent
     gossip: bool = False  # messages to other proxies may be sent
     retry_after: bool = False  # rejections may say after how long clients should retry
-    max_retry_after_ns: int = 1_000_000_000  # the longest such wait that clients respect
+    max_retry_after_ns: int = 1_000_000_000  # the longest Retry-After that clients respect
     # Connections to endpoints.
     connect_timeout_ns: int = 250_000_000
     connection_idle_timeout_ns: int = 0  # idle connections are closed after this time; 0: not set
@@ -99,10 +102,10 @@
 
     # Discovery.
     drain_notice_ns: int = 1_000_000_000  # sends to a draining or removed endpoint must end within this time
-    poll_interval_ns: int = 10_000_000_000  # a proxy that has not polled for this long counts as notified
+    poll_interval_ns: int = 10_000_000_000  # a proxy counts as notified if it has not polled for this long
     # Slow start: an endpoint warms up after its start; how its capacity grows meanwhile is unknown.
     slow_start_initial_capacity: float = 0.3  # lowest capacity at the start, as a fraction of the full one
-    slow_start_ns: int = 0  # longest time until the full capacity is reached; 0: no slow start
+    slow_start_ns: int = 0  # longest time from start to full capacity; 0: no slow start
     # Overload: an endpoint in slow start fails for good if it is sent more than `overload_factor` times its
     # current capacity for `overload_window_ns`.
     overload_factor: float = 3.0
@@ -133,7 +136,7 @@
     # This proxy among the others.
     proxy_index: int = 0  # from 0 to below proxy_count
     proxy_count: int = 1
-    zone: str = ""  # of this proxy
+    zone: str = ""  # the zone that this proxy runs in
     zones: Sequence[str] = ()  # all zones
     # Traffic.
     request_classes: Mapping[str, RequestClass] = field(default_factory=dict)  # by name
@@ -145,7 +148,7 @@
     rules: Rules = field(default_factory=Rules)
     prices: Prices = field(default_factory=Prices)
     # What discovery and endpoints report.
-    discovery_pushes: bool = True  # discovery pushes updates of the list; otherwise a proxy has to poll
+    discovery_pushes: bool = True  # discovery pushes updates of the list; False: a proxy has to poll
     load_report_columns: Sequence[str] = ()  # names of the values in a load report
-    load_reports_in_responses: bool = False  # otherwise only in the responses to health checks
+    load_reports_in_responses: bool = False  # False: only in the responses to health checks
     weight_source: WeightSource = WeightSource.NONE
--- a/loadbalancer/settings_reader.py
+++ b/loadbalancer/settings_reader.py
@@ -1,7 +1,8 @@
-"""Reads the settings of the policy from JSON (WIRE, Settings).
+"""Reads the settings of the policy from JSON, as the operators' wire page describes them under "Settings".
 
 The object has the same form on the simulator's wire and in a proxy's configuration file. Unknown keys are
-ignored; an absent key leaves the default of its field in `loadbalancer/settings.py`.
+ignored; an absent key leaves the default of its field in `loadbalancer/settings.py`, with one exception: a
+request class without `repeat` is not idempotent.
 """
 
 from __future__ import annotations
@@ -92,10 +93,10 @@
 
 
 def read_settings(raw: Json) -> Settings:
-    """Read the settings object of the wire (WIRE, Settings); unknown keys are ignored.
+    """Read the settings object; numbers and flags are not checked.
 
     Raises:
-        SettingsError: A required key is missing, or a value is invalid.
+        SettingsError: A name is missing, or an object, an array, a name or an enumerated value is invalid.
     """
     if not isinstance(raw, dict):
         raise SettingsError(f"settings: {raw!r} is not an object")
@@ -145,12 +146,12 @@
 
 
 def _present_fields(raw: Json, fields_by_key: Mapping[str, str]) -> Json:
-    """Return the values of the given keys that are present and not null, by the names of their fields."""
+    """Return the values of the keys that are present and not null, each under the name of its field."""
     return {field_name: raw[key] for key, field_name in fields_by_key.items() if raw.get(key) is not None}
 
 
 def _object(raw: Json, key: str) -> Json:
-    """Return the object under a key, or an empty one if the key is absent."""
+    """Return the object under a key, or an empty one if the key is absent or null."""
     value = raw.get(key) or {}
     if not isinstance(value, dict):
         raise SettingsError(f"{key}: {value!r} is not an object")
@@ -158,7 +159,7 @@
 
 
 def _sequence(raw: Json, key: str) -> tuple[str, ...]:
-    """Return the array under a key, or an empty one if the key is absent."""
+    """Return the array under a key, or an empty one if the key is absent or null."""
     value = raw.get(key) or ()
     try:
         return tuple(value)
@@ -167,7 +168,11 @@
 
 
 def _named_rows(raw: Json, key: str) -> list[tuple[Json, str]]:
-    """Return the objects of the array under a key, each with its path; check that each has a name."""
+    """Return the objects of the array under a key, each with its path for error messages.
+
+    Raises:
+        SettingsError: The value is not an array of objects that each have a name.
+    """
     rows = raw.get(key) or []
     if not isinstance(rows, list):
         raise SettingsError(f"{key}: {rows!r} is not an array")
@@ -195,10 +200,10 @@
     return IDEMPOTENCY_BY_NAME[value]
 
 
-def _enum_member(kind: type[EnumT], value: object, path: str) -> EnumT:
+def _enum_member(enum_class: type[EnumT], value: object, path: str) -> EnumT:
     """Return the member of an enumeration with the given value."""
     try:
-        return kind(value)
+        return enum_class(value)
     except ValueError:
-        names = ", ".join(str(member.value) for member in kind)
+        names = ", ".join(str(member.value) for member in enum_class)
         raise SettingsError(f"{path}: {value!r} is not one of {names}") from None
