--- a/loadbalancer/simulator_adapter.py
+++ b/loadbalancer/simulator_adapter.py
@@ -2,8 +2,9 @@
 
     python -m loadbalancer.simulator_adapter < batches > replies
 
-It reads one JSON object per line and answers each with one line. A line that is not a batch ends the process
-with a message on standard error and exit status 2; an exception inside a balancer is reported as its `fault`.
+Each line of input is a batch of events, as a JSON object, and is answered with one line of commands. A line
+that is not a valid batch ends the process with a message on standard error and exit status 2; an exception
+inside a balancer is reported by a `fault` command.
 """
 
 from __future__ import annotations
@@ -46,7 +47,7 @@
     commands: list[Json] = field(default_factory=list)  # commands of the reply
 
     def add_event(self, number: int, event: Event) -> None:
-        """Queue an event for its balancer."""
+        """Queue an event for the balancer with this number."""
         self.events.setdefault(number, []).append(event)
 
 
@@ -71,8 +72,8 @@
             raise MalformedInputError(f"happened: {type(happened).__name__} is not an array")
         for event in happened:
             self._handle_event(event, batch)
-        for balancer, events in batch.events.items():
-            self._run_balancer(balancer, events, batch)
+        for number, events in batch.events.items():
+            self._run_balancer(number, events, batch)
         return json.dumps({"round": round_number, "cmds": batch.commands}, separators=(",", ":"))
 
     def _handle_event(self, event: Json, batch: Batch) -> None:
@@ -148,7 +149,7 @@
 
 
 def _fault(number: int, error: Exception) -> Json:
-    """Return the report of an exception in a balancer, with the function and line that raised it."""
+    """Return the `fault` command for an exception, which names the function and line that raised it."""
     frame = error.__traceback__
     while frame is not None and frame.tb_next is not None:
         frame = frame.tb_next
@@ -157,13 +158,13 @@
 
 
 def main() -> int:
-    """Reply to each line of standard input; return the exit status."""
+    """Reply to each line of standard input until its end or a malformed line; return the exit status."""
     host = AdapterHost()
-    for number, line in enumerate(sys.stdin, 1):
+    for line_number, line in enumerate(sys.stdin, 1):
         try:
             reply = host.handle_line(line)
         except MalformedInputError as error:
-            print(f"adapter: line {number}: {error}", file=sys.stderr)
+            print(f"adapter: line {line_number}: {error}", file=sys.stderr)
             return EXIT_MALFORMED_INPUT
         sys.stdout.write(reply + "\n")
         sys.stdout.flush()
--- a/loadbalancer/simulator_wire.py
+++ b/loadbalancer/simulator_wire.py
@@ -1,8 +1,9 @@
-"""Converts JSON objects of the simulator's wire to messages of the policy, and back (WIRE).
+"""Converts events and commands of the simulator's wire from and to messages of the policy.
 
-Only this module and `settings_reader` contain the names and numbers of the wire. Unknown keys are ignored; an
-absent key leaves the default of the message's field. The readers raise KeyError, TypeError, ValueError or
-AttributeError if an object violates the wire format.
+The operators' wire page describes the format. `settings_reader` reads the settings, and `simulator_adapter`
+the batches and the events that create, feed with lists or end a balancer. Unknown keys are ignored; an
+optional key that is absent leaves the default of the message's field. The readers raise KeyError, TypeError,
+ValueError or AttributeError if an object violates the format.
 """
 
 from __future__ import annotations
@@ -77,7 +78,7 @@
 
 
 def is_integer(value: object) -> TypeGuard[int]:
-    """Tell whether a JSON value is an integer; booleans are not, though `bool` is a subclass of `int`."""
+    """Return whether a JSON value is an integer; booleans are not, though `bool` is a subclass of `int`."""
     return isinstance(value, int) and not isinstance(value, bool)
 
 
