--- a/loadbalancer/__main__.py
+++ b/loadbalancer/__main__.py
@@ -37,8 +37,8 @@
     """Run a proxy until a signal stops it; raise OSError if it can't be started."""
     loop = asyncio.get_running_loop()
     stop = asyncio.Event()
-    for number in (signal.SIGTERM, signal.SIGINT):
-        loop.add_signal_handler(number, stop.set)
+    for signal_number in (signal.SIGTERM, signal.SIGINT):
+        loop.add_signal_handler(signal_number, stop.set)
     proxy = Proxy(config, Balancer(config.settings, config.seed, time.monotonic_ns()))
     reloader = ConfigurationReloader(path, config, proxy.discovery_client.hand_over_to)
     loop.add_signal_handler(signal.SIGHUP, reloader.start)
--- a/loadbalancer/configuration_reader.py
+++ b/loadbalancer/configuration_reader.py
@@ -17,7 +17,7 @@
 from loadbalancer.proxy.errors import EndpointListError
 from loadbalancer.settings_reader import Json, SettingsError, read_settings
 
-CHUNK_BYTES = 16 * 1024  # how much of the file is parsed between two yields
+CHUNK_BYTES = 16 * 1024  # parsed between two yields
 DEFAULT_MAX_SOCKETS = 1024
 MEGABYTE = 1024 * 1024
 
@@ -36,7 +36,7 @@
 ) -> CooperativeWork[Configuration]:
     """Read a configuration file like `read_configuration`, but yield after every `CHUNK_BYTES`.
 
-    Without `keep_known_endpoints` the endpoint list of the file is parsed but not returned.
+    Without `keep_known_endpoints` the endpoint list of the file is parsed, but left out of the configuration.
     """
     endpoints = EndpointListParser(unix_offset_ns())
     raw = yield from _parse(path, endpoints)
@@ -52,7 +52,7 @@
 
 
 def _parse(path: str, endpoints: EndpointListParser) -> CooperativeWork[Json]:
-    """Parse the file; its endpoint list is passed to `endpoints`, all else is returned."""
+    """Parse the file: pass its endpoint list to `endpoints`, and return all else."""
     try:
         with Path(path).open("rb") as file:
             chunks = iter(lambda: file.read(CHUNK_BYTES), b"")
--- a/loadbalancer/configuration_reload.py
+++ b/loadbalancer/configuration_reload.py
@@ -1,8 +1,8 @@
 """Reload of the configuration file while the proxy runs (SIGHUP).
 
-A handover to the configured address of discovery starts at once. All other changes need a restart, and are
-logged unless they concern the seed or the known endpoint list. That list is parsed but not applied: it is
-only used at start-up.
+Each successful reload starts a handover to the configured address of discovery. All other changes need a
+restart, and are logged unless they concern the seed or the known endpoint list. The list is parsed but not
+applied: it is only used at start-up.
 """
 
 from __future__ import annotations
@@ -25,7 +25,7 @@
 
 
 class FileState(NamedTuple):
-    """The properties of a file by which a change is detected."""
+    """Properties of a file; if one of them differs, the file has changed."""
 
     device: int
     inode: int
@@ -34,12 +34,12 @@
 
 
 class ConfigurationReloader:
-    """Reads the file again at each signal. The newest signal wins, however long earlier reads take."""
+    """Reloads the configuration file; a new reload cancels an earlier one that is still reading."""
 
     def __init__(
         self, path: str, current: Configuration, hand_over_discovery: Callable[[Address], None]
     ) -> None:
-        """Prepare reloads without starting one.
+        """Store the arguments; `start` starts a reload.
 
         Args:
             path: The configuration file.
@@ -52,7 +52,7 @@
         self._task: asyncio.Task[None] | None = None
 
     def start(self) -> None:
-        """Start a reload; cancel one that is still reading, since its file is older."""
+        """Start a reload; cancel one that is still reading, because what it reads is older."""
         if self._is_reading:
             log.info("%s: reload: superseded by a newer reload", self._current.name)
         self.stop()
@@ -81,7 +81,11 @@
         self._hand_over_discovery(new.discovery)
 
     async def _read_unchanged(self) -> Configuration:
-        """Read the file, again if it changes meanwhile; raise ConfigurationError if it is invalid."""
+        """Read the file, and repeat that until the file does not change during a read.
+
+        Raises:
+            ConfigurationError: The file is missing or invalid.
+        """
         while True:
             state = file_state(self._path)
             try:
--- a/loadbalancer/logging_setup.py
+++ b/loadbalancer/logging_setup.py
@@ -9,9 +9,10 @@
 
 
 class LogRateLimiter(logging.Filter):
-    """Passes `MAX_LINES_PER_SECOND` lines per second; the next line after that reports how many it dropped.
+    """Passes at most `MAX_LINES_PER_SECOND` lines in each second and drops the others.
 
-    A fault that logs a line for each request must not use up the CPU.
+    The first line of a later second reports how many were dropped. The limit keeps a fault that logs a line
+    for each request from using up the CPU.
     """
 
     def __init__(self) -> None:
@@ -21,7 +22,7 @@
         self._dropped = 0
 
     def filter(self, record: logging.LogRecord) -> bool:
-        """Return whether to write a record; the first of a second also reports the count of dropped ones."""
+        """Return whether to write a record; append the number of dropped lines to the first of a second."""
         second = int(time.monotonic())
         if second != self._second:
             if self._dropped:
--- a/loadbalancer/startup.py
+++ b/loadbalancer/startup.py
@@ -4,19 +4,20 @@
 
 import gc
 
-# With a small CPU limit, it is better to serve slowly than not to serve.
+# Limits the delay if the CPU limit is small: it is better to serve slowly than not to serve.
 MAX_READINESS_DELAY_S = 1.0
 # How long the system may throttle a process that has exceeded its CPU limit.
 THROTTLING_DELAY_S = 0.15
 
 
 def readiness_delay_s(cpu_cores: float, cpu_time_s: float) -> float:
-    """Return after how many seconds the CPU time that the start used is within the CPU limit.
+    """Return how many seconds to delay readiness after a start that used this much CPU time.
 
-    Until then the system may throttle the process, so it should not report readiness.
+    Until its use is within the CPU limit again, the system may throttle the process, so it should not report
+    readiness. The delay is at most `MAX_READINESS_DELAY_S`.
 
     Args:
-        cpu_cores: The CPU limit, in cores; 0 if it is not known, for which the result is 0.
+        cpu_cores: The CPU limit, in cores. If it is 0, it is not known, and the delay is 0.
         cpu_time_s: The CPU time used so far, in seconds.
     """
     if cpu_cores <= 0:
@@ -25,6 +26,9 @@
 
 
 def freeze_heap() -> None:
-    """Exempt all existing objects from garbage collection, which takes long with a long endpoint list."""
+    """Collect garbage once, then exempt all remaining objects from collection.
+
+    With a long endpoint list, each collection that includes them takes long.
+    """
     gc.collect()
     gc.freeze()
