--- a/loadbalancer/settings.py
+++ b/loadbalancer/settings.py
@@ -111,7 +111,7 @@
     overload_factor: float = 3.0
     overload_window_ns: int = 2_000_000_000
     # Responses.
-    rejected_may_have_run: bool = False  # an endpoint's rejection is no proof that the request never ran
+    rejected_may_have_run: bool = False  # a request that an endpoint rejected may have run
     answer_grace_ns: int = 0  # a final response this long after the deadline still counts
 
 
--- a/tests/package/test_imports.py
+++ b/tests/package/test_imports.py
@@ -63,7 +63,7 @@
     assert not forbidden
 
 
-def test_state_and_policy_import_no_module_at_run_time() -> None:
+def test_state_policy_and_proxy_use_no_dynamic_imports() -> None:
     for module, source in SOURCES.items():
         if part_of(module) in ALLOWED_BY_PART:
             assert "importlib" not in source, module
--- a/tests/package/test_policy_limits.py
+++ b/tests/package/test_policy_limits.py
@@ -1,4 +1,4 @@
-"""Limits that the operators set for the source of the policy, the example of the README, and old names."""
+"""The operators' limits on the policy's source, the example in the README, and former package names."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 MAX_LINES_PER_MODULE = 200
 
 
-def test_each_policy_module_has_at_most_200_lines() -> None:
+def test_policy_modules_keep_within_200_lines_and_110_columns() -> None:
     too_long = {name for name, lines in LINES_BY_FILE.items() if len(lines) > MAX_LINES_PER_MODULE}
     assert not too_long
     assert max(map(len, LINES)) <= 110
--- a/tests/process/test_logging_setup.py
+++ b/tests/process/test_logging_setup.py
@@ -14,10 +14,10 @@
     """A monotonic clock that stands still until it is set."""
 
     def __init__(self) -> None:
-        self.now = 100.0
+        self.now_s = 100.0
 
     def monotonic(self) -> float:
-        return self.now
+        return self.now_s
 
 
 def record(text: str) -> logging.LogRecord:
@@ -34,7 +34,7 @@
 def test_lines_beyond_the_rate_are_dropped_and_counted_in_the_next_second(clock: ManualClock) -> None:
     limiter = LogRateLimiter()
     passed = [limiter.filter(record("a")) for _ in range(MAX_LINES_PER_SECOND + 3)]
-    clock.now += 1
+    clock.now_s += 1
     first, second = record("b"), record("c")
     assert passed == [True] * MAX_LINES_PER_SECOND + [False] * 3
     assert limiter.filter(first)
@@ -46,7 +46,7 @@
 def test_no_count_is_reported_if_no_line_was_dropped(clock: ManualClock) -> None:
     limiter = LogRateLimiter()
     assert limiter.filter(record("a"))
-    clock.now += 1
+    clock.now_s += 1
     following = record("b")
     assert limiter.filter(following)
     assert following.getMessage() == "line b"
--- a/tests/process/test_process.py
+++ b/tests/process/test_process.py
@@ -55,7 +55,7 @@
     *ports: int,
     descriptors: int = 1024,
     path: Path | None = None,
-    discovery: int = 1,
+    discovery_port: int = 1,
     mode: str = "push",
     **limits: float,
 ) -> AsyncIterator[tuple[Process, int]]:
@@ -69,7 +69,7 @@
             json.dumps(
                 configuration(
                     *ports,
-                    discovery=f"{HOST}:{discovery}",
+                    discovery=f"{HOST}:{discovery_port}",
                     settings={**SETTINGS, "registry_mode": mode},
                     limits={"sockets": 1024, **limits},
                 )
@@ -153,12 +153,13 @@
 
 
 async def test_readiness_waits_until_the_start_is_within_the_cpu_limit(tmp_path: Path) -> None:
-    # Guards against clients that wait while the system throttles a process that exceeded its CPU limit.
+    # Guards against a process that reports readiness while the system throttles it for exceeding its CPU
+    # limit: clients would have to wait.
     endpoint = await FakeEndpoint(respond_with(200)).start()
     async with proxy_process(tmp_path, endpoint.port, cores=0.001) as (_, port):
         while (response := await exchange(port, READY_REQUEST)).status != 200:
             assert response.status == 503
-            assert (await exchange(port, request())).status == 200  # it serves meanwhile
+            assert (await exchange(port, request())).status == 200  # requests are served meanwhile
     endpoint.stop()
 
 
@@ -173,7 +174,7 @@
 
 
 async def test_a_proxy_with_a_long_known_list_becomes_ready_and_serves(tmp_path: Path) -> None:
-    # Asserts no times: each request must reach the only ready one of 30,001 endpoints.
+    # Each request has to reach the only ready one of 30,001 endpoints. No times are asserted.
     endpoint = await FakeEndpoint(respond_with(200)).start()
     rows = list_of_ports(*[1] * 30_000, endpoint.port)
     assert isinstance(rows["hosts"], list)
@@ -208,11 +209,11 @@
         for discovery in discoveries:
             path.write_text(json.dumps(configuration(discovery=f"{HOST}:{discovery.server.port}")))
             process.send_signal(signal.SIGHUP)
-            await wait_until(lambda r=discovery: len(r.calls) >= 2)  # type: ignore[misc]
+            await wait_until(lambda d=discovery: len(d.calls) >= 2)  # type: ignore[misc]
         process.send_signal(signal.SIGTERM)
         process.send_signal(signal.SIGHUP)  # also during the shutdown
         assert await asyncio.wait_for(process.wait(), WAIT_TIMEOUT_S) == 0
-    for server in (endpoint, *(r.server for r in discoveries)):
+    for server in (endpoint, *(discovery.server for discovery in discoveries)):
         server.stop()
 
 
@@ -249,15 +250,15 @@
     await discovery.server.start()
     async with proxy_process(
         tmp_path,
-        *(u.port for u in endpoints),
+        *(endpoint.port for endpoint in endpoints),
         descriptors=256,
         mode=mode,
-        discovery=discovery.server.port,
+        discovery_port=discovery.server.port,
         sockets=256,
     ) as (process, port):
         idle = [await asyncio.open_connection(HOST, port) for _ in range(300)]
         answered = set()
-        while len(discovery.calls) < 4:  # two fail, one brings a change, the watch goes on
+        while len(discovery.calls) < 4:  # two that fail, one that brings a change, and the next watch
             responses = await asyncio.gather(*(exchange(port, request()) for _ in range(40)))
             answered |= {response.status for response in responses}
             idle += [await asyncio.open_connection(HOST, port) for _ in range(10)]
--- a/tests/process/test_reloads_in_succession.py
+++ b/tests/process/test_reloads_in_succession.py
@@ -1,4 +1,4 @@
-"""SIGHUP in quick succession, while a file is read or changed, and at the end of the process."""
+"""SIGHUP while an earlier reload still reads or the file changes, and signals at the end of the process."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 from tests.support.http_messages import HOST
 from tests.support.waiting import WAIT_TIMEOUT_S, wait_until
 
-SECOND: Address = ("127.0.0.3", 3)
+SECOND_DISCOVERY: Address = ("127.0.0.3", 3)
 EVENT_LOOP_TURNS = 20
 
 
@@ -38,13 +38,11 @@
         self.addresses: list[Address] = []
         self.reloader = ConfigurationReloader(str(path), CONFIGURATION, self.addresses.append)
         self.reads_begun = 0
-        self.held_reads: set[int] = (
-            set()
-        )  # numbers of reads that don't end until they are removed from the set
+        self.held_reads: set[int] = set()  # numbers of the reads that must not end yet
         monkeypatch.setattr(loadbalancer.configuration_reload, "read_configuration_cooperatively", self._read)
 
     def _read(self, path: str, *, keep_known_endpoints: bool) -> CooperativeWork[Configuration]:
-        number = self.reads_begun
+        read_number = self.reads_begun
         self.reads_begun += 1
         failure: ConfigurationError | None = None
         try:
@@ -53,7 +51,7 @@
             )
         except ConfigurationError as error:
             failure = error
-        while number in self.held_reads:
+        while read_number in self.held_reads:
             yield
         if failure is not None:
             raise failure
@@ -86,7 +84,7 @@
     await reloads.start(discovery="127.0.0.3:3")
     await wait_until(lambda: reloads.addresses)
     await reloads.release_reads()
-    assert reloads.addresses == [SECOND]
+    assert reloads.addresses == [SECOND_DISCOVERY]
 
 
 async def test_a_bad_newest_file_leaves_the_old_configuration_in_force(
@@ -109,7 +107,7 @@
     write_configuration(reloads.path.parent, discovery="127.0.0.3:3", seed="longer than before")
     reloads.held_reads.clear()
     await wait_until(lambda: reloads.addresses)
-    assert reloads.addresses == [SECOND]
+    assert reloads.addresses == [SECOND_DISCOVERY]
 
 
 async def test_a_stopped_reloader_applies_nothing(reloads: ReloadHarness) -> None:
@@ -159,19 +157,19 @@
         server.stop()
 
 
-@pytest.mark.parametrize("number", [signal.SIGHUP, signal.SIGTERM, signal.SIGINT])
+@pytest.mark.parametrize("repeated_signal", [signal.SIGHUP, signal.SIGTERM, signal.SIGINT])
 async def test_signals_up_to_the_end_of_the_process_leave_its_exit_status(
-    number: signal.Signals, tmp_path: Path
+    repeated_signal: signal.Signals, tmp_path: Path
 ) -> None:
-    # Guards against the default action of a signal between the end of the event loop and the exit.
+    # Guards against a signal whose default action ends the process after its event loop has been closed.
     endpoint = await FakeEndpoint(respond_with(200)).start()
     async with proxy_process(tmp_path, endpoint.port) as (process, _):
         process.send_signal(signal.SIGTERM)
         while process.returncode is None:
             # Process.send_signal polls the child first. At its end that takes the exit status away from
             # asyncio's child watcher, which then reports 255.
-            with contextlib.suppress(ProcessLookupError):  # ended, its exit status is not read yet
-                os.kill(process.pid, number)
+            with contextlib.suppress(ProcessLookupError):  # it has exited, but `returncode` is not set yet
+                os.kill(process.pid, repeated_signal)
             await asyncio.sleep(0.001)
         assert process.returncode == 0
     endpoint.stop()
--- a/tests/simulator/test_simulator_adapter.py
+++ b/tests/simulator/test_simulator_adapter.py
@@ -1,4 +1,4 @@
-"""The simulator's adapter as a process: requests, settings, malformed input, no effect of the hash seed."""
+"""The simulator's adapter as a process: requests, settings, malformed input, and no use of the hash seed."""
 
 from __future__ import annotations
 
@@ -37,7 +37,7 @@
 def run_adapter(lines: list[str], hash_seed: str = "0") -> subprocess.CompletedProcess[str]:
     return subprocess.run(
         [sys.executable, "-m", "loadbalancer.simulator_adapter"],
-        input="".join(f"{x}\n" for x in lines),
+        input="".join(f"{line}\n" for line in lines),
         capture_output=True,
         text=True,
         timeout=60,
@@ -46,8 +46,8 @@
     )
 
 
-def batch(number: int, now_ns: int, *happened: Json) -> str:
-    return json.dumps({"sim_time_ns": now_ns, "round": number, "happened": list(happened)})
+def batch(round_number: int, now_ns: int, *happened: Json) -> str:
+    return json.dumps({"sim_time_ns": now_ns, "round": round_number, "happened": list(happened)})
 
 
 def start_events(balancer: int = 0) -> list[Json]:
@@ -283,7 +283,7 @@
 
 
 @pytest.mark.parametrize(
-    ("raw", "key"),
+    ("raw", "message"),
     [
         (None, "settings: None"),
         ({"limits": 3}, "limits: 3"),
@@ -298,8 +298,8 @@
         ({"profiles": [{"name": "a", "runs_in": 4}]}, "profiles[0].runs_in: 4"),
     ],
 )
-def test_invalid_settings_are_reported_by_key_and_value(raw: Json, key: str) -> None:
-    with pytest.raises(SettingsError, match=re.escape(key)):
+def test_invalid_settings_are_reported_by_key_and_value(raw: Json, message: str) -> None:
+    with pytest.raises(SettingsError, match=re.escape(message)):
         read_settings(raw)
 
 
@@ -311,7 +311,7 @@
     done = subprocess.run(
         ["/bin/sh", "-c", deploy["sim"]],
         cwd=root,
-        input="".join(f"{x}\n" for x in simulated_batches()),
+        input="".join(f"{line}\n" for line in simulated_batches()),
         capture_output=True,
         text=True,
         timeout=60,
