--- a/loadbalancer/simulator_adapter.py
+++ b/loadbalancer/simulator_adapter.py
@@ -72,8 +72,8 @@
             raise MalformedInputError(f"happened: {type(happened).__name__} is not an array")
         for event in happened:
             self._handle_event(event, batch)
-        for number, events in batch.events.items():
-            self._run_balancer(number, events, batch)
+        for balancer_number, events in batch.events.items():
+            self._run_balancer(balancer_number, events, batch)
         return json.dumps({"round": round_number, "cmds": batch.commands}, separators=(",", ":"))
 
     def _handle_event(self, event: Json, batch: Batch) -> None:
--- a/scale_test/__main__.py
+++ b/scale_test/__main__.py
@@ -55,13 +55,13 @@
     "duration": Option(SECONDS, "Seconds that the scenario takes."),
     "quiet": Option(SECONDS, "Seconds without changes, before the scenario."),
     "changes": Option(
-        click.FloatRange(min=0.0, max=10_000.0), "List changes a second; 0: the rate of an ordinary day."
+        click.FloatRange(min=0.0, max=10_000.0), "List changes per second; 0: the rate of an ordinary day."
     ),
     "configured": Option(
-        COUNT, "Configuration changes a day among 160,000 upstreams; scaled to --upstreams."
+        COUNT, "Configuration changes per day among 160,000 upstreams; scaled to --upstreams."
     ),
-    "restarted": Option(COUNT, "Restarts or replacements a day among 160,000 upstreams; scaled."),
-    "failed": Option(COUNT, "Failures a day among 160,000 upstreams; scaled."),
+    "restarted": Option(COUNT, "Restarts or replacements per day among 160,000 upstreams; scaled."),
+    "failed": Option(COUNT, "Failures per day among 160,000 upstreams; scaled."),
     "course": Option(
         click.Choice([scenario.value for scenario in Scenario]),
         "Scenario. day: ordinary churn; zone: churn and an outage of one zone, which comes back cold; "
@@ -74,7 +74,7 @@
     "mode": Option(click.Choice(["ask", "push"]), "registry_mode in the settings of all balancers."),
     "requests": Option(
         click.FloatRange(min=0.0, max=5000.0),
-        "Requests a second that clients send to the first real balancer.",
+        "Requests per second that clients send to the first real balancer.",
     ),
     "known": Option(bool, "Whether the balancers' configuration files hold the endpoint list."),
     "held": Option(COUNT, "Bytes that a balancer holds for an upstream; used to estimate the memory needed."),
@@ -84,7 +84,7 @@
 
 
 def current_commit() -> str:
-    """The commit that runs, marked as dirty if files differ from it."""
+    """Return the commit that runs, marked as dirty if files differ from it."""
     completed = subprocess.run(
         ["git", "describe", "--always", "--dirty"], cwd=ROOT, capture_output=True, text=True, check=False
     )
@@ -92,20 +92,20 @@
 
 
 async def run_until_signal(plan: Plan) -> ExperimentResult:
-    """Run an experiment; the first signal cancels it, and further ones don't interrupt its cleanup."""
+    """Run an experiment; the first signal cancels it, and further signals don't interrupt the cleanup."""
     task = asyncio.create_task(run_experiment(plan))
 
     def stop() -> None:
         if not task.cancelling():
             task.cancel()
 
-    for number in (signal.SIGINT, signal.SIGTERM):
-        asyncio.get_running_loop().add_signal_handler(number, stop)
+    for signal_number in (signal.SIGINT, signal.SIGTERM):
+        asyncio.get_running_loop().add_signal_handler(signal_number, stop)
     return await task
 
 
 def write_figures(path: Path, plan: Plan, commit: str, result: ExperimentResult) -> None:
-    """Write the figures as JSON, with the commit, arguments and machine that they were measured with."""
+    """Write the figures as JSON, with the commit, the arguments and the machine of the run."""
     content = {
         "commit": commit,
         "arguments": asdict(plan),
@@ -153,7 +153,7 @@
 
 
 def main() -> int:
-    """Run the command; returns its exit status. An error is printed as one line."""
+    """Run the command and return its exit status; an error is printed as one line."""
     try:
         command(standalone_mode=False)
     except click.exceptions.Exit as error:
--- a/scale_test/analysis.py
+++ b/scale_test/analysis.py
@@ -19,7 +19,7 @@
 from scale_test.report import WeightedValue
 from scale_test.units import NS_PER_MS
 
-FULL_LIST_TAIL_NS = 250 * NS_PER_MS  # a full list may still delay requests for this long once it is in force
+FULL_LIST_TAIL_NS = 250 * NS_PER_MS  # how long a full list that is in force may still delay requests
 
 
 @dataclass(frozen=True)
@@ -30,13 +30,13 @@
     ended_ns: int
 
     def overlaps(self, sample: RequestSample) -> bool:
-        """Whether the request was open at some time in this window."""
+        """Return whether the request was open at some time in this window."""
         return sample.sent_ns < self.ended_ns and sample.answered_ns > self.begun_ns
 
 
 @dataclass(frozen=True)
 class ChangeDelays:
-    """Delays in ms from changes to the balancer's next call that names them, and the rows without one."""
+    """Delays in ms of changes until a call of the balancer showed them, and the rows that no call showed."""
 
     delays_ms: list[WeightedValue]
     missing_rows: int
@@ -59,7 +59,7 @@
 
 
 def adjust_for_outages(report: DiscoveryReport) -> list[ListVersion]:
-    """The list's versions in order; those made while discovery was down get the time of its return."""
+    """Return the list's versions in order; those made while discovery was down get the time of its return."""
 
     def adjusted_ns(at_ns: int, outages: Iterable[Outage]) -> int:
         for outage in outages:
@@ -71,7 +71,7 @@
 
 
 def delays_by_calls(versions: Sequence[ListVersion], caller: CallerRecord) -> ChangeDelays:
-    """The delay of each change until the balancer's next call that names its version or a newer one."""
+    """Return the delay of each change until the balancer first called with its version or a newer one."""
     seen = caller.versions_seen
     delays_ms = []
     missing_rows = 0
@@ -86,10 +86,10 @@
 
 
 def delays_by_policy(versions: Sequence[ListVersion], balancer: BalancerReport) -> list[WeightedValue]:
-    """The delay in ms of each change until it was in force, where a response held it.
+    """Return the delay in ms of each change until it was in force; changes that never were are left out.
 
-    A long response is applied in slices and counts from its last one; a later, shorter response may be in
-    force before that.
+    A long response is applied in slices, and is in force once the last slice is applied; a later, shorter
+    response may be in force earlier.
     """
     delays = []
     for version in versions:
@@ -100,7 +100,10 @@
 
 
 def in_force_ns(balancer: BalancerReport, version: int) -> int | None:
-    """When the last row of the first response that holds this version was in force; None: never."""
+    """Return when the last row of the first response with this version or a newer one was in force.
+
+    None: there was no such response, or it was not in force when the experiment ended.
+    """
     for response in balancer.in_force:
         if response.version >= version:
             return response.at_ns if response.at_ns < NEVER_NS else None
@@ -108,7 +111,10 @@
 
 
 def full_list_delays(caller: CallerRecord, balancer: BalancerReport) -> list[FullListDelay]:
-    """The delay of each full list until it was in force; lists that no call followed are left out."""
+    """Return the delay of each full list until it was in force.
+
+    Lists that no call followed and lists that were never in force are left out.
+    """
     delays = []
     for response in caller.full_lists:
         at_ns = in_force_ns(balancer, response.version)
@@ -118,10 +124,10 @@
 
 
 def full_list_windows(responses: Iterable[FullListResponse], tail_ns: int) -> list[Window]:
-    """The windows in which full lists may delay requests.
+    """Return the windows in which full lists may delay requests; lists that no call followed are left out.
 
-    Each begins as discovery sends the list, and ends FULL_LIST_TAIL_NS after the list is in force, which is
-    taken to be `tail_ns` after the balancer's next call.
+    A window begins when discovery begins to send the list, and ends FULL_LIST_TAIL_NS after the list is in
+    force. That is taken to be `tail_ns` after the balancer's next call.
     """
     return [
         Window(response.begun_ns, response.next_call_ns + tail_ns + FULL_LIST_TAIL_NS)
@@ -131,7 +137,7 @@
 
 
 def added_times(samples: Iterable[RequestSample], windows: Sequence[Window]) -> AddedTimes:
-    """The time that the balancer added to the requests that were open in one of these windows."""
+    """Return the time that the balancer added to each request that was open in one of these windows."""
     added_ms = []
     not_served = 0
     for sample in samples:
--- a/scale_test/balancer_config.py
+++ b/scale_test/balancer_config.py
@@ -62,7 +62,7 @@
 
 
 class ConfigurationWriter:
-    """Writes the configuration files of balancers, each given by its number."""
+    """Writes the configuration files of balancers, which are identified by their numbers."""
 
     def __init__(
         self, plan: Plan, folder: Path, discovery_addresses: Sequence[Address], known_list: bytes
@@ -75,7 +75,7 @@
     def configuration(self, number: int) -> Json:
         """Return a balancer's configuration without its listening address and the endpoint list.
 
-        The balancers that run take indexes spread evenly over those of all replicas.
+        The indexes of the balancers that run are spread evenly over those of all replicas.
         """
         plan = self._plan
         index = number * plan.replica_count // plan.balancers
@@ -88,14 +88,14 @@
         }
 
     def write(self, name: str, number: int, listen: str) -> Path:
-        """Write a balancer's configuration file, which includes the endpoint list; returns its path."""
+        """Write a balancer's configuration file, with the endpoint list, and return the file's path."""
         path = self._folder / f"{name}.json"
         text = orjson.dumps({**self.configuration(number), "listen": listen})
         path.write_bytes(text[:-1] + b',"known":%b}' % self._known_list)
         return path
 
     def hollow_overrides(self, number: int) -> Json:
-        """Return the values in which a hollow balancer differs from the configuration its process shares."""
+        """Return the values in which a hollow balancer differs from the configuration of its process."""
         configuration = self.configuration(number)
         return {
             "name": configuration["name"],
--- a/scale_test/child_process.py
+++ b/scale_test/child_process.py
@@ -1,4 +1,4 @@
-"""The child processes of an experiment. Each leads a process group, so that its children are killed with it.
+"""The child processes of an experiment. Each leads a process group, which is killed as a whole.
 
 A helper is a child process that executes commands: it reads each as one line of JSON from its standard
 input, and writes the result as one line of JSON to its standard output.
@@ -60,7 +60,7 @@
             folder: The folder of the experiment.
             command: The program and its arguments.
             piped: Whether standard input and output are pipes; otherwise input is empty and output is logged.
-            env: Environment variables beside those of this process.
+            env: Environment variables that are added to those of this process.
         """
         temporary = folder / f"{name}.tmp"
         temporary.mkdir()
@@ -89,7 +89,7 @@
         return ExperimentError(f"{self.name} exited: {lines[-1] if lines else 'its log is empty'}")
 
     async def call(self, command: str, **arguments: object) -> Any:  # noqa: ANN401 - any JSON value
-        """Send a helper one command, and wait for its result.
+        """Send a command to this process, which has to be a helper, and return the result.
 
         Raises:
             ExperimentError: The helper exited before it returned a result.
@@ -114,7 +114,7 @@
 
 
 def commands_of(handler: object) -> Commands:
-    """Return the public coroutine methods of an object, by name: each is a command."""
+    """Return the public coroutine methods of an object by name; each executes the command of that name."""
     methods = inspect.getmembers(handler, inspect.iscoroutinefunction)
     return {name: method for name, method in methods if not name.startswith("_")}
 
--- a/scale_test/cluster.py
+++ b/scale_test/cluster.py
@@ -19,7 +19,7 @@
 from scale_test.plan import Plan, memory_limit
 from scale_test.units import BYTES_PER_MB, NS_PER_S
 
-MAX_CONCURRENT_STARTS = 4  # of balancers: they share the machine's processors
+MAX_CONCURRENT_STARTS = 4  # processes of balancers that start at once, as they share the processors
 MEMORY_CHECK_INTERVAL_S = 0.25
 READY_POLL_S = 0.02
 HOSTS_PER_SUBNET = 250  # hosts 1 to 250 of each 127.8.x.0/24
@@ -27,14 +27,14 @@
 
 @dataclass(frozen=True)
 class StartTimes:
-    """Seconds that each balancer took to become ready."""
+    """How long each balancer took to become ready, in seconds."""
 
     real_s: list[float]
     hollow_s: list[float]
 
 
 def free_address(number: int) -> Address:
-    """Find a free port on the loopback address of this balancer number."""
+    """Return the loopback address for a balancer number, with a port that is free on it."""
     host = f"127.8.{number // HOSTS_PER_SUBNET}.{number % HOSTS_PER_SUBNET + 1}"
     with socket.socket() as probe:
         probe.bind((host, 0))
@@ -42,7 +42,7 @@
 
 
 async def is_ready(address: Address) -> bool:
-    """Whether the balancer at this address passes its readiness check."""
+    """Return whether the balancer at this address passes its readiness check."""
     try:
         reader, writer = await asyncio.open_connection(*address)
     except OSError:
@@ -72,7 +72,7 @@
         self._start_slots = asyncio.Semaphore(MAX_CONCURRENT_STARTS)
 
     async def start_helper(self, role: HelperRole, name: str) -> ChildProcess:
-        """Start a helper process that is monitored and killed with the others."""
+        """Start a helper process and add it to the processes that are monitored and killed."""
         process = await ChildProcess.start_helper(role, name, self.folder)
         self.processes.append(process)
         return process
@@ -116,7 +116,7 @@
         finally:
             await build.kill()
 
-    async def _start_real(self, number: int, run: str, writer: ConfigurationWriter) -> StartedReal:
+    async def _start_real(self, number: int, run_command: str, writer: ConfigurationWriter) -> StartedReal:
         """Start a real balancer by the deploy file's `run` command, and wait until it is ready."""
         async with self._start_slots:
             address = self.listen_addresses[number]
@@ -128,7 +128,7 @@
                 self.folder,
                 "/bin/sh",
                 "-c",
-                run,
+                run_command,
                 RELAY_NAME=configuration["name"],
                 RELAY_LISTEN=format_address(address),
                 RELAY_DISCOVERY=configuration["discovery"],
@@ -141,10 +141,9 @@
             return StartedReal(process, time.monotonic() - started_s)
 
     async def _start_hollow(self, number: int, writer: ConfigurationWriter) -> StartedHollow:
-        """Start one process of hollow balancers.
+        """Start one process of hollow balancers, which are assigned to the processes round-robin.
 
-        Hollow balancers are assigned to the processes round-robin. The process first reads the
-        configuration without starting a balancer, so that its memory before the first balancer is known.
+        The memory of the process is measured before it holds a balancer, but after an empty `start` command.
         """
         async with self._start_slots:
             plan = self.plan
@@ -180,7 +179,7 @@
 
 @dataclass(frozen=True)
 class StartedReal:
-    """A real balancer, and the seconds that it took to become ready."""
+    """A real balancer, and how long it took to become ready, in seconds."""
 
     process: ChildProcess
     ready_s: float
@@ -188,7 +187,7 @@
 
 @dataclass(frozen=True)
 class StartedHollow:
-    """A process of hollow balancers, and the nanoseconds that each balancer took to start."""
+    """A process of hollow balancers, and how long each balancer took to start, in nanoseconds."""
 
     helper: HollowHelper
     ready_ns: list[int]
--- a/scale_test/discovery_process.py
+++ b/scale_test/discovery_process.py
@@ -38,11 +38,11 @@
         return True
 
     async def wait_settled(self, timeout_s: float) -> object:
-        """Wait until all balancers have called with the newest version; False on a timeout."""
+        """Wait until all balancers have called with the newest version; return False on a timeout."""
         return await self.discovery.wait_settled(timeout_s)
 
     async def send_full_list(self, number: int, timeout_s: float) -> object:
-        """Send one balancer a full list; returns whether its next call came in time."""
+        """Send one balancer a full list, and return whether its next call came in time."""
         return await self.discovery.send_full_list(number, timeout_s)
 
     async def traffic(self) -> object:
--- a/scale_test/errors.py
+++ b/scale_test/errors.py
@@ -6,8 +6,8 @@
 
 
 class PlanError(ScaleTestError):
-    """The plan is rejected: its arguments contradict each other, or ask for more than the machine allows."""
+    """The plan is rejected: its arguments contradict each other, or need more than an experiment may use."""
 
 
 class ExperimentError(ScaleTestError):
-    """The experiment can't continue: a process has ended, or it ran out of memory or time."""
+    """The experiment can't continue: a process has exited, or a limit on memory or time is exceeded."""
--- a/scale_test/experiment.py
+++ b/scale_test/experiment.py
@@ -1,4 +1,4 @@
-"""One experiment: starts the processes, runs the phases, collects the figures and ends the processes."""
+"""Runs an experiment: starts its processes, runs its phases, collects the figures and ends the processes."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 from scale_test.report import Phase, Row
 
 WARM_UP_S = 1.0  # of client traffic before the first phase
-# The pause after a full list has been read, until it is in force: fixed, and by its rows.
+# The pause after a full list has been read, in which it comes into force: a fixed part, and a part by rows.
 FULL_LIST_PAUSE_S = 1.0
 FULL_LIST_ROWS_PER_S = 80_000
 MIN_SETTLE_TIMEOUT_S = 8.0  # balancers count as notified of a version 6 s after discovery has it
@@ -42,10 +42,10 @@
         self._measurements = Measurements(self._cluster)
 
     async def run(self) -> ExperimentResult:
-        """Run the phases, and end all processes, also where a phase fails or a process has ended.
+        """Run the phases, and finally kill all processes, also after an error.
 
         Raises:
-            ExperimentError: It could not continue.
+            ExperimentError: The experiment could not continue.
         """
         watch_task = asyncio.create_task(self._cluster.watch())
         phases_task = asyncio.create_task(self._run_phases())
@@ -95,7 +95,8 @@
     async def _send_full_lists(self) -> None:
         """Send full lists to the loaded balancer and to a hollow one.
 
-        A hollow balancer records when the list is in force; a real one's next call shows only its reading.
+        A hollow balancer records when the list is in force. The next call of a real balancer shows only when
+        it has read the list.
         """
         plan = self._plan
         numbers = list(range(plan.loaded))
@@ -112,7 +113,7 @@
             await asyncio.sleep(pause_s)
 
     async def _gather_reports(self, clients: LoadHelper | None) -> None:
-        """Fetch the helpers' reports, and add the figures from them."""
+        """Fetch the helpers' reports, and add the figures calculated from them."""
         measurements = self._measurements
         discovery = await self._cluster.discovery.report()
         hollow = await self._hollow_reports()
@@ -123,7 +124,7 @@
             measurements.add_request_figures(await clients.report(), discovery, tail_ns)
 
     async def _hollow_reports(self) -> list[BalancerReport]:
-        """The hollow balancers' reports in order of number; numbers are dealt to the processes in turn."""
+        """Return the hollow balancers' reports by number; numbers are assigned to processes round-robin."""
         reports = [await helper.report() for helper in self._cluster.hollow]
         interleaved = itertools.chain.from_iterable(itertools.zip_longest(*reports))
         return [report for report in interleaved if report is not None]
@@ -133,7 +134,7 @@
     """Run an experiment in a temporary folder.
 
     Raises:
-        ExperimentError: It could not continue.
+        ExperimentError: The experiment could not continue.
     """
     with tempfile.TemporaryDirectory(prefix="scale-") as folder:
         return await Experiment(plan, Path(folder)).run()
--- a/scale_test/fake_discovery.py
+++ b/scale_test/fake_discovery.py
@@ -18,7 +18,7 @@
 from scale_test.registry import Health, Registry
 
 HOST = "127.0.0.1"
-MAX_WAIT_S = 60.0  # of a watch, whatever its `wait_ms` asks for
+MAX_WAIT_S = 60.0  # a watch ends after this time even if its `wait_ms` is longer
 WRITE_CHUNK_BYTES = 256 * 1024
 MAX_WRITE_S = 0.1  # the longest time that a slow reader delays the response to the next call
 UNAVAILABLE = b"HTTP/1.1 503 Down\r\nContent-Length: 0\r\nConnection: close\r\n\r\n"
@@ -31,7 +31,7 @@
     caller: CallerRecord
     after: int | None  # the version that the balancer has; None: it asks for the full list
     writer: asyncio.StreamWriter
-    completed: asyncio.Event = field(default_factory=asyncio.Event)  # the connection may read its next call
+    completed: asyncio.Event = field(default_factory=asyncio.Event)  # set when the next call may be read
     force_full_list: bool = False  # respond with the full list even where the changes are known
     timer: asyncio.TimerHandle | None = None  # ends a watch after its wait
 
@@ -45,7 +45,7 @@
         self.down = False
         self.outages: list[Outage] = []
         self._outage_begun_ns = 0
-        self._watches: dict[PendingCall, None] = {}  # those still waiting, in order of arrival
+        self._watches: dict[PendingCall, None] = {}  # open watches, in order of arrival
         self._queue: asyncio.Queue[PendingCall] = asyncio.Queue()  # calls that are due for a response
         self._connections: set[asyncio.StreamWriter] = set()
         self._servers: list[asyncio.Server] = []
@@ -53,7 +53,7 @@
         self._worker: asyncio.Task[None] | None = None
 
     async def start(self) -> list[tuple[str, int]]:
-        """Start listening; returns an address for each balancer, by its number."""
+        """Start listening, and return an address for each balancer, by its number."""
         self._worker = asyncio.create_task(self._respond_to_calls())
         for caller in self.callers:
             serve = functools.partial(self._serve, caller)
@@ -114,9 +114,9 @@
         if after is not None and (not seen or after > seen[-1].version):
             seen.append(VersionSeen(now_ns, after))
         if caller.full_lists and caller.full_lists[-1].next_call_ns is None:
-            answer = caller.full_lists[-1]
-            answer.next_call_ns = now_ns
-            answer.accepted = after is not None and after >= answer.version
+            response = caller.full_lists[-1]
+            response.next_call_ns = now_ns
+            response.accepted = after is not None and after >= response.version
         self._call_received.set()
 
     def _end_watch(self, call: PendingCall) -> None:
@@ -159,14 +159,14 @@
     # -- commands of the experiment --
 
     def change(self, rows: Sequence[int], health: Health | None = None, *, restarted: bool = False) -> None:
-        """Change rows of the list, and respond to all watches."""
+        """Change rows of the list, and respond to all watches unless discovery is down."""
         self.registry.change(rows, health, restarted=restarted)
         if not self.down:
             for call in list(self._watches):
                 self._end_watch(call)
 
     def begin_outage(self) -> None:
-        """Begin an outage: abort all connections and their watches, and reject new calls."""
+        """Begin an outage: abort all connections and drop their watches; from now on, reject calls."""
         self.down = True
         self._outage_begun_ns = time.monotonic_ns()
         for writer in self._connections:
@@ -176,13 +176,13 @@
         self._watches.clear()
 
     def end_outage(self) -> None:
-        """End the outage with an empty log of changes: callers with an older version get the full list."""
+        """End the outage and clear the log of changes: callers with an older version get the full list."""
         self.registry.forget_changes()
         self.down = False
         self.outages.append(Outage(self._outage_begun_ns, time.monotonic_ns()))
 
     async def wait_settled(self, timeout_s: float) -> bool:
-        """Wait until all balancers have called with the newest version; False on a timeout."""
+        """Wait until all balancers have called with the newest version; return False on a timeout."""
         try:
             async with asyncio.timeout(timeout_s):
                 await self._wait_for_calls(lambda: all(map(self._has_newest, self.callers)))
--- a/scale_test/helpers.py
+++ b/scale_test/helpers.py
@@ -34,11 +34,11 @@
         await self.process.call("run_scenario")
 
     async def wait_settled(self, timeout_s: float) -> bool:
-        """Wait until all balancers have called with the newest version; False on a timeout."""
+        """Wait until all balancers have called with the newest version; return False on a timeout."""
         return bool(await self.process.call("wait_settled", timeout_s=timeout_s))
 
     async def send_full_list(self, number: int, timeout_s: float) -> bool:
-        """Send one balancer a full list; returns whether its next call came in time."""
+        """Send one balancer a full list, and return whether its next call came in time."""
         return bool(await self.process.call("send_full_list", number=number, timeout_s=timeout_s))
 
     async def traffic(self) -> list[CallerTraffic]:
@@ -57,7 +57,7 @@
         self.process = process
 
     async def start_upstreams(self) -> list[str]:
-        """Start listening as the upstreams; returns the addresses, formatted as in the endpoint list."""
+        """Start listening as the upstreams, and return the addresses, formatted as in the endpoint list."""
         return [str(upstream_address) for upstream_address in await self.process.call("start_upstreams")]
 
     async def start_clients(self, address: Address, rate: float, seed: int) -> None:
@@ -80,15 +80,15 @@
         """Start balancers one after the other.
 
         Returns:
-            The nanoseconds that each took, the reading of its configuration included.
+            How long each took in nanoseconds, the reading of its configuration included.
         """
         return [
-            int(ns)
-            for ns in await self.process.call(
+            int(start_ns)
+            for start_ns in await self.process.call(
                 "start", config_path=str(config_path), balancer_overrides=balancers
             )
         ]
 
     async def report(self) -> list[BalancerReport]:
-        """Stop the balancers; returns what each recorded."""
+        """Stop the balancers, and return what each recorded."""
         return [BalancerReport.from_json(balancer) for balancer in await self.process.call("report")]
--- a/scale_test/hollow.py
+++ b/scale_test/hollow.py
@@ -31,7 +31,7 @@
         self.changes: list[PolicyChange] = []
 
     def handle(self, now_ns: int, events: Iterable[Event]) -> list[Action]:
-        """Pass the events to the policy, and record the time of those that change the list."""
+        """Pass the events to the policy, and record how long a call with changes of the list takes."""
         events = list(events)
         begun_ns = time.monotonic_ns()
         actions = self._policy.handle(now_ns, events)
@@ -66,9 +66,9 @@
         index = len(self.in_force)
         self.in_force.append((result.version, time.monotonic_ns()))
         if self.is_pending(result) and self.task is not None:
-            wait = asyncio.get_running_loop().create_task(self._record_in_force(index, self.task))
-            self._waiting_tasks.add(wait)
-            wait.add_done_callback(self._waiting_tasks.discard)
+            waiting_task = asyncio.get_running_loop().create_task(self._record_in_force(index, self.task))
+            self._waiting_tasks.add(waiting_task)
+            waiting_task.add_done_callback(self._waiting_tasks.discard)
 
     async def _record_in_force(self, index: int, apply_task: asyncio.Task[None]) -> None:
         self.in_force[index] = (self.in_force[index][0], NEVER_NS)
@@ -97,34 +97,32 @@
         """Start balancers one after the other.
 
         Returns:
-            The nanoseconds that each took, the reading of its configuration included.
+            How long each took in nanoseconds, the reading of its configuration included.
         """
-        started_ns = []
+        start_times_ns = []
         for overrides in balancer_overrides:
             begun_ns = time.monotonic_ns()
             proxy = hollow_proxy(config_path, overrides)
             await proxy.start()
-            started_ns.append(time.monotonic_ns() - begun_ns)
+            start_times_ns.append(time.monotonic_ns() - begun_ns)
             self._proxies.append(proxy)
             await asyncio.sleep(0)
-        return started_ns
+        return start_times_ns
 
     async def report(self) -> object:
-        """Stop the balancers; returns what each recorded."""
+        """Stop the balancers, and return what each recorded."""
         for proxy in self._proxies:
             proxy.close()
         return [
-            BalancerReport(
-                proxy.changes, [ResponseInForce(*answer) for answer in proxy.list_applier.in_force]
-            )
+            BalancerReport(proxy.changes, [ResponseInForce(*entry) for entry in proxy.list_applier.in_force])
             for proxy in self._proxies
         ]
 
 
 def hollow_proxy(config_path: str, overrides: dict[str, Any]) -> HollowProxy:
-    """Create a balancer from the configuration that all share and from its own overrides.
+    """Create a balancer from the shared configuration file and its own overrides.
 
-    The file is read again for each balancer, so that balancers share no text, just as real ones don't.
+    The file is read again for each balancer, so that balancers share no strings: real ones share none either.
     """
     base = read_configuration(config_path)
     settings = replace(base.settings, proxy_index=overrides["me"], zone=overrides["zone"])
--- a/scale_test/http_messages.py
+++ b/scale_test/http_messages.py
@@ -16,7 +16,7 @@
 
 
 def is_ok(head: bytes) -> bool:
-    """Whether the head of a response has status 200."""
+    """Return whether the head of a response has status 200."""
     return head.lower().startswith(b"http/1.1 200")
 
 
--- a/scale_test/load_generator.py
+++ b/scale_test/load_generator.py
@@ -1,4 +1,4 @@
-"""The load generator, a child process that plays either all upstreams or the clients of one balancer."""
+"""The load generator, a child process that acts as all upstreams or as the clients of one balancer."""
 
 from __future__ import annotations
 
@@ -14,9 +14,9 @@
 from scale_test.http_messages import END_OF_HEAD, content_length, is_ok, ok_response
 from scale_test.records import RequestSample
 
-LISTENERS = 8  # each upstream of the list has the address of one of them
-SERVICE_TIME_S = 0.004  # between an upstream's receipt of a request and its response
-DEADLINE_MS = 2000  # of each request
+LISTENERS = 8  # the upstreams of the list share the addresses of these
+SERVICE_TIME_S = 0.004  # time from an upstream's receipt of a request to its response
+DEADLINE_MS = 2000  # sent with each request
 
 
 @dataclass(frozen=True)
@@ -41,7 +41,7 @@
 
     @property
     def upstream_ns(self) -> int:
-        """The time that the upstream took, by the two times in the body."""
+        """The time that the upstream took, calculated from the two times in the body."""
         received, answered = self.body.split()
         return int(answered) - int(received)
 
@@ -69,7 +69,7 @@
         self._tasks: set[asyncio.Task[None]] = set()
 
     async def start_upstreams(self) -> object:
-        """Start listening as the upstreams; returns the addresses, formatted as in the endpoint list."""
+        """Start listening as the upstreams, and return the addresses, formatted as in the endpoint list."""
         for number in range(LISTENERS):
             self._servers.append(await asyncio.start_server(serve_upstream, f"127.9.0.{number + 1}", 0))
         return ["{}:{}".format(*server.sockets[0].getsockname()[:2]) for server in self._servers]
--- a/scale_test/measurements.py
+++ b/scale_test/measurements.py
@@ -1,4 +1,4 @@
-"""The figures of an experiment: measured on its processes, or calculated from their reports."""
+"""The figures of an experiment, measured on its processes or calculated from their reports."""
 
 from __future__ import annotations
 
@@ -35,13 +35,13 @@
 
 
 def cpu_seconds(process: ChildProcess) -> float:
-    """Processor seconds that a process has used so far."""
+    """Return the processor time that a process has used so far, in seconds."""
     times = psutil.Process(process.pid).cpu_times()
     return float(times.user + times.system)
 
 
 def memory_of(process: ChildProcess) -> Memory:
-    """Resident memory of a process now and at its peak."""
+    """Return the resident memory of a process now and at its peak."""
     now = psutil.Process(process.pid).memory_info().rss
     return Memory(now / BYTES_PER_MB, peak_resident_bytes(process.pid) / BYTES_PER_MB)
 
@@ -58,7 +58,7 @@
 
     @property
     def balancer_groups(self) -> dict[Group, range]:
-        """The numbers of the balancers in each group; discovery counts its callers by the same numbers."""
+        """The numbers of the balancers in each group, which are also their indexes in discovery's reports."""
         plan = self._plan
         return {
             Group.REAL: range(plan.loaded, plan.real),
@@ -81,7 +81,7 @@
 
     @contextlib.asynccontextmanager
     async def phase(self, phase: Phase) -> AsyncIterator[None]:
-        """Measure processor time and traffic with discovery within the context, as those of a phase."""
+        """Measure processor time and traffic with discovery during the context, and add them for a phase."""
         traffic_before = await self._cluster.discovery.traffic()
         cpu_before = self._cpu_seconds()
         begun_ns = time.monotonic_ns()
@@ -106,7 +106,10 @@
                 self.add_row(figure, phase, group, "", rates)
 
     def _cpu_seconds(self) -> dict[Group, list[float]]:
-        """Processor seconds so far of balancers and discovery; of hollow ones, the mean in each process."""
+        """Return the processor seconds used so far by each balancer and by discovery.
+
+        For hollow balancers, these are the means of their processes.
+        """
         cluster = self._cluster
         loaded = self._plan.loaded
         return {
@@ -136,7 +139,7 @@
             self.add_row("memory peak", Phase.END, group, "MB", [each.peak for each in memories])
 
     def _hollow_memory(self) -> list[Memory]:
-        """The mean of the hollow balancers of each process, without the memory of the empty process."""
+        """Return the mean memory of a hollow balancer in each process, without that of the empty process."""
         means = []
         for helper, count in zip(self._cluster.hollow, self._plan.hollow_counts, strict=True):
             used = memory_of(helper.process)
@@ -147,7 +150,7 @@
     # -- the endpoint list --
 
     def add_list_figures(self, discovery: DiscoveryReport, hollow: Sequence[BalancerReport]) -> None:
-        """Add how soon changes and full lists were in force."""
+        """Add how soon changes and full lists were in force, and the calls and lists that were rejected."""
         ended_ns = self._windows[Phase.SCENARIO].ended_ns
         versions = [
             version for version in analysis.adjust_for_outages(discovery) if version.at_ns <= ended_ns
@@ -173,9 +176,9 @@
         self._add_policy_times(hollow)
 
     def _add_full_list_reading(self, discovery: DiscoveryReport, group: Group) -> None:
-        """Add the times in which full lists were read, from the scenario's start on, and those rejected.
+        """Add how long the reading of full lists took, and how many were rejected.
 
-        Lists that no call followed are left out.
+        Lists sent before the scenario and lists that no call followed are left out.
         """
         begun_ns = self._windows[Phase.SCENARIO].begun_ns
         read_ms = []
@@ -196,7 +199,7 @@
     def _add_policy_times(self, hollow: Sequence[BalancerReport]) -> None:
         """Add the time that the policy took to apply changes: those of a single row, and all.
 
-        The rows of a zone or a full list arrive in one response; single changes show the time of one row.
+        All rows of a zone or a full list arrive in one response; single changes show the time of one row.
         """
         window = self._windows[Phase.SCENARIO]
         changes = [
@@ -213,7 +216,7 @@
     def full_list_delays(
         self, discovery: DiscoveryReport, hollow: Sequence[BalancerReport]
     ) -> list[FullListDelay]:
-        """The delay of each full list sent to a hollow balancer, until it was in force there."""
+        """Return the delay of each full list sent to a hollow balancer until it was in force there."""
         numbers = self.balancer_groups[Group.HOLLOW]
         return [
             delay
@@ -228,8 +231,7 @@
     ) -> None:
         """Add the time that the loaded balancer added to requests, by phase, and those not served.
 
-        The phase of full lists is the time in which the balancer read one after the scenario.
-
+        The phase of full lists is the times in which a full list sent after the scenario may delay requests.
 
         Args:
             samples: The requests of the clients.
--- a/scale_test/plan.py
+++ b/scale_test/plan.py
@@ -13,13 +13,13 @@
 from scale_test.units import BYTES_PER_MB
 
 SECONDS_PER_DAY = 86_400
-SINGLE_HELPERS = 3  # discovery, upstreams, clients
+SINGLE_HELPERS = 3  # helper processes that run once: discovery, upstreams, clients
 MAX_PROCESSES = 200
 MAX_ZONES = 40
 ZONES_PER_REGION = 10
 MAX_MEMORY_FRACTION = 0.5  # of the machine's memory that an experiment may use
 PROCESS_MB = 40  # used by a Python process that holds no data
-ROW_BYTES = 700  # used by the fake discovery for a row: its text, and its part of a full list being sent
+ROW_BYTES = 700  # used by the fake discovery for a row: as text, and within a full list that is being sent
 
 # Changes on an ordinary day in a list of TARGET_UPSTREAMS.
 TARGET_UPSTREAMS = 160_000
@@ -44,7 +44,8 @@
     FAILED = "failed"
 
 
-# List changes that each kind makes: a restart drains and returns, a failure is removed and returns.
+# List changes for one change of an upstream: one that restarts drains and returns, one that fails is removed
+# and returns.
 LIST_CHANGES_PER_KIND = {ChangeKind.CONFIGURED: 1, ChangeKind.RESTARTED: 2, ChangeKind.FAILED: 2}
 
 
@@ -55,26 +56,26 @@
     The field names are those of the command line's options and the keys of "arguments" in the JSON files.
     """
 
-    upstreams: int = 1000  # in the endpoint list
-    real: int = 2  # balancers run as the deploy file says
-    hollow: int = 10  # balancers without clients
-    hollow_processes: int = 2  # that the hollow balancers are spread over
-    replicas: int = 0  # balancers according to the settings of each; 0: as many as run
-    zones: int = MAX_ZONES  # that the upstreams are spread over
-    duration: float = 30.0  # of the scenario, in seconds
+    upstreams: int = 1000  # number of upstreams in the endpoint list
+    real: int = 2  # number of balancers run as the deploy file says
+    hollow: int = 10  # number of balancers without clients
+    hollow_processes: int = 2  # number of processes that the hollow balancers are spread over
+    replicas: int = 0  # number of balancers, as the settings of each state it; 0: as many as run
+    zones: int = MAX_ZONES  # number of zones that the upstreams are spread over
+    duration: float = 30.0  # seconds that the scenario takes
     quiet: float = 15.0  # seconds without changes, before the scenario
-    changes: float = 0.0  # of the list, per second; 0: the rate of an ordinary day
-    configured: int = CONFIGURED_PER_DAY  # configuration changes, among TARGET_UPSTREAMS
-    restarted: int = RESTARTED_PER_DAY  # restarts and replacements, among TARGET_UPSTREAMS
-    failed: int = FAILED_PER_DAY  # failures, among TARGET_UPSTREAMS
+    changes: float = 0.0  # list changes per second; 0: the rate of an ordinary day
+    configured: int = CONFIGURED_PER_DAY  # configuration changes per day, among TARGET_UPSTREAMS
+    restarted: int = RESTARTED_PER_DAY  # restarts and replacements per day, among TARGET_UPSTREAMS
+    failed: int = FAILED_PER_DAY  # failures per day, among TARGET_UPSTREAMS
     course: str = Scenario.CHURN.value  # the scenario, by the value of the enum
     wholes: int = 5  # full lists sent at the end to the loaded balancer, and as many to a hollow one
     mode: str = "ask"  # registry_mode in the balancers' settings
-    requests: float = 136.0  # per second, from clients to the loaded balancer
+    requests: float = 136.0  # requests per second from clients to the loaded balancer
     known: bool = True  # whether the balancers' configuration files hold the endpoint list
-    held: int = 4000  # bytes that a balancer holds for an upstream, for the estimate of memory
+    held: int = 4000  # bytes that a balancer holds for an upstream, used to estimate the memory needed
     patience: float = 120.0  # seconds within which all balancers have to be ready, and to call discovery
-    seed: int = 1  # of the scenario, the clients and the balancers
+    seed: int = 1  # seed of the scenario, the clients and the balancers
 
     @property
     def scenario(self) -> Scenario:
@@ -83,17 +84,17 @@
 
     @property
     def balancers(self) -> int:
-        """All balancers, real and hollow."""
+        """The number of balancers that run, real and hollow."""
         return self.real + self.hollow
 
     @property
     def replica_count(self) -> int:
-        """How many balancers the settings of each say that there are."""
+        """The number of balancers, as the settings of each state it."""
         return self.replicas or self.balancers
 
     @property
     def processes(self) -> int:
-        """All processes, this one included."""
+        """The number of processes, this one included."""
         return 1 + SINGLE_HELPERS + self.real + self.hollow_processes
 
     @property
@@ -104,7 +105,7 @@
 
     @property
     def upstream_changes_per_day(self) -> dict[ChangeKind, int]:
-        """Upstream changes a day of each kind, among TARGET_UPSTREAMS."""
+        """Changes of upstreams per day by kind, among TARGET_UPSTREAMS."""
         return {
             ChangeKind.CONFIGURED: self.configured,
             ChangeKind.RESTARTED: self.restarted,
@@ -113,11 +114,11 @@
 
     @property
     def changes_a_second(self) -> float:
-        """List changes a second."""
-        list_changes_a_day = sum(
+        """List changes per second, among the upstreams of this plan."""
+        list_changes_per_day = sum(
             LIST_CHANGES_PER_KIND[kind] * count for kind, count in self.upstream_changes_per_day.items()
         )
-        return self.changes or list_changes_a_day / SECONDS_PER_DAY * self.upstreams / TARGET_UPSTREAMS
+        return self.changes or list_changes_per_day / SECONDS_PER_DAY * self.upstreams / TARGET_UPSTREAMS
 
     @property
     def hollow_counts(self) -> list[int]:
@@ -130,18 +131,18 @@
 
     @property
     def loaded(self) -> int:
-        """How many real balancers have clients: the first, if there are requests to send."""
+        """The number of real balancers with clients: 1, which is the first, or 0 without requests to send."""
         return 1 if self.requests > 0 and self.real > 0 else 0
 
     def zone_of(self, upstream: int) -> int:
-        """The number of the zone that an upstream is in."""
+        """Return the number of the zone that an upstream is in."""
         return upstream * self.zones // self.upstreams
 
     def check(self) -> None:
         """Reject a plan that can't be carried out.
 
         Raises:
-            PlanError: Names the first problem.
+            PlanError: The plan has a problem; the message describes the first one.
         """
         for problem in self._problems():
             raise PlanError(problem)
@@ -169,10 +170,10 @@
 
 
 def memory_limit() -> int:
-    """Bytes of memory that an experiment may use."""
+    """Return how many bytes of memory an experiment may use."""
     return int(psutil.virtual_memory().total * MAX_MEMORY_FRACTION)
 
 
 def zone_name(number: int) -> str:
-    """The name of a zone: its region, and its number in the region."""
+    """Return the name of a zone, which consists of its region and its number in the region."""
     return f"r{number // ZONES_PER_REGION}-z{number % ZONES_PER_REGION}"
--- a/scale_test/process_memory.py
+++ b/scale_test/process_memory.py
@@ -8,12 +8,12 @@
 
 
 def resident_bytes(pid: int) -> int:
-    """Return the resident memory of a process in bytes."""
+    """Return the resident memory of a process now, in bytes."""
     return _status_bytes(pid, "VmRSS")
 
 
 def peak_resident_bytes(pid: int) -> int:
-    """Return the peak of a process's resident memory so far in bytes."""
+    """Return the highest resident memory of a process so far, in bytes."""
     return _status_bytes(pid, "VmHWM")
 
 
--- a/scale_test/records.py
+++ b/scale_test/records.py
@@ -16,7 +16,7 @@
 
 @dataclass(frozen=True, slots=True)
 class VersionSeen:
-    """A version that a balancer showed to have, as it called for newer changes."""
+    """A version that a balancer named in a call for newer changes."""
 
     at_ns: int
     version: int
@@ -26,7 +26,7 @@
 class FullListResponse:
     """A response with the full list, and the balancer's next call after it."""
 
-    begun_ns: int  # when discovery began to send it
+    begun_ns: int  # when discovery began the response
     version: int
     next_call_ns: int | None = None
     accepted: bool = False  # whether the next call named this version or a newer one
@@ -58,7 +58,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CallerTraffic:
-    """The number of calls of one balancer to discovery so far, and the bytes in each direction."""
+    """The number of one balancer's calls to discovery so far, and the bytes in each direction."""
 
     calls: int
     received: int  # bytes that discovery received from it
@@ -111,7 +111,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ResponseInForce:
-    """A response of discovery, and when its last row was in force; NEVER_NS: it was not."""
+    """A response of discovery, and when its last row was in force; NEVER_NS: not until the end."""
 
     version: int
     at_ns: int
@@ -135,7 +135,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestSample:
-    """A client's request, and the time that it took beyond the upstream's own; None: not served."""
+    """A client's request, and the time that the balancer added to it; None: the request was not served."""
 
     sent_ns: int
     answered_ns: int
--- a/scale_test/registry.py
+++ b/scale_test/registry.py
@@ -9,7 +9,7 @@
 from scale_test.plan import Plan, zone_name
 from scale_test.records import ListVersion
 
-# A row changed in version N has the share 1 + N * this, so that the row itself shows its version.
+# A row that was changed in version N has the share 1 + N * SHARE_STEP_PER_VERSION, so it shows its version.
 SHARE_STEP_PER_VERSION = 1e-6
 UPSTREAMS_PER_BLOCK = 100
 
@@ -80,7 +80,7 @@
         self._deltas.clear()
 
     def knows_changes_after(self, version: int) -> bool:
-        """Whether the log holds all changes made after a version."""
+        """Return whether the log holds all changes made after a version."""
         return self.oldest_known_version <= version <= self.version
 
     def full_list(self) -> bytes:
--- a/scale_test/report.py
+++ b/scale_test/report.py
@@ -82,18 +82,18 @@
 
 
 def format_value(value: float) -> str:
-    """A figure with three significant digits, or all those before the decimal point."""
+    """Format a figure with three significant digits, or from 100 on as a whole number."""
     return f"{value:.3g}" if value < NO_DECIMALS_FROM else f"{value:.0f}"
 
 
 def format_row(row: Row) -> list[str]:
-    """The cells of a row, in the order of HEADER."""
+    """Return the cells of a row, in the order of HEADER."""
     values = [format_value(value) for value in (row.median, row.p99, row.worst)]
     return [row.figure, row.phase, row.group, *values, row.unit, str(row.count)]
 
 
 def format_table(rows: Sequence[Row], notes: Sequence[str]) -> str:
-    """The report as a text table, followed by the notes."""
+    """Return the report as a text table, followed by the notes."""
     lines = [list(HEADER), *(format_row(row) for row in rows)]
     widths = [max(map(len, column)) for column in zip(*lines, strict=True)]
 
@@ -108,7 +108,7 @@
 
 
 def rows_as_json(rows: Sequence[Row]) -> list[dict[str, Any]]:
-    """The rows for the JSON file, with values rounded to three decimals."""
+    """Return the rows for the JSON file, with values rounded to three decimals."""
 
     def rounded(value: object) -> object:
         return round(value, 3) if isinstance(value, float) else value
--- a/scale_test/scenarios.py
+++ b/scale_test/scenarios.py
@@ -14,13 +14,14 @@
 from scale_test.plan import LIST_CHANGES_PER_KIND, ChangeKind, Plan, Scenario
 from scale_test.registry import Health
 
-RETURN_DELAY_S = 4.0  # until a restarted or failed upstream returns; at most a fifth of the scenario
+# Time until a restarted or failed upstream returns, but at most a fifth of the scenario's duration.
+RETURN_DELAY_S = 4.0
 ZONE_STEPS = 10  # list versions over which the upstreams of a zone change
-ZONE_STEP_S = 0.1
-# Of discovery's outage, as fractions of the scenario's duration.
+ZONE_STEP_S = 0.1  # pause after each of them, but at most a hundredth of the scenario's duration
+# The outage of discovery, in fractions of the scenario's duration.
 OUTAGE_START_FRACTION = 0.2
 OUTAGE_DURATION_FRACTION = 0.3
-NEW_CHANGE = -1  # in place of a row: the row is yet to be drawn
+NEW_CHANGE = -1  # instead of a row number: a change of a row that is yet to be drawn
 
 ScenarioFunction = Callable[[FakeDiscovery, Plan, random.Random], Coroutine[Any, Any, None]]
 
@@ -33,7 +34,7 @@
 
 @dataclass(frozen=True, order=True)
 class ScheduledChange:
-    """The time at which the upstream of a row returns, or a new change happens."""
+    """The time at which the upstream of a row returns, or at which a row is drawn and changed."""
 
     at_s: float
     returning_row: int = NEW_CHANGE
@@ -53,7 +54,7 @@
 async def churn(
     discovery: FakeDiscovery, plan: Plan, rng: random.Random, excluded_rows: frozenset[int] = frozenset()
 ) -> None:
-    """Configure, restart and fail upstreams at random, except those in the excluded rows."""
+    """Run ordinary churn: configure, restart and fail upstreams at random, except in the excluded rows."""
     start = now = time.monotonic()
     end = start + plan.duration
     return_delay_s = min(RETURN_DELAY_S, plan.duration / 5)
@@ -83,7 +84,7 @@
 
 
 async def zone_outage(discovery: FakeDiscovery, plan: Plan, rng: random.Random) -> None:
-    """Ordinary churn, while one zone drains, is removed and returns with restarted upstreams."""
+    """Run ordinary churn while one zone drains, is removed and returns with restarted upstreams."""
     zone = rng.randrange(plan.zones)
     rows = [row for row in range(plan.upstreams) if plan.zone_of(row) == zone]
     churn_task = asyncio.create_task(churn(discovery, plan, rng, frozenset(rows)))
@@ -99,7 +100,7 @@
 
 
 async def discovery_outage(discovery: FakeDiscovery, plan: Plan, rng: random.Random) -> None:
-    """Ordinary churn, while discovery is down for a time, after which all balancers get full lists."""
+    """Run ordinary churn while discovery is down for a time, after which all balancers get full lists."""
     churn_task = asyncio.create_task(churn(discovery, plan, rng))
     await asyncio.sleep(OUTAGE_START_FRACTION * plan.duration)
     discovery.begin_outage()
--- a/scale_test/subset_balance.py
+++ b/scale_test/subset_balance.py
@@ -21,7 +21,7 @@
 
 
 def choose_subsets(table: EndpointTable, balancers: int, zones: list[str]) -> Subsets:
-    """The subset of each balancer; the balancers are assigned to the zones in turn."""
+    """Return the subset of each balancer; the balancers are assigned to the zones in turn."""
     subsets = []
     for index in range(balancers):
         settings = Settings(
@@ -36,7 +36,7 @@
 
 
 def count_moved(before: Subsets, after: Subsets) -> int:
-    """The number of endpoints added to subsets; balancers that are only in `after` don't count."""
+    """Return the number of endpoints added to subsets; balancers that are only in `after` are left out."""
     return sum(len(new - old) for old, new in zip(before, after, strict=False))
 
 
@@ -72,7 +72,7 @@
 
 
 def endpoint_table(plan: Plan, ids: list[int], balancers: int, zones: list[str]) -> EndpointTable:
-    """A table of the plan's upstreams, with these ids."""
+    """Return a table of the plan's upstreams, with these ids."""
     prices = ZONED_PRICES if zones else Prices()
     table = new_endpoint_table(Settings(proxy_count=balancers, zones=zones, prices=prices))
     table.add_placement(Placement(None, None))
