--- a/tests/process/test_process.py
+++ b/tests/process/test_process.py
@@ -209,11 +209,11 @@
         for discovery in discoveries:
             path.write_text(json.dumps(configuration(discovery=f"{HOST}:{discovery.server.port}")))
             process.send_signal(signal.SIGHUP)
-            await wait_until(lambda d=discovery: len(d.calls) >= 2)  # type: ignore[misc]
+            await wait_until(lambda fake=discovery: len(fake.calls) >= 2)  # type: ignore[misc]
         process.send_signal(signal.SIGTERM)
         process.send_signal(signal.SIGHUP)  # also during the shutdown
         assert await asyncio.wait_for(process.wait(), WAIT_TIMEOUT_S) == 0
-    for server in (endpoint, *(discovery.server for discovery in discoveries)):
+    for server in (endpoint, *(fake.server for fake in discoveries)):
         server.stop()
 
 
@@ -250,7 +250,7 @@
     await discovery.server.start()
     async with proxy_process(
         tmp_path,
-        *(endpoint.port for endpoint in endpoints),
+        *(each.port for each in endpoints),
         descriptors=256,
         mode=mode,
         discovery_port=discovery.server.port,
--- a/tests/simulator/test_simulator_adapter.py
+++ b/tests/simulator/test_simulator_adapter.py
@@ -37,7 +37,7 @@
 def run_adapter(lines: list[str], hash_seed: str = "0") -> subprocess.CompletedProcess[str]:
     return subprocess.run(
         [sys.executable, "-m", "loadbalancer.simulator_adapter"],
-        input="".join(f"{line}\n" for line in lines),
+        input="".join(f"{input_line}\n" for input_line in lines),
         capture_output=True,
         text=True,
         timeout=60,
@@ -283,7 +283,7 @@
 
 
 @pytest.mark.parametrize(
-    ("raw", "message"),
+    ("raw", "expected_message"),
     [
         (None, "settings: None"),
         ({"limits": 3}, "limits: 3"),
@@ -298,8 +298,8 @@
         ({"profiles": [{"name": "a", "runs_in": 4}]}, "profiles[0].runs_in: 4"),
     ],
 )
-def test_invalid_settings_are_reported_by_key_and_value(raw: Json, message: str) -> None:
-    with pytest.raises(SettingsError, match=re.escape(message)):
+def test_invalid_settings_are_reported_by_key_and_value(raw: Json, expected_message: str) -> None:
+    with pytest.raises(SettingsError, match=re.escape(expected_message)):
         read_settings(raw)
 
 
@@ -311,7 +311,7 @@
     done = subprocess.run(
         ["/bin/sh", "-c", deploy["sim"]],
         cwd=root,
-        input="".join(f"{line}\n" for line in simulated_batches()),
+        input="".join(f"{input_line}\n" for input_line in simulated_batches()),
         capture_output=True,
         text=True,
         timeout=60,
