--- a/scale_test/slopes/fakes.py
+++ b/scale_test/slopes/fakes.py
@@ -26,16 +26,16 @@
 
 
 class FakeServices:
-    """Discovery, and upstreams that share one address; counts calls, bytes and connections."""
+    """Fakes of discovery and of upstreams, which share one address; counts calls, bytes and connections."""
 
     def __init__(self, rows: Sequence[Json]) -> None:
         self.rows = {row["host"]: row for row in rows}
         self.version = 1
-        self.discovery_bytes = 0  # of calls to discovery and of its responses
-        self.responses = 0  # of discovery
-        self.watches = 0  # calls for what is newer than a version
-        self.upstream_connections = 0  # open now
-        self.upstream_delay_s = 0.0  # before each response of an upstream
+        self.discovery_bytes = 0  # total of calls to discovery and of its responses
+        self.responses = 0  # number of discovery's responses
+        self.watches = 0  # number of calls for changes after a version
+        self.upstream_connections = 0  # connections that are open now
+        self.upstream_delay_s = 0.0  # pause before each response of an upstream
         self._changes: list[ListChange] = []
         self._changed = asyncio.Event()
 
--- a/scale_test/slopes/fit.py
+++ b/scale_test/slopes/fit.py
@@ -27,12 +27,12 @@
     """How a figure grows with the size: the fitted line is `base + each * size`."""
 
     base: float
-    each: float  # the cost of one more
-    power: float  # p where the figure grows as size**p between the last two points
+    each: float  # cost of one more, in the unit of the figure
+    power: float  # exponent p: between the last two points, the figure grows as size**p
 
 
 def fit(points: Sequence[Point]) -> Slope:
-    """Fit a line by least squares, with each error taken relative to its size (weights 1 / size**2)."""
+    """Fit a line by least squares; an error counts relative to the size of its point (weight 1 / size**2)."""
     weights = [1 / point.size**2 for point in points]
     total = sum(weights)
     weighted = list(zip(weights, points, strict=True))
--- a/scale_test/slopes/measuring.py
+++ b/scale_test/slopes/measuring.py
@@ -31,7 +31,7 @@
 
 
 def timed(work: Callable[[], T], times: int = 1) -> Timed[T]:
-    """Run some work one or more times; returns the median processor time and the last result."""
+    """Run some work one or more times, and return the median processor time and the last result."""
     durations_s = []
     for _ in range(times):
         started_s = time.process_time()
--- a/scale_test/slopes/policy_harness.py
+++ b/scale_test/slopes/policy_harness.py
@@ -1,4 +1,4 @@
-"""A policy harness: runs the policy of a balancer in this process, on a simulated clock."""
+"""Runs the policy of a balancer in this process, on a simulated clock."""
 
 from __future__ import annotations
 
@@ -22,16 +22,16 @@
 
 FEEDBACK_INTERVAL_NS = NS_PER_S // 2
 TIMER_STEP_NS = NS_PER_S // 100
-FEEDBACK_MARGIN_NS = NS_PER_S // 50  # without traffic at the end of the interval, so that the tick runs alone
+FEEDBACK_MARGIN_NS = NS_PER_S // 50  # no traffic for this long before a tick, so that it runs alone
 EVENT_GAP_NS = 10**6
 REQUEST_GAP_NS = 10**4
 REQUEST_TIMEOUT_NS = 60 * NS_PER_S
-ATTEMPT_NS = 10**7
+ATTEMPT_DURATION_NS = 10**7
 SENDING_TENANTS = 40  # tenants with traffic between feedback ticks
 
 
 class PolicyHarness:
-    """Holds a policy and its clock, sends it events, and measures the processor time that they take."""
+    """Holds a policy and its clock, passes events to the policy, and measures their processor time."""
 
     def __init__(self, balancer: Balancer) -> None:
         self.balancer = balancer
@@ -44,14 +44,14 @@
         return self.balancer.handle(self.now_ns, events)
 
     def set_endpoints(self, endpoints: Sequence[Endpoint]) -> PolicyHarness:
-        """Pass the policy a full list of endpoints; returns this harness."""
+        """Pass a full list of endpoints to the policy, and return this harness."""
         self.handle(EndpointUpdate(EndpointUpdateKind.FULL, endpoints))
         return self
 
     def arrive(
         self, request_class: str = "c0", tenant: str = "t0", advance_ns: int = REQUEST_GAP_NS
     ) -> Forward | None:
-        """Pass a new request to the policy; returns its attempt, or None if it is not forwarded at once."""
+        """Pass a new request to the policy; return its attempt, or None if it is not forwarded at once."""
         self.requests += 1
         arrival = RequestArrived(str(self.requests), request_class, tenant, self.now_ns + REQUEST_TIMEOUT_NS)
         for action in self.handle(arrival, advance_ns=advance_ns):
@@ -60,7 +60,7 @@
         return None
 
     def end(self, attempt: Forward | None) -> list[Action]:
-        """End an attempt, and its request, with a successful response; None is ignored."""
+        """End an attempt, and its request, with a successful response; do nothing if the attempt is None."""
         if attempt is None:
             return []
         ended = AttemptEnded(
@@ -68,7 +68,7 @@
             attempt=0,
             endpoint_id=attempt.endpoint_id,
             result=AttemptResult.OK,
-            elapsed_ns=ATTEMPT_NS,
+            elapsed_ns=ATTEMPT_DURATION_NS,
             request_complete=True,
         )
         return self.handle(ended, advance_ns=REQUEST_GAP_NS)
@@ -97,9 +97,8 @@
 
     def _feedback_tick_cpu_s(self) -> float:
         end_ns = self.now_ns + FEEDBACK_INTERVAL_NS
-        while (
-            self.now_ns < end_ns - FEEDBACK_MARGIN_NS
-        ):  # light traffic; steps are short, so that no timer is late
+        # Light traffic, in steps so short that no timer is late.
+        while self.now_ns < end_ns - FEEDBACK_MARGIN_NS:
             self.end(self.arrive(tenant=f"t{self.requests % SENDING_TENANTS}"))
             self.handle(advance_ns=TIMER_STEP_NS)
         return timed(lambda: self.handle(advance_ns=end_ns - self.now_ns)).cpu_s
--- a/scale_test/slopes/policy_subjects.py
+++ b/scale_test/slopes/policy_subjects.py
@@ -27,7 +27,7 @@
 UPSTREAMS_PER_REQUEST = 4
 ARRIVAL_GAP_NS = 2 * 10**5
 STALL_NS = 20 * NS_PER_S
-SINGLE_CHANGES = 4  # of one upstream each; the figure is their median
+SINGLE_CHANGES = 4  # changes of one upstream each; the figure is the median of their times
 
 
 def new_harness(settings: Settings) -> PolicyHarness:
@@ -36,7 +36,7 @@
 
 
 def read_endpoints(text: bytes, reader: EndpointListReader) -> list[Endpoint]:
-    """Read a response of discovery, with the reader that has read the earlier ones."""
+    """Read a response of discovery, with the reader that has read the earlier responses."""
     return [entry.endpoint for entry in reader.read(text).entries]
 
 
@@ -86,7 +86,8 @@
     started = build_cost(lambda: PolicyWithReader(text, settings), "start")
     policy = started.result
     changes = [policy.apply_delta(rows[:1]) for _ in range(SINGLE_CHANGES)]
-    figures = started.figures | {  # with start_s: to read the full list and apply it to a new policy
+    # started.figures has start_s: the processor time to read the full list and apply it to a new policy.
+    figures = started.figures | {
         "read_s": read.cpu_s,  # to read the full list
         "take_s": apply.cpu_s,  # to create a policy and apply the full list to it
         "list_b": len(text),  # of the full list
@@ -101,7 +102,10 @@
 
 
 def services(count: int) -> Figures:
-    """Measure this many services of 23 upstreams, each with its own request class and machine class."""
+    """Measure a policy with this many services of 23 upstreams, each with its own classes.
+
+    A service has a request class of its own, which is placed on a machine class of its own.
+    """
     return upstreams(count * UPSTREAMS_PER_SERVICE, count)
 
 
--- a/scale_test/slopes/process_subjects.py
+++ b/scale_test/slopes/process_subjects.py
@@ -15,19 +15,19 @@
 from scale_test.units import NS_PER_S
 
 QUIET_S = 4.0  # the measured period without requests or changes
-SETTLED_ROWS_PER_SECOND = 20_000  # a start is given QUIET_S / 2, and a second for each 20,000 rows
-CHANGED_ROWS_PER_SECOND = 80_000  # a change is given QUIET_S / 8, and a second for each 80,000 rows
+SETTLED_ROWS_PER_SECOND = 20_000  # the wait after a start is QUIET_S / 2, and 1 s for each 20,000 rows
+CHANGED_ROWS_PER_SECOND = 80_000  # the wait after a change is QUIET_S / 8, and 1 s for each 80,000
 LIST_POLL_S = 0.05
-MAX_LIST_RESPONSES = 3  # after these and without a watch, the list counts as rejected
+MAX_LIST_RESPONSES = 3  # if no watch has followed so many responses, the list counts as rejected
 CHANGED_ENDPOINTS = 6
 ENDPOINTS_UNDER_LOAD = 64
-ENDPOINTS_WITH_MANY_SETTINGS = 100  # where the tenants or the routes are varied
+ENDPOINTS_WITH_MANY_SETTINGS = 100  # used if the number of tenants or routes is varied
 MIN_LOAD_S = 5.0
 MIN_LOAD_REQUESTS = 100
 WARM_UP_REQUESTS = 30
-FIRST_REQUEST_ID = 100  # of the measured requests; those of the warm-up have smaller ids
+FIRST_REQUEST_ID = 100  # the lowest id of a measured request; the ids of the warm-up are below it
 CONNECTIONS_OPEN_S = 1.5
-SLOW_UPSTREAM_DELAY_S = 2.0  # longer than CONNECTIONS_OPEN_S, so that requests stay open meanwhile
+SLOW_UPSTREAM_DELAY_S = 2.0  # longer than CONNECTIONS_OPEN_S, so that all requests are open until then
 
 
 def fake_services(endpoints: int) -> FakeServices:
@@ -35,8 +35,8 @@
     return FakeServices([endpoint_row(number) for number in range(endpoints)])
 
 
-async def list_is_accepted(services: FakeServices) -> bool:
-    """Wait until the balancer watches for changes; False if it keeps requesting the full list instead."""
+async def wait_for_list_acceptance(services: FakeServices) -> bool:
+    """Wait until the balancer watches for changes; return False if it keeps requesting the full list."""
     while not services.watches and services.responses < MAX_LIST_RESPONSES:
         await asyncio.sleep(LIST_POLL_S)
     return services.watches > 0
@@ -45,14 +45,14 @@
 async def measure_start(endpoints: int, settings: Json) -> Figures:
     """Measure a real balancer: its start, a quiet period and single changes of the list.
 
-    The list comes from discovery. If the balancer rejects it there, the measurement is repeated with the list
-    in the configuration file.
+    The list comes from discovery. If the balancer rejects it, the measurement is repeated with the list in
+    the configuration file.
     """
     figures: Figures = {"taken": 1}  # whether the balancer accepts the full list from discovery
     while True:
         services = fake_services(endpoints)
         async with running_balancer(services, settings, known=not figures["taken"]) as balancer:
-            if not await list_is_accepted(services):
+            if not await wait_for_list_acceptance(services):
                 figures |= {"taken": 0, "list_b": services.discovery_bytes / services.responses}
                 continue
             figures.setdefault("list_b", services.discovery_bytes)  # bytes of the call and its response
@@ -70,9 +70,10 @@
     await asyncio.sleep(QUIET_S)
     quiet_cores = (balancer.cpu_s() - cpu_s) / QUIET_S
     return {
-        "start_s": cpu_s - quiet_cores * settle_s,  # to start, less the quiet processor time meanwhile
+        "start_s": cpu_s - quiet_cores * settle_s,  # to start, less quiet_cores for the wait
         "quiet_cores": quiet_cores,  # processor time per second in the quiet period
-        "quiet_rate_b": (services.discovery_bytes - discovery_bytes) / QUIET_S,  # a second, with discovery
+        "quiet_rate_b": (services.discovery_bytes - discovery_bytes)
+        / QUIET_S,  # per second, to and from discovery
         **balancer.memory(),
     }
 
@@ -113,12 +114,12 @@
 
     def __init__(self, port: int) -> None:
         self.served = 0
-        self.wall_s: list[float] = []  # of each request
+        self.wall_s: list[float] = []  # latency of each request
         self._port = port
         self._idle: list[Client] = []
 
     async def request(self, request_id: int) -> None:
-        """Send one request, and again on a new connection if its connection is closed before the response."""
+        """Send one request; repeat it on a new connection if its connection is closed before the response."""
         client = self._idle.pop() if self._idle else await Client.connect(self._port)
         begun = time.monotonic()
         try:
@@ -146,7 +147,7 @@
 
 
 async def measure_rate(rate: int, seconds: float) -> Figures:
-    """Measure a balancer at a rate of requests per second."""
+    """Measure a real balancer at `rate` requests per second."""
     services = fake_services(ENDPOINTS_UNDER_LOAD)
     requests = int(rate * seconds)
     async with running_balancer(services, raw_settings() | {"replicas_of_me": 1}, known=True) as balancer:
@@ -173,7 +174,7 @@
 
 
 async def measure_connections(count: int, *, with_requests: bool) -> Figures:
-    """Measure client connections that are idle, or of which each has an open request."""
+    """Measure a real balancer with this many client connections, idle or each with an open request."""
     services = fake_services(2 * count if with_requests else ENDPOINTS_UNDER_LOAD)
     services.upstream_delay_s = SLOW_UPSTREAM_DELAY_S
     settings = raw_settings() | {"replicas_of_me": 1, "prices": {}, "zones": []}
--- a/scale_test/slopes/real_balancer.py
+++ b/scale_test/slopes/real_balancer.py
@@ -22,7 +22,7 @@
 
 READY_LINE = "ready on port "
 READY_POLL_S = 0.05
-LOG_TAIL_CHARACTERS = 500  # shown in the error about a balancer that exited
+LOG_TAIL_CHARACTERS = 500  # length of the end of the log that the error about an exit shows
 
 
 class BalancerExitedError(ScaleTestError):
@@ -30,7 +30,7 @@
 
 
 class RealBalancer:
-    """A running balancer, with its processor time and memory."""
+    """A running balancer, whose processor time and memory can be measured."""
 
     def __init__(self, pid: int, port: int) -> None:
         self.pid = pid
@@ -42,7 +42,7 @@
         return sum(int((task / "schedstat").read_text().split()[0]) for task in tasks) / NS_PER_S
 
     def memory(self) -> Figures:
-        """Return the figures `rss_b`, its resident bytes now, and `top_b`, their peak so far."""
+        """Return the figures `rss_b`, the resident bytes now, and `top_b`, their peak so far."""
         return {"rss_b": resident_bytes(self.pid), "top_b": peak_resident_bytes(self.pid)}
 
 
@@ -107,7 +107,7 @@
 
 
 async def wait_until_ready(process: subprocess.Popen[bytes], log: Path) -> int:
-    """Wait until the balancer logs that it is ready; returns its port.
+    """Wait until the balancer logs that it is ready, and return its port.
 
     Raises:
         BalancerExitedError: The balancer exited before it was ready.
--- a/scale_test/slopes/subjects.py
+++ b/scale_test/slopes/subjects.py
@@ -13,7 +13,7 @@
 
 @dataclass(frozen=True)
 class Subject:
-    """A function that measures one size, and the sizes that are measured unless others are given."""
+    """A function that measures the figures at one size, and the sizes used unless others are given."""
 
     measure: Callable[[int], Figures]
     sizes: Sequence[int]
@@ -48,7 +48,7 @@
 
 
 def measure(name: str, sizes: Sequence[int] = ()) -> Json:
-    """Measure a subject at these sizes, or at its usual ones; returns the points and each figure's slope."""
+    """Measure a subject at these sizes, or at its usual ones; return the points and each figure's slope."""
     subject = SUBJECTS[name]
     points = [{"size": size, **subject.measure(size)} for size in sizes or subject.sizes]
     slopes = {
