--- a/tests/scale_test/test_analysis.py
+++ b/tests/scale_test/test_analysis.py
@@ -24,8 +24,8 @@
     return value * NS_PER_MS
 
 
-# Version and time in force of each response. A long one is applied in slices, so that a later, shorter one
-# may be in force before its end: version 6 before version 5.
+# The version of each response, and when it was in force. Long responses are applied in slices, so that a
+# later, shorter one may be in force earlier, as version 6 is before version 5.
 RESPONSES = ((3, ms(50)), (5, ms(90)), (6, ms(60)), (9, NEVER_NS), (9, ms(99)))
 BALANCER = BalancerReport([], [ResponseInForce(*response) for response in RESPONSES])
 FULL_LISTS = [
@@ -34,13 +34,13 @@
 ]
 
 
-def test_a_change_is_in_force_with_the_end_of_the_first_response_with_it() -> None:
+def test_a_change_is_in_force_when_its_first_response_is_all_applied() -> None:
     versions = [ListVersion(version, ms(10), version) for version in (2, 4, 5, 6, 8, 10)]
     delays = analysis.delays_by_policy(versions, BALANCER)
     assert delays == [WeightedValue(*delay) for delay in ((40, 2), (80, 4), (80, 5), (50, 6))]
 
 
-def test_full_list_delays_tell_the_time_after_the_next_call() -> None:
+def test_full_list_delays_include_the_part_after_the_next_call() -> None:
     delays = analysis.full_list_delays(CallerRecord(full_lists=FULL_LISTS), BALANCER)
     assert delays == [FullListDelay(ms(70), ms(20)), FullListDelay(ms(40), 0)]
 
@@ -68,7 +68,7 @@
     assert [version.at_ns for version in adjusted] == [ms(9), ms(20), ms(20), ms(20)]
 
 
-def test_a_change_counts_until_the_next_call_that_names_it_or_a_newer_one() -> None:
+def test_change_delays_end_at_the_first_call_with_that_or_a_newer_version() -> None:
     caller = CallerRecord(versions_seen=[VersionSeen(ms(15), 2), VersionSeen(ms(30), 4)])
     versions = [ListVersion(version, ms(10), version) for version in (2, 3, 5)]
     delays = analysis.delays_by_calls(versions, caller)
--- a/tests/scale_test/test_cluster.py
+++ b/tests/scale_test/test_cluster.py
@@ -1,4 +1,4 @@
-"""The processes of an experiment are monitored, and found by the numbers of their balancers."""
+"""The processes of an experiment: how they are monitored, and that they are ordered by balancer number."""
 
 from __future__ import annotations
 
@@ -38,11 +38,11 @@
         await cluster.start()
         assert await cluster.discovery.wait_settled(WAIT_TIMEOUT_S)
         called = [
-            {tuple(c.raddr) for c in psutil.Process(p.pid).net_connections("tcp") if c.raddr}
-            for p in (*cluster.real, *(helper.process for helper in cluster.hollow))
+            {tuple(c.raddr) for c in psutil.Process(child.pid).net_connections("tcp") if c.raddr}
+            for child in (*cluster.real, *(helper.process for helper in cluster.hollow))
         ]
-        callers = cluster.discovery_addresses
-        assert called == [*({c} for c in callers[:4]), *(set(callers[4 + i :: 3]) for i in range(3))]
+        expected = cluster.discovery_addresses
+        assert called == [*({c} for c in expected[:4]), *(set(expected[4 + i :: 3]) for i in range(3))]
         for process, address in zip(cluster.real, cluster.listen_addresses, strict=True):
             assert address in [c.laddr for c in psutil.Process(process.pid).net_connections("tcp")]
     finally:
--- a/tests/scale_test/test_command.py
+++ b/tests/scale_test/test_command.py
@@ -39,12 +39,10 @@
 
 
 def remaining_processes() -> list[int]:
-    """The processes of experiments started by this test process that still run."""
+    """Return the ids of the processes that still run of the experiments started by this test process."""
     found = []
     for process in psutil.process_iter():
-        with contextlib.suppress(
-            psutil.Error
-        ):  # it may end meanwhile, or be a zombie, which has no environment
+        with contextlib.suppress(psutil.Error):  # the process has exited, or is a zombie without environment
             if process.environ().get("SCALE_TEST") == str(os.getpid()):
                 found.append(process.pid)
     return found
--- a/tests/scale_test/test_fake_discovery.py
+++ b/tests/scale_test/test_fake_discovery.py
@@ -19,11 +19,11 @@
 
 
 class Watcher:
-    """A connection to discovery, as a balancer's."""
+    """A connection to discovery on which calls are made as a balancer makes them."""
 
     def __init__(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.reader, self.writer = reader, writer
-        self.received = 0  # bytes of responses
+        self.received = 0  # total bytes of the responses
 
     def send_call(self, query: str = "") -> None:
         self.writer.write(f"GET /registry/instances{query} HTTP/1.1\r\nHost: d\r\n\r\n".encode())
@@ -64,7 +64,7 @@
         for watcher in (first, second):
             response = await watcher.read_response()
             assert (response["seq"], response["whole"], len(response["hosts"])) == (2, False, 1)
-        discovery.change([3])  # between two calls: no watch is open
+        discovery.change([3])  # no watch is open now
         first.send_call("?after=2&wait_ms=20000")
         assert [row["host"] for row in (await first.read_response())["hosts"]] == ["s-00000003"]
         assert [caller.sent for caller in discovery.callers] == [first.received, second.received]
@@ -95,14 +95,15 @@
 
 
 @pytest.mark.parametrize(("after", "accepted"), [(2, True), (1, False)])
-async def test_a_balancer_is_sent_the_full_list_in_a_watch(after: int, accepted: bool) -> None:
+async def test_send_full_list_responds_to_a_watch_with_the_full_list(after: int, accepted: bool) -> None:
     async with running_discovery() as (discovery, (first, second)):
         for watcher in (first, second):
             watcher.send_call("?after=1&wait_ms=20000")
         sending = asyncio.create_task(discovery.send_full_list(0, WAIT_TIMEOUT_S))
         assert (await first.read_response())["whole"]
         assert not sending.done()
-        first.send_call(f"?after={after}&wait_ms=20000")  # the new version: accepted; the old: rejected
+        # A call with the new version shows that the list is accepted; one with the old, that it is rejected.
+        first.send_call(f"?after={after}&wait_ms=20000")
         assert await sending
         [full_list] = discovery.callers[0].full_lists
         assert full_list.next_call_ns is not None
--- a/tests/scale_test/test_registry.py
+++ b/tests/scale_test/test_registry.py
@@ -14,7 +14,7 @@
     return [row["host"] for row in json.loads(text)["hosts"]]
 
 
-def test_returns_the_full_list_or_the_changes_after_a_version() -> None:
+def test_the_registry_returns_full_lists_and_changes_after_a_version() -> None:
     registry = Registry(PLAN, ["127.0.0.1:1", "127.0.0.1:2"])
     assert json.loads(registry.full_list())["hosts"][3] == {
         "host": "s-00000003",
--- a/tests/scale_test/test_slopes.py
+++ b/tests/scale_test/test_slopes.py
@@ -1,6 +1,6 @@
-"""The slopes tool: the fitted lines, and that small runs return every figure.
+"""The slopes tool: the fitted lines, and the figures of small runs.
 
-Counts and sizes are checked, but no times: those vary from run to run.
+Counts and sizes are checked, but not times, because they vary from run to run.
 """
 
 from __future__ import annotations
@@ -44,12 +44,12 @@
 )
 def test_a_small_run_has_every_size_and_figure(name: str, expected: set[str]) -> None:
     result = measure(name, (1, 2, 4))
-    assert [p["size"] for p in result["points"]] == [1, 2, 4]
+    assert [point["size"] for point in result["points"]] == [1, 2, 4]
     assert expected <= set(result["slopes"])
-    assert all(set(p) == {"size", *result["slopes"]} for p in result["points"])
+    assert all(set(point) == {"size", *result["slopes"]} for point in result["points"])
 
 
-def test_usual_sizes_are_at_least_four_and_span_two_decades() -> None:
+def test_each_subject_has_four_sizes_that_span_a_factor_of_100() -> None:
     for subject in SUBJECTS.values():
         assert len(subject.sizes) >= 4
         assert subject.sizes[-1] >= 100 * subject.sizes[0]
@@ -57,10 +57,13 @@
 
 def test_list_bytes_and_open_requests_match_the_inputs() -> None:
     points = measure("upstreams", (50, 100))["points"]
-    rows = [len(orjson.dumps(endpoint_row(i))) + 1 for i in range(100)]  # with the comma or bracket after it
-    envelope = len(orjson.dumps(endpoint_list([]))) - 1
-    assert [p["list_b"] for p in points] == [envelope + sum(rows[:50]), envelope + sum(rows)]
-    assert [p["open"] for p in measure("requests", (3, 30))["points"]] == [3, 30]
+    row_bytes = [len(orjson.dumps(endpoint_row(i))) + 1 for i in range(100)]  # and the comma or bracket
+    envelope_bytes = len(orjson.dumps(endpoint_list([]))) - 1
+    assert [point["list_b"] for point in points] == [
+        envelope_bytes + sum(row_bytes[:50]),
+        envelope_bytes + sum(row_bytes),
+    ]
+    assert [point["open"] for point in measure("requests", (3, 30))["points"]] == [3, 30]
 
 
 def test_results_are_added_to_the_file(tmp_path: Path) -> None:
