--- a/loadbalancer/configuration_reader.py
+++ b/loadbalancer/configuration_reader.py
@@ -19,7 +19,7 @@
 
 CHUNK_BYTES = 16 * 1024  # parsed between two yields
 DEFAULT_MAX_SOCKETS = 1024
-MEGABYTE = 1024 * 1024
+BYTES_PER_MEBIBYTE = 1024 * 1024
 
 
 class ConfigurationError(Exception):
@@ -85,7 +85,7 @@
         gossip_peers=[parse_address(text) for text in raw.get("peers") or ()],
         gossip_broadcast=_optional_address(raw.get("peers_all")),
         cpu_cores=float(limits.get("cores") or 0.0),
-        memory_bytes=int(float(limits.get("memory_mb") or 0) * MEGABYTE),
+        memory_bytes=int(float(limits.get("memory_mb") or 0) * BYTES_PER_MEBIBYTE),
     )
 
 
