--- a/scale_test/experiment.py
+++ b/scale_test/experiment.py
@@ -17,12 +17,12 @@
 from scale_test.records import BalancerReport
 from scale_test.report import Phase, Row
 
-WARM_UP_S = 1.0  # of client traffic before the first phase
+WARM_UP_S = 1.0  # clients send for this long before the first phase
 # The pause after a full list has been read, in which it comes into force: a fixed part, and a part by rows.
 FULL_LIST_PAUSE_S = 1.0
 FULL_LIST_ROWS_PER_S = 80_000
 MIN_SETTLE_TIMEOUT_S = 8.0  # balancers count as notified of a version 6 s after discovery has it
-FULL_LIST_TIMEOUT_S = 30.0  # from the wait for a watch to the call that follows the full list
+FULL_LIST_TIMEOUT_S = 30.0  # for a watch, the full list in response to it, and the next call
 
 
 @dataclass(frozen=True)
--- a/scale_test/report.py
+++ b/scale_test/report.py
@@ -9,7 +9,7 @@
 
 from hdrh.histogram import HdrHistogram
 
-HISTOGRAM_STEPS_PER_UNIT = 1000
+HISTOGRAM_STEPS_PER_UNIT = 1000  # the histogram holds whole numbers: a value is counted in thousandths
 HISTOGRAM_MAX_STEPS = 10**13
 HISTOGRAM_DIGITS = 3
 NO_DECIMALS_FROM = 100  # figures of at least this are shown without decimals
