--- a/scale_test/scenarios.py
+++ b/scale_test/scenarios.py
@@ -55,8 +55,8 @@
     discovery: FakeDiscovery, plan: Plan, rng: random.Random, excluded_rows: frozenset[int] = frozenset()
 ) -> None:
     """Run ordinary churn: configure, restart and fail upstreams at random, except in the excluded rows."""
-    start = now = time.monotonic()
-    end = start + plan.duration
+    start_s = now_s = time.monotonic()
+    end_s = start_s + plan.duration
     return_delay_s = min(RETURN_DELAY_S, plan.duration / 5)
     kinds = list(plan.upstream_changes_per_day)
     weights = list(plan.upstream_changes_per_day.values())
@@ -64,11 +64,11 @@
         LIST_CHANGES_PER_KIND[kind] * weight for kind, weight in plan.upstream_changes_per_day.items()
     )
     rate = plan.changes_a_second * sum(weights) / list_changes
-    schedule = [ScheduledChange(start + rng.expovariate(rate))]
-    while schedule[0].at_s < end:
+    schedule = [ScheduledChange(start_s + rng.expovariate(rate))]
+    while schedule[0].at_s < end_s:
         due = heapq.heappop(schedule)
-        await asyncio.sleep(max(0.0, due.at_s - now))
-        now = time.monotonic()
+        await asyncio.sleep(max(0.0, due.at_s - now_s))
+        now_s = time.monotonic()
         if due.returning_row != NEW_CHANGE:
             discovery.change([due.returning_row], Health.UP, restarted=True)
             continue
@@ -80,7 +80,7 @@
         discovery.change([row], HEALTH_AFTER_CHANGE[kind])
         if kind is not ChangeKind.CONFIGURED:
             heapq.heappush(schedule, ScheduledChange(due.at_s + return_delay_s, row))
-    await asyncio.sleep(max(0.0, end - now))
+    await asyncio.sleep(max(0.0, end_s - now_s))
 
 
 async def zone_outage(discovery: FakeDiscovery, plan: Plan, rng: random.Random) -> None:
@@ -88,9 +88,9 @@
     zone = rng.randrange(plan.zones)
     rows = [row for row in range(plan.upstreams) if plan.zone_of(row) == zone]
     churn_task = asyncio.create_task(churn(discovery, plan, rng, frozenset(rows)))
-    start = time.monotonic()
+    start_s = time.monotonic()
     for phase in ZONE_PHASES:
-        await asyncio.sleep(start + phase.start_fraction * plan.duration - time.monotonic())
+        await asyncio.sleep(start_s + phase.start_fraction * plan.duration - time.monotonic())
         for step in range(ZONE_STEPS):
             changed = rows[step::ZONE_STEPS]
             if changed:
--- a/scale_test/slopes/process_subjects.py
+++ b/scale_test/slopes/process_subjects.py
@@ -121,13 +121,13 @@
     async def request(self, request_id: int) -> None:
         """Send one request; repeat it on a new connection if its connection is closed before the response."""
         client = self._idle.pop() if self._idle else await Client.connect(self._port)
-        begun = time.monotonic()
+        begun_s = time.monotonic()
         try:
             self.served += await client.get(request_id)
         except (OSError, asyncio.IncompleteReadError):
             client = await Client.connect(self._port)
             self.served += await client.get(request_id)
-        self.wall_s.append(time.monotonic() - begun)
+        self.wall_s.append(time.monotonic() - begun_s)
         self._idle.append(client)
 
     async def warm_up(self) -> None:
@@ -139,10 +139,10 @@
 
     async def run(self, requests: int, rate: int) -> None:
         """Send requests at even intervals, `rate` per second, and wait until all have ended."""
-        begun = time.monotonic()
+        begun_s = time.monotonic()
         async with asyncio.TaskGroup() as group:
             for number in range(requests):
-                await asyncio.sleep(begun + number / rate - time.monotonic())
+                await asyncio.sleep(begun_s + number / rate - time.monotonic())
                 group.create_task(self.request(FIRST_REQUEST_ID + number))
 
 
