--- a/loadbalancer/logging_setup.py
+++ b/loadbalancer/logging_setup.py
@@ -22,7 +22,7 @@
         self._dropped = 0
 
     def filter(self, record: logging.LogRecord) -> bool:
-        """Return whether to write a record; append the number of dropped lines to the first of a second."""
+        """Return whether to write a record; append the count of dropped ones to the first of a second."""
         second = int(time.monotonic())
         if second != self._second:
             if self._dropped:
--- a/loadbalancer/simulator_wire.py
+++ b/loadbalancer/simulator_wire.py
@@ -1,9 +1,9 @@
-"""Converts events and commands of the simulator's wire from and to messages of the policy.
+"""Converts events of the simulator's wire to messages of the policy, and the policy's actions to commands.
 
-The operators' wire page describes the format. `settings_reader` reads the settings, and `simulator_adapter`
-the batches and the events that create, feed with lists or end a balancer. Unknown keys are ignored; an
-optional key that is absent leaves the default of the message's field. The readers raise KeyError, TypeError,
-ValueError or AttributeError if an object violates the format.
+The operators' wire page describes the format. `settings_reader` reads the settings; `simulator_adapter` reads
+the batches, and the events that start or stop a balancer or carry an endpoint list. Unknown keys are ignored;
+an optional key that is absent leaves the default of the message's field. The readers raise KeyError,
+TypeError, ValueError or AttributeError if an object violates the format.
 """
 
 from __future__ import annotations
--- a/loadbalancer/startup.py
+++ b/loadbalancer/startup.py
@@ -13,8 +13,8 @@
 def readiness_delay_s(cpu_cores: float, cpu_time_s: float) -> float:
     """Return how many seconds to delay readiness after a start that used this much CPU time.
 
-    Until its use is within the CPU limit again, the system may throttle the process, so it should not report
-    readiness. The delay is at most `MAX_READINESS_DELAY_S`.
+    Until its average use is within the CPU limit again, the system may throttle the process, so it should not
+    report readiness. The delay is at most `MAX_READINESS_DELAY_S`.
 
     Args:
         cpu_cores: The CPU limit, in cores. If it is 0, it is not known, and the delay is 0.
