--- a/tests/soak/checks.py
+++ b/tests/soak/checks.py
@@ -5,7 +5,7 @@
 from typing import NamedTuple
 
 from tests.soak.balancer_process import DEDUPLICATION_WINDOW_S, STOP_SENDING_WITHIN_S
-from tests.soak.kinds import Condition, RequestKind, Rule
+from tests.soak.kinds import DiscoveryCondition, RequestKind, Rule
 from tests.soak.records import Attempt, ClientRequest, ListChange, Records
 from tests.soak.schedule import Schedule
 
@@ -111,7 +111,7 @@
 
     begin_s: float
     end_s: float
-    condition: Condition
+    condition: DiscoveryCondition
 
 
 def _notifications(records: Records, schedule: Schedule) -> dict[int, list[Notification]]:
@@ -132,7 +132,7 @@
     latest_s = change.at_s if schedule.pushes else change.at_s + NOTIFIED_AT_LATEST_S
     for each in _disturbances(records):
         silence_known_s = each.begin_s + NOTIFIED_AT_LATEST_S
-        if each.condition is Condition.SILENT and each.begin_s <= change.at_s < silence_known_s:
+        if each.condition is DiscoveryCondition.SILENT and each.begin_s <= change.at_s < silence_known_s:
             latest_s = max(latest_s, silence_known_s if schedule.pushes else NEVER_S)
         elif each.begin_s <= change.at_s < each.end_s:
             latest_s = max(latest_s, each.end_s + NOTIFIED_AT_LATEST_S)
@@ -149,7 +149,7 @@
     return [
         Disturbance(change.at_s, end_s, change.condition)
         for change, end_s in zip(records.conditions, ends_s, strict=False)
-        if change.condition is not Condition.UP
+        if change.condition is not DiscoveryCondition.UP
     ]
 
 
--- a/tests/soak/kinds.py
+++ b/tests/soak/kinds.py
@@ -40,7 +40,7 @@
     TRACEBACK = "traceback"
 
 
-class Behavior(StrEnum):
+class EndpointBehavior(StrEnum):
     """How an endpoint treats requests."""
 
     NORMAL = "normal"
@@ -52,7 +52,7 @@
     FAILING = "failing"
 
 
-class Condition(StrEnum):
+class DiscoveryCondition(StrEnum):
     """How discovery treats calls."""
 
     UP = "up"
--- a/tests/soak/records.py
+++ b/tests/soak/records.py
@@ -8,7 +8,7 @@
 from dataclasses import dataclass, field
 from typing import NamedTuple
 
-from tests.soak.kinds import AttemptEnd, Condition, RequestKind, Rule
+from tests.soak.kinds import AttemptEnd, DiscoveryCondition, RequestKind, Rule
 from tests.support.fake_discovery import DiscoveryWrite
 
 
@@ -90,7 +90,7 @@
     """Discovery is in this condition from then on."""
 
     at_s: float
-    condition: Condition
+    condition: DiscoveryCondition
 
 
 class Lag(NamedTuple):
--- a/tests/soak/run.py
+++ b/tests/soak/run.py
@@ -24,8 +24,8 @@
     PlannedRequest,
     Reload,
     Schedule,
-    SetBehavior,
-    SetCondition,
+    SetEndpointBehavior,
+    SetDiscoveryCondition,
     Step,
     Terminate,
     draw_schedule,
@@ -128,11 +128,11 @@
 
     async def _take(self, step: Step) -> None:
         match step:
-            case SetBehavior():
+            case SetEndpointBehavior():
                 self.endpoints[step.endpoint].set_behavior(step.behavior)
             case ChangeList():
                 self.discovery.change(step, f"{HOST}:{self.endpoints[step.endpoint].server.port}")
-            case SetCondition():
+            case SetDiscoveryCondition():
                 self.discovery.set_condition(step.condition)
             case Reload():
                 await self._reload(step)
--- a/tests/soak/schedule.py
+++ b/tests/soak/schedule.py
@@ -5,7 +5,7 @@
 import random
 from dataclasses import dataclass
 
-from tests.soak.kinds import BadClientKind, Behavior, Condition, RequestKind
+from tests.soak.kinds import BadClientKind, EndpointBehavior, DiscoveryCondition, RequestKind
 
 ENDPOINT_COUNTS = (6, 24)
 FAULTY_ENDPOINTS = 4
@@ -26,11 +26,11 @@
 
 
 @dataclass(frozen=True)
-class SetBehavior:
+class SetEndpointBehavior:
     """An endpoint changes its behavior."""
 
     endpoint: int
-    behavior: Behavior
+    behavior: EndpointBehavior
 
 
 @dataclass(frozen=True)
@@ -43,10 +43,10 @@
 
 
 @dataclass(frozen=True)
-class SetCondition:
+class SetDiscoveryCondition:
     """Discovery changes its condition."""
 
-    condition: Condition
+    condition: DiscoveryCondition
 
 
 @dataclass(frozen=True)
@@ -81,7 +81,16 @@
     """SIGTERM."""
 
 
-Step = SetBehavior | ChangeList | SetCondition | Reload | ConnectBadClient | ConnectCrowd | Pause | Terminate
+Step = (
+    SetEndpointBehavior
+    | ChangeList
+    | SetDiscoveryCondition
+    | Reload
+    | ConnectBadClient
+    | ConnectCrowd
+    | Pause
+    | Terminate
+)
 
 
 @dataclass(frozen=True)
@@ -173,14 +182,16 @@
         """Faults of some endpoints, of which most end again; one hangs through the shutdown."""
         steps = []
         for endpoint in self._rng.sample(range(self._endpoint_count), FAULTY_ENDPOINTS):
-            behavior = self._rng.choice([each for each in Behavior if each is not Behavior.NORMAL])
+            behavior = self._rng.choice(
+                [each for each in EndpointBehavior if each is not EndpointBehavior.NORMAL]
+            )
             begin_s = self._rng.uniform(0.0, self._terminate_s - 1.0)
-            steps.append(TimedStep(begin_s, SetBehavior(endpoint, behavior)))
+            steps.append(TimedStep(begin_s, SetEndpointBehavior(endpoint, behavior)))
             end_s = begin_s + self._rng.uniform(0.3, 2.0)
-            steps.append(TimedStep(end_s, SetBehavior(endpoint, Behavior.NORMAL)))
+            steps.append(TimedStep(end_s, SetEndpointBehavior(endpoint, EndpointBehavior.NORMAL)))
         if self._rng.random() < 0.5:
             endpoint = self._rng.randrange(self._endpoint_count)
-            hung = SetBehavior(endpoint, Behavior.HUNG)
+            hung = SetEndpointBehavior(endpoint, EndpointBehavior.HUNG)
             steps.append(TimedStep(self._terminate_s - 0.1, hung))
         return steps
 
@@ -202,10 +213,12 @@
             return []
         begin_s = self._rng.uniform(0.5, self._terminate_s - 2.5)
         end_s = begin_s + self._rng.uniform(0.3, 2.0)
-        condition = self._rng.choice([Condition.DOWN, Condition.SLOW, Condition.SILENT])
+        condition = self._rng.choice(
+            [DiscoveryCondition.DOWN, DiscoveryCondition.SLOW, DiscoveryCondition.SILENT]
+        )
         return [
-            TimedStep(begin_s, SetCondition(condition)),
-            TimedStep(end_s, SetCondition(Condition.UP)),
+            TimedStep(begin_s, SetDiscoveryCondition(condition)),
+            TimedStep(end_s, SetDiscoveryCondition(DiscoveryCondition.UP)),
         ]
 
     def reloads(self) -> list[TimedStep]:
--- a/tests/soak/servers.py
+++ b/tests/soak/servers.py
@@ -9,7 +9,7 @@
 from typing import NamedTuple, cast
 
 from loadbalancer.proxy.socket_state import has_unread_input
-from tests.soak.kinds import AttemptEnd, Behavior, Condition, Rule
+from tests.soak.kinds import AttemptEnd, EndpointBehavior, DiscoveryCondition, Rule
 from tests.soak.records import Attempt, ConditionChange, ListChange, Records
 from tests.soak.schedule import ChangeList
 from tests.support.endpoint_lists import Json
@@ -30,7 +30,7 @@
 
     def __init__(self, number: int, records: Records, *, is_late: bool) -> None:
         self.number = number
-        self.behavior = Behavior.NORMAL
+        self.behavior = EndpointBehavior.NORMAL
         self._records = records
         self._machine = Machine(self._respond, refuses=False) if is_late else None
         self.server = self._machine or FakeEndpoint(self._respond)
@@ -40,7 +40,7 @@
         if self._machine is not None:
             await self._machine.comes_back()
 
-    def set_behavior(self, behavior: Behavior) -> None:
+    def set_behavior(self, behavior: EndpointBehavior) -> None:
         """Treat requests in this way from now on."""
         self.behavior = behavior
 
@@ -54,31 +54,31 @@
             self._records.violate(Rule.DUPLICATE, "a second copy while the first is out", request_id)
         earlier.append(attempt)
         match behavior:
-            case Behavior.HUNG:
+            case EndpointBehavior.HUNG:
                 return
-            case Behavior.DECLINING:
+            case EndpointBehavior.DECLINING:
                 attempt.finish(AttemptEnd.DECLINED)
                 writer.write(format_response(503, b"", DECLINED))
-            case Behavior.FAILING:
+            case EndpointBehavior.FAILING:
                 attempt.finish(AttemptEnd.ERROR)
                 writer.write(format_response(500))
-            case Behavior.RESETTING:
+            case EndpointBehavior.RESETTING:
                 attempt.finish(AttemptEnd.RESET)
                 await abort_connection(received, writer)
             case _:
                 await self._serve(attempt, received, writer, behavior)
 
     async def _serve(
-        self, attempt: Attempt, received: ReceivedMessage, writer: Writer, behavior: Behavior
+        self, attempt: Attempt, received: ReceivedMessage, writer: Writer, behavior: EndpointBehavior
     ) -> None:
         number = int(attempt.request_id, 16)
-        is_slow = behavior is Behavior.SLOW
+        is_slow = behavior is EndpointBehavior.SLOW
         await asyncio.sleep(
             SLOW_SERVICE_TIME_S if is_slow else SERVICE_TIMES_S[number % len(SERVICE_TIMES_S)]
         )
         body = f"{attempt.request_id} at {self.number}"
         response = format_response(200, body.encode())
-        if behavior is Behavior.CUTTING:
+        if behavior is EndpointBehavior.CUTTING:
             attempt.finish(AttemptEnd.CUT)
             writer.write(response[:-1])
             await writer.drain()
@@ -124,7 +124,7 @@
     def __init__(self, records: Records, *, pushes: bool) -> None:
         self.fake = FakeDiscovery(honors_wait=True)
         records.writes = self.fake.writes
-        self.condition = Condition.UP
+        self.condition = DiscoveryCondition.UP
         self._records = records
         self._pushes = pushes
         self._respond_normally = self.fake.server.respond
@@ -149,7 +149,7 @@
         attributes: dict[str, object] = {"dial": dial, "health": change.health}
         if change.is_cold:
             attributes["born_ms"] = int(time.time() * 1000)
-        if self._pushes and self.condition is Condition.DOWN:
+        if self._pushes and self.condition is DiscoveryCondition.DOWN:
             self._held_changes.append(HeldChange(change.endpoint, attributes))
         else:
             self._apply(change.endpoint, attributes)
@@ -160,18 +160,20 @@
         change = ListChange(time.monotonic(), self.fake.version, endpoint, accepts_requests)
         self._records.changes.append(change)
 
-    def set_condition(self, condition: Condition) -> None:
+    def set_condition(self, condition: DiscoveryCondition) -> None:
         """Change the condition; watches end or fall silent."""
         self.condition = condition
         self._records.conditions.append(ConditionChange(time.monotonic(), condition))
-        if condition is Condition.UP:
+        if condition is DiscoveryCondition.UP:
             for held in self._held_changes:
                 self._apply(held.endpoint, held.attributes)
             self._held_changes.clear()
-        elif condition is Condition.SILENT or (condition is Condition.DOWN and not self._pushes):
+        elif condition is DiscoveryCondition.SILENT or (
+            condition is DiscoveryCondition.DOWN and not self._pushes
+        ):
             for call, writer in self._calls.items():
                 call.cancel()
-                if condition is Condition.DOWN:
+                if condition is DiscoveryCondition.DOWN:
                     writer.transport.abort()
 
     async def _respond_at(self, address: DiscoveryAddress, received: ReceivedMessage, writer: Writer) -> None:
@@ -179,12 +181,12 @@
         await self._respond(received, writer)
 
     async def _respond(self, received: ReceivedMessage, writer: Writer) -> None:
-        if self.condition is Condition.SILENT:
+        if self.condition is DiscoveryCondition.SILENT:
             return
-        if self.condition is Condition.DOWN and not self._pushes:
+        if self.condition is DiscoveryCondition.DOWN and not self._pushes:
             await abort_connection(received, writer)
             return
-        if self.condition is Condition.SLOW:
+        if self.condition is DiscoveryCondition.SLOW:
             await asyncio.sleep(SLOW_DISCOVERY_DELAY_S)
         call = asyncio.create_task(self._call(received, writer))
         self._calls[call] = writer
--- a/tests/soak/test_checks.py
+++ b/tests/soak/test_checks.py
@@ -8,7 +8,7 @@
 import pytest
 
 from tests.soak.checks import check_attempts, check_bad_clients, check_requests
-from tests.soak.kinds import AttemptEnd, Condition, RequestKind, Rule
+from tests.soak.kinds import AttemptEnd, DiscoveryCondition, RequestKind, Rule
 from tests.soak.records import Attempt, BadClient, ClientRequest, ConditionChange, ListChange, Records
 from tests.soak.schedule import draw_schedule
 from tests.support.fake_discovery import DiscoveryWrite
@@ -137,7 +137,7 @@
 
 def lose_discovery(records: Records) -> None:
     """Discovery is silent from before the change on."""
-    records.conditions.append(ConditionChange(CHANGED_S - 0.5, Condition.SILENT))
+    records.conditions.append(ConditionChange(CHANGED_S - 0.5, DiscoveryCondition.SILENT))
 
 
 def reload_before(records: Records) -> None:
