--- a/tests/soak/schedule.py
+++ b/tests/soak/schedule.py
@@ -5,7 +5,7 @@
 import random
 from dataclasses import dataclass
 
-from tests.soak.kinds import BadClientKind, EndpointBehavior, DiscoveryCondition, RequestKind
+from tests.soak.kinds import BadClientKind, DiscoveryCondition, EndpointBehavior, RequestKind
 
 ENDPOINT_COUNTS = (6, 24)
 FAULTY_ENDPOINTS = 4
--- a/tests/soak/servers.py
+++ b/tests/soak/servers.py
@@ -9,7 +9,7 @@
 from typing import NamedTuple, cast
 
 from loadbalancer.proxy.socket_state import has_unread_input
-from tests.soak.kinds import AttemptEnd, EndpointBehavior, DiscoveryCondition, Rule
+from tests.soak.kinds import AttemptEnd, DiscoveryCondition, EndpointBehavior, Rule
 from tests.soak.records import Attempt, ConditionChange, ListChange, Records
 from tests.soak.schedule import ChangeList
 from tests.support.endpoint_lists import Json
