--- a/tests/soak/kinds.py
+++ b/tests/soak/kinds.py
@@ -13,7 +13,7 @@
     PAY = "pay"  # unsafe to repeat
 
 
-class AttemptEnd(StrEnum):
+class AttemptOutcome(StrEnum):
     """How an endpoint ended an attempt."""
 
     SERVED = "served"
--- a/tests/soak/records.py
+++ b/tests/soak/records.py
@@ -8,7 +8,7 @@
 from dataclasses import dataclass, field
 from typing import NamedTuple
 
-from tests.soak.kinds import AttemptEnd, DiscoveryCondition, RequestKind, Rule
+from tests.soak.kinds import AttemptOutcome, DiscoveryCondition, RequestKind, Rule
 from tests.support.fake_discovery import DiscoveryWrite
 
 
@@ -20,16 +20,16 @@
     endpoint: int
     received_s: float
     is_open: Callable[[], bool]  # whether the balancer has its connection still open
-    end: AttemptEnd | None = None  # None: not answered
+    outcome: AttemptOutcome | None = None  # None: not answered
 
-    def finish(self, end: AttemptEnd) -> None:
+    def finish(self, outcome: AttemptOutcome) -> None:
         """Record how the endpoint ended it."""
-        self.end = end
+        self.outcome = outcome
 
     @property
     def may_have_run(self) -> bool:
         """Whether it may have had its effect."""
-        return self.end is not AttemptEnd.DECLINED
+        return self.outcome is not AttemptOutcome.DECLINED
 
 
 @dataclass(eq=False)
@@ -143,7 +143,9 @@
 
     def attempts_in_flight(self) -> list[Attempt]:
         """Return the attempts that no endpoint has ended."""
-        return [attempt for attempts in self.attempts.values() for attempt in attempts if attempt.end is None]
+        return [
+            attempt for attempts in self.attempts.values() for attempt in attempts if attempt.outcome is None
+        ]
 
     def lag_at(self, at_s: float, around_s: float = 0.5) -> float:
         """Return how late this process was at most around a moment."""
--- a/tests/soak/servers.py
+++ b/tests/soak/servers.py
@@ -9,7 +9,7 @@
 from typing import NamedTuple, cast
 
 from loadbalancer.proxy.socket_state import has_unread_input
-from tests.soak.kinds import AttemptEnd, DiscoveryCondition, EndpointBehavior, Rule
+from tests.soak.kinds import AttemptOutcome, DiscoveryCondition, EndpointBehavior, Rule
 from tests.soak.records import Attempt, ConditionChange, ListChange, Records
 from tests.soak.schedule import ChangeList
 from tests.support.endpoint_lists import Json
@@ -50,20 +50,20 @@
         behavior = self.behavior
         self._records.note(f"endpoint {self.number} ({behavior}) receives {request_id}")
         earlier = self._records.attempts[request_id]
-        if any(other.end is None and other.is_open() for other in earlier):
+        if any(other.outcome is None and other.is_open() for other in earlier):
             self._records.violate(Rule.DUPLICATE, "a second copy while the first is out", request_id)
         earlier.append(attempt)
         match behavior:
             case EndpointBehavior.HUNG:
                 return
             case EndpointBehavior.DECLINING:
-                attempt.finish(AttemptEnd.DECLINED)
+                attempt.finish(AttemptOutcome.DECLINED)
                 writer.write(format_response(503, b"", DECLINED))
             case EndpointBehavior.FAILING:
-                attempt.finish(AttemptEnd.ERROR)
+                attempt.finish(AttemptOutcome.ERROR)
                 writer.write(format_response(500))
             case EndpointBehavior.RESETTING:
-                attempt.finish(AttemptEnd.RESET)
+                attempt.finish(AttemptOutcome.RESET)
                 await abort_connection(received, writer)
             case _:
                 await self._serve(attempt, received, writer, behavior)
@@ -79,12 +79,12 @@
         body = f"{attempt.request_id} at {self.number}"
         response = format_response(200, body.encode())
         if behavior is EndpointBehavior.CUTTING:
-            attempt.finish(AttemptEnd.CUT)
+            attempt.finish(AttemptOutcome.CUT)
             writer.write(response[:-1])
             await writer.drain()
             await abort_connection(received, writer)
             return
-        attempt.finish(AttemptEnd.SERVED)
+        attempt.finish(AttemptOutcome.SERVED)
         self._records.served_bodies.add(body)
         writer.write(response)
 
--- a/tests/soak/test_checks.py
+++ b/tests/soak/test_checks.py
@@ -8,7 +8,7 @@
 import pytest
 
 from tests.soak.checks import check_attempts, check_bad_clients, check_requests
-from tests.soak.kinds import AttemptEnd, DiscoveryCondition, RequestKind, Rule
+from tests.soak.kinds import AttemptOutcome, DiscoveryCondition, RequestKind, Rule
 from tests.soak.records import Attempt, BadClient, ClientRequest, ConditionChange, ListChange, Records
 from tests.soak.schedule import draw_schedule
 from tests.support.fake_discovery import DiscoveryWrite
@@ -25,8 +25,10 @@
     return ClientRequest("1", kind, SENT_S, SENT_S + 1.0, on_new_connection=True)
 
 
-def attempt_at(received_s: float, end: AttemptEnd | None = AttemptEnd.SERVED, endpoint: int = 0) -> Attempt:
-    return Attempt("1", endpoint, received_s, is_open=lambda: False, end=end)
+def attempt_at(
+    received_s: float, outcome: AttemptOutcome | None = AttemptOutcome.SERVED, endpoint: int = 0
+) -> Attempt:
+    return Attempt("1", endpoint, received_s, is_open=lambda: False, outcome=outcome)
 
 
 def records_of(request: ClientRequest, *attempts: Attempt) -> Records:
@@ -97,26 +99,26 @@
 
 
 @pytest.mark.parametrize(
-    ("kind", "first_end", "second_s", "rules"),
+    ("kind", "first_outcome", "second_s", "rules"),
     [
         (RequestKind.READ, None, SENT_S + 5.0, []),
-        (RequestKind.PAY, AttemptEnd.DECLINED, SENT_S + 0.2, []),
-        (RequestKind.PAY, AttemptEnd.RESET, SENT_S + 0.2, [Rule.DUPLICATE]),
-        (RequestKind.BOOK, AttemptEnd.RESET, SENT_S + 1.2, []),
-        (RequestKind.BOOK, AttemptEnd.RESET, SENT_S + 1.3, [Rule.DUPLICATE]),
+        (RequestKind.PAY, AttemptOutcome.DECLINED, SENT_S + 0.2, []),
+        (RequestKind.PAY, AttemptOutcome.RESET, SENT_S + 0.2, [Rule.DUPLICATE]),
+        (RequestKind.BOOK, AttemptOutcome.RESET, SENT_S + 1.2, []),
+        (RequestKind.BOOK, AttemptOutcome.RESET, SENT_S + 1.3, [Rule.DUPLICATE]),
     ],
 )
 def test_a_repetition(
-    kind: RequestKind, first_end: AttemptEnd | None, second_s: float, rules: list[Rule]
+    kind: RequestKind, first_outcome: AttemptOutcome | None, second_s: float, rules: list[Rule]
 ) -> None:
-    attempts = attempt_at(SENT_S, first_end), attempt_at(second_s)
+    attempts = attempt_at(SENT_S, first_outcome), attempt_at(second_s)
     assert broken_rules(records_of_served(*attempts, kind=kind)) == rules
 
 
 def test_a_rejection_of_an_unsafe_request_that_may_have_run() -> None:
     request = request_sent(RequestKind.PAY)
     request.answer(503, "", SENT_S + 0.1)
-    assert broken_rules(records_of(request, attempt_at(SENT_S, AttemptEnd.RESET))) == [Rule.DUPLICATE]
+    assert broken_rules(records_of(request, attempt_at(SENT_S, AttemptOutcome.RESET))) == [Rule.DUPLICATE]
 
 
 @pytest.mark.parametrize(("after_s", "rules"), [(0.09, []), (0.11, [Rule.GONE_CLIENT])])
