--- a/tests/soak/kinds.py
+++ b/tests/soak/kinds.py
@@ -6,10 +6,10 @@
 
 
 class RequestKind(StrEnum):
-    """What a repetition of a request does; the value is its class and the first part of its path."""
+    """Whether a request may be repeated; the value names its profile and is the first segment of its path."""
 
     READ = "read"  # safe to repeat
-    BOOK = "book"  # with an idempotency key
+    BOOK = "book"  # may be repeated within the deduplication window of its idempotency key
     PAY = "pay"  # unsafe to repeat
 
 
@@ -17,14 +17,14 @@
     """How an endpoint ended an attempt."""
 
     SERVED = "served"
-    DECLINED = "declined"  # never ran
+    DECLINED = "declined"  # turned away without running it
     ERROR = "error"
-    RESET = "reset"
-    CUT = "cut"  # in the middle of the response
+    RESET = "reset"  # connection aborted before the response
+    CUT = "cut"  # connection aborted in the middle of the response
 
 
 class Rule(StrEnum):
-    """A rule of the service, or a sign that the process is unhealthy."""
+    """A rule of the service, or a sign that the balancer process is unhealthy."""
 
     LOST = "lost"
     UNANSWERED = "unanswered"
@@ -45,24 +45,24 @@
 
     NORMAL = "normal"
     SLOW = "slow"
-    HUNG = "hung"
-    DECLINING = "declining"
-    RESETTING = "resetting"
-    CUTTING = "cutting"
-    FAILING = "failing"
+    HUNG = "hung"  # never responds
+    DECLINING = "declining"  # responds with 503 and Srv-Declined
+    RESETTING = "resetting"  # aborts the connection before the response
+    CUTTING = "cutting"  # aborts the connection before the last byte of the response
+    FAILING = "failing"  # responds with 500
 
 
 class DiscoveryCondition(StrEnum):
-    """How discovery treats calls."""
+    """How discovery responds to calls."""
 
     UP = "up"
-    DOWN = "down"
+    DOWN = "down"  # aborts polls; when it pushes, it holds changes back instead
     SLOW = "slow"
-    SILENT = "silent"
+    SILENT = "silent"  # accepts calls but does not respond
 
 
 class BadClientKind(StrEnum):
-    """What a client sends in place of a proper request."""
+    """What a client sends in place of a complete, valid request."""
 
     NOTHING = "nothing"
     GARBAGE = "garbage"
