--- a/tests/soak/checks.py
+++ b/tests/soak/checks.py
@@ -52,7 +52,7 @@
     was_read = request.id in records.attempts
     if request.response_begun:
         return  # the client can tell that it is not complete
-    if not was_read and (not request.on_new_connection or schedule.has_crowd):
+    if not was_read and (not request.on_new_connection or schedule.has_connection_flood):
         return
     records.violate(Rule.LOST, "its connection ended without a response", request.id, request.ended_s)
 
--- a/tests/soak/clients.py
+++ b/tests/soak/clients.py
@@ -1,4 +1,4 @@
-"""The clients of a run: those with requests, bad ones, and a crowd of idle ones."""
+"""The clients of a run: those that send requests, bad ones, and a flood of idle connections."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
     BadClientKind.GARBAGE: b"\x16\x03\x01 what is this\r\n\r\n",
     BadClientKind.HALF_A_REQUEST: b"GET /read HTTP/1.1\r\nHost: serv",
 }
-CROWD_BATCH = 64
+FLOOD_BATCH_SIZE = 64
 
 
 @dataclass(frozen=True)
@@ -56,7 +56,7 @@
         self._port = 0
         self._records = records
         self._idle: list[Connection] = []
-        self._crowd: list[asyncio.StreamWriter] = []
+        self._flood_writers: list[asyncio.StreamWriter] = []
         self._tasks: set[asyncio.Task[None]] = set()
         self._request_count = 0
 
@@ -173,13 +173,13 @@
             bad.end(time.monotonic())
         self._close(connection)
 
-    async def connect_crowd(self, connections: int) -> None:
-        """Open so many connections, and rest on them."""
-        for _ in range(0, connections, CROWD_BATCH):
-            opened = await asyncio.gather(*(self._connect() for _ in range(CROWD_BATCH)))
-            self._crowd += [connection.writer for connection in opened if connection is not None]
+    async def open_connection_flood(self, connections: int) -> None:
+        """Open at least so many connections, and leave them idle."""
+        for _ in range(0, connections, FLOOD_BATCH_SIZE):
+            opened = await asyncio.gather(*(self._connect() for _ in range(FLOOD_BATCH_SIZE)))
+            self._flood_writers += [connection.writer for connection in opened if connection is not None]
 
     def close(self) -> None:
         """Close all idle connections."""
-        for writer in [*self._crowd, *(connection.writer for connection in self._idle)]:
+        for writer in [*self._flood_writers, *(connection.writer for connection in self._idle)]:
             writer.close()
--- a/tests/soak/run.py
+++ b/tests/soak/run.py
@@ -19,7 +19,7 @@
 from tests.soak.schedule import (
     ChangeList,
     ConnectBadClient,
-    ConnectCrowd,
+    OpenConnectionFlood,
     Pause,
     PlannedRequest,
     Reload,
@@ -138,8 +138,8 @@
                 await self._reload(step)
             case ConnectBadClient():
                 self.clients.start(self.clients.connect_bad_client(step.kind))
-            case ConnectCrowd():
-                self.clients.start(self.clients.connect_crowd(step.connections))
+            case OpenConnectionFlood():
+                self.clients.start(self.clients.open_connection_flood(step.connections))
             case Pause():
                 self.clients.start(self.balancer.pause())
             case Terminate():
--- a/tests/soak/schedule.py
+++ b/tests/soak/schedule.py
@@ -14,8 +14,8 @@
 CONNECT_TIMEOUTS_MS = (200, 1500)
 LEAVING_FRACTION = 0.1
 DEADLINES_MS = (80, 200, 500, 1000, 1500)
-CROWD_FRACTION = 0.3  # of the seeds
-CROWD_DESCRIPTORS = (256, 1024)
+CONNECTION_FLOOD_FRACTION = 0.3  # of the seeds: more connections than descriptors
+FLOOD_DESCRIPTORS = (256, 1024)
 DESCRIPTORS = 1024
 LONG_LISTS = (0, 0, 2_000, 8_000, 20_000)  # entries
 TERMINATE_S = (6.5, 7.5)  # since readiness
@@ -65,8 +65,8 @@
 
 
 @dataclass(frozen=True)
-class ConnectCrowd:
-    """So many clients connect, and rest."""
+class OpenConnectionFlood:
+    """So many clients connect, and stay idle."""
 
     connections: int
 
@@ -87,7 +87,7 @@
     | SetDiscoveryCondition
     | Reload
     | ConnectBadClient
-    | ConnectCrowd
+    | OpenConnectionFlood
     | Pause
     | Terminate
 )
@@ -118,7 +118,7 @@
     seed: int
     pushes: bool  # discovery pushes lists; else the balancer polls
     descriptors: int
-    has_crowd: bool
+    has_connection_flood: bool
     endpoint_count: int
     late_endpoints: dict[int, float]  # from when on these listen
     steps: list[TimedStep]
@@ -138,8 +138,8 @@
     rng = random.Random(seed)
     terminate_s = rng.uniform(*TERMINATE_S)
     endpoint_count = rng.choice(ENDPOINT_COUNTS)
-    has_crowd = rng.random() < CROWD_FRACTION
-    descriptors = rng.choice(CROWD_DESCRIPTORS) if has_crowd else DESCRIPTORS
+    has_connection_flood = rng.random() < CONNECTION_FLOOD_FRACTION
+    descriptors = rng.choice(FLOOD_DESCRIPTORS) if has_connection_flood else DESCRIPTORS
     max_deadline_ms = rng.choice(DEADLINES_MS[2:])
     drawing = _Drawing(rng, endpoint_count, terminate_s)
     steps = [
@@ -152,14 +152,14 @@
         *drawing.pauses(),
         *drawing.termination(),
     ]
-    if has_crowd:
-        steps.append(TimedStep(rng.uniform(0.5, 3.0), ConnectCrowd(descriptors + descriptors // 5)))
+    if has_connection_flood:
+        steps.append(TimedStep(rng.uniform(0.5, 3.0), OpenConnectionFlood(descriptors + descriptors // 5)))
     kill_s = terminate_s + max_deadline_ms / 1000 + KILL_AFTER_GRACE_S
     return Schedule(
         seed=seed,
         pushes=rng.random() < 0.5,
         descriptors=descriptors,
-        has_crowd=has_crowd,
+        has_connection_flood=has_connection_flood,
         endpoint_count=endpoint_count,
         late_endpoints=drawing.late_endpoints(),
         steps=sorted(steps, key=lambda timed: timed.at_s),
--- a/tests/soak/test_checks.py
+++ b/tests/soak/test_checks.py
@@ -15,7 +15,7 @@
 
 SENT_S = 100.0
 CHANGED_S = 99.0
-SCHEDULE = replace(draw_schedule(1), pushes=True, has_crowd=False)
+SCHEDULE = replace(draw_schedule(1), pushes=True, has_connection_flood=False)
 POLLING = replace(SCHEDULE, pushes=False)
 
 Change = Callable[[Records], None]
