--- a/tests/soak/checks.py
+++ b/tests/soak/checks.py
@@ -28,9 +28,12 @@
             _check_response(records, request)
         elif request.ended_s is not None:
             _check_ended(records, schedule, request)
-        elif request.left_s is not None and request.left_s > request.deadline_s + LATE_RESPONSE_S:
-            records.violate(Rule.UNANSWERED, "no response", request.id, request.left_s)
-        elif request.left_s is None:
+        elif (
+            request.disconnected_s is not None
+            and request.disconnected_s > request.deadline_s + LATE_RESPONSE_S
+        ):
+            records.violate(Rule.UNANSWERED, "no response", request.id, request.disconnected_s)
+        elif request.disconnected_s is None:
             _check_open(records, request)
 
 
@@ -91,9 +94,9 @@
 
 
 def _check_gone_client(records: Records, request: ClientRequest, attempt: Attempt) -> None:
-    if request.left_s is None:
+    if request.disconnected_s is None:
         return
-    after_s = attempt.received_s - request.left_s
+    after_s = attempt.received_s - request.disconnected_s
     if after_s > GONE_CLIENT_S + records.lag_at(attempt.received_s):
         text = f"attempt {after_s:.3f} s after the client left"
         records.violate(Rule.GONE_CLIENT, text, request.id, attempt.received_s)
--- a/tests/soak/clients.py
+++ b/tests/soak/clients.py
@@ -86,7 +86,7 @@
             await self._send_once(planned, on_new_connection=True)
 
     def _may_have_crossed(self, sent: ClientRequest) -> bool:
-        ended_by_balancer = sent.left_s is None and sent.status is None and sent.ended_s is not None
+        ended_by_balancer = sent.disconnected_s is None and sent.status is None and sent.ended_s is not None
         return ended_by_balancer and not sent.on_new_connection and not sent.response_begun
 
     async def _send_once(
@@ -124,15 +124,15 @@
 
     async def _read(self, connection: Connection, sent: ClientRequest, planned: PlannedRequest) -> None:
         wait_s = sent.deadline_s + LATE_RESPONSE_WAIT_S - time.monotonic()
-        if planned.leave_after_s is not None:
-            wait_s = planned.leave_after_s
+        if planned.disconnect_after_s is not None:
+            wait_s = planned.disconnect_after_s
         response: ReceivedMessage | None = None
         try:
             async with asyncio.timeout(wait_s):
                 response = await read_message(connection.reader)
         except TimeoutError:
-            self._records.note(f"client of {sent.id} leaves")
-            sent.leave(time.monotonic())
+            self._records.note(f"client of {sent.id} disconnects")
+            sent.disconnect(time.monotonic())
         except asyncio.IncompleteReadError as error:
             if error.partial or error.expected is not None:
                 sent.begin_response()
--- a/tests/soak/records.py
+++ b/tests/soak/records.py
@@ -44,7 +44,7 @@
     status: int | None = None
     body: str = ""
     ended_s: float | None = None  # with a response, or with the end of its connection
-    left_s: float | None = None  # when the client closed its connection
+    disconnected_s: float | None = None  # when the client closed its connection
     response_begun: bool = False
 
     def answer(self, status: int, body: str, now_s: float) -> None:
@@ -55,9 +55,9 @@
         """Record that its connection ended without a complete response."""
         self.ended_s = now_s
 
-    def leave(self, now_s: float) -> None:
+    def disconnect(self, now_s: float) -> None:
         """Record that its client closes its connection."""
-        self.left_s = now_s
+        self.disconnected_s = now_s
 
     def begin_response(self) -> None:
         """Record that the first byte of a response has come."""
--- a/tests/soak/schedule.py
+++ b/tests/soak/schedule.py
@@ -12,7 +12,7 @@
 LATE_ENDPOINTS = 2
 REQUESTS_PER_S = 60.0
 CONNECT_TIMEOUTS_MS = (200, 1500)
-LEAVING_FRACTION = 0.1
+DISCONNECTING_FRACTION = 0.1
 DEADLINES_MS = (80, 200, 500, 1000, 1500)
 CONNECTION_FLOOD_FRACTION = 0.3  # of the seeds: more connections than descriptors
 FLOOD_DESCRIPTORS = (256, 1024)
@@ -108,7 +108,7 @@
     at_s: float
     kind: RequestKind
     deadline_ms: int
-    leave_after_s: float | None  # the client closes its connection; None: it waits
+    disconnect_after_s: float | None  # the client closes its connection; None: it waits
 
 
 @dataclass(frozen=True)
@@ -285,8 +285,8 @@
         at_s = 0.0
         while (at_s := at_s + self._rng.expovariate(REQUESTS_PER_S)) < end_s:
             deadline_ms = self._rng.choice(deadlines_ms)
-            leaves = self._rng.random() < LEAVING_FRACTION
-            leave_after_s = self._rng.uniform(0.0, deadline_ms / 1000) if leaves else None
+            disconnects = self._rng.random() < DISCONNECTING_FRACTION
+            disconnect_after_s = self._rng.uniform(0.0, deadline_ms / 1000) if disconnects else None
             kind = self._rng.choice(list(RequestKind))
-            requests.append(PlannedRequest(at_s, kind, deadline_ms, leave_after_s))
+            requests.append(PlannedRequest(at_s, kind, deadline_ms, disconnect_after_s))
         return requests
--- a/tests/soak/test_checks.py
+++ b/tests/soak/test_checks.py
@@ -75,7 +75,7 @@
 
 def test_no_response() -> None:
     request = request_sent()
-    request.leave(request.deadline_s + 1.0)
+    request.disconnect(request.deadline_s + 1.0)
     assert broken_rules(records_of(request)) == [Rule.UNANSWERED]
 
 
@@ -124,7 +124,7 @@
 @pytest.mark.parametrize(("after_s", "rules"), [(0.09, []), (0.11, [Rule.GONE_CLIENT])])
 def test_an_attempt_for_a_client_that_has_left(after_s: float, rules: list[Rule]) -> None:
     request = request_sent()
-    request.leave(SENT_S)
+    request.disconnect(SENT_S)
     assert broken_rules(records_of(request, attempt_at(SENT_S + after_s))) == rules
 
 
