--- a/tests/soak/schedule.py
+++ b/tests/soak/schedule.py
@@ -1,4 +1,7 @@
-"""The schedule of a run, drawn whole from its seed before the start; times are seconds since readiness."""
+"""The schedule of a run, drawn completely from its seed before the start.
+
+Times are in seconds since the balancer was ready.
+"""
 
 from __future__ import annotations
 
@@ -8,21 +11,21 @@
 from tests.soak.kinds import BadClientKind, DiscoveryCondition, EndpointBehavior, RequestKind
 
 ENDPOINT_COUNTS = (6, 24)
-FAULTY_ENDPOINTS = 4
-LATE_ENDPOINTS = 2
+FAULTY_ENDPOINT_COUNT = 4
+LATE_ENDPOINT_COUNT = 2
 REQUESTS_PER_S = 60.0
-CONNECT_TIMEOUTS_MS = (200, 1500)
+CONNECT_TIMEOUTS_MS = (200, 1500)  # one below and one above the grace period of a drain
 DISCONNECTING_FRACTION = 0.1
 DEADLINES_MS = (80, 200, 500, 1000, 1500)
 CONNECTION_FLOOD_FRACTION = 0.3  # of the seeds: more connections than descriptors
-FLOOD_DESCRIPTORS = (256, 1024)
-DESCRIPTORS = 1024
-LONG_LISTS = (0, 0, 2_000, 8_000, 20_000)  # entries
-TERMINATE_S = (6.5, 7.5)  # since readiness
+FLOOD_DESCRIPTORS = (256, 1024)  # limits on open descriptors
+DEFAULT_DESCRIPTORS = 1024
+RELOADED_LIST_LENGTHS = (0, 0, 2_000, 8_000, 20_000)  # entries; 0: the current list
+TERMINATE_RANGE_S = (6.5, 7.5)  # since readiness
 KILL_AFTER_GRACE_S = 0.7
-MAX_DEADLINE_COUNTED_S = 3.0
-MAX_OLD_ADDRESS_LISTENS_S = 1.0  # after SIGHUP
-PAUSE_S = 0.14  # a balancer may be held up for 0.15 s
+MAX_DEADLINE_IN_GRACE_S = 3.0
+MAX_OLD_ADDRESS_LISTENS_S = 1.0  # after SIGHUP, for the old address of discovery
+PAUSE_S = 0.14  # the service rules let a balancer stall for up to 0.15 s
 
 
 @dataclass(frozen=True)
@@ -35,11 +38,11 @@
 
 @dataclass(frozen=True)
 class ChangeList:
-    """Discovery's list changes in one entry."""
+    """One entry of discovery's list changes."""
 
     endpoint: int
     health: str
-    is_cold: bool = False
+    is_cold: bool = False  # it has just been restarted, so that slow start applies
 
 
 @dataclass(frozen=True)
@@ -51,10 +54,10 @@
 
 @dataclass(frozen=True)
 class Reload:
-    """SIGHUP, with a file that names a new address of discovery and so many endpoints."""
+    """SIGHUP, with a configuration that names a new address of discovery and so many endpoints."""
 
     known_entries: int
-    old_address_listens_s: float  # for so long the old address still takes connections
+    old_address_listens_s: float  # how long the old address still accepts connections
 
 
 @dataclass(frozen=True)
@@ -73,7 +76,7 @@
 
 @dataclass(frozen=True)
 class Pause:
-    """The process gets no processor for `PAUSE_S`."""
+    """The balancer process is stopped for `PAUSE_S`."""
 
 
 @dataclass(frozen=True)
@@ -95,7 +98,7 @@
 
 @dataclass(frozen=True)
 class TimedStep:
-    """A step of the schedule, and when it is taken."""
+    """A step of the schedule, and when it is carried out."""
 
     at_s: float
     step: Step
@@ -108,49 +111,49 @@
     at_s: float
     kind: RequestKind
     deadline_ms: int
-    disconnect_after_s: float | None  # the client closes its connection; None: it waits
+    disconnect_after_s: float | None  # None: the client waits for the response
 
 
 @dataclass(frozen=True)
 class Schedule:
-    """All that happens in a run."""
+    """Everything that happens in a run."""
 
     seed: int
     pushes: bool  # discovery pushes lists; else the balancer polls
     descriptors: int
     has_connection_flood: bool
     endpoint_count: int
-    late_endpoints: dict[int, float]  # from when on these listen
+    late_endpoints: dict[int, float]  # from when these endpoints listen
     steps: list[TimedStep]
     requests: list[PlannedRequest]
     terminate_s: float
     max_deadline_s: float
-    connect_timeout_ms: int  # of the settings; the longer one lasts beyond the grace of a drain
+    connect_timeout_ms: int  # of the settings
 
     @property
     def kill_s(self) -> float:
-        """When SIGKILL comes, at the earliest that the platform allows."""
-        return self.terminate_s + min(self.max_deadline_s, MAX_DEADLINE_COUNTED_S) + KILL_AFTER_GRACE_S
+        """When SIGKILL comes: the earliest time that the platform allows."""
+        return self.terminate_s + min(self.max_deadline_s, MAX_DEADLINE_IN_GRACE_S) + KILL_AFTER_GRACE_S
 
 
 def draw_schedule(seed: int) -> Schedule:
     """Draw the schedule of a seed."""
     rng = random.Random(seed)
-    terminate_s = rng.uniform(*TERMINATE_S)
+    terminate_s = rng.uniform(*TERMINATE_RANGE_S)
     endpoint_count = rng.choice(ENDPOINT_COUNTS)
     has_connection_flood = rng.random() < CONNECTION_FLOOD_FRACTION
-    descriptors = rng.choice(FLOOD_DESCRIPTORS) if has_connection_flood else DESCRIPTORS
+    descriptors = rng.choice(FLOOD_DESCRIPTORS) if has_connection_flood else DEFAULT_DESCRIPTORS
     max_deadline_ms = rng.choice(DEADLINES_MS[2:])
-    drawing = _Drawing(rng, endpoint_count, terminate_s)
+    generator = _ScheduleGenerator(rng, endpoint_count, terminate_s)
     steps = [
-        *drawing.behaviors(),
-        *drawing.list_changes(),
-        *drawing.discovery(),
-        *drawing.reloads(),
-        *drawing.bad_clients(),
-        *drawing.late_drains(),
-        *drawing.pauses(),
-        *drawing.termination(),
+        *generator.behaviors(),
+        *generator.list_changes(),
+        *generator.discovery(),
+        *generator.reloads(),
+        *generator.bad_clients(),
+        *generator.late_drains(),
+        *generator.pauses(),
+        *generator.termination(),
     ]
     if has_connection_flood:
         steps.append(TimedStep(rng.uniform(0.5, 3.0), OpenConnectionFlood(descriptors + descriptors // 5)))
@@ -161,17 +164,17 @@
         descriptors=descriptors,
         has_connection_flood=has_connection_flood,
         endpoint_count=endpoint_count,
-        late_endpoints=drawing.late_endpoints(),
+        late_endpoints=generator.late_endpoints(),
         steps=sorted(steps, key=lambda timed: timed.at_s),
-        requests=drawing.requests(kill_s, max_deadline_ms),
+        requests=generator.requests(kill_s, max_deadline_ms),
         terminate_s=terminate_s,
         max_deadline_s=max_deadline_ms / 1000,
         connect_timeout_ms=rng.choice(CONNECT_TIMEOUTS_MS),
     )
 
 
-class _Drawing:
-    """Draws the parts of a schedule; the last two endpoints are late."""
+class _ScheduleGenerator:
+    """Draws the parts of a schedule; the last two endpoints listen late."""
 
     def __init__(self, rng: random.Random, endpoint_count: int, terminate_s: float) -> None:
         self._rng = rng
@@ -179,9 +182,9 @@
         self._terminate_s = terminate_s
 
     def behaviors(self) -> list[TimedStep]:
-        """Faults of some endpoints, of which most end again; one hangs through the shutdown."""
+        """Temporary faults of some endpoints; in half of the seeds, one hangs through the shutdown."""
         steps = []
-        for endpoint in self._rng.sample(range(self._endpoint_count), FAULTY_ENDPOINTS):
+        for endpoint in self._rng.sample(range(self._endpoint_count), FAULTY_ENDPOINT_COUNT):
             behavior = self._rng.choice(
                 [each for each in EndpointBehavior if each is not EndpointBehavior.NORMAL]
             )
@@ -196,7 +199,7 @@
         return steps
 
     def list_changes(self) -> list[TimedStep]:
-        """Half of the endpoints drain or are removed, one after another, and most come back, some cold."""
+        """Two thirds of the endpoints drain or are removed at random times; most return, some restarted."""
         steps = []
         for endpoint in self._rng.sample(range(self._endpoint_count), 2 * self._endpoint_count // 3):
             at_s = self._rng.uniform(0.3, self._terminate_s)
@@ -222,7 +225,7 @@
         ]
 
     def reloads(self) -> list[TimedStep]:
-        """SIGHUP in quick succession in half of the seeds, 1 s after readiness at the earliest."""
+        """A rapid series of SIGHUPs in half of the seeds, 1 s after readiness at the earliest."""
         if self._rng.random() < 0.5:
             return []
         at_s = self._rng.uniform(1.0, 2.0)
@@ -233,7 +236,7 @@
         return steps
 
     def bad_clients(self) -> list[TimedStep]:
-        """Some bad clients."""
+        """Up to eight bad clients, before SIGTERM."""
         return [
             TimedStep(
                 self._rng.uniform(0.0, self._terminate_s - 0.5),
@@ -243,14 +246,14 @@
         ]
 
     def pauses(self) -> list[TimedStep]:
-        """Some moments without a processor."""
+        """Up to three pauses of the balancer process."""
         return [
             TimedStep(self._rng.uniform(0.5, self._terminate_s - 0.5), Pause())
             for _ in range(self._rng.randint(0, 3))
         ]
 
     def termination(self) -> list[TimedStep]:
-        """SIGTERM, in some seeds several times, and with a last SIGHUP."""
+        """SIGTERM, in some seeds repeated, and in some followed by a SIGHUP."""
         steps = [TimedStep(self._terminate_s, Terminate())]
         if self._rng.random() < 0.5:
             steps += [TimedStep(self._terminate_s + 0.1 * n, Terminate()) for n in range(1, 4)]
@@ -259,14 +262,16 @@
         return steps
 
     def _reload(self) -> Reload:
-        return Reload(self._rng.choice(LONG_LISTS), self._rng.uniform(0.0, MAX_OLD_ADDRESS_LISTENS_S))
+        return Reload(
+            self._rng.choice(RELOADED_LIST_LENGTHS), self._rng.uniform(0.0, MAX_OLD_ADDRESS_LISTENS_S)
+        )
 
     def late_endpoints(self) -> dict[int, float]:
-        """The endpoints that listen late, and from when on."""
+        """The endpoints that listen late, and from when."""
         return {endpoint: self._rng.uniform(0.3, 1.5) for endpoint in self._last_endpoints}
 
     def late_drains(self) -> list[TimedStep]:
-        """In half of the seeds the late endpoints drain while the first connections to them come up."""
+        """In half of the seeds, drains of the late endpoints during the first connection attempts to them."""
         if self._rng.random() < 0.5:
             return []
         return [
@@ -276,10 +281,10 @@
 
     @property
     def _last_endpoints(self) -> range:
-        return range(self._endpoint_count - LATE_ENDPOINTS, self._endpoint_count)
+        return range(self._endpoint_count - LATE_ENDPOINT_COUNT, self._endpoint_count)
 
     def requests(self, end_s: float, max_deadline_ms: int) -> list[PlannedRequest]:
-        """Requests at random times up to the end, with deadlines up to the longest one."""
+        """Requests at random times until SIGKILL, with deadlines up to the longest of the run."""
         deadlines_ms = [each for each in DEADLINES_MS if each <= max_deadline_ms]
         requests = []
         at_s = 0.0
