--- a/tests/soak/clients.py
+++ b/tests/soak/clients.py
@@ -71,7 +71,7 @@
         if self._tasks:
             await asyncio.wait(self._tasks, timeout=timeout_s)
 
-    def use_port(self, port: int) -> None:
+    def set_balancer_port(self, port: int) -> None:
         """Connect to this port of the balancer."""
         self._port = port
 
--- a/tests/soak/run.py
+++ b/tests/soak/run.py
@@ -36,7 +36,7 @@
 
 NEW_CONNECTIONS_AFTER_SIGTERM_S = 0.4
 LAG_CHECK_INTERVAL_S = 0.01
-LAG_NOTED_S = 0.005
+MIN_RECORDED_LAG_S = 0.005
 SAMPLE_INTERVAL_S = 0.5
 MAX_MEMORY_GROWTH_BYTES = 24_000_000
 MAX_OTHER_DESCRIPTORS = 48  # of the event loop, discovery, logs, and sockets being closed
@@ -81,7 +81,7 @@
         self.clients = Clients(self.records)
         self.ready_s = 0.0
         self._ready_at_s = 0.0
-        self._first_memory_bytes = 0
+        self._memory_at_readiness_bytes = 0
         self._tasks: list[asyncio.Task[None]] = []
 
     async def play(self) -> SeedResult:
@@ -107,9 +107,9 @@
         address = await self.discovery.open_address()
         self.balancer.write_configuration(address, self.discovery.known_list())
         self.ready_s = await self.balancer.start()
-        self.clients.use_port(self.balancer.port)
+        self.clients.set_balancer_port(self.balancer.port)
         self._ready_at_s = time.monotonic()
-        self._first_memory_bytes = self.balancer.memory_bytes()
+        self._memory_at_readiness_bytes = self.balancer.memory_bytes()
         self._tasks.append(asyncio.create_task(self._sample_process()))
 
     async def _play_schedule(self) -> None:
@@ -124,9 +124,9 @@
         for timed in self.schedule.steps:
             await self._sleep_until(timed.at_s)
             self.records.note(str(timed.step))
-            await self._take(timed.step)
+            await self._execute(timed.step)
 
-    async def _take(self, step: Step) -> None:
+    async def _execute(self, step: Step) -> None:
         match step:
             case SetEndpointBehavior():
                 self.endpoints[step.endpoint].set_behavior(step.behavior)
@@ -183,7 +183,7 @@
             before_s = time.monotonic()
             await asyncio.sleep(LAG_CHECK_INTERVAL_S)
             late_s = time.monotonic() - before_s - LAG_CHECK_INTERVAL_S
-            if late_s > LAG_NOTED_S:
+            if late_s > MIN_RECORDED_LAG_S:
                 self.records.lags.append(Lag(time.monotonic(), late_s))
 
     async def _sample_process(self) -> None:
@@ -193,9 +193,9 @@
 
     def _check_growth(self) -> None:
         memory_bytes = self.balancer.memory_bytes()
-        if memory_bytes - self._first_memory_bytes > MAX_MEMORY_GROWTH_BYTES:
+        if memory_bytes - self._memory_at_readiness_bytes > MAX_MEMORY_GROWTH_BYTES:
             self.records.violate(
-                Rule.GROWTH, f"{self._first_memory_bytes} bytes at first, now {memory_bytes}"
+                Rule.GROWTH, f"{self._memory_at_readiness_bytes} bytes at first, now {memory_bytes}"
             )
         descriptors = self.balancer.descriptors()
         expected = (
