--- a/tests/soak/checks.py
+++ b/tests/soak/checks.py
@@ -32,7 +32,7 @@
             request.disconnected_s is not None
             and request.disconnected_s > request.deadline_s + LATE_RESPONSE_S
         ):
-            records.violate(Rule.UNANSWERED, "no response", request.id, request.disconnected_s)
+            records.add_violation(Rule.UNANSWERED, "no response", request.id, request.disconnected_s)
         elif request.disconnected_s is None:
             _check_open(records, request)
 
@@ -40,13 +40,13 @@
 def _check_response(records: Records, request: ClientRequest) -> None:
     assert request.ended_s is not None
     late_s = request.ended_s - request.deadline_s
-    if late_s > LATE_RESPONSE_S + SOCKET_SLACK_S + records.lag_at(request.ended_s):
-        records.violate(Rule.UNANSWERED, f"answered {late_s:.3f} s late", request.id, request.ended_s)
+    if late_s > LATE_RESPONSE_S + SOCKET_SLACK_S + records.max_lag_near(request.ended_s):
+        records.add_violation(Rule.UNANSWERED, f"answered {late_s:.3f} s late", request.id, request.ended_s)
     if request.status == OK and request.body not in records.served_bodies:
-        records.violate(Rule.INVENTED_RESPONSE, repr(request.body), request.id, request.ended_s)
+        records.add_violation(Rule.INVENTED_RESPONSE, repr(request.body), request.id, request.ended_s)
     may_have_run = any(attempt.may_have_run for attempt in records.attempts.get(request.id, ()))
     if request.status in REJECTED and request.kind is RequestKind.PAY and may_have_run:
-        records.violate(Rule.DUPLICATE, "rejected though it may have run", request.id, request.ended_s)
+        records.add_violation(Rule.DUPLICATE, "rejected though it may have run", request.id, request.ended_s)
 
 
 def _check_ended(records: Records, schedule: Schedule, request: ClientRequest) -> None:
@@ -57,13 +57,13 @@
         return  # the client can tell that it is not complete
     if not was_read and (not request.on_new_connection or schedule.has_connection_flood):
         return
-    records.violate(Rule.LOST, "its connection ended without a response", request.id, request.ended_s)
+    records.add_violation(Rule.LOST, "its connection ended without a response", request.id, request.ended_s)
 
 
 def _check_open(records: Records, request: ClientRequest) -> None:
     """A request without an end: SIGKILL found it."""
     if records.terminations_s and request.sent_s > records.terminations_s[0] + LATE_AT_SHUTDOWN_S:
-        records.violate(Rule.LATE_AT_SHUTDOWN, "unanswered at SIGKILL", request.id)
+        records.add_violation(Rule.LATE_AT_SHUTDOWN, "unanswered at SIGKILL", request.id)
 
 
 def check_attempts(records: Records, schedule: Schedule) -> None:
@@ -73,7 +73,7 @@
     for request_id, attempts in records.attempts.items():
         request = requests.get(request_id)
         if request is None:
-            records.violate(Rule.DUPLICATE, "no client sent it", request_id, attempts[0].received_s)
+            records.add_violation(Rule.DUPLICATE, "no client sent it", request_id, attempts[0].received_s)
             continue
         _check_repetition(records, request, attempts)
         for attempt in attempts:
@@ -87,19 +87,19 @@
         return
     for later in attempts[attempts.index(first) + 1 :]:
         age_s = later.received_s - first.received_s
-        allowed_s = DEDUPLICATION_WINDOW_S + SOCKET_SLACK_S + records.lag_at(later.received_s)
+        allowed_s = DEDUPLICATION_WINDOW_S + SOCKET_SLACK_S + records.max_lag_near(later.received_s)
         if request.kind is RequestKind.PAY or age_s > allowed_s:
             text = f"{request.kind} again {age_s:.3f} s after an attempt that may have run"
-            records.violate(Rule.DUPLICATE, text, request.id, later.received_s)
+            records.add_violation(Rule.DUPLICATE, text, request.id, later.received_s)
 
 
 def _check_gone_client(records: Records, request: ClientRequest, attempt: Attempt) -> None:
     if request.disconnected_s is None:
         return
     after_s = attempt.received_s - request.disconnected_s
-    if after_s > GONE_CLIENT_S + records.lag_at(attempt.received_s):
+    if after_s > GONE_CLIENT_S + records.max_lag_near(attempt.received_s):
         text = f"attempt {after_s:.3f} s after the client left"
-        records.violate(Rule.GONE_CLIENT, text, request.id, attempt.received_s)
+        records.add_violation(Rule.GONE_CLIENT, text, request.id, attempt.received_s)
 
 
 class Notification(NamedTuple):
@@ -162,14 +162,16 @@
     if not earlier or earlier[-1].change.accepts_requests:
         return
     since_s = attempt.received_s - earlier[-1].notified_s
-    if since_s > STOP_SENDING_WITHIN_S + SOCKET_SLACK_S + records.lag_at(attempt.received_s):
+    if since_s > STOP_SENDING_WITHIN_S + SOCKET_SLACK_S + records.max_lag_near(attempt.received_s):
         text = f"attempt at endpoint {attempt.endpoint} {since_s:.3f} s after the notification of its drain"
-        records.violate(Rule.DRAIN, text, attempt.request_id, attempt.received_s)
+        records.add_violation(Rule.DRAIN, text, attempt.request_id, attempt.received_s)
 
 
 def check_bad_clients(records: Records) -> None:
     """Check that each bad client got an error or a close in its time."""
     for bad in records.bad_clients:
-        allowed_s = bad.connected_s + BAD_CLIENT_S + SOCKET_SLACK_S + records.lag_at(bad.connected_s)
-        if bad.ended_s is None or bad.ended_s > allowed_s + records.lag_at(bad.ended_s):
-            records.violate(Rule.BAD_CLIENT, f"{bad.name} got neither an error nor a close", "", allowed_s)
+        allowed_s = bad.connected_s + BAD_CLIENT_S + SOCKET_SLACK_S + records.max_lag_near(bad.connected_s)
+        if bad.ended_s is None or bad.ended_s > allowed_s + records.max_lag_near(bad.ended_s):
+            records.add_violation(
+                Rule.BAD_CLIENT, f"{bad.name} got neither an error nor a close", "", allowed_s
+            )
--- a/tests/soak/clients.py
+++ b/tests/soak/clients.py
@@ -106,7 +106,7 @@
             on_new_connection=reused is None,
         )
         self._records.requests.append(sent)
-        self._records.note(f"client sends {sent.id} {planned.kind} {planned.deadline_ms} ms")
+        self._records.log_event(f"client sends {sent.id} {planned.kind} {planned.deadline_ms} ms")
         connection.writer.write(format_request(sent.id, planned.kind, planned.deadline_ms))
         await self._read(connection, sent, planned)
         return sent
@@ -131,7 +131,7 @@
             async with asyncio.timeout(wait_s):
                 response = await read_message(connection.reader)
         except TimeoutError:
-            self._records.note(f"client of {sent.id} disconnects")
+            self._records.log_event(f"client of {sent.id} disconnects")
             sent.disconnect(time.monotonic())
         except asyncio.IncompleteReadError as error:
             if error.partial or error.expected is not None:
@@ -140,11 +140,11 @@
         except OSError:
             sent.end(time.monotonic())
         if response is None:
-            self._records.note(f"{sent.id} ends unanswered")
+            self._records.log_event(f"{sent.id} ends unanswered")
             self._close(connection)
             return
         sent.answer(response.status, response.body.decode(), time.monotonic())
-        self._records.note(f"{sent.id} answered {response.status}")
+        self._records.log_event(f"{sent.id} answered {response.status}")
         if response.headers.get("connection") == "close":
             self._close(connection)
         else:
@@ -166,7 +166,7 @@
             async with asyncio.timeout(BAD_CLIENT_WAIT_S):
                 await connection.reader.read(1)
         except TimeoutError:
-            self._records.note(f"bad client ({kind}) got nothing")
+            self._records.log_event(f"bad client ({kind}) got nothing")
         except OSError:
             bad.end(time.monotonic())
         else:
--- a/tests/soak/records.py
+++ b/tests/soak/records.py
@@ -133,11 +133,11 @@
     served_bodies: set[str] = field(default_factory=set)
     violations: list[Violation] = field(default_factory=list)
 
-    def note(self, text: str) -> None:
+    def log_event(self, text: str) -> None:
         """Add a line to the log."""
         self.log.append(LogLine(time.monotonic(), text))
 
-    def violate(self, rule: Rule, text: str, request_id: str = "", at_s: float = 0.0) -> None:
+    def add_violation(self, rule: Rule, text: str, request_id: str = "", at_s: float = 0.0) -> None:
         """Record that a rule was broken."""
         self.violations.append(Violation(rule, request_id, at_s or time.monotonic(), text))
 
@@ -147,9 +147,9 @@
             attempt for attempts in self.attempts.values() for attempt in attempts if attempt.outcome is None
         ]
 
-    def lag_at(self, at_s: float, around_s: float = 0.5) -> float:
+    def max_lag_near(self, at_s: float, within_s: float = 0.5) -> float:
         """Return how late this process was at most around a moment."""
-        return max((lag.seconds for lag in self.lags if abs(lag.at_s - at_s) <= around_s), default=0.0)
+        return max((lag.seconds for lag in self.lags if abs(lag.at_s - at_s) <= within_s), default=0.0)
 
     def log_before(self, at_s: float, seconds: float = 1.0) -> list[LogLine]:
         """Return the log lines of the seconds before a moment."""
--- a/tests/soak/run.py
+++ b/tests/soak/run.py
@@ -91,7 +91,7 @@
             await self._start()
             await self._play_schedule()
         except TimeoutError:
-            self.records.violate(Rule.READINESS, f"not ready in time; its log: {self.balancer.log()}")
+            self.records.add_violation(Rule.READINESS, f"not ready in time; its log: {self.balancer.log()}")
         finally:
             await self.balancer.kill()
             for task in self._tasks:
@@ -123,7 +123,7 @@
     async def _play_steps(self) -> None:
         for timed in self.schedule.steps:
             await self._sleep_until(timed.at_s)
-            self.records.note(str(timed.step))
+            self.records.log_event(str(timed.step))
             await self._execute(timed.step)
 
     async def _execute(self, step: Step) -> None:
@@ -153,7 +153,7 @@
     def _terminate(self) -> None:
         if self.balancer.exit_status is not None:
             if not self.records.terminations_s:
-                self.records.violate(Rule.CRASH, f"ended with status {self.balancer.exit_status}")
+                self.records.add_violation(Rule.CRASH, f"ended with status {self.balancer.exit_status}")
             return
         if not self.records.terminations_s:
             loop = asyncio.get_running_loop()
@@ -194,7 +194,7 @@
     def _check_growth(self) -> None:
         memory_bytes = self.balancer.memory_bytes()
         if memory_bytes - self._memory_at_readiness_bytes > MAX_MEMORY_GROWTH_BYTES:
-            self.records.violate(
+            self.records.add_violation(
                 Rule.GROWTH, f"{self._memory_at_readiness_bytes} bytes at first, now {memory_bytes}"
             )
         descriptors = self.balancer.descriptors()
@@ -205,15 +205,15 @@
             + MAX_OTHER_DESCRIPTORS
         )
         if descriptors > expected:
-            self.records.violate(Rule.GROWTH, f"{descriptors} descriptors, {expected} expected at most")
+            self.records.add_violation(Rule.GROWTH, f"{descriptors} descriptors, {expected} expected at most")
 
     def _check(self) -> None:
         records = self.records
         status = self.balancer.exit_status
         if status not in (0, -signal.SIGKILL) and records.terminations_s:
-            records.violate(Rule.CRASH, f"exit status {status} after SIGTERM")
+            records.add_violation(Rule.CRASH, f"exit status {status} after SIGTERM")
         if "Traceback" in self.balancer.log():
-            records.violate(Rule.TRACEBACK, self.balancer.log()[-2000:])
+            records.add_violation(Rule.TRACEBACK, self.balancer.log()[-2000:])
         checks.check_requests(records, self.schedule)
         checks.check_attempts(records, self.schedule)
         checks.check_bad_clients(records)
--- a/tests/soak/servers.py
+++ b/tests/soak/servers.py
@@ -48,10 +48,10 @@
         request_id = received.headers["req-id"]
         attempt = Attempt(request_id, self.number, time.monotonic(), functools.partial(_is_open, writer))
         behavior = self.behavior
-        self._records.note(f"endpoint {self.number} ({behavior}) receives {request_id}")
+        self._records.log_event(f"endpoint {self.number} ({behavior}) receives {request_id}")
         earlier = self._records.attempts[request_id]
         if any(other.outcome is None and other.is_open() for other in earlier):
-            self._records.violate(Rule.DUPLICATE, "a second copy while the first is out", request_id)
+            self._records.add_violation(Rule.DUPLICATE, "a second copy while the first is out", request_id)
         earlier.append(attempt)
         match behavior:
             case EndpointBehavior.HUNG:
