--- a/tests/soak/records.py
+++ b/tests/soak/records.py
@@ -1,4 +1,7 @@
-"""What happens in a run: requests, attempts, changes of the list, log lines; times are monotonic seconds."""
+"""What happens in a run: requests, attempts, changes of the endpoint list, events.
+
+Times are in seconds of the monotonic clock.
+"""
 
 from __future__ import annotations
 
@@ -19,22 +22,22 @@
     request_id: str
     endpoint: int
     received_s: float
-    is_open: Callable[[], bool]  # whether the balancer has its connection still open
-    outcome: AttemptOutcome | None = None  # None: not answered
+    is_open: Callable[[], bool]  # whether the balancer still has its connection open
+    outcome: AttemptOutcome | None = None  # None: the endpoint has not ended it
 
     def finish(self, outcome: AttemptOutcome) -> None:
-        """Record how the endpoint ended it."""
+        """Record how the endpoint ended the attempt."""
         self.outcome = outcome
 
     @property
     def may_have_run(self) -> bool:
-        """Whether it may have had its effect."""
+        """Whether the endpoint may have run the request."""
         return self.outcome is not AttemptOutcome.DECLINED
 
 
 @dataclass(eq=False)
 class ClientRequest:
-    """A request of a client, and what came of it."""
+    """A request of a client, and its result."""
 
     id: str
     kind: RequestKind
@@ -43,37 +46,37 @@
     on_new_connection: bool
     status: int | None = None
     body: str = ""
-    ended_s: float | None = None  # with a response, or with the end of its connection
+    ended_s: float | None = None  # by a complete response, or by the end of the connection
     disconnected_s: float | None = None  # when the client closed its connection
     response_begun: bool = False
 
     def answer(self, status: int, body: str, now_s: float) -> None:
-        """Record its complete response."""
+        """Record the complete response."""
         self.status, self.body, self.ended_s = status, body, now_s
 
     def end(self, now_s: float) -> None:
-        """Record that its connection ended without a complete response."""
+        """Record that the connection ended without a complete response."""
         self.ended_s = now_s
 
     def disconnect(self, now_s: float) -> None:
-        """Record that its client closes its connection."""
+        """Record that the client closes its connection."""
         self.disconnected_s = now_s
 
     def begin_response(self) -> None:
-        """Record that the first byte of a response has come."""
+        """Record that the first byte of the response has arrived."""
         self.response_begun = True
 
 
 @dataclass
 class BadClient:
-    """A client that sends no proper request."""
+    """A client that sends no complete, valid request."""
 
     name: str
     connected_s: float
-    ended_s: float | None = None  # with an error or a close
+    ended_s: float | None = None  # when the balancer responded with an error or closed the connection
 
     def end(self, now_s: float) -> None:
-        """Record that the balancer responded or closed."""
+        """Record that the balancer responded or closed the connection."""
         self.ended_s = now_s
 
 
@@ -87,21 +90,21 @@
 
 
 class ConditionChange(NamedTuple):
-    """Discovery is in this condition from then on."""
+    """Discovery is in this condition from this time on."""
 
     at_s: float
     condition: DiscoveryCondition
 
 
 class Lag(NamedTuple):
-    """How late this process was: what it measured then is wrong by so much."""
+    """How late the event loop of this process was; times measured then may be off by this much."""
 
     at_s: float
     seconds: float
 
 
 class LogLine(NamedTuple):
-    """An event, for people."""
+    """An event, as it is shown with a violation."""
 
     at_s: float
     text: str
@@ -118,7 +121,7 @@
 
 @dataclass
 class Records:
-    """All that was recorded in one run."""
+    """Everything that was recorded in one run."""
 
     requests: list[ClientRequest] = field(default_factory=list)
     attempts: dict[str, list[Attempt]] = field(default_factory=lambda: defaultdict(list))
@@ -134,21 +137,21 @@
     violations: list[Violation] = field(default_factory=list)
 
     def log_event(self, text: str) -> None:
-        """Add a line to the log."""
+        """Add a line to the log of events."""
         self.log.append(LogLine(time.monotonic(), text))
 
     def add_violation(self, rule: Rule, text: str, request_id: str = "", at_s: float = 0.0) -> None:
-        """Record that a rule was broken."""
+        """Record that a rule was broken, now unless `at_s` is given."""
         self.violations.append(Violation(rule, request_id, at_s or time.monotonic(), text))
 
     def attempts_in_flight(self) -> list[Attempt]:
-        """Return the attempts that no endpoint has ended."""
+        """Return the attempts that their endpoints have not ended."""
         return [
             attempt for attempts in self.attempts.values() for attempt in attempts if attempt.outcome is None
         ]
 
     def max_lag_near(self, at_s: float, within_s: float = 0.5) -> float:
-        """Return how late this process was at most around a moment."""
+        """Return the largest lag of this process that was measured near a moment."""
         return max((lag.seconds for lag in self.lags if abs(lag.at_s - at_s) <= within_s), default=0.0)
 
     def log_before(self, at_s: float, seconds: float = 1.0) -> list[LogLine]:
--- a/tests/soak/run.py
+++ b/tests/soak/run.py
@@ -1,4 +1,4 @@
-"""One run: starts the servers and the balancer, plays the schedule, and checks the rules."""
+"""One run: starts the fake servers and the balancer, plays the schedule, and checks the rules."""
 
 from __future__ import annotations
 
@@ -34,17 +34,17 @@
 from tests.support.endpoint_lists import entry
 from tests.support.http_messages import HOST
 
-NEW_CONNECTIONS_AFTER_SIGTERM_S = 0.4
-LAG_CHECK_INTERVAL_S = 0.01
+NEW_CONNECTIONS_AFTER_SIGTERM_S = 0.4  # then the platform sends new connections elsewhere
+LAG_CHECK_INTERVAL_S = 0.01  # of the event loop of this process
 MIN_RECORDED_LAG_S = 0.005
 SAMPLE_INTERVAL_S = 0.5
 MAX_MEMORY_GROWTH_BYTES = 24_000_000
-MAX_OTHER_DESCRIPTORS = 48  # of the event loop, discovery, logs, and sockets being closed
+MAX_OTHER_DESCRIPTORS = 48  # event loop, discovery, logs, and sockets that are being closed
 
 
 @dataclass(frozen=True)
 class BrokenRule:
-    """A violation, with the events of the last second before it; times are seconds since readiness."""
+    """A violation, with the events of the second before it; times are in seconds since readiness."""
 
     rule: str
     request_id: str
@@ -55,7 +55,7 @@
 
 @dataclass(frozen=True)
 class SeedResult:
-    """What came of a seed."""
+    """The result of one seed, as it is written to the JSON file."""
 
     seed: int
     requests: int
@@ -85,13 +85,15 @@
         self._tasks: list[asyncio.Task[None]] = []
 
     async def play(self) -> SeedResult:
-        """Play the schedule from the start of the process to its end."""
+        """Start the balancer, play the schedule, end the balancer, and check the rules."""
         self._tasks.append(asyncio.create_task(self._measure_lag()))
         try:
             await self._start()
             await self._play_schedule()
         except TimeoutError:
-            self.records.add_violation(Rule.READINESS, f"not ready in time; its log: {self.balancer.log()}")
+            self.records.add_violation(
+                Rule.READINESS, f"balancer was not ready in time; its log: {self.balancer.log()}"
+            )
         finally:
             await self.balancer.kill()
             for task in self._tasks:
@@ -153,7 +155,9 @@
     def _terminate(self) -> None:
         if self.balancer.exit_status is not None:
             if not self.records.terminations_s:
-                self.records.add_violation(Rule.CRASH, f"ended with status {self.balancer.exit_status}")
+                self.records.add_violation(
+                    Rule.CRASH, f"balancer exited before SIGTERM with status {self.balancer.exit_status}"
+                )
             return
         if not self.records.terminations_s:
             loop = asyncio.get_running_loop()
@@ -195,7 +199,8 @@
         memory_bytes = self.balancer.memory_bytes()
         if memory_bytes - self._memory_at_readiness_bytes > MAX_MEMORY_GROWTH_BYTES:
             self.records.add_violation(
-                Rule.GROWTH, f"{self._memory_at_readiness_bytes} bytes at first, now {memory_bytes}"
+                Rule.GROWTH,
+                f"{self._memory_at_readiness_bytes} bytes of memory at readiness, now {memory_bytes}",
             )
         descriptors = self.balancer.descriptors()
         expected = (
@@ -205,7 +210,9 @@
             + MAX_OTHER_DESCRIPTORS
         )
         if descriptors > expected:
-            self.records.add_violation(Rule.GROWTH, f"{descriptors} descriptors, {expected} expected at most")
+            self.records.add_violation(
+                Rule.GROWTH, f"{descriptors} open descriptors, expected at most {expected}"
+            )
 
     def _check(self) -> None:
         records = self.records
@@ -246,7 +253,8 @@
 
 def run_seed(seed: int) -> SeedResult:
     """Play one seed in this process."""
-    logging.getLogger("asyncio").setLevel(logging.CRITICAL)  # cancelled connections of the fake servers
+    # asyncio would log the cancelled connections of the fake servers.
+    logging.getLogger("asyncio").setLevel(logging.CRITICAL)
     with tempfile.TemporaryDirectory() as folder:
         return asyncio.run(_play(draw_schedule(seed), Path(folder)))
 
