--- a/tests/soak/checks.py
+++ b/tests/soak/checks.py
@@ -13,11 +13,11 @@
 REJECTED = (429, 503)
 SOCKET_SLACK_S = 0.05  # every time limit is longer by so much on sockets
 LATE_RESPONSE_S = 0.5  # after its deadline a response earns nothing; later, it is lost
-GONE_CLIENT_S = 0.1
-BAD_CLIENT_S = 3.0
+GONE_CLIENT_GRACE_S = 0.1
+BAD_CLIENT_TIMEOUT_S = 3.0
 LATE_AT_SHUTDOWN_S = 0.7
-NOTIFIED_AT_LATEST_S = 6.0
-NOTIFIED_AFTER_RELOAD_S = 4.0
+MAX_NOTIFICATION_DELAY_S = 6.0
+RELOAD_NOTIFICATION_DELAY_S = 4.0
 NEVER_S = float("inf")
 
 
@@ -27,14 +27,14 @@
         if request.status is not None:
             _check_response(records, request)
         elif request.ended_s is not None:
-            _check_ended(records, schedule, request)
+            _check_closed_connection(records, schedule, request)
         elif (
             request.disconnected_s is not None
             and request.disconnected_s > request.deadline_s + LATE_RESPONSE_S
         ):
             records.add_violation(Rule.UNANSWERED, "no response", request.id, request.disconnected_s)
         elif request.disconnected_s is None:
-            _check_open(records, request)
+            _check_unfinished(records, request)
 
 
 def _check_response(records: Records, request: ClientRequest) -> None:
@@ -49,18 +49,18 @@
         records.add_violation(Rule.DUPLICATE, "rejected though it may have run", request.id, request.ended_s)
 
 
-def _check_ended(records: Records, schedule: Schedule, request: ClientRequest) -> None:
+def _check_closed_connection(records: Records, schedule: Schedule, request: ClientRequest) -> None:
     """A request whose connection ended is lost, unless it was not read or its response was cut."""
     assert request.ended_s is not None
-    was_read = request.id in records.attempts
+    reached_endpoint = request.id in records.attempts
     if request.response_begun:
         return  # the client can tell that it is not complete
-    if not was_read and (not request.on_new_connection or schedule.has_connection_flood):
+    if not reached_endpoint and (not request.on_new_connection or schedule.has_connection_flood):
         return
     records.add_violation(Rule.LOST, "its connection ended without a response", request.id, request.ended_s)
 
 
-def _check_open(records: Records, request: ClientRequest) -> None:
+def _check_unfinished(records: Records, request: ClientRequest) -> None:
     """A request without an end: SIGKILL found it."""
     if records.terminations_s and request.sent_s > records.terminations_s[0] + LATE_AT_SHUTDOWN_S:
         records.add_violation(Rule.LATE_AT_SHUTDOWN, "unanswered at SIGKILL", request.id)
@@ -75,13 +75,13 @@
         if request is None:
             records.add_violation(Rule.DUPLICATE, "no client sent it", request_id, attempts[0].received_s)
             continue
-        _check_repetition(records, request, attempts)
+        _check_duplicates(records, request, attempts)
         for attempt in attempts:
             _check_gone_client(records, request, attempt)
             _check_drain(records, notified.get(attempt.endpoint, []), attempt)
 
 
-def _check_repetition(records: Records, request: ClientRequest, attempts: list[Attempt]) -> None:
+def _check_duplicates(records: Records, request: ClientRequest, attempts: list[Attempt]) -> None:
     first = next((attempt for attempt in attempts if attempt.may_have_run), None)
     if first is None or request.kind is RequestKind.READ:
         return
@@ -97,7 +97,7 @@
     if request.disconnected_s is None:
         return
     after_s = attempt.received_s - request.disconnected_s
-    if after_s > GONE_CLIENT_S + records.max_lag_near(attempt.received_s):
+    if after_s > GONE_CLIENT_GRACE_S + records.max_lag_near(attempt.received_s):
         text = f"attempt {after_s:.3f} s after the client left"
         records.add_violation(Rule.GONE_CLIENT, text, request.id, attempt.received_s)
 
@@ -109,7 +109,7 @@
     notified_s: float
 
 
-class Disturbance(NamedTuple):
+class DegradedPeriod(NamedTuple):
     """A time in which discovery was not as usual."""
 
     begin_s: float
@@ -127,30 +127,30 @@
 
 def _notified_s(records: Records, schedule: Schedule, change: ListChange) -> float:
     written = [write.written_at_s for write in records.writes if write.version >= change.version]
-    return min([*written, _notified_at_latest_s(records, schedule, change)])
+    return min([*written, _latest_notification_s(records, schedule, change)])
 
 
-def _notified_at_latest_s(records: Records, schedule: Schedule, change: ListChange) -> float:
+def _latest_notification_s(records: Records, schedule: Schedule, change: ListChange) -> float:
     """When a change counts as told, whether or not it was written."""
-    latest_s = change.at_s if schedule.pushes else change.at_s + NOTIFIED_AT_LATEST_S
-    for each in _disturbances(records):
-        silence_known_s = each.begin_s + NOTIFIED_AT_LATEST_S
-        if each.condition is DiscoveryCondition.SILENT and each.begin_s <= change.at_s < silence_known_s:
-            latest_s = max(latest_s, silence_known_s if schedule.pushes else NEVER_S)
+    latest_s = change.at_s if schedule.pushes else change.at_s + MAX_NOTIFICATION_DELAY_S
+    for each in _degraded_periods(records):
+        silence_detected_s = each.begin_s + MAX_NOTIFICATION_DELAY_S
+        if each.condition is DiscoveryCondition.SILENT and each.begin_s <= change.at_s < silence_detected_s:
+            latest_s = max(latest_s, silence_detected_s if schedule.pushes else NEVER_S)
         elif each.begin_s <= change.at_s < each.end_s:
-            latest_s = max(latest_s, each.end_s + NOTIFIED_AT_LATEST_S)
+            latest_s = max(latest_s, each.end_s + MAX_NOTIFICATION_DELAY_S)
     for reload_s in records.reloads_s:
-        if reload_s - SOCKET_SLACK_S <= latest_s < reload_s + NOTIFIED_AFTER_RELOAD_S or (
+        if reload_s - SOCKET_SLACK_S <= latest_s < reload_s + RELOAD_NOTIFICATION_DELAY_S or (
             abs(reload_s - change.at_s) < STOP_SENDING_WITHIN_S
         ):
-            latest_s = reload_s + NOTIFIED_AFTER_RELOAD_S
+            latest_s = reload_s + RELOAD_NOTIFICATION_DELAY_S
     return latest_s
 
 
-def _disturbances(records: Records) -> list[Disturbance]:
+def _degraded_periods(records: Records) -> list[DegradedPeriod]:
     ends_s = [later.at_s for later in records.conditions[1:]] + [NEVER_S]
     return [
-        Disturbance(change.at_s, end_s, change.condition)
+        DegradedPeriod(change.at_s, end_s, change.condition)
         for change, end_s in zip(records.conditions, ends_s, strict=False)
         if change.condition is not DiscoveryCondition.UP
     ]
@@ -170,7 +170,9 @@
 def check_bad_clients(records: Records) -> None:
     """Check that each bad client got an error or a close in its time."""
     for bad in records.bad_clients:
-        allowed_s = bad.connected_s + BAD_CLIENT_S + SOCKET_SLACK_S + records.max_lag_near(bad.connected_s)
+        allowed_s = (
+            bad.connected_s + BAD_CLIENT_TIMEOUT_S + SOCKET_SLACK_S + records.max_lag_near(bad.connected_s)
+        )
         if bad.ended_s is None or bad.ended_s > allowed_s + records.max_lag_near(bad.ended_s):
             records.add_violation(
                 Rule.BAD_CLIENT, f"{bad.name} got neither an error nor a close", "", allowed_s
--- a/tests/soak/test_checks.py
+++ b/tests/soak/test_checks.py
@@ -80,15 +80,15 @@
 
 
 @pytest.mark.parametrize(
-    ("on_new_connection", "was_read", "rules"),
+    ("on_new_connection", "reached_endpoint", "rules"),
     [(True, False, [Rule.LOST]), (False, True, [Rule.LOST]), (False, False, [])],
 )
 def test_the_end_of_a_connection_without_a_response(
-    on_new_connection: bool, was_read: bool, rules: list[Rule]
+    on_new_connection: bool, reached_endpoint: bool, rules: list[Rule]
 ) -> None:
     request = replace(request_sent(), on_new_connection=on_new_connection)
     request.end(SENT_S + 0.1)
-    assert broken_rules(records_of(request, *[attempt_at(SENT_S)] * was_read)) == rules
+    assert broken_rules(records_of(request, *[attempt_at(SENT_S)] * reached_endpoint)) == rules
 
 
 @pytest.mark.parametrize(("sent_after_s", "rules"), [(0.6, []), (0.8, [Rule.LATE_AT_SHUTDOWN])])
