--- a/tests/soak/checks.py
+++ b/tests/soak/checks.py
@@ -1,4 +1,4 @@
-"""The rules of the service, checked on the records of a run with the slack of the protocol page."""
+"""Checks the records of a run against the service rules, with the tolerances of the protocol page."""
 
 from __future__ import annotations
 
@@ -11,18 +11,20 @@
 
 OK = 200
 REJECTED = (429, 503)
-SOCKET_SLACK_S = 0.05  # every time limit is longer by so much on sockets
-LATE_RESPONSE_S = 0.5  # after its deadline a response earns nothing; later, it is lost
-GONE_CLIENT_GRACE_S = 0.1
-BAD_CLIENT_TIMEOUT_S = 3.0
-LATE_AT_SHUTDOWN_S = 0.7
-MAX_NOTIFICATION_DELAY_S = 6.0
-RELOAD_NOTIFICATION_DELAY_S = 4.0
+SOCKET_SLACK_S = 0.05  # added to time limits that are measured on sockets
+# A response up to this long after its deadline is late and earns nothing; after that, the request counts
+# as unanswered.
+LATE_RESPONSE_S = 0.5
+GONE_CLIENT_GRACE_S = 0.1  # for attempts that arrive after their client disconnected
+BAD_CLIENT_TIMEOUT_S = 3.0  # for an error or a close by the balancer
+LATE_AT_SHUTDOWN_S = 0.7  # a request sent this long after SIGTERM must be over before SIGKILL
+MAX_NOTIFICATION_DELAY_S = 6.0  # after a change, the end of an outage, or the start of a silence
+RELOAD_NOTIFICATION_DELAY_S = 4.0  # after SIGHUP
 NEVER_S = float("inf")
 
 
 def check_requests(records: Records, schedule: Schedule) -> None:
-    """Check that each request of a client that stayed has one response, in time, that an endpoint made."""
+    """Check that each request whose client waited got one timely response, made by an endpoint."""
     for request in records.requests:
         if request.status is not None:
             _check_response(records, request)
@@ -41,39 +43,52 @@
     assert request.ended_s is not None
     late_s = request.ended_s - request.deadline_s
     if late_s > LATE_RESPONSE_S + SOCKET_SLACK_S + records.max_lag_near(request.ended_s):
-        records.add_violation(Rule.UNANSWERED, f"answered {late_s:.3f} s late", request.id, request.ended_s)
+        records.add_violation(
+            Rule.UNANSWERED, f"answered {late_s:.3f} s after the deadline", request.id, request.ended_s
+        )
     if request.status == OK and request.body not in records.served_bodies:
         records.add_violation(Rule.INVENTED_RESPONSE, repr(request.body), request.id, request.ended_s)
     may_have_run = any(attempt.may_have_run for attempt in records.attempts.get(request.id, ()))
     if request.status in REJECTED and request.kind is RequestKind.PAY and may_have_run:
-        records.add_violation(Rule.DUPLICATE, "rejected though it may have run", request.id, request.ended_s)
+        records.add_violation(
+            Rule.DUPLICATE, "rejected although an attempt may have run", request.id, request.ended_s
+        )
 
 
 def _check_closed_connection(records: Records, schedule: Schedule, request: ClientRequest) -> None:
-    """A request whose connection ended is lost, unless it was not read or its response was cut."""
+    """Check a request whose connection ended without a complete response.
+
+    It is lost unless its response had begun, or it had not reached an endpoint and either its connection
+    was reused, so that the balancer may have closed it unread, or a connection flood ran.
+    """
     assert request.ended_s is not None
     reached_endpoint = request.id in records.attempts
     if request.response_begun:
         return  # the client can tell that it is not complete
     if not reached_endpoint and (not request.on_new_connection or schedule.has_connection_flood):
         return
-    records.add_violation(Rule.LOST, "its connection ended without a response", request.id, request.ended_s)
+    records.add_violation(Rule.LOST, "connection ended without a response", request.id, request.ended_s)
 
 
 def _check_unfinished(records: Records, request: ClientRequest) -> None:
-    """A request without an end: SIGKILL found it."""
+    """Check a request that was still unanswered at SIGKILL."""
     if records.terminations_s and request.sent_s > records.terminations_s[0] + LATE_AT_SHUTDOWN_S:
         records.add_violation(Rule.LATE_AT_SHUTDOWN, "unanswered at SIGKILL", request.id)
 
 
 def check_attempts(records: Records, schedule: Schedule) -> None:
-    """Check where, when and how often requests came to endpoints."""
+    """Check where, when and how often requests reached endpoints."""
     requests = {request.id: request for request in records.requests}
     notified = _notifications(records, schedule)
     for request_id, attempts in records.attempts.items():
         request = requests.get(request_id)
         if request is None:
-            records.add_violation(Rule.DUPLICATE, "no client sent it", request_id, attempts[0].received_s)
+            records.add_violation(
+                Rule.DUPLICATE,
+                "attempt for a request that no client sent",
+                request_id,
+                attempts[0].received_s,
+            )
             continue
         _check_duplicates(records, request, attempts)
         for attempt in attempts:
@@ -98,19 +113,19 @@
         return
     after_s = attempt.received_s - request.disconnected_s
     if after_s > GONE_CLIENT_GRACE_S + records.max_lag_near(attempt.received_s):
-        text = f"attempt {after_s:.3f} s after the client left"
+        text = f"attempt {after_s:.3f} s after the client disconnected"
         records.add_violation(Rule.GONE_CLIENT, text, request.id, attempt.received_s)
 
 
 class Notification(NamedTuple):
-    """A change of an endpoint, and when the balancer counts as notified of it."""
+    """A change of an endpoint, and from when the balancer counts as notified of it."""
 
     change: ListChange
     notified_s: float
 
 
 class DegradedPeriod(NamedTuple):
-    """A time in which discovery was not as usual."""
+    """A period in which discovery was down, slow or silent."""
 
     begin_s: float
     end_s: float
@@ -131,7 +146,7 @@
 
 
 def _latest_notification_s(records: Records, schedule: Schedule, change: ListChange) -> float:
-    """When a change counts as told, whether or not it was written."""
+    """When the balancer counts as notified of a change at the latest, even if no list with it was written."""
     latest_s = change.at_s if schedule.pushes else change.at_s + MAX_NOTIFICATION_DELAY_S
     for each in _degraded_periods(records):
         silence_detected_s = each.begin_s + MAX_NOTIFICATION_DELAY_S
@@ -157,7 +172,10 @@
 
 
 def _check_drain(records: Records, notifications: list[Notification], attempt: Attempt) -> None:
-    """No attempt may begin at an endpoint later than its grace after the balancer was notified."""
+    """Check that no attempt reaches a draining or removed endpoint after its grace period.
+
+    The grace period begins when the balancer counts as notified.
+    """
     earlier = [each for each in notifications if each.change.at_s <= attempt.received_s]
     if not earlier or earlier[-1].change.accepts_requests:
         return
@@ -168,7 +186,7 @@
 
 
 def check_bad_clients(records: Records) -> None:
-    """Check that each bad client got an error or a close in its time."""
+    """Check that each bad client got an error or a close within the time-out."""
     for bad in records.bad_clients:
         allowed_s = (
             bad.connected_s + BAD_CLIENT_TIMEOUT_S + SOCKET_SLACK_S + records.max_lag_near(bad.connected_s)
