--- a/tests/soak/servers.py
+++ b/tests/soak/servers.py
@@ -22,7 +22,7 @@
 SLOW_SERVICE_TIME_S = 0.3
 SLOW_DISCOVERY_DELAY_S = 0.3
 OLD_ADDRESS_OPEN_S = 1.5  # after SIGHUP, for the open connections to the old address of discovery
-DECLINED = "Srv-Declined: 1"
+DECLINED_HEADER = "Srv-Declined: 1"
 
 
 class SoakEndpoint:
@@ -58,7 +58,7 @@
                 return
             case EndpointBehavior.DECLINING:
                 attempt.finish(AttemptOutcome.DECLINED)
-                writer.write(format_response(503, b"", DECLINED))
+                writer.write(format_response(503, b"", DECLINED_HEADER))
             case EndpointBehavior.FAILING:
                 attempt.finish(AttemptOutcome.ERROR)
                 writer.write(format_response(500))
@@ -102,16 +102,16 @@
     server: FakeEndpoint
     writers: set[Writer] = field(default_factory=set)
 
-    async def close_later(self, listens_s: float) -> None:
+    async def close_later(self, keep_listening_s: float) -> None:
         """Take no new connection after a while, and close the open ones as an old address does."""
-        await asyncio.sleep(listens_s)
+        await asyncio.sleep(keep_listening_s)
         self.server.stop()
-        await asyncio.sleep(OLD_ADDRESS_OPEN_S - listens_s)
+        await asyncio.sleep(OLD_ADDRESS_OPEN_S - keep_listening_s)
         for writer in self.writers:
             writer.transport.abort()
 
 
-class HeldChange(NamedTuple):
+class DeferredChange(NamedTuple):
     """A change that an agent has not learned yet."""
 
     endpoint: int
@@ -128,15 +128,15 @@
         self._records = records
         self._pushes = pushes
         self._respond_normally = self.fake.server.respond
-        self._held_changes: list[HeldChange] = []
-        self._calls: dict[asyncio.Task[None], Writer] = {}
+        self._deferred_changes: list[DeferredChange] = []
+        self._open_calls: dict[asyncio.Task[None], Writer] = {}
         self._addresses: list[DiscoveryAddress] = []
         self._closing: set[asyncio.Task[None]] = set()
 
-    async def open_address(self, old_listens_s: float = 0.0) -> str:
+    async def open_address(self, old_address_listens_s: float = 0.0) -> str:
         """Listen at a new address, and close the older ones, which listen for so long."""
         for older in self._addresses:
-            self._closing.add(asyncio.create_task(older.close_later(old_listens_s)))
+            self._closing.add(asyncio.create_task(older.close_later(old_address_listens_s)))
         self._addresses.clear()
         address = DiscoveryAddress(FakeEndpoint(self._respond))
         address.server.respond = functools.partial(self._respond_at, address)
@@ -150,7 +150,7 @@
         if change.is_cold:
             attributes["born_ms"] = int(time.time() * 1000)
         if self._pushes and self.condition is DiscoveryCondition.DOWN:
-            self._held_changes.append(HeldChange(change.endpoint, attributes))
+            self._deferred_changes.append(DeferredChange(change.endpoint, attributes))
         else:
             self._apply(change.endpoint, attributes)
 
@@ -165,13 +165,13 @@
         self.condition = condition
         self._records.conditions.append(ConditionChange(time.monotonic(), condition))
         if condition is DiscoveryCondition.UP:
-            for held in self._held_changes:
-                self._apply(held.endpoint, held.attributes)
-            self._held_changes.clear()
+            for deferred in self._deferred_changes:
+                self._apply(deferred.endpoint, deferred.attributes)
+            self._deferred_changes.clear()
         elif condition is DiscoveryCondition.SILENT or (
             condition is DiscoveryCondition.DOWN and not self._pushes
         ):
-            for call, writer in self._calls.items():
+            for call, writer in self._open_calls.items():
                 call.cancel()
                 if condition is DiscoveryCondition.DOWN:
                     writer.transport.abort()
@@ -188,12 +188,12 @@
             return
         if self.condition is DiscoveryCondition.SLOW:
             await asyncio.sleep(SLOW_DISCOVERY_DELAY_S)
-        call = asyncio.create_task(self._call(received, writer))
-        self._calls[call] = writer
+        call = asyncio.create_task(self._serve_call(received, writer))
+        self._open_calls[call] = writer
         await asyncio.wait({call})
-        del self._calls[call]
+        del self._open_calls[call]
 
-    async def _call(self, received: ReceivedMessage, writer: Writer) -> None:
+    async def _serve_call(self, received: ReceivedMessage, writer: Writer) -> None:
         await self._respond_normally(received, writer)
 
     def known_list(self) -> Json:
