--- a/tests/soak/kinds.py
+++ b/tests/soak/kinds.py
@@ -56,7 +56,7 @@
     """How discovery responds to calls."""
 
     UP = "up"
-    DOWN = "down"  # aborts polls; when it pushes, it holds changes back instead
+    DOWN = "down"  # aborts polls; a pushing discovery defers its changes instead
     SLOW = "slow"
     SILENT = "silent"  # accepts calls but does not respond
 
--- a/tests/soak/servers.py
+++ b/tests/soak/servers.py
@@ -1,4 +1,4 @@
-"""The endpoints and the discovery of a run, with the faults that the schedule gives them."""
+"""The fake endpoints and the fake discovery of a run, with the faults that the schedule gives them."""
 
 from __future__ import annotations
 
@@ -21,12 +21,12 @@
 SERVICE_TIMES_S = (0.002, 0.005, 0.01, 0.02)
 SLOW_SERVICE_TIME_S = 0.3
 SLOW_DISCOVERY_DELAY_S = 0.3
-OLD_ADDRESS_OPEN_S = 1.5  # after SIGHUP, for the open connections to the old address of discovery
+OLD_ADDRESS_OPEN_S = 1.5  # lifetime of connections to the old address of discovery after SIGHUP
 DECLINED_HEADER = "Srv-Declined: 1"
 
 
 class SoakEndpoint:
-    """An endpoint that records its attempts, and responds by its behavior."""
+    """An endpoint that records its attempts and responds according to its behavior."""
 
     def __init__(self, number: int, records: Records, *, is_late: bool) -> None:
         self.number = number
@@ -36,12 +36,12 @@
         self.server = self._machine or FakeEndpoint(self._respond)
 
     async def listen_late(self) -> None:
-        """Accept connections from now on, if it was late."""
+        """Accept connections from now on, if the endpoint listens late."""
         if self._machine is not None:
             await self._machine.comes_back()
 
     def set_behavior(self, behavior: EndpointBehavior) -> None:
-        """Treat requests in this way from now on."""
+        """Set how requests are treated from now on."""
         self.behavior = behavior
 
     async def _respond(self, received: ReceivedMessage, writer: Writer) -> None:
@@ -51,7 +51,9 @@
         self._records.log_event(f"endpoint {self.number} ({behavior}) receives {request_id}")
         earlier = self._records.attempts[request_id]
         if any(other.outcome is None and other.is_open() for other in earlier):
-            self._records.add_violation(Rule.DUPLICATE, "a second copy while the first is out", request_id)
+            self._records.add_violation(
+                Rule.DUPLICATE, "second attempt while an earlier one is in flight", request_id
+            )
         earlier.append(attempt)
         match behavior:
             case EndpointBehavior.HUNG:
@@ -90,20 +92,20 @@
 
 
 def _is_open(writer: Writer) -> bool:
-    """Whether the balancer has a connection still open; what it has sent may be unread."""
+    """Whether the balancer still has the connection open; any unread input is taken for a close."""
     transport = cast(asyncio.Transport, writer.transport)
     return not transport.is_closing() and not has_unread_input(transport)
 
 
 @dataclass(eq=False)
 class DiscoveryAddress:
-    """One address of discovery."""
+    """One address of discovery, and its connections."""
 
     server: FakeEndpoint
     writers: set[Writer] = field(default_factory=set)
 
     async def close_later(self, keep_listening_s: float) -> None:
-        """Take no new connection after a while, and close the open ones as an old address does."""
+        """Stop listening after `keep_listening_s`, and abort open connections after `OLD_ADDRESS_OPEN_S`."""
         await asyncio.sleep(keep_listening_s)
         self.server.stop()
         await asyncio.sleep(OLD_ADDRESS_OPEN_S - keep_listening_s)
@@ -112,14 +114,14 @@
 
 
 class DeferredChange(NamedTuple):
-    """A change that an agent has not learned yet."""
+    """A list change that takes effect when discovery is up again."""
 
     endpoint: int
     attributes: dict[str, object]
 
 
 class SoakDiscovery:
-    """A discovery that may be away, slow or silent, and whose address changes."""
+    """A discovery that may be down, slow or silent, and whose address changes."""
 
     def __init__(self, records: Records, *, pushes: bool) -> None:
         self.fake = FakeDiscovery(honors_wait=True)
@@ -134,7 +136,7 @@
         self._closing: set[asyncio.Task[None]] = set()
 
     async def open_address(self, old_address_listens_s: float = 0.0) -> str:
-        """Listen at a new address, and close the older ones, which listen for so long."""
+        """Listen at a new address, and return it; older ones close after `old_address_listens_s`."""
         for older in self._addresses:
             self._closing.add(asyncio.create_task(older.close_later(old_address_listens_s)))
         self._addresses.clear()
@@ -145,7 +147,7 @@
         return f"{HOST}:{address.server.port}"
 
     def change(self, change: ChangeList, dial: str) -> None:
-        """Change an entry; an agent that is away learns it only at its return."""
+        """Change an entry; a pushing discovery that is down applies the change once it is up again."""
         attributes: dict[str, object] = {"dial": dial, "health": change.health}
         if change.is_cold:
             attributes["born_ms"] = int(time.time() * 1000)
@@ -161,7 +163,7 @@
         self._records.changes.append(change)
 
     def set_condition(self, condition: DiscoveryCondition) -> None:
-        """Change the condition; watches end or fall silent."""
+        """Change the condition; SILENT cancels the open calls, and so does DOWN when discovery is polled."""
         self.condition = condition
         self._records.conditions.append(ConditionChange(time.monotonic(), condition))
         if condition is DiscoveryCondition.UP:
@@ -197,10 +199,10 @@
         await self._respond_normally(received, writer)
 
     def known_list(self) -> Json:
-        """The complete list as it is now."""
+        """Return the current complete list."""
         return {"seq": self.fake.version, "whole": True, "hosts": list(self.fake.entries.values())}
 
     def stop(self) -> None:
-        """Listen no longer."""
+        """Stop listening."""
         for address in self._addresses:
             address.server.stop()
