--- a/tests/soak/clients.py
+++ b/tests/soak/clients.py
@@ -16,7 +16,7 @@
 CONNECT_TIMEOUT_S = 1.0
 LATE_RESPONSE_WAIT_S = 1.0  # beyond the deadline, to tell a late response from none
 BAD_CLIENT_WAIT_S = 4.0
-BAD_BYTES = {
+BAD_REQUESTS = {
     BadClientKind.NOTHING: b"",
     BadClientKind.GARBAGE: b"\x16\x03\x01 what is this\r\n\r\n",
     BadClientKind.HALF_A_REQUEST: b"GET /read HTTP/1.1\r\nHost: serv",
@@ -60,9 +60,9 @@
         self._tasks: set[asyncio.Task[None]] = set()
         self._request_count = 0
 
-    def start(self, work: Coroutine[Any, Any, None]) -> None:
+    def run_in_background(self, coroutine: Coroutine[Any, Any, None]) -> None:
         """Do something in the background."""
-        task = asyncio.create_task(work)
+        task = asyncio.create_task(coroutine)
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
@@ -82,10 +82,10 @@
     async def send(self, planned: PlannedRequest) -> None:
         """Send a request, and once more where it crossed the end of a connection between requests."""
         first = await self._send_once(planned)
-        if first is not None and self._may_have_crossed(first):
+        if first is not None and self._raced_with_close(first):
             await self._send_once(planned, on_new_connection=True)
 
-    def _may_have_crossed(self, sent: ClientRequest) -> bool:
+    def _raced_with_close(self, sent: ClientRequest) -> bool:
         ended_by_balancer = sent.disconnected_s is None and sent.status is None and sent.ended_s is not None
         return ended_by_balancer and not sent.on_new_connection and not sent.response_begun
 
@@ -161,7 +161,7 @@
             return
         bad = BadClient(kind, time.monotonic())
         self._records.bad_clients.append(bad)
-        connection.writer.write(BAD_BYTES[kind])
+        connection.writer.write(BAD_REQUESTS[kind])
         try:
             async with asyncio.timeout(BAD_CLIENT_WAIT_S):
                 await connection.reader.read(1)
--- a/tests/soak/run.py
+++ b/tests/soak/run.py
@@ -139,11 +139,11 @@
             case Reload():
                 await self._reload(step)
             case ConnectBadClient():
-                self.clients.start(self.clients.connect_bad_client(step.kind))
+                self.clients.run_in_background(self.clients.connect_bad_client(step.kind))
             case OpenConnectionFlood():
-                self.clients.start(self.clients.open_connection_flood(step.connections))
+                self.clients.run_in_background(self.clients.open_connection_flood(step.connections))
             case Pause():
-                self.clients.start(self.balancer.pause())
+                self.clients.run_in_background(self.balancer.pause())
             case Terminate():
                 self._terminate()
 
@@ -172,7 +172,7 @@
 
     def _send(self, planned: PlannedRequest) -> None:
         if self.balancer.exit_status is None:
-            self.clients.start(self.clients.send(planned))
+            self.clients.run_in_background(self.clients.send(planned))
 
     async def _listen_late(self) -> None:
         for number, at_s in sorted(self.schedule.late_endpoints.items(), key=lambda item: item[1]):
