--- a/tests/soak/balancer_process.py
+++ b/tests/soak/balancer_process.py
@@ -24,15 +24,15 @@
 
 NS_PER_S = 1_000_000_000
 NS_PER_MS = 1_000_000
-READY_POLL_S = 0.02
+READY_POLL_INTERVAL_S = 0.02
 READY_LOG_LINE = re.compile(r"ready on port (\d+)")
-MAX_READINESS_S = 10.0
+READINESS_TIMEOUT_S = 10.0
 STOP_SENDING_WITHIN_S = 0.25
 DEDUPLICATION_WINDOW_S = 1.2
 MEMORY_MB = 96
 SEND_CAP = 3
 
-REPEAT_NAMES = {
+REPEAT_VALUES = {
     RequestKind.READ: "read_like",
     RequestKind.BOOK: "idempotency_key",
     RequestKind.PAY: "non_idempotent",
@@ -44,7 +44,7 @@
     profiles = [
         {
             "name": kind.value,
-            "repeat": REPEAT_NAMES[kind],
+            "repeat": REPEAT_VALUES[kind],
             "dedup_scope": "all",
             "window_ns": int(DEDUPLICATION_WINDOW_S * NS_PER_S),
             "aim_ns": 300 * NS_PER_MS,
@@ -117,9 +117,9 @@
         self._child = await ChildProcess.start(
             "balancer", self._folder, "/bin/sh", "-c", command, RELAY_CONFIG=str(self._path)
         )
-        async with asyncio.timeout(MAX_READINESS_S):
+        async with asyncio.timeout(READINESS_TIMEOUT_S):
             while not await self._is_ready():
-                await asyncio.sleep(READY_POLL_S)
+                await asyncio.sleep(READY_POLL_INTERVAL_S)
         return time.monotonic() - started_s
 
     async def _is_ready(self) -> bool:
