--- a/tests/soak/balancer_process.py
+++ b/tests/soak/balancer_process.py
@@ -1,4 +1,4 @@
-"""The balancer process of a run: its configuration, its signals and what it uses."""
+"""The balancer process of a run: its configuration, signals, memory and descriptors."""
 
 from __future__ import annotations
 
@@ -40,7 +40,7 @@
 
 
 def soak_settings(schedule: Schedule) -> Json:
-    """The settings of a run."""
+    """Return the balancer's settings for a run."""
     profiles = [
         {
             "name": kind.value,
@@ -77,12 +77,12 @@
 
 
 def build_balancer() -> None:
-    """Build as the deploy file says, unless that is done; raise CalledProcessError if it fails."""
+    """Run `build` of the deploy file, which skips a finished build; raise CalledProcessError if it fails."""
     subprocess.run(["/bin/sh", "-c", read_deployment().build], cwd=ROOT, check=True)
 
 
 class BalancerProcess:
-    """A balancer, started as `run` in the deploy file says."""
+    """A balancer process, started by `run` of the deploy file."""
 
     def __init__(self, schedule: Schedule, folder: Path) -> None:
         self.port = 0  # known once it is ready
@@ -92,7 +92,7 @@
         self._child: ChildProcess | None = None
 
     def write_configuration(self, discovery: str, known: Json) -> None:
-        """Put a new configuration file in the place of the old one."""
+        """Replace the configuration file atomically."""
         content = {
             "name": "n0",
             "listen": f"{HOST}:0",
@@ -107,10 +107,10 @@
         new.replace(self._path)
 
     async def start(self) -> float:
-        """Start it; returns the seconds until it was ready.
+        """Start the balancer; return the seconds until it was ready.
 
         Raises:
-            TimeoutError: It was not ready in time.
+            TimeoutError: The balancer was not ready within `READINESS_TIMEOUT_S`.
         """
         command = f"ulimit -n {self._schedule.descriptors}; {read_deployment().run}"
         started_s = time.monotonic()
@@ -131,34 +131,34 @@
 
     @property
     def child(self) -> ChildProcess:
-        """The process, once it is started."""
+        """The process; it must have been started."""
         assert self._child is not None
         return self._child
 
     @property
     def exit_status(self) -> int | None:
-        """Its exit status; None while it runs."""
+        """The exit status; None while the balancer runs."""
         return self.child.process.returncode
 
     def send_signal(self, number: signal.Signals) -> None:
-        """Send it a signal, unless it has ended."""
+        """Send a signal to the balancer, unless it has ended."""
         if self.exit_status is None:
-            with contextlib.suppress(ProcessLookupError):  # ended, its status is not read yet
+            with contextlib.suppress(ProcessLookupError):  # ended, but its status has not been read yet
                 os.kill(self.child.pid, number)
 
     def reload(self, discovery: str, known_entries: int, known: Json) -> None:
-        """Send SIGHUP with a new file; an endpoint list of so many other entries makes it long."""
+        """Send SIGHUP with a new configuration, with a list of `known_entries` entries, or `known` if 0."""
         self.write_configuration(discovery, complete_list(known_entries) if known_entries else known)
         self.send_signal(signal.SIGHUP)
 
     async def pause(self) -> None:
-        """Give it no processor for a while."""
+        """Stop the balancer for `PAUSE_S`, then continue it."""
         self.send_signal(signal.SIGSTOP)
         await asyncio.sleep(PAUSE_S)
         self.send_signal(signal.SIGCONT)
 
     async def wait(self, timeout_s: float) -> bool:
-        """Wait for its end; returns whether it has ended in time."""
+        """Wait for the end of the balancer; return whether it ended within the time-out."""
         try:
             async with asyncio.timeout(timeout_s):
                 await self.child.process.wait()
@@ -167,24 +167,24 @@
         return True
 
     async def kill(self) -> None:
-        """End it at once."""
+        """End the balancer with SIGKILL."""
         if self._child is not None:
             await self._child.kill()
 
     def memory_bytes(self) -> int:
-        """Its resident memory; 0 once it has ended."""
+        """Return the resident memory; 0 once the balancer has ended."""
         try:
             return int(psutil.Process(self.child.pid).memory_info().rss)
         except psutil.Error:
             return 0
 
     def descriptors(self) -> int:
-        """Its open descriptors; 0 once it has ended."""
+        """Return the number of open descriptors; 0 once the balancer has ended."""
         try:
             return int(psutil.Process(self.child.pid).num_fds())
         except psutil.Error:
             return 0
 
     def log(self) -> str:
-        """What it has logged so far."""
+        """Return what the balancer has logged so far."""
         return self.child.log.read_text(errors="replace")
--- a/tests/soak/clients.py
+++ b/tests/soak/clients.py
@@ -14,7 +14,7 @@
 from tests.support.http_messages import HOST, ReceivedMessage, read_message, request
 
 CONNECT_TIMEOUT_S = 1.0
-LATE_RESPONSE_WAIT_S = 1.0  # beyond the deadline, to tell a late response from none
+LATE_RESPONSE_WAIT_S = 1.0  # after the deadline, to tell a late response from a missing one
 BAD_CLIENT_WAIT_S = 4.0
 BAD_REQUESTS = {
     BadClientKind.NOTHING: b"",
@@ -33,7 +33,7 @@
 
 
 def format_request(request_id: str, kind: RequestKind, deadline_ms: int) -> bytes:
-    """A request of a kind as bytes."""
+    """Return the bytes of a request of this kind."""
     if kind is RequestKind.READ:
         return request(f"/{kind}/x", request_id=request_id, deadline_ms=deadline_ms)
     headers = [f"Idempotency-Key: key-{request_id}"] if kind is RequestKind.BOOK else []
@@ -48,7 +48,7 @@
 
 
 class Clients:
-    """Clients that share out requests among their connections, and open more when all are busy."""
+    """Clients that send requests on idle connections, and open another when all are busy."""
 
     def __init__(self, records: Records) -> None:
         self.open_connections = 0
@@ -61,26 +61,26 @@
         self._request_count = 0
 
     def run_in_background(self, coroutine: Coroutine[Any, Any, None]) -> None:
-        """Do something in the background."""
+        """Run a coroutine as a background task."""
         task = asyncio.create_task(coroutine)
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
     async def wait(self, timeout_s: float) -> None:
-        """Wait until nothing is left to do, or for so long."""
+        """Wait until all background tasks are done, or until the time-out."""
         if self._tasks:
             await asyncio.wait(self._tasks, timeout=timeout_s)
 
     def set_balancer_port(self, port: int) -> None:
-        """Connect to this port of the balancer."""
+        """Set the port of the balancer to connect to."""
         self._port = port
 
     def stop_connecting(self) -> None:
-        """Open no more connections: the platform sends new ones elsewhere."""
+        """Open no more connections, as the platform now sends new ones elsewhere."""
         self.may_connect = False
 
     async def send(self, planned: PlannedRequest) -> None:
-        """Send a request, and once more where it crossed the end of a connection between requests."""
+        """Send a request, and once more if it raced with the balancer's close of an idle connection."""
         first = await self._send_once(planned)
         if first is not None and self._raced_with_close(first):
             await self._send_once(planned, on_new_connection=True)
@@ -140,7 +140,7 @@
         except OSError:
             sent.end(time.monotonic())
         if response is None:
-            self._records.log_event(f"{sent.id} ends unanswered")
+            self._records.log_event(f"{sent.id} ends without a response")
             self._close(connection)
             return
         sent.answer(response.status, response.body.decode(), time.monotonic())
@@ -155,7 +155,7 @@
         connection.writer.close()
 
     async def connect_bad_client(self, kind: BadClientKind) -> None:
-        """Connect, send no proper request, and wait for an error or the end."""
+        """Connect, send no complete, valid request, and wait for an error or a close."""
         connection = await self._connect()
         if connection is None:
             return
@@ -166,7 +166,7 @@
             async with asyncio.timeout(BAD_CLIENT_WAIT_S):
                 await connection.reader.read(1)
         except TimeoutError:
-            self._records.log_event(f"bad client ({kind}) got nothing")
+            self._records.log_event(f"bad client ({kind}) got neither an error nor a close")
         except OSError:
             bad.end(time.monotonic())
         else:
