--- a/tests/soak/__main__.py
+++ b/tests/soak/__main__.py
@@ -37,7 +37,7 @@
         return seeds
 
 
-def play(seeds: list[int], jobs: int) -> Iterator[SeedResult]:
+def run_seeds(seeds: list[int], jobs: int) -> Iterator[SeedResult]:
     """Play seeds, some at a time; gives each result in the order of the seeds."""
     with ProcessPoolExecutor(jobs) as pool:
         yield from pool.map(run_seed, seeds)
@@ -69,7 +69,7 @@
     """Play seeded faults against real balancer processes, and check the rules of the service."""
     build_balancer()
     results = []
-    for result in play(seeds, jobs):
+    for result in run_seeds(seeds, jobs):
         print_result(result)
         results.append(result)
     breaks = Counter(broken.rule for result in results for broken in result.broken)
--- a/tests/soak/test_soak.py
+++ b/tests/soak/test_soak.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from tests.soak.__main__ import play, print_result
+from tests.soak.__main__ import print_result, run_seeds
 from tests.soak.balancer_process import build_balancer
 from tests.soak.schedule import draw_schedule
 
@@ -12,7 +12,7 @@
 
 def test_fixed_seeds_break_no_rule() -> None:
     build_balancer()
-    results = list(play(SEEDS, JOBS))
+    results = list(run_seeds(SEEDS, JOBS))
     for result in results:
         print_result(result)
     assert [result.seed for result in results if result.broken] == []
