--- a/tests/soak/__main__.py
+++ b/tests/soak/__main__.py
@@ -26,7 +26,7 @@
     name = "seeds"
 
     def convert(self, value: object, param: click.Parameter | None, ctx: click.Context | None) -> list[int]:
-        """Return the seeds of a text."""
+        """Parse a list of seeds and of ranges of seeds."""
         text = str(value)
         if not re.fullmatch(r"\d+(-\d+)?(,\d+(-\d+)?)*", text):
             self.fail(f"{text!r} is not a list of seeds such as 1-60 or 1-3,8", param, ctx)
@@ -38,17 +38,17 @@
 
 
 def run_seeds(seeds: list[int], jobs: int) -> Iterator[SeedResult]:
-    """Play seeds, some at a time; gives each result in the order of the seeds."""
+    """Run seeds in up to `jobs` processes; yield the results in the order of the seeds."""
     with ProcessPoolExecutor(jobs) as pool:
         yield from pool.map(run_seed, seeds)
 
 
 def print_result(result: SeedResult) -> None:
-    """Print a seed in one line, and each broken rule with the events before it."""
+    """Print a line for the seed, and each broken rule with the last events before it."""
     click.echo(
         f"seed {result.seed}: {result.requests} requests, {result.served} served, "
         f"{result.attempts} attempts, ready in {result.ready_s:.2f} s, "
-        f"this process late by {result.max_lag_s:.3f} s at most, {len(result.broken)} rules broken"
+        f"event loop lag up to {result.max_lag_s:.3f} s, {len(result.broken)} rules broken"
     )
     for broken in result.broken:
         click.echo(f"  {broken.rule}: request {broken.request_id} at {broken.at_s:.3f} s: {broken.text}")
@@ -57,16 +57,16 @@
 
 
 @click.command(context_settings={"show_default": True})
-@click.option("--seeds", type=SeedRange(), default="1-60", help="Seeds to play, such as 1-60 or 1-3,8.")
-@click.option("--jobs", type=click.IntRange(1, 64), default=3, help="Seeds that are played at a time.")
+@click.option("--seeds", type=SeedRange(), default="1-60", help="Seeds to run, such as 1-60 or 1-3,8.")
+@click.option("--jobs", type=click.IntRange(1, 64), default=3, help="Seeds to run in parallel.")
 @click.option(
     "--json",
     "path",
     type=click.Path(dir_okay=False, writable=True, path_type=Path),
-    help="Write all results to this file too.",
+    help="Also write all results to this file.",
 )
 def command(seeds: list[int], jobs: int, path: Path | None) -> None:
-    """Play seeded faults against real balancer processes, and check the rules of the service."""
+    """Inject seeded faults into runs of real balancer processes, and check the service rules."""
     build_balancer()
     results = []
     for result in run_seeds(seeds, jobs):
--- a/tests/soak/run.py
+++ b/tests/soak/run.py
@@ -252,7 +252,7 @@
 
 
 def run_seed(seed: int) -> SeedResult:
-    """Play one seed in this process."""
+    """Run one seed in this process."""
     # asyncio would log the cancelled connections of the fake servers.
     logging.getLogger("asyncio").setLevel(logging.CRITICAL)
     with tempfile.TemporaryDirectory() as folder:
