--- a/tests/soak/test_soak.py
+++ b/tests/soak/test_soak.py
@@ -1,4 +1,4 @@
-"""The soak test on a few fixed seeds, and the schedules that seeds draw."""
+"""The soak test on fixed seeds, and the schedules drawn from seeds."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 from tests.soak.balancer_process import build_balancer
 from tests.soak.schedule import draw_schedule
 
-SEEDS = [*range(1, 15), 34, 51, 58, 63]  # the last four find an older configuration in force
+SEEDS = [*range(1, 15), 34, 51, 58, 63]  # the last four detected an older configuration that stayed in force
 JOBS = 3
 
 
