--- a/tests/soak/schedule.py
+++ b/tests/soak/schedule.py
@@ -22,8 +22,8 @@
 DEFAULT_DESCRIPTORS = 1024
 RELOADED_LIST_LENGTHS = (0, 0, 2_000, 8_000, 20_000)  # entries; 0: the current list
 TERMINATE_RANGE_S = (6.5, 7.5)  # since readiness
-KILL_AFTER_GRACE_S = 0.7
-MAX_DEADLINE_IN_GRACE_S = 3.0
+KILL_AFTER_GRACE_S = 0.7  # SIGKILL follows SIGTERM after the longest deadline and this time
+MAX_DEADLINE_IN_GRACE_S = 3.0  # longer deadlines do not delay SIGKILL further
 MAX_OLD_ADDRESS_LISTENS_S = 1.0  # after SIGHUP, for the old address of discovery
 PAUSE_S = 0.14  # the service rules let a balancer stall for up to 0.15 s
 
@@ -120,7 +120,7 @@
 
     seed: int
     pushes: bool  # discovery pushes lists; else the balancer polls
-    descriptors: int
+    descriptors: int  # the limit on open descriptors of the balancer
     has_connection_flood: bool
     endpoint_count: int
     late_endpoints: dict[int, float]  # from when these endpoints listen
@@ -211,7 +211,7 @@
         return steps
 
     def discovery(self) -> list[TimedStep]:
-        """One outage of discovery in half of the seeds."""
+        """In half of the seeds, a period in which discovery is down, slow or silent."""
         if self._rng.random() < 0.5:
             return []
         begin_s = self._rng.uniform(0.5, self._terminate_s - 2.5)
