--- a/tests/soak/clients.py
+++ b/tests/soak/clients.py
@@ -1,4 +1,4 @@
-"""The clients of a run: those with requests, bad ones, and a crowd of idle ones."""
+"""The clients of a run: those that send requests, bad ones, and a flood of idle connections."""
 
 from __future__ import annotations
 
@@ -14,14 +14,14 @@
 from tests.support.http_messages import HOST, ReceivedMessage, read_message, request
 
 CONNECT_TIMEOUT_S = 1.0
-LATE_RESPONSE_WAIT_S = 1.0  # beyond the deadline, to tell a late response from none
+LATE_RESPONSE_WAIT_S = 1.0  # after the deadline, to tell a late response from a missing one
 BAD_CLIENT_WAIT_S = 4.0
-BAD_BYTES = {
+BAD_REQUESTS = {
     BadClientKind.NOTHING: b"",
     BadClientKind.GARBAGE: b"\x16\x03\x01 what is this\r\n\r\n",
     BadClientKind.HALF_A_REQUEST: b"GET /read HTTP/1.1\r\nHost: serv",
 }
-CROWD_BATCH = 64
+FLOOD_BATCH_SIZE = 64
 
 
 @dataclass(frozen=True)
@@ -33,7 +33,7 @@
 
 
 def format_request(request_id: str, kind: RequestKind, deadline_ms: int) -> bytes:
-    """A request of a kind as bytes."""
+    """Return the bytes of a request of this kind."""
     if kind is RequestKind.READ:
         return request(f"/{kind}/x", request_id=request_id, deadline_ms=deadline_ms)
     headers = [f"Idempotency-Key: key-{request_id}"] if kind is RequestKind.BOOK else []
@@ -48,7 +48,7 @@
 
 
 class Clients:
-    """Clients that share out requests among their connections, and open more when all are busy."""
+    """Clients that send requests on idle connections, and open another when all are busy."""
 
     def __init__(self, records: Records) -> None:
         self.open_connections = 0
@@ -56,37 +56,37 @@
         self._port = 0
         self._records = records
         self._idle: list[Connection] = []
-        self._crowd: list[asyncio.StreamWriter] = []
+        self._flood_writers: list[asyncio.StreamWriter] = []
         self._tasks: set[asyncio.Task[None]] = set()
         self._request_count = 0
 
-    def start(self, work: Coroutine[Any, Any, None]) -> None:
-        """Do something in the background."""
-        task = asyncio.create_task(work)
+    def run_in_background(self, coroutine: Coroutine[Any, Any, None]) -> None:
+        """Run a coroutine as a background task."""
+        task = asyncio.create_task(coroutine)
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
     async def wait(self, timeout_s: float) -> None:
-        """Wait until nothing is left to do, or for so long."""
+        """Wait until all background tasks are done, or until the time-out."""
         if self._tasks:
             await asyncio.wait(self._tasks, timeout=timeout_s)
 
-    def use_port(self, port: int) -> None:
-        """Connect to this port of the balancer."""
+    def set_balancer_port(self, port: int) -> None:
+        """Set the port of the balancer to connect to."""
         self._port = port
 
     def stop_connecting(self) -> None:
-        """Open no more connections: the platform sends new ones elsewhere."""
+        """Open no more connections, as the platform now sends new ones elsewhere."""
         self.may_connect = False
 
     async def send(self, planned: PlannedRequest) -> None:
-        """Send a request, and once more where it crossed the end of a connection between requests."""
+        """Send a request, and once more if it raced with the balancer's close of an idle connection."""
         first = await self._send_once(planned)
-        if first is not None and self._may_have_crossed(first):
+        if first is not None and self._raced_with_close(first):
             await self._send_once(planned, on_new_connection=True)
 
-    def _may_have_crossed(self, sent: ClientRequest) -> bool:
-        ended_by_balancer = sent.left_s is None and sent.status is None and sent.ended_s is not None
+    def _raced_with_close(self, sent: ClientRequest) -> bool:
+        ended_by_balancer = sent.disconnected_s is None and sent.status is None and sent.ended_s is not None
         return ended_by_balancer and not sent.on_new_connection and not sent.response_begun
 
     async def _send_once(
@@ -106,7 +106,7 @@
             on_new_connection=reused is None,
         )
         self._records.requests.append(sent)
-        self._records.note(f"client sends {sent.id} {planned.kind} {planned.deadline_ms} ms")
+        self._records.log_event(f"client sends {sent.id} {planned.kind} {planned.deadline_ms} ms")
         connection.writer.write(format_request(sent.id, planned.kind, planned.deadline_ms))
         await self._read(connection, sent, planned)
         return sent
@@ -124,15 +124,15 @@
 
     async def _read(self, connection: Connection, sent: ClientRequest, planned: PlannedRequest) -> None:
         wait_s = sent.deadline_s + LATE_RESPONSE_WAIT_S - time.monotonic()
-        if planned.leave_after_s is not None:
-            wait_s = planned.leave_after_s
+        if planned.disconnect_after_s is not None:
+            wait_s = planned.disconnect_after_s
         response: ReceivedMessage | None = None
         try:
             async with asyncio.timeout(wait_s):
                 response = await read_message(connection.reader)
         except TimeoutError:
-            self._records.note(f"client of {sent.id} leaves")
-            sent.leave(time.monotonic())
+            self._records.log_event(f"client of {sent.id} disconnects")
+            sent.disconnect(time.monotonic())
         except asyncio.IncompleteReadError as error:
             if error.partial or error.expected is not None:
                 sent.begin_response()
@@ -140,11 +140,11 @@
         except OSError:
             sent.end(time.monotonic())
         if response is None:
-            self._records.note(f"{sent.id} ends unanswered")
+            self._records.log_event(f"{sent.id} ends without a response")
             self._close(connection)
             return
         sent.answer(response.status, response.body.decode(), time.monotonic())
-        self._records.note(f"{sent.id} answered {response.status}")
+        self._records.log_event(f"{sent.id} answered {response.status}")
         if response.headers.get("connection") == "close":
             self._close(connection)
         else:
@@ -155,31 +155,31 @@
         connection.writer.close()
 
     async def connect_bad_client(self, kind: BadClientKind) -> None:
-        """Connect, send no proper request, and wait for an error or the end."""
+        """Connect, send no complete, valid request, and wait for an error or a close."""
         connection = await self._connect()
         if connection is None:
             return
         bad = BadClient(kind, time.monotonic())
         self._records.bad_clients.append(bad)
-        connection.writer.write(BAD_BYTES[kind])
+        connection.writer.write(BAD_REQUESTS[kind])
         try:
             async with asyncio.timeout(BAD_CLIENT_WAIT_S):
                 await connection.reader.read(1)
         except TimeoutError:
-            self._records.note(f"bad client ({kind}) got nothing")
+            self._records.log_event(f"bad client ({kind}) got neither an error nor a close")
         except OSError:
             bad.end(time.monotonic())
         else:
             bad.end(time.monotonic())
         self._close(connection)
 
-    async def connect_crowd(self, connections: int) -> None:
-        """Open so many connections, and rest on them."""
-        for _ in range(0, connections, CROWD_BATCH):
-            opened = await asyncio.gather(*(self._connect() for _ in range(CROWD_BATCH)))
-            self._crowd += [connection.writer for connection in opened if connection is not None]
+    async def open_connection_flood(self, connections: int) -> None:
+        """Open at least so many connections, and leave them idle."""
+        for _ in range(0, connections, FLOOD_BATCH_SIZE):
+            opened = await asyncio.gather(*(self._connect() for _ in range(FLOOD_BATCH_SIZE)))
+            self._flood_writers += [connection.writer for connection in opened if connection is not None]
 
     def close(self) -> None:
         """Close all idle connections."""
-        for writer in [*self._crowd, *(connection.writer for connection in self._idle)]:
+        for writer in [*self._flood_writers, *(connection.writer for connection in self._idle)]:
             writer.close()
--- a/tests/soak/run.py
+++ b/tests/soak/run.py
@@ -1,4 +1,4 @@
-"""One run: starts the servers and the balancer, plays the schedule, and checks the rules."""
+"""One run: starts the fake servers and the balancer, plays the schedule, and checks the rules."""
 
 from __future__ import annotations
 
@@ -19,13 +19,13 @@
 from tests.soak.schedule import (
     ChangeList,
     ConnectBadClient,
-    ConnectCrowd,
+    OpenConnectionFlood,
     Pause,
     PlannedRequest,
     Reload,
     Schedule,
-    SetBehavior,
-    SetCondition,
+    SetDiscoveryCondition,
+    SetEndpointBehavior,
     Step,
     Terminate,
     draw_schedule,
@@ -34,17 +34,17 @@
 from tests.support.endpoint_lists import entry
 from tests.support.http_messages import HOST
 
-NEW_CONNECTIONS_AFTER_SIGTERM_S = 0.4
-LAG_CHECK_INTERVAL_S = 0.01
-LAG_NOTED_S = 0.005
+NEW_CONNECTIONS_AFTER_SIGTERM_S = 0.4  # then the platform sends new connections elsewhere
+LAG_CHECK_INTERVAL_S = 0.01  # of the event loop of this process
+MIN_RECORDED_LAG_S = 0.005
 SAMPLE_INTERVAL_S = 0.5
 MAX_MEMORY_GROWTH_BYTES = 24_000_000
-MAX_OTHER_DESCRIPTORS = 48  # of the event loop, discovery, logs, and sockets being closed
+MAX_OTHER_DESCRIPTORS = 48  # event loop, discovery, logs, and sockets that are being closed
 
 
 @dataclass(frozen=True)
 class BrokenRule:
-    """A violation, with the events of the last second before it; times are seconds since readiness."""
+    """A violation, with the events of the second before it; times are in seconds since readiness."""
 
     rule: str
     request_id: str
@@ -55,7 +55,7 @@
 
 @dataclass(frozen=True)
 class SeedResult:
-    """What came of a seed."""
+    """The result of one seed, as it is written to the JSON file."""
 
     seed: int
     requests: int
@@ -81,17 +81,19 @@
         self.clients = Clients(self.records)
         self.ready_s = 0.0
         self._ready_at_s = 0.0
-        self._first_memory_bytes = 0
+        self._memory_at_readiness_bytes = 0
         self._tasks: list[asyncio.Task[None]] = []
 
     async def play(self) -> SeedResult:
-        """Play the schedule from the start of the process to its end."""
+        """Start the balancer, play the schedule, end the balancer, and check the rules."""
         self._tasks.append(asyncio.create_task(self._measure_lag()))
         try:
             await self._start()
             await self._play_schedule()
         except TimeoutError:
-            self.records.violate(Rule.READINESS, f"not ready in time; its log: {self.balancer.log()}")
+            self.records.add_violation(
+                Rule.READINESS, f"balancer was not ready in time; its log: {self.balancer.log()}"
+            )
         finally:
             await self.balancer.kill()
             for task in self._tasks:
@@ -107,9 +109,9 @@
         address = await self.discovery.open_address()
         self.balancer.write_configuration(address, self.discovery.known_list())
         self.ready_s = await self.balancer.start()
-        self.clients.use_port(self.balancer.port)
+        self.clients.set_balancer_port(self.balancer.port)
         self._ready_at_s = time.monotonic()
-        self._first_memory_bytes = self.balancer.memory_bytes()
+        self._memory_at_readiness_bytes = self.balancer.memory_bytes()
         self._tasks.append(asyncio.create_task(self._sample_process()))
 
     async def _play_schedule(self) -> None:
@@ -123,25 +125,25 @@
     async def _play_steps(self) -> None:
         for timed in self.schedule.steps:
             await self._sleep_until(timed.at_s)
-            self.records.note(str(timed.step))
-            await self._take(timed.step)
+            self.records.log_event(str(timed.step))
+            await self._execute(timed.step)
 
-    async def _take(self, step: Step) -> None:
+    async def _execute(self, step: Step) -> None:
         match step:
-            case SetBehavior():
+            case SetEndpointBehavior():
                 self.endpoints[step.endpoint].set_behavior(step.behavior)
             case ChangeList():
                 self.discovery.change(step, f"{HOST}:{self.endpoints[step.endpoint].server.port}")
-            case SetCondition():
+            case SetDiscoveryCondition():
                 self.discovery.set_condition(step.condition)
             case Reload():
                 await self._reload(step)
             case ConnectBadClient():
-                self.clients.start(self.clients.connect_bad_client(step.kind))
-            case ConnectCrowd():
-                self.clients.start(self.clients.connect_crowd(step.connections))
+                self.clients.run_in_background(self.clients.connect_bad_client(step.kind))
+            case OpenConnectionFlood():
+                self.clients.run_in_background(self.clients.open_connection_flood(step.connections))
             case Pause():
-                self.clients.start(self.balancer.pause())
+                self.clients.run_in_background(self.balancer.pause())
             case Terminate():
                 self._terminate()
 
@@ -153,7 +155,9 @@
     def _terminate(self) -> None:
         if self.balancer.exit_status is not None:
             if not self.records.terminations_s:
-                self.records.violate(Rule.CRASH, f"ended with status {self.balancer.exit_status}")
+                self.records.add_violation(
+                    Rule.CRASH, f"balancer exited before SIGTERM with status {self.balancer.exit_status}"
+                )
             return
         if not self.records.terminations_s:
             loop = asyncio.get_running_loop()
@@ -168,7 +172,7 @@
 
     def _send(self, planned: PlannedRequest) -> None:
         if self.balancer.exit_status is None:
-            self.clients.start(self.clients.send(planned))
+            self.clients.run_in_background(self.clients.send(planned))
 
     async def _listen_late(self) -> None:
         for number, at_s in sorted(self.schedule.late_endpoints.items(), key=lambda item: item[1]):
@@ -183,7 +187,7 @@
             before_s = time.monotonic()
             await asyncio.sleep(LAG_CHECK_INTERVAL_S)
             late_s = time.monotonic() - before_s - LAG_CHECK_INTERVAL_S
-            if late_s > LAG_NOTED_S:
+            if late_s > MIN_RECORDED_LAG_S:
                 self.records.lags.append(Lag(time.monotonic(), late_s))
 
     async def _sample_process(self) -> None:
@@ -193,9 +197,10 @@
 
     def _check_growth(self) -> None:
         memory_bytes = self.balancer.memory_bytes()
-        if memory_bytes - self._first_memory_bytes > MAX_MEMORY_GROWTH_BYTES:
-            self.records.violate(
-                Rule.GROWTH, f"{self._first_memory_bytes} bytes at first, now {memory_bytes}"
+        if memory_bytes - self._memory_at_readiness_bytes > MAX_MEMORY_GROWTH_BYTES:
+            self.records.add_violation(
+                Rule.GROWTH,
+                f"{self._memory_at_readiness_bytes} bytes of memory at readiness, now {memory_bytes}",
             )
         descriptors = self.balancer.descriptors()
         expected = (
@@ -205,15 +210,17 @@
             + MAX_OTHER_DESCRIPTORS
         )
         if descriptors > expected:
-            self.records.violate(Rule.GROWTH, f"{descriptors} descriptors, {expected} expected at most")
+            self.records.add_violation(
+                Rule.GROWTH, f"{descriptors} open descriptors, expected at most {expected}"
+            )
 
     def _check(self) -> None:
         records = self.records
         status = self.balancer.exit_status
         if status not in (0, -signal.SIGKILL) and records.terminations_s:
-            records.violate(Rule.CRASH, f"exit status {status} after SIGTERM")
+            records.add_violation(Rule.CRASH, f"exit status {status} after SIGTERM")
         if "Traceback" in self.balancer.log():
-            records.violate(Rule.TRACEBACK, self.balancer.log()[-2000:])
+            records.add_violation(Rule.TRACEBACK, self.balancer.log()[-2000:])
         checks.check_requests(records, self.schedule)
         checks.check_attempts(records, self.schedule)
         checks.check_bad_clients(records)
@@ -245,8 +252,9 @@
 
 
 def run_seed(seed: int) -> SeedResult:
-    """Play one seed in this process."""
-    logging.getLogger("asyncio").setLevel(logging.CRITICAL)  # cancelled connections of the fake servers
+    """Run one seed in this process."""
+    # asyncio would log the cancelled connections of the fake servers.
+    logging.getLogger("asyncio").setLevel(logging.CRITICAL)
     with tempfile.TemporaryDirectory() as folder:
         return asyncio.run(_play(draw_schedule(seed), Path(folder)))
 
