--- a/loadbalancer/proxy/attempts.py
+++ b/loadbalancer/proxy/attempts.py
@@ -54,7 +54,8 @@
             pending_requests: The requests that may be forwarded.
             connection_pool: Returns the connection pool of an endpoint; None if it accepts no new requests.
             on_ended: Called once for each `Forward`.
-            max_attempts: Maximum number of attempts of one request; attempts that never started do not count.
+            max_attempts: Maximum number of attempts of one request. An attempt that is not sent does not
+                count if its endpoint accepts no new requests, or if another attempt is in flight.
             read_load_reports: Whether endpoints include load reports in their responses.
         """
         self.pending_requests = pending_requests
@@ -197,10 +198,10 @@
         return write_request(request.method, request.target, headers, request.body)
 
     def is_still_needed(self) -> bool:
-        """Whether the client still waits for a response; a disconnect that is still unread counts.
+        """Drop the request if its client has disconnected; return whether the request is still pending.
 
-        A disconnect is unread if it arrived in the current turn of the event loop, or while reading
-        is paused.
+        A disconnect is detected even if the event loop has not read it yet, because it arrived in the current
+        event loop turn or while reading is paused.
         """
         client = self.pending_request.client
         if client.has_disconnected:
--- a/loadbalancer/proxy/client_connection.py
+++ b/loadbalancer/proxy/client_connection.py
@@ -78,12 +78,12 @@
 
     @property
     def has_disconnected(self) -> bool:
-        """Whether the client has closed, half-closed or reset the connection, even if that is unread."""
+        """Whether the client has closed, half-closed or reset the connection, as far as the kernel knows."""
         return self._transport is None or self._transport.is_closing() or has_peer_closed(self._transport)
 
     @property
     def has_unread_data(self) -> bool:
-        """Whether its socket holds data that the event loop has not read yet."""
+        """Whether the event loop has not yet read all input of the socket; False while reading is paused."""
         return (
             self._transport is not None and self._transport.is_reading() and has_unread_input(self._transport)
         )
@@ -172,7 +172,7 @@
             self._owner.mark_idle(self)
 
     def _reject_pipelined(self) -> None:
-        """Reject a request that was sent while another is being handled, and abandon that one as well."""
+        """Abandon the current request, and reject the one that was sent before the response to it."""
         self._abandon_request()
         self.reject(BAD_REQUEST)
 
--- a/loadbalancer/proxy/client_eviction.py
+++ b/loadbalancer/proxy/client_eviction.py
@@ -6,10 +6,11 @@
 from loadbalancer.proxy.client_timeouts import REQUEST_RECEIVE_TIMEOUT_S
 from loadbalancer.proxy.connection_table import ConnectionTable
 
-# A younger connection without a request is not evicted: its first request may be in transit.
+# A younger connection that awaits a request is not evicted: the request may be in transit.
 MIN_EVICTION_AGE_S = 0.05
 
-# While other connections await a request, a younger idle connection is not evicted: they time out first.
+# While other connections await a request, a younger idle connection is not evicted: the others time out
+# first.
 MIN_IDLE_EVICTION_AGE_S = REQUEST_RECEIVE_TIMEOUT_S
 
 
@@ -18,7 +19,9 @@
 ) -> ClientConnection | None:
     """Return the connection to abort for a new one, if any may be aborted.
 
-    A closing connection is chosen first, then one that awaits a request, then an idle one; always the oldest.
+    A closing connection is chosen first, then one that awaits a request, then an idle one; the oldest of its
+    kind. One that awaits a request or is idle must be old enough and have no unread data; an idle one must
+    also have no unsent data.
 
     Args:
         closing: Connections that are being closed, also after a rejection.
--- a/loadbalancer/proxy/components.py
+++ b/loadbalancer/proxy/components.py
@@ -14,10 +14,10 @@
 from loadbalancer.proxy.gossip import Gossip
 from loadbalancer.units import NANOSECONDS_PER_SECOND
 
-# File descriptors for the event loop, the listening socket, discovery, gossip, logs and closing sockets.
+# File descriptors kept for the event loop, the listening socket, discovery, gossip, logs and closing sockets.
 RESERVED_DESCRIPTORS = 32
 
-# Lower bound of the connection limit, for clients and for endpoints, however few descriptors there are.
+# Lower bound of the connection limits for clients and for endpoints, however few file descriptors there are.
 MIN_CONNECTIONS = 8
 
 # Added to the seed for the random generator of discovery's backoff. The policy's generator is separate, and
--- a/loadbalancer/proxy/configuration.py
+++ b/loadbalancer/proxy/configuration.py
@@ -13,15 +13,15 @@
 class Configuration:
     """The configuration of a proxy, as read at its start."""
 
-    name: str  # of this proxy, in log lines
-    listen: Address  # where clients connect
+    name: str  # identifies this proxy in log lines
+    listen: Address  # address to which clients connect
     discovery: Address  # address of the service that provides the endpoint list
-    seed: int  # of all random generators
+    seed: int  # seeds all random generators
     max_sockets: int  # limit on open sockets of all kinds together
-    settings: Settings  # of the policy
-    known_endpoints: EndpointList | None = None  # the list as last known before the start; None: not given
+    settings: Settings  # used by the policy and by the proxy
+    known_endpoints: EndpointList | None = None  # list known before the start; None: not given
     gossip_listen: Address | None = None  # receives messages of other proxies; None: gossip is off
-    gossip_peers: list[Address] = field(default_factory=list)  # by proxy index
-    gossip_broadcast: Address | None = None  # reaches all peers
+    gossip_peers: list[Address] = field(default_factory=list)  # addresses of all proxies, by proxy index
+    gossip_broadcast: Address | None = None  # address that reaches all peers at once; None: not given
     cpu_cores: float = 0.0  # CPU limit of the process, in cores; 0: not given
     memory_bytes: int = 0  # memory limit of the process; 0: not given
--- a/loadbalancer/proxy/connection_pool.py
+++ b/loadbalancer/proxy/connection_pool.py
@@ -108,7 +108,10 @@
     """Connections between exchanges, the most recently used one last."""
 
     def take_idle(self) -> EndpointConnection | None:
-        """Remove and return the most recently used connection that is usable; close those that are not."""
+        """Return the most recently used idle connection that may be reused, which is then no longer idle.
+
+        Connections in quarantine are skipped, and unusable ones are closed.
+        """
         self.limits.close_expired()
         now_s = time.monotonic()
         for connection in reversed(self.idle_connections.copy()):
@@ -132,7 +135,7 @@
         return EndpointConnection(self, self.limits.max_response_body_bytes)
 
     def on_idle(self, connection: EndpointConnection, quarantine_s: float) -> None:
-        """Keep a connection alive for later requests, which may use it after `quarantine_s`."""
+        """Keep a connection alive for requests after `quarantine_s`; close it if the pool accepts none."""
         if not self.accepts_requests:
             connection.close()
             return
--- a/loadbalancer/proxy/connection_table.py
+++ b/loadbalancer/proxy/connection_table.py
@@ -41,7 +41,7 @@
         return client
 
     def closeable(self, min_age_s: float = 0.0) -> Iterator[ClientConnection]:
-        """Yield connections of at least that age that have no unread data, oldest first.
+        """Yield connections that are at least `min_age_s` old and have no unread data, oldest first.
 
         Unread data may be a request that TCP has acknowledged; closing the connection would lose it.
         """
--- a/loadbalancer/proxy/discovery_call.py
+++ b/loadbalancer/proxy/discovery_call.py
@@ -21,7 +21,7 @@
 
 log = logging.getLogger(__name__)
 
-# Size limit of a response.
+# Largest size of a list, whatever the memory limit of the process.
 MAX_LIST_BYTES = 32 * 1024 * 1024
 
 # Largest size of a list, as a fraction of the memory limit of the process.
@@ -41,7 +41,7 @@
 # Each part of a response that is received extends the timeout by the time that it takes at this rate.
 MIN_RESPONSE_BYTES_PER_S = 4_000_000
 
-# The settings give an idle timeout for endpoints only: the pool uses its default for discovery.
+# The settings give an idle timeout for endpoints only; 0 makes the pool use its default.
 UNKNOWN_IDLE_TIMEOUT_S = 0.0
 
 MAX_LOGGED_ERROR_CHARACTERS = 120
@@ -50,8 +50,8 @@
 class DiscoveryFailure(Enum):
     """How a call to discovery ended without a list."""
 
-    CALL_FAILED = "call failed"  # refused, reset, an error status or not an endpoint list
-    TIMED_OUT = "timed out"  # no response; changes that it would have returned are missing
+    CALL_FAILED = "call failed"  # connection refused or reset, error status or invalid list
+    TIMED_OUT = "timed out"  # no response in time; changes that it would have returned are missing
 
 
 DiscoveryResult = EndpointList | DiscoveryFailure
@@ -59,7 +59,7 @@
 
 
 def list_size_limit_bytes(memory_bytes: int) -> int:
-    """Return the largest size of a list for a memory limit of the process; a limit of 0 means none."""
+    """Return the largest size of a list for a memory limit of the process; 0 stands for no memory limit."""
     fraction_bytes = int(memory_bytes * MAX_LIST_MEMORY_FRACTION)
     return min(MAX_LIST_BYTES, fraction_bytes) or MAX_LIST_BYTES
 
--- a/loadbalancer/proxy/discovery_client.py
+++ b/loadbalancer/proxy/discovery_client.py
@@ -30,8 +30,8 @@
 # Replaces the waits above after a failed call, so that the recovery of discovery is detected soon.
 RECOVERY_WAIT_MS = 1_000
 
-# Before the next watch call after an empty list, so that a discovery that returns one at once is not called
-# in a tight loop.
+# Delay of the next watch call after an empty list, so that a discovery that returns empty lists at once is
+# not called in a tight loop.
 EMPTY_RESPONSE_DELAY_S = 0.02
 
 
@@ -59,7 +59,7 @@
         self._pushes = pushes
         self._rng = rng
         self._on_result = on_result
-        self._version: int | None = None  # of the last list received
+        self._version: int | None = None  # version of the last list received
         self._watching = False
         self._watch_call: DiscoveryCall | None = None
         self._fetch_call: DiscoveryCall | None = None
@@ -83,7 +83,7 @@
     # -- watch and fetch --
 
     def watch(self) -> None:
-        """Watch for changes since the last list; starts no second call if one is in flight."""
+        """Watch for changes since the last list; start no second call if one is in flight."""
         self._watching = True
         if self._watch_call is not None:
             return
@@ -113,7 +113,7 @@
         self._abandon_watch_call()
 
     def fetch(self) -> None:
-        """Fetch the complete list once; starts no second call if one is in flight."""
+        """Fetch the complete list once; start no second call if one is in flight."""
         if self._defers_calls:
             self._fetch_deferred = True
         elif self._fetch_call is None:
@@ -132,7 +132,7 @@
         self._watch_backoff.reset()
         self._version = result.version
         if len(result):
-            # Before the list is applied: discovery counts a watch call 200 ms later as a new watch.
+            # Called before the list is applied: discovery counts a watch call 200 ms later as a new watch.
             self.watch()
         else:
             self._watch_later(EMPTY_RESPONSE_DELAY_S)
@@ -143,7 +143,7 @@
         if self._defers_calls:
             self._watch_deferred = True
             return
-        if self._pushes and self._handover is None:  # in a handover, it continues at the new address
+        if self._pushes and self._handover is None:  # otherwise the new address continues the watch
             self._watch_later(self._watch_backoff.delay_s())
         self._report(failure)
 
@@ -185,7 +185,7 @@
         if handover is not None and handover.call_in_flight and handover.target.address == address:
             return  # a second call would only queue behind the first one
         self._abandon_handover()
-        self._target.record_connect_result(refused=False)  # assumed until the next call to it
+        self._target.record_connect_result(refused=False)  # not known before the next call to it
         if address == self._target.address:
             self._resume_calls()
             return
@@ -227,7 +227,7 @@
         self._report(endpoint_list)
 
     def _on_handover_failure(self, failure: DiscoveryFailure) -> None:
-        """Report one failure for each deferred call, so that the policy does not wait for their results."""
+        """Report one failure for each deferred call, so that the policy does not wait for its result."""
         deferred_calls = [self._watch_deferred, self._fetch_deferred].count(True)
         self._watch_deferred = False
         self._fetch_deferred = False
--- a/loadbalancer/proxy/discovery_handover.py
+++ b/loadbalancer/proxy/discovery_handover.py
@@ -15,8 +15,8 @@
 )
 from loadbalancer.proxy.endpoint_list import EndpointList
 
-# The complete list of the new address must be received within 4 s: this wait and the margin of each call.
-# A shorter wait would not help: a discovery with many callers serves the abandoned call before its retry.
+# The complete list of the new address must be received within 4 s: this wait plus the margin of each call.
+# A shorter wait would not help: a discovery with many callers serves an abandoned call before its retry.
 HANDOVER_WAIT_S = 3.0
 
 
@@ -38,8 +38,8 @@
         Args:
             target: The new address.
             rng: Draws the jitter of the backoff.
-            on_complete: Is called once with the complete list.
-            on_failure: Is called for each call that failed.
+            on_complete: Called once with the complete list.
+            on_failure: Called for each call that failed.
         """
         self.target = target
         self.backoff = Backoff(rng)
--- a/loadbalancer/proxy/downstream.py
+++ b/loadbalancer/proxy/downstream.py
@@ -22,7 +22,7 @@
 
 LISTEN_BACKLOG = 1024
 
-# Maximum number of connections accepted in one turn of the event loop.
+# Maximum number of connections accepted in one event loop turn.
 MAX_ACCEPTS_PER_TURN = 16
 
 # How long accepting is paused after the system had no file descriptor left.
@@ -95,7 +95,10 @@
             asyncio.get_running_loop().add_reader(self._socket, self._accept)
 
     def _pause_accepting(self, duration_s: float | None = None) -> None:
-        """Leave new connections in the listen backlog for a time, or until one ends or becomes idle."""
+        """Leave new connections in the listen backlog.
+
+        Accepting resumes after `duration_s` if that is set, or as soon as a connection ends or becomes idle.
+        """
         if self._socket is not None and self._accepting:
             self._accepting = False
             asyncio.get_running_loop().remove_reader(self._socket)
@@ -130,7 +133,10 @@
         return False
 
     def _pause_until_eviction(self) -> None:
-        """Pause until a connection may be evicted, or until one ends if all have requests."""
+        """Pause accepting: briefly if a connection awaits a request, since it can be evicted soon.
+
+        Otherwise the pause lasts until a connection ends or becomes idle.
+        """
         self._pause_accepting(client_eviction.MIN_EVICTION_AGE_S if self._awaiting_request else None)
 
     @property
--- a/loadbalancer/proxy/endpoint_addresses.py
+++ b/loadbalancer/proxy/endpoint_addresses.py
@@ -11,7 +11,7 @@
 class EndpointAddresses:
     """Addresses and pools by endpoint; a pool is retired when its endpoint moves, drains or is removed.
 
-    A draining endpoint stays listed, but without an address: it takes no new requests.
+    A draining endpoint stays listed, but without an address: it accepts no new requests.
     """
 
     def __init__(self, limits: ConnectionLimits) -> None:
@@ -24,7 +24,7 @@
         return len(self.by_id)
 
     def set(self, endpoint_id: int, address: CompactAddress | None) -> None:
-        """Store an endpoint's address; None if it takes no new requests."""
+        """Store an endpoint's address; None if it accepts no new requests."""
         if self.by_id.get(endpoint_id, 0) == address:
             return
         self.by_id[endpoint_id] = address
@@ -43,7 +43,7 @@
             pool.retire()
 
     def connection_pool(self, endpoint_id: int) -> ConnectionPool | None:
-        """Return the pool of an endpoint, created on first use; None if it takes no new requests."""
+        """Return the pool of an endpoint, created on first use; None if it accepts no new requests."""
         pool = self.pools.get(endpoint_id)
         if pool is not None:
             return pool
@@ -72,7 +72,7 @@
             del self.pools[endpoint_id]
 
     def ready(self) -> dict[int, Address]:
-        """Return the addresses of the endpoints that take new requests."""
+        """Return the addresses of the endpoints that accept new requests."""
         return {
             endpoint_id: expand_address(address)
             for endpoint_id, address in self.by_id.items()
--- a/loadbalancer/proxy/endpoint_connection.py
+++ b/loadbalancer/proxy/endpoint_connection.py
@@ -52,20 +52,20 @@
         self._request_written = False
         self._closed = False
         self.idle_since_s = 0.0
-        """By the monotonic clock."""
+        """When the connection became idle, on the monotonic clock."""
         self.quarantined_until_s = 0.0
-        """By the monotonic clock; the connection is not reused before this time."""
+        """When the connection may be reused, on the monotonic clock."""
 
     @property
     def request_written(self) -> bool:
-        """Whether the last byte of the current request has been handed to the operating system."""
+        """Whether the last byte of the current request has been passed to the kernel."""
         return self._request_written
 
     @property
     def usable(self) -> bool:
         """Whether the connection is open and has no unread input.
 
-        If its endpoint has closed it, the pool is notified only some turns of the event loop later.
+        If the endpoint has closed the connection, the pool is notified only some event loop turns later.
         """
         return (
             self._transport is not None
@@ -79,7 +79,7 @@
         self.quarantined_until_s = self.idle_since_s + quarantine_s
 
     def send(self, exchange: ActiveExchange) -> None:
-        """Write the request of an exchange; the exchange is notified when it ends."""
+        """Write the request of an exchange; the exchange is notified of the response or of a failure."""
         self._exchange = exchange
         self._request_written = False
         if self._transport is None or not self.usable:
@@ -154,8 +154,8 @@
             self._closed = True
             self._callbacks.on_closed(self)
         if self._transport is not None:
-            # The transport closes its socket only in the next turn of the event loop. By then the request may
-            # have been retried, with two copies on open connections: `write_eof` ends the stream at once.
+            # The transport closes its socket only in the next event loop turn. By then the request may have
+            # been retried, with two copies on open connections: `write_eof` ends the stream at once.
             with contextlib.suppress(OSError):
                 self._transport.write_eof()
             self._transport.abort()
--- a/loadbalancer/proxy/endpoint_list.py
+++ b/loadbalancer/proxy/endpoint_list.py
@@ -28,7 +28,7 @@
 
     def __init__(self, id_registry: EndpointIdRegistry, version: int = 0, *, complete: bool = False) -> None:
         self.id_registry = id_registry
-        """Assigned the ids of the entries."""
+        """The registry that assigned the ids of the entries."""
         self.version = version
         self.complete = complete
         self.ids = array("Q")
--- a/loadbalancer/proxy/endpoint_list_applier.py
+++ b/loadbalancer/proxy/endpoint_list_applier.py
@@ -17,16 +17,17 @@
 from loadbalancer.proxy.endpoint_list import EndpointList
 from loadbalancer.proxy.endpoint_list_reader import EndpointListReader
 
-# Entries of a long list that are applied in one turn of the event loop.
+# Number of entries of a long list that are applied in one event loop turn.
 SLICE_ENTRIES = 64
 
-# Ids that are copied in one turn of the event loop.
+# Number of ids that are copied in one event loop turn.
 SLICE_IDS = SLICE_ENTRIES * SLICE_ENTRIES
 
 # A complete list that replaces more endpoints than this is applied in slices, however short it is.
 MAX_REPLACED_AT_ONCE = 2 * SLICE_ENTRIES
 
-# Segments of the id registry that are swept at a time: with a sweep each second, all take some four minutes.
+# Segments of the id registry that each sweep covers: with a sweep each second, covering all takes some four
+# minutes.
 SWEEP_SEGMENTS = 1
 
 UPDATE_KIND_BY_FAILURE = {
@@ -49,7 +50,7 @@
         Args:
             reader: Reads the lists, and has the registry of their ids.
             addresses: Stores the addresses.
-            on_update: Is called with each update for the policy.
+            on_update: Called with each update for the policy.
         """
         self._reader = reader
         self._addresses = addresses
@@ -63,7 +64,7 @@
         return self._task
 
     def is_pending(self, endpoint_list: EndpointList) -> bool:
-        """Whether a list is waiting or has been applied only in part."""
+        """Return whether a list is waiting or has been applied only in part."""
         return endpoint_list in self._pending
 
     def close(self) -> None:
@@ -72,7 +73,7 @@
             self._task.cancel()
 
     def apply_cached(self, endpoint_list: EndpointList | None) -> None:
-        """Apply the list known at startup, all at once; the list is empty afterwards."""
+        """Apply the list known at startup, if any, all at once; the list is empty afterwards."""
         if endpoint_list is None:
             self._on_update(EndpointUpdate(EndpointUpdateKind.CACHED, ()))
             return
--- a/loadbalancer/proxy/endpoint_list_parser.py
+++ b/loadbalancer/proxy/endpoint_list_parser.py
@@ -94,11 +94,13 @@
         self._has_entries = False
         self._version: object = None
         self._complete: object = None
-        self._entry: Entry | None = None  # the one being parsed
+        self._entry: Entry | None = None  # the entry being parsed
         self._entry_nesting = 0  # depth inside the entry; nested values are skipped
         self._entry_key: object = None
-        self._weights: dict[float, float] = {}  # so that equal weights share one object
-        self._attributes: dict[EndpointAttributes, EndpointAttributes] = {}  # likewise
+        self._weights: dict[float, float] = {}  # lets equal weights share one object
+        self._attributes: dict[
+            EndpointAttributes, EndpointAttributes
+        ] = {}  # lets equal ones share one object
 
     @property
     def started(self) -> bool:
@@ -252,9 +254,10 @@
         return min(started_ms * NANOSECONDS_PER_MILLISECOND - self._clock_offset_ns, time.monotonic_ns())
 
     def _endpoint_id(self, host: str, status: EndpointStatus) -> int | None:
-        """Return a host's id; None for a removal that must be ignored.
+        """Return a host's id, newly assigned if the host has none.
 
-        If the removed host has no id, and another host has its preferred one, that other host must stay.
+        A removal assigns no id: None if the removed host has none. Another host may have its preferred id,
+        and that host must stay.
         """
         preferred = preferred_id(host)
         fingerprint = host_fingerprint(host)
--- a/loadbalancer/proxy/endpoint_list_reader.py
+++ b/loadbalancer/proxy/endpoint_list_reader.py
@@ -25,7 +25,7 @@
 
 log = logging.getLogger(__name__)
 
-# Read between two yields: some thirty entries, which take less than a millisecond.
+# Bytes that are read between two yields: some thirty entries, which take less than a millisecond.
 YIELD_BYTES = 4096
 
 
@@ -82,7 +82,7 @@
             self.reads_in_progress -= 1
 
     def accept(self, endpoint_list: EndpointList) -> EndpointList:
-        """Return the list, or an empty one in its place if a newer list has been read.
+        """Record the version of the list and return the list; return an empty one if a newer has been read.
 
         The responses of two calls may arrive out of order, and another address of discovery may lag behind;
         neither may undo a change.
--- a/loadbalancer/proxy/exchange.py
+++ b/loadbalancer/proxy/exchange.py
@@ -32,13 +32,13 @@
         """Prepare an exchange; `start` begins it.
 
         Args:
-            pool: The connections to the endpoint.
-            serialize: Serializes the request when it is written. That may be later than the start by the
-                connect timeout, and a remaining time in the request must still be right.
+            pool: The connections to the address.
+            serialize: Serializes the request when it is written. That may be as late as the connect timeout
+                after the start, and the remaining time in the request must still be right then.
             on_ended: Called once at the end, unless the exchange is abandoned.
-            reserved_connections: How many connections within the limit it must leave to other exchanges.
-            is_still_needed: Called before a connection is taken and before the first byte is written; the
-                exchange does not continue if it returns False. It may end the exchange itself.
+            reserved_connections: How many connections of the limit must stay available to other exchanges.
+            is_still_needed: Called before a connection is taken, and again once a new one is established; the
+                exchange does not continue if the result is False. The callback may itself end the exchange.
             quarantine_s: How long the connection is not reused after the response.
         """
         self.pool = pool
@@ -47,7 +47,7 @@
         self.serialize = serialize
         self.finished = False
         self.response_too_large = False
-        """Whether it failed because its response was larger than allowed."""
+        """Whether the exchange failed because its response was larger than allowed."""
         self._on_ended = on_ended
         self._is_still_needed = is_still_needed
         self._connection: EndpointConnection | None = None
@@ -57,19 +57,19 @@
 
     @property
     def unsent(self) -> bool:
-        """Whether it still waits for a connection: no byte of the request has been sent."""
+        """Whether the exchange still waits for a connection: no byte of the request has been sent."""
         return not self.finished and self._connection is None
 
     @property
     def request_written(self) -> bool:
-        """Whether the last byte of the request was passed to the kernel; until then it can't have run."""
+        """Whether the last byte of the request has been passed to the kernel; only then may it have run."""
         return self._connection is not None and self._connection.request_written
 
     def start(self, deadline_s: float | None) -> None:
         """Send the request as soon as there is a connection.
 
         Args:
-            deadline_s: When it times out, on the event loop's clock; None for never.
+            deadline_s: When the exchange times out, on the event loop's clock; None for never.
         """
         if not self._is_still_needed():
             return
@@ -106,7 +106,7 @@
             return
         self._connect_task = None
         self._connecting = None
-        if self._is_still_needed():  # the client may have disconnected meanwhile, and that may be unread
+        if self._is_still_needed():  # the client may have disconnected meanwhile
             self._send_on(connection)
         else:
             connection.close()
@@ -138,7 +138,7 @@
         self._release(close_connection=True)
 
     def _release(self, *, close_connection: bool) -> None:
-        """Mark it as finished, and release its timer, its connect task and its connection."""
+        """Mark the exchange as finished, and release its timer, its connect task and its connection."""
         self.finished = True
         if self._timeout_timer is not None:
             self._timeout_timer.cancel()
@@ -160,11 +160,11 @@
     """Start an exchange whose request contains no remaining time, and can be serialized in advance.
 
     Args:
-        pool: The connections to the endpoint.
+        pool: The connections to the address.
         data: The serialized request.
-        timeout_s: After which it times out; None for never.
+        timeout_s: Time after which the exchange times out; None for never.
         on_ended: Called at the end, see `Exchange`.
-        reserved_connections: How many connections within the limit it must leave to other exchanges.
+        reserved_connections: How many connections of the limit must stay available to other exchanges.
     """
     exchange = Exchange(pool, lambda: data, on_ended, reserved_connections)
     deadline_s = None if timeout_s is None else asyncio.get_running_loop().time() + timeout_s
--- a/loadbalancer/proxy/gossip.py
+++ b/loadbalancer/proxy/gossip.py
@@ -10,6 +10,8 @@
 from loadbalancer.proxy.addresses import Address
 
 log = logging.getLogger(__name__)
+
+# Longer messages are dropped, both sent and received ones.
 MAX_MESSAGE_BYTES = 256
 
 # Recipient that stands for all peers.
@@ -32,7 +34,7 @@
             peers: The addresses of all proxies, by index.
             all_peers: The address that reaches all peers at once; None if there is none.
             proxy_index: This proxy's own index; messages from its address are dropped.
-            on_message: Is called with the sender's index and the message.
+            on_message: Called with the sender's index and the message.
         """
         self._peers = peers
         self._all_peers = all_peers
--- a/loadbalancer/proxy/health_checks.py
+++ b/loadbalancer/proxy/health_checks.py
@@ -36,8 +36,8 @@
         """Set up the health checks.
 
         Args:
-            connection_pool: Returns the pool of an endpoint; None if it takes no new requests.
-            on_ended: Is called once for each health check.
+            connection_pool: Returns the pool of an endpoint; None if it accepts no new requests.
+            on_ended: Called once for each health check.
             with_load_reports: Whether endpoints respond to health checks with load reports.
         """
         self._in_flight = 0
--- a/loadbalancer/proxy/http.py
+++ b/loadbalancer/proxy/http.py
@@ -92,7 +92,7 @@
         self._parser = httptools.HttpResponseParser(self) if responses else httptools.HttpRequestParser(self)
         self._max_body_bytes = max_body_bytes
         self._complete: list[Message] = []
-        self._message_bytes = 0  # of the incomplete message, including its framing
+        self._message_bytes = 0  # size so far of the incomplete message, framing included
         self._interim_responses = 0  # 1xx responses before the final one
         self.message_started = False
         """Whether part of a message has been received, and the rest is due."""
@@ -228,5 +228,5 @@
 
 
 def parse_decimal(text: bytes) -> int | None:
-    """Parse a decimal number in a header; None for anything else, or beyond `MAX_DECIMAL_DIGITS` digits."""
+    """Parse a decimal number in a header; None if it is none or has over `MAX_DECIMAL_DIGITS` digits."""
     return int(text) if text.isdigit() and len(text) <= MAX_DECIMAL_DIGITS else None
--- a/loadbalancer/proxy/pending_requests.py
+++ b/loadbalancer/proxy/pending_requests.py
@@ -38,7 +38,7 @@
 # The policy's deadline precedes the client's, so that the final response reaches the client in time.
 POLICY_DEADLINE_MARGIN_NS = 4 * NANOSECONDS_PER_MILLISECOND
 
-# The proxy's own deadline lies between the two: it fails the requests that the policy has not finished.
+# The proxy's own deadline lies between those two: a request that the policy has not finished by then fails.
 PROXY_DEADLINE_MARGIN_NS = 3 * NANOSECONDS_PER_MILLISECOND // 2
 
 
@@ -50,11 +50,11 @@
     client: ClientConnection
     request: Message
     client_request_id: bytes
-    deadline_ns: int  # the proxy's own, on the monotonic clock
+    deadline_ns: int  # the proxy's own deadline, on the monotonic clock
     deadline_timer: asyncio.TimerHandle
     attempt_count: int = 0
-    uncounted_attempt_count: int = 0  # of these, the ones that do not count towards `Limits.max_attempts`
-    exchange: Exchange | None = None  # of the attempt in flight
+    uncounted_attempt_count: int = 0  # those that do not count towards `Limits.max_attempts`
+    exchange: Exchange | None = None  # belongs to the attempt in flight; None if there is none
     finished: bool = False
 
     def count_attempt(self) -> int:
@@ -64,7 +64,7 @@
         return number
 
     def exclude_attempt(self) -> None:
-        """Record that an attempt does not count towards the limit, since it was never started."""
+        """Record that one attempt does not count towards the limit, since it was not sent."""
         self.uncounted_attempt_count += 1
 
     def set_exchange(self, exchange: Exchange) -> None:
@@ -88,7 +88,7 @@
         """Set up an empty table of pending requests.
 
         Args:
-            on_event: Called for each arrival, and when a client no longer waits for the response.
+            on_event: Called when a request arrives, when its client disconnects and when its deadline passes.
             max_pending: Maximum number of requests that are pending at once; 0 for no limit.
         """
         self._on_event = on_event
@@ -110,7 +110,7 @@
         return self._by_id.get(request_id)
 
     def snapshot(self) -> list[PendingRequest]:
-        """Return a list of them in order of arrival; requests may be finished while it is iterated over."""
+        """Return a copy, in order of arrival: requests may finish while the caller iterates over it."""
         return list(self._by_id.values())
 
     def register(
--- a/loadbalancer/proxy/proxy.py
+++ b/loadbalancer/proxy/proxy.py
@@ -72,7 +72,7 @@
         self._policy = policy
         self._queued_events: list[Event] = []
         self._dispatching = False
-        self._decision_time_ns = 0  # of the last call to the policy; its delays and timeouts count from then
+        self._decision_time_ns = 0  # when the policy was last called; its delays count from then
         self._draining = False
         self._ready_at_s = 0.0  # on the event loop's clock
         self._sweep_timer: asyncio.TimerHandle | None = None
@@ -164,10 +164,14 @@
                 len(self._pending_requests),
             )
         self.close()
-        await asyncio.sleep(0)  # transports complete their close in the event loop's next turn
+        await asyncio.sleep(0)  # transports complete their close in the next event loop turn
 
     def _is_drained(self) -> bool:
-        """Whether all responses are written, also to requests in the backlog or partially received."""
+        """Take the next step of the graceful shutdown.
+
+        Returns:
+            Whether all responses are written, also to requests in the backlog or partially received.
+        """
         no_more_requests = self.downstream.continue_shutdown()
         return no_more_requests and not self._pending_requests and not self.downstream.flushing
 
@@ -256,7 +260,7 @@
         self.dispatch(GossipReceived(sender, data))
 
     def _on_endpoint_update(self, update: EndpointUpdate) -> None:
-        # The policy must have the update before the attempts end: it retries them at once, and could
+        # The policy must have the update before the attempts end: the policy retries them at once, and could
         # otherwise choose an endpoint that is no longer ready.
         self.dispatch(update)
         self._attempts.cancel_unsent()
@@ -264,7 +268,7 @@
     # -- requests of clients --
 
     def handle_request(self, client: ClientConnection, request: Message, received_ns: int) -> None:
-        """Admit a client's request, unless it is malformed, its id is in use, or too many are pending."""
+        """Admit a request; respond with an error if it is invalid or can't be added to the pending ones."""
         checked = validate_request(request, self.config.settings.request_classes)
         if isinstance(checked, ErrorResponse):
             error: ErrorResponse | None = checked
--- a/loadbalancer/proxy/request_validation.py
+++ b/loadbalancer/proxy/request_validation.py
@@ -44,7 +44,7 @@
 
     class_name: str
     client_request_id: bytes
-    timeout_ns: int  # from the time at which the request was received
+    timeout_ns: int  # counts from the time at which the request was received
 
 
 UNKNOWN_METHOD = ErrorResponse(METHOD_NOT_ALLOWED, ((ALLOW_HEADER, b"GET, POST"),))
@@ -67,7 +67,7 @@
     """Validate a request without regard to other requests.
 
     The first segment of the path must name a request class, and the method must be the one of that class.
-    There must be exactly one request id, and the deadline must be a positive integer.
+    There must be exactly one request id, the deadline must be a positive integer, and a GET has no body.
     """
     if request.method not in ALLOWED_METHODS:
         return UNKNOWN_METHOD
--- a/loadbalancer/proxy/shutdown.py
+++ b/loadbalancer/proxy/shutdown.py
@@ -16,7 +16,8 @@
 
 DRAINED_CHECK_INTERVAL_S = 0.01
 
-# SIGKILL follows SIGTERM after the longest client timeout, which is at most this, plus the grace period.
+# SIGKILL follows SIGTERM after the longest client timeout, which is at most `MAX_CLIENT_TIMEOUT_S`, plus
+# `KILL_GRACE_PERIOD_S`.
 MAX_CLIENT_TIMEOUT_S = 3.0
 KILL_GRACE_PERIOD_S = 0.7
 
@@ -37,7 +38,8 @@
     """Wait until all requests have their responses.
 
     Args:
-        is_drained: Whether all are sent; called repeatedly once no more late connections are expected.
+        is_drained: Takes the next step of the shutdown, and returns whether all responses are sent; called
+            repeatedly after `LATE_CONNECTIONS_S`.
         deadline_s: When to stop waiting, on the event loop's clock.
 
     Returns:
--- a/loadbalancer/proxy/socket_state.py
+++ b/loadbalancer/proxy/socket_state.py
@@ -7,7 +7,7 @@
 
 
 def has_peer_closed(transport: asyncio.Transport) -> bool:
-    """Return whether the peer has closed, half-closed or reset the connection, even after unread bytes."""
+    """Return whether the peer has closed, half-closed or reset the connection, even with data unread."""
     return _poll(transport, select.POLLRDHUP)
 
 
--- a/loadbalancer/proxy/wire_names.py
+++ b/loadbalancer/proxy/wire_names.py
@@ -10,23 +10,23 @@
 COST_US_HEADER = b"req-cost"
 TENANT_HEADER = b"req-owner"
 IS_RETRY_HEADER = b"req-retry"
-FORWARDED_DEADLINE_MS_HEADER = b"Req-Deadline-Ms"  # as written in forwarded requests
+FORWARDED_DEADLINE_MS_HEADER = b"Req-Deadline-Ms"  # spelling in forwarded requests
 COOKIE_HEADER = b"cookie"
 AFFINITY_COOKIE = "user"  # an affinity key; no decision uses it
 
 # Response headers.
-DECLINED_HEADER = b"srv-declined"  # from an endpoint: it did not run the request
+DECLINED_HEADER = b"srv-declined"  # set by an endpoint that did not run the request
 LOAD_REPORT_HEADER = b"srv-load"
 RETRY_AFTER_HEADER = b"Retry-After"
 ALLOW_HEADER = b"Allow"
 
-FLAG_SET = b"1"  # value of flag headers
+FLAG_SET = b"1"  # value of a flag header that is set
 
 # Paths.
-READY_PATH = b"/health/ready"  # of the proxy
-LIVENESS_PATH = b"/health/live"  # of an endpoint
-LOAD_REPORT_PATH = b"/stats"  # of an endpoint
-ENDPOINT_LIST_PATH = "/registry/instances"  # of discovery
+READY_PATH = b"/health/ready"  # readiness of the proxy
+LIVENESS_PATH = b"/health/live"  # liveness of an endpoint
+LOAD_REPORT_PATH = b"/stats"  # load report of an endpoint
+ENDPOINT_LIST_PATH = "/registry/instances"  # endpoint list of discovery
 
 # Query parameters of a watch call.
 AFTER_VERSION_PARAMETER = "after"
@@ -45,7 +45,7 @@
 ENTRY_CELL = "block"
 ENTRY_MACHINE_TYPE = "class"
 ENTRY_WEIGHT = "share"
-ENTRY_STARTED_MS = "born_ms"  # Unix time
+ENTRY_STARTED_MS = "born_ms"  # start as Unix time in milliseconds
 
 STATUS_BY_NAME = {
     "up": EndpointStatus.READY,
