--- a/loadbalancer/proxy/attempts.py
+++ b/loadbalancer/proxy/attempts.py
@@ -88,7 +88,7 @@
         pool = self._connection_pool(action.endpoint_id)
         if pending.exchange is not None or pool is None or not pool.accepts_requests:
             pending.exclude_attempt()
-            self._report_not_sent(action, number, request_complete=False, counts=False)
+            self._report_not_sent(action, number, request_complete=False, counts_as_attempt=False)
             return
         attempt = AttemptInFlight(
             attempts=self,
@@ -125,8 +125,8 @@
         pending = attempt.pending_request
         was_written = pending.exchange is not None and pending.exchange.request_written
         pending.clear_exchange()
-        counts = result is not AttemptResult.NOT_SENT
-        if not counts:
+        counts_as_attempt = result is not AttemptResult.NOT_SENT
+        if not counts_as_attempt:
             pending.exclude_attempt()
         load_report = None
         if response is not None:
@@ -145,13 +145,13 @@
                 elapsed_ns=elapsed_ns,
                 request_complete=pending.finished,
                 load_report=load_report,
-                counts_as_attempt=counts,
+                counts_as_attempt=counts_as_attempt,
                 was_written=was_written,
             )
         )
 
     def _report_not_sent(
-        self, action: Forward, number: int, *, request_complete: bool, counts: bool = True
+        self, action: Forward, number: int, *, request_complete: bool, counts_as_attempt: bool = True
     ) -> None:
         self._on_ended(
             AttemptEnded(
@@ -161,7 +161,7 @@
                 result=AttemptResult.NOT_SENT,
                 elapsed_ns=0,
                 request_complete=request_complete,
-                counts_as_attempt=counts,
+                counts_as_attempt=counts_as_attempt,
             )
         )
 
