--- a/loadbalancer/proxy/attempts.py
+++ b/loadbalancer/proxy/attempts.py
@@ -183,7 +183,7 @@
             pool=pool,
             serialize=self.serialize,
             on_ended=self.on_exchange_ended,
-            is_still_needed=self.is_still_needed,
+            check_still_needed=self.check_still_needed,
             quarantine_s=QUARANTINE_S,
         )
         self.pending_request.set_exchange(exchange)
@@ -197,7 +197,7 @@
         headers.append((FORWARDED_DEADLINE_MS_HEADER, b"%d" % max(MIN_FORWARDED_DEADLINE_MS, remaining_ms)))
         return write_request(request.method, request.target, headers, request.body)
 
-    def is_still_needed(self) -> bool:
+    def check_still_needed(self) -> bool:
         """Drop the request if its client has disconnected; return whether the request is still pending.
 
         A disconnect is detected even if the event loop has not read it yet, because it arrived in the current
--- a/loadbalancer/proxy/exchange.py
+++ b/loadbalancer/proxy/exchange.py
@@ -26,7 +26,7 @@
         serialize: RequestSerializer,
         on_ended: OnExchangeEnded,
         reserved_connections: int = 0,
-        is_still_needed: Callable[[], bool] = lambda: True,
+        check_still_needed: Callable[[], bool] = lambda: True,
         quarantine_s: float = 0.0,
     ) -> None:
         """Prepare an exchange; `start` begins it.
@@ -37,8 +37,8 @@
                 after the start, and the remaining time in the request must still be right then.
             on_ended: Called once at the end, unless the exchange is abandoned.
             reserved_connections: How many connections of the limit must stay available to other exchanges.
-            is_still_needed: Called before a connection is taken, and again once a new one is established; the
-                exchange does not continue if the result is False. The callback may itself end the exchange.
+            check_still_needed: Called before a connection is taken, and again once a new one is established;
+                the exchange stops if the result is False. The callback itself may end the exchange.
             quarantine_s: How long the connection is not reused after the response.
         """
         self.pool = pool
@@ -49,7 +49,7 @@
         self.response_too_large = False
         """Whether the exchange failed because its response was larger than allowed."""
         self._on_ended = on_ended
-        self._is_still_needed = is_still_needed
+        self._check_still_needed = check_still_needed
         self._connection: EndpointConnection | None = None
         self._connecting: EndpointConnection | None = None
         self._connect_task: asyncio.Task[None] | None = None
@@ -71,7 +71,7 @@
         Args:
             deadline_s: When the exchange times out, on the event loop's clock; None for never.
         """
-        if not self._is_still_needed():
+        if not self._check_still_needed():
             return
         if deadline_s is not None:
             self._set_timeout(deadline_s)
@@ -106,7 +106,7 @@
             return
         self._connect_task = None
         self._connecting = None
-        if self._is_still_needed():  # the client may have disconnected meanwhile
+        if self._check_still_needed():  # the client may have disconnected meanwhile
             self._send_on(connection)
         else:
             connection.close()
