--- a/loadbalancer/proxy/exchange.py
+++ b/loadbalancer/proxy/exchange.py
@@ -25,7 +25,7 @@
         pool: ConnectionPool,
         serialize: RequestSerializer,
         on_ended: OnExchangeEnded,
-        reserved_connections: int = 0,
+        reserved_for_others: int = 0,
         check_still_needed: Callable[[], bool] = lambda: True,
         quarantine_s: float = 0.0,
     ) -> None:
@@ -36,13 +36,13 @@
             serialize: Serializes the request when it is written. That may be as late as the connect timeout
                 after the start, and the remaining time in the request must still be right then.
             on_ended: Called once at the end, unless the exchange is abandoned.
-            reserved_connections: How many connections of the limit must stay available to other exchanges.
+            reserved_for_others: How many connections of the limit must stay available to other exchanges.
             check_still_needed: Called before a connection is taken, and again once a new one is established;
                 the exchange stops if the result is False. The callback itself may end the exchange.
             quarantine_s: How long the connection is not reused after the response.
         """
         self.pool = pool
-        self.reserved_connections = reserved_connections
+        self.reserved_for_others = reserved_for_others
         self.quarantine_s = quarantine_s
         self.serialize = serialize
         self.finished = False
@@ -80,7 +80,7 @@
             self._send_on(connection)
             return
         # Reserved before it is established, so that other exchanges of this event loop turn count it.
-        connection = self.pool.reserve_connection(self.reserved_connections)
+        connection = self.pool.reserve_connection(self.reserved_for_others)
         if connection is not None:
             self._connect(connection)
         else:
@@ -155,7 +155,7 @@
     data: bytes,
     timeout_s: float | None,
     on_ended: OnExchangeEnded,
-    reserved_connections: int = 0,
+    reserved_for_others: int = 0,
 ) -> Exchange:
     """Start an exchange whose request contains no remaining time, and can be serialized in advance.
 
@@ -164,9 +164,9 @@
         data: The serialized request.
         timeout_s: Time after which the exchange times out; None for never.
         on_ended: Called at the end, see `Exchange`.
-        reserved_connections: How many connections of the limit must stay available to other exchanges.
+        reserved_for_others: How many connections of the limit must stay available to other exchanges.
     """
-    exchange = Exchange(pool, lambda: data, on_ended, reserved_connections)
+    exchange = Exchange(pool, lambda: data, on_ended, reserved_for_others)
     deadline_s = None if timeout_s is None else asyncio.get_running_loop().time() + timeout_s
     exchange.start(deadline_s)
     return exchange
--- a/loadbalancer/proxy/health_checks.py
+++ b/loadbalancer/proxy/health_checks.py
@@ -60,7 +60,7 @@
             data=write_request(b"GET", self._path, [(b"Host", f"{host}:{port}".encode())]),
             timeout_s=HEALTH_CHECK_TIMEOUT_S,
             on_ended=check.on_exchange_ended,
-            reserved_connections=pool.limits.max_connections // ATTEMPT_CONNECTIONS_DIVISOR,
+            reserved_for_others=pool.limits.max_connections // ATTEMPT_CONNECTIONS_DIVISOR,
         )
 
     def _on_check_ended(self, ended: HealthCheckEnded) -> None:
