--- a/loadbalancer/proxy/proxy.py
+++ b/loadbalancer/proxy/proxy.py
@@ -156,7 +156,7 @@
         deadline_s = self._loop.time() + timeout_s
         self._draining = True
         self.downstream.start_draining()
-        if not await shutdown.wait_until_drained(self._is_drained, deadline_s):
+        if not await shutdown.wait_until_drained(self._continue_draining, deadline_s):
             log.warning(
                 "%s: graceful shutdown: timeout after %.2f s, failing %d pending requests",
                 self.config.name,
@@ -166,7 +166,7 @@
         self.close()
         await asyncio.sleep(0)  # transports complete their close in the next event loop turn
 
-    def _is_drained(self) -> bool:
+    def _continue_draining(self) -> bool:
         """Take the next step of the graceful shutdown.
 
         Returns:
--- a/loadbalancer/proxy/shutdown.py
+++ b/loadbalancer/proxy/shutdown.py
@@ -34,12 +34,12 @@
     return min(longest_s, MAX_CLIENT_TIMEOUT_S) + KILL_GRACE_PERIOD_S - FINAL_RESPONSES_S
 
 
-async def wait_until_drained(is_drained: Callable[[], bool], deadline_s: float) -> bool:
+async def wait_until_drained(continue_draining: Callable[[], bool], deadline_s: float) -> bool:
     """Wait until all requests have their responses.
 
     Args:
-        is_drained: Takes the next step of the shutdown, and returns whether all responses are sent; called
-            repeatedly after `LATE_CONNECTIONS_S`.
+        continue_draining: Takes the next step of the shutdown, and returns whether all responses are sent;
+            called repeatedly after `LATE_CONNECTIONS_S`.
         deadline_s: When to stop waiting, on the event loop's clock.
 
     Returns:
@@ -47,7 +47,7 @@
     """
     loop = asyncio.get_running_loop()
     await asyncio.sleep(LATE_CONNECTIONS_S)
-    while not is_drained():
+    while not continue_draining():
         if loop.time() >= deadline_s:
             return False
         await asyncio.sleep(DRAINED_CHECK_INTERVAL_S)
