--- a/loadbalancer/proxy/endpoint_list_parser.py
+++ b/loadbalancer/proxy/endpoint_list_parser.py
@@ -206,7 +206,7 @@
             if endpoint_id is not None:
                 self._list.add_unreadable(endpoint_id)
             return
-        endpoint_id = self._endpoint_id(host, attributes.status)
+        endpoint_id = self._find_or_assign_id(host, attributes.status)
         if endpoint_id is not None:
             attributes = self._attributes.setdefault(attributes, attributes)
             self._list.append(endpoint_id, attributes, address)
@@ -253,7 +253,7 @@
             return 0
         return min(started_ms * NANOSECONDS_PER_MILLISECOND - self._clock_offset_ns, time.monotonic_ns())
 
-    def _endpoint_id(self, host: str, status: EndpointStatus) -> int | None:
+    def _find_or_assign_id(self, host: str, status: EndpointStatus) -> int | None:
         """Return a host's id, newly assigned if the host has none.
 
         A removal assigns no id: None if the removed host has none. Another host may have its preferred id,
