--- a/loadbalancer/proxy/client_connection.py
+++ b/loadbalancer/proxy/client_connection.py
@@ -66,7 +66,7 @@
         self._owner = owner
         self._handler = handler
         self._reader = MessageReader()
-        self._current: Message | None = None
+        self._current_request: Message | None = None
         self._ended = False
         self._discarded_bytes = 0
         self._transport: asyncio.Transport | None = None
@@ -74,7 +74,7 @@
     @property
     def busy(self) -> bool:
         """Whether a request of this client is being handled."""
-        return self._current is not None
+        return self._current_request is not None
 
     @property
     def has_disconnected(self) -> bool:
@@ -151,7 +151,7 @@
     # -- requests and responses --
 
     def _handle(self, request: Message, received_ns: int) -> None:
-        self._current = request
+        self._current_request = request
         self._owner.mark_busy(self)
         path = request.target.partition(b"?")[0]
         if path == READY_PATH:
@@ -161,10 +161,10 @@
 
     def respond(self, status: int, headers: Headers = (), body: bytes | bytearray = b"") -> None:
         """Send the final response to the current request, if there still is one."""
-        if self._current is None or self._transport is None:
+        if self._current_request is None or self._transport is None:
             return
-        close = not self._current.keep_alive or self._owner.draining or self._owner.nearly_full
-        self._current = None
+        close = not self._current_request.keep_alive or self._owner.draining or self._owner.nearly_full
+        self._current_request = None
         self._transport.write(write_response(status, headers, body, close=close))
         if close:
             self.close()
@@ -179,7 +179,7 @@
     def _abandon_request(self) -> None:
         """Notify the handler that the client no longer waits for the current request."""
         if self.busy:
-            self._current = None
+            self._current_request = None
             self._handler.handle_disconnect(self)
 
     # -- close --
