--- a/loadbalancer/proxy/components.py
+++ b/loadbalancer/proxy/components.py
@@ -18,7 +18,7 @@
 RESERVED_DESCRIPTORS = 32
 
 # Lower bound of the connection limits for clients and for endpoints, however few file descriptors there are.
-MIN_CONNECTION_LIMIT = 8
+MIN_CONNECTIONS = 8
 
 # Added to the seed for the random generator of discovery's backoff. The policy's generator is separate, and
 # uses the seed itself.
@@ -27,7 +27,7 @@
 
 def max_connections(max_sockets: int) -> int:
     """Return the limit on open connections to clients, which is also the limit on those to endpoints."""
-    return max(MIN_CONNECTION_LIMIT, (max_sockets - RESERVED_DESCRIPTORS) // 2)
+    return max(MIN_CONNECTIONS, (max_sockets - RESERVED_DESCRIPTORS) // 2)
 
 
 def make_connection_limits(config: Configuration) -> ConnectionLimits:
