--- a/loadbalancer/proxy/downstream.py
+++ b/loadbalancer/proxy/downstream.py
@@ -265,7 +265,7 @@
             self._socket.close()
             self._socket = None
 
-    def close(self) -> None:
+    def close_all(self) -> None:
         """Stop listening and close all connections, when the process ends."""
         self.stop_listening()
         if self._timeout_timer is not None:
--- a/loadbalancer/proxy/proxy.py
+++ b/loadbalancer/proxy/proxy.py
@@ -184,7 +184,7 @@
             self._sweep_timer.cancel()
         self.addresses.close_all_idle_connections()
         self._gossip.close()
-        self.downstream.close()
+        self.downstream.close_all()
 
     # -- events and actions --
 
