--- a/tests/proxy/test_attempts.py
+++ b/tests/proxy/test_attempts.py
@@ -50,14 +50,14 @@
 async def test_timed_out_attempt_closes_its_connection_and_drops_late_response() -> None:
     release = asyncio.Event()
 
-    async def late(_received: ReceivedMessage, writer: asyncio.StreamWriter) -> None:
+    async def respond_late(_received: ReceivedMessage, writer: asyncio.StreamWriter) -> None:
         if len(endpoint.requests) == 1:
             await release.wait()
             writer.write(b"HTTP/1.1 200 X\r\nContent-Length: 4\r\n\r\nlate")
         else:
             writer.write(b"HTTP/1.1 200 X\r\nContent-Length: 5\r\n\r\nfresh")
 
-    endpoint = await FakeEndpoint(late).start()
+    endpoint = await FakeEndpoint(respond_late).start()
     policy = ScriptedPolicy()
 
     def retry(event: Event) -> Iterable[Action]:
@@ -81,12 +81,12 @@
     with socket.create_server((HOST, 0)) as listener:
         listener.setblocking(False)
         accepted: list[socket.socket] = []
-        ended: list[bytes] = []
+        received_at_end: list[bytes] = []
         policy = ScriptedPolicy()
 
         def check_closed(event: Event) -> Iterable[Action]:
             if isinstance(event, AttemptEnded) and event.result is AttemptResult.TIMEOUT:
-                ended.append(accepted[0].recv(65536))  # empty if the connection is closed
+                received_at_end.append(accepted[0].recv(65536))  # empty if the connection is closed
                 return [Fail(event.request_id)]
             return ()
 
@@ -97,7 +97,7 @@
             accepted.append((await loop.sock_accept(listener))[0])
             assert (await loop.sock_recv(accepted[0], 65536)).startswith(b"GET /read")
             assert (await client.read()).status == 504
-            assert ended == [b""]
+            assert received_at_end == [b""]
         accepted[0].close()
 
 
@@ -106,7 +106,9 @@
     policy = ScriptedPolicy()
     forward_requests(
         policy,
-        lambda e: [CancelAttempt("1", 0)] if isinstance(e, TimerExpired) else fail_unless_complete(e),
+        lambda incoming: (
+            [CancelAttempt("1", 0)] if isinstance(incoming, TimerExpired) else fail_unless_complete(incoming)
+        ),
     )
     async with running_proxy(policy, endpoint) as client:
         await client.send(request())
@@ -123,9 +125,12 @@
 
     def react(event: Event) -> Iterable[Action]:
         if isinstance(event, RequestArrived):
-            timeout = event.deadline_ns - time.monotonic_ns()
+            remaining_ns = event.deadline_ns - time.monotonic_ns()
             time.sleep(0.02)  # simulates a process that is not scheduled for a while
-            return [Forward(event.request_id, policy.endpoint_ids()[0], timeout), SetTimer(timeout, "end")]
+            return [
+                Forward(event.request_id, policy.endpoint_ids()[0], remaining_ns),
+                SetTimer(remaining_ns, "end"),
+            ]
         if isinstance(event, AttemptEnded) and event.result is AttemptResult.TIMEOUT:
             return [Reject(event.request_id)]
         return ()
@@ -156,8 +161,10 @@
     def forward(event: Event) -> Iterable[Action]:
         if isinstance(event, (RequestArrived, AttemptEnded)) and len(deadlines_ns) < attempts:
             arrival = policy.events_of(RequestArrived)[0]
-            deadline = arrival.deadline_ns + POLICY_DEADLINE_MARGIN_NS - PROXY_DEADLINE_MARGIN_NS
-            deadlines_ns.append(client.proxy._decision_time_ns + timeout_ns if timeout_ns else deadline)
+            proxy_deadline_ns = arrival.deadline_ns + POLICY_DEADLINE_MARGIN_NS - PROXY_DEADLINE_MARGIN_NS
+            deadlines_ns.append(
+                client.proxy._decision_time_ns + timeout_ns if timeout_ns else proxy_deadline_ns
+            )
             endpoints = policy.endpoint_ids()
             return [
                 Forward(
@@ -191,7 +198,7 @@
 
 
 async def test_attempts_that_never_start_do_not_count_towards_the_limit() -> None:
-    # Guards against a hedged attempt, or one at a drained endpoint, that leaves no attempt for a retry.
+    # Guards against unsent attempts, hedged or at a drained endpoint, that leave none for a retry.
     release = asyncio.Event()
 
     async def reset_when_released(_received: ReceivedMessage, writer: asyncio.StreamWriter) -> None:
@@ -215,8 +222,8 @@
 
     policy.react = react
     async with running_proxy(policy, first, drained, second, hedging=True, max_attempts=2) as client:
-        row = entry("s1", drained.port, health="draining")
-        client.proxy.list_applier.on_discovery_result(read_live_list(list_json(2, row)))
+        draining_entry = entry("s1", drained.port, health="draining")
+        client.proxy.list_applier.on_discovery_result(read_live_list(list_json(2, draining_entry)))
         await client.send(request())
         await wait_until(lambda: first.requests)
         client.proxy.dispatch(TimerExpired("overdue"))
@@ -236,11 +243,11 @@
     policy = RecordingPolicy(Balancer(proxy_settings(max_attempts=2), 1, time.monotonic_ns()))
     async with running_proxy(policy, unreachable, max_attempts=2) as client:
         response = await client.exchange(request("/pay", deadline_ms=300, method="POST", body=b"1"))
-        ends = [
+        attempts_ended = [
             event for batch in policy.batches for event in batch.events if isinstance(event, AttemptEnded)
         ]
     assert response.status == 503
-    assert [(ended.result, ended.was_written) for ended in ends] == [(AttemptResult.TIMEOUT, False)]
+    assert [(ended.result, ended.was_written) for ended in attempts_ended] == [(AttemptResult.TIMEOUT, False)]
 
 
 async def test_partially_sent_request_is_not_completed_after_a_disconnect(
--- a/tests/proxy/test_client_connection.py
+++ b/tests/proxy/test_client_connection.py
@@ -105,18 +105,18 @@
 
 
 @pytest.mark.parametrize("sent_separately", [False, True])
-@pytest.mark.parametrize("more", [request(), request() * 300, request()[:20], b"nonsense\r\n\r\n"])
+@pytest.mark.parametrize("pipelined", [request(), request() * 300, request()[:20], b"nonsense\r\n\r\n"])
 async def test_pipelined_request_is_rejected_and_ends_the_connection(
-    more: bytes, sent_separately: bool
+    pipelined: bytes, sent_separately: bool
 ) -> None:
     policy = ScriptedPolicy()
     async with running_proxy(policy) as client:
         if sent_separately:
             await client.send(request())
             await wait_until(lambda: policy.events_of(RequestArrived))
-            await client.send(more)
+            await client.send(pipelined)
         else:
-            await client.send(request() + more)
+            await client.send(request() + pipelined)
         assert (await client.read()).status == 400
         assert await client.is_closed_by_proxy()
         assert len(policy.events_of(RequestArrived)) == int(sent_separately)
@@ -135,8 +135,8 @@
     policy = ScriptedPolicy(fail_all)
     async with running_proxy(policy) as client:
         data = request("/pay", method="POST", body=b"abc")
-        for i in range(len(data) - 1):
-            await client.send(data[i : i + 1])
+        for index in range(len(data) - 1):
+            await client.send(data[index : index + 1])
         await asyncio.sleep(0)
         assert not policy.events_of(RequestArrived)
         assert (await client.exchange(data[-1:])).status == 504
--- a/tests/proxy/test_client_disconnect.py
+++ b/tests/proxy/test_client_disconnect.py
@@ -60,7 +60,7 @@
 # Longer than a full garbage collection on a busy machine: the request has to arrive before the timeout.
 ATTEMPT_TIMEOUT_NS = 250 * NANOSECONDS_PER_MILLISECOND
 
-# The responses with which an attempt fails, by its result.
+# The responders that make an attempt fail, by its result.
 FAILURE_RESPONDERS: dict[str, Responder] = {
     "rejected": respond_with(503, b"", "Srv-Declined: 1"),
     "error": respond_with(500),
@@ -292,7 +292,7 @@
     policy = DisconnectInjector(script, when, request_id="2", attempt=1)
     policy.watch_connections(monkeypatch, endpoint, other)
     async with running_proxy(policy, endpoint, other) as client:
-        # Its connection stays open for later attempts.
+        # Leaves an idle connection for later attempts.
         assert (await client.exchange(request("/read/first"))).status == 200
         if failure == "refused":
             endpoint.stop()
@@ -360,9 +360,9 @@
         all_received.set()
         await wait_until(lambda: len(policy.events_of(AttemptEnded)) == 6)  # leaves six idle connections
         policy.react = lambda _event: ()
-        for i, sock in enumerate(socks):
-            sock.send(request(f"/read/{i}"))
-            await wait_until(lambda i=i: len(policy.events_of(RequestArrived)) == 7 + i)  # type: ignore[misc]
+        for index, sock in enumerate(socks):
+            sock.send(request(f"/read/{index}"))
+            await wait_until(lambda index=index: len(policy.events_of(RequestArrived)) == 7 + index)  # type: ignore[misc]
 
         def react(event: Event) -> Iterable[Action]:
             if not isinstance(event, TimerExpired):
@@ -467,5 +467,5 @@
         await assert_only_later_request_is_forwarded(endpoint, client, script, received_before=1)
         assert forwarded(endpoint) == ["/read/abandoned", "/read/later"]
         assert not other.requests
-        # The attempt in flight was cancelled.
+        # The attempt in flight has been cancelled.
         await wait_until(lambda: endpoint.closed_connections)
--- a/tests/proxy/test_discovery_handover.py
+++ b/tests/proxy/test_discovery_handover.py
@@ -29,10 +29,10 @@
 def last_full_list(script: ScriptedPolicy) -> list[int]:
     """Return the ids of the endpoints in the last complete list that was reported to the policy."""
     return [
-        u.id
-        for u in [e for e in script.events_of(EndpointUpdate) if e.kind is EndpointUpdateKind.FULL][
-            -1
-        ].endpoints
+        endpoint.id
+        for endpoint in [
+            update for update in script.events_of(EndpointUpdate) if update.kind is EndpointUpdateKind.FULL
+        ][-1].endpoints
     ]
 
 
@@ -93,7 +93,7 @@
 
 async def test_the_last_of_several_handovers_wins_even_back_to_the_first() -> None:
     old, script = FakeDiscovery(), ScriptedPolicy()
-    new = [await start_discovery(f"s{i}") for i in (7, 8)]
+    new = [await start_discovery(f"s{number}") for number in (7, 8)]
     async with running_proxy(script, discovery=old, initial_list=list_of_ports(5)) as client:
         await wait_until(lambda: old.calls)
         addresses = [(HOST, service.server.port) for service in (*new, old)]
@@ -112,7 +112,7 @@
 
 
 def respond_in_turn(discovery: FakeDiscovery, call_duration_s: float) -> None:
-    """Make calls take this time each, one after the other, even those whose caller has disconnected."""
+    """Serve calls one after the other, for this time each, even if their caller has disconnected."""
     lock, respond_normally = asyncio.Lock(), discovery.server.respond
 
     async def respond(received: ReceivedMessage, writer: Writer) -> None:
@@ -148,11 +148,11 @@
 def timer_driven_policy() -> ScriptedPolicy:
     """Return a policy that watches or fetches the list when the timer of that name expires."""
     steps: dict[str, Action] = {"watch": WatchEndpoints(True), "fetch": FetchEndpoints()}
-    return ScriptedPolicy(lambda e: [steps[e.name]] if isinstance(e, TimerExpired) else ())
+    return ScriptedPolicy(lambda event: [steps[event.name]] if isinstance(event, TimerExpired) else ())
 
 
 def failed_updates(script: ScriptedPolicy) -> int:
-    return sum(e.kind is EndpointUpdateKind.FAILED for e in script.events_of(EndpointUpdate))
+    return sum(update.kind is EndpointUpdateKind.FAILED for update in script.events_of(EndpointUpdate))
 
 
 async def close_old_address_in_handover(
@@ -167,11 +167,11 @@
     old.server.stop()
     old.change("s1")
     await wait_until(lambda: client.proxy.discovery_client._watch_call is None)
-    assert failed_updates(script) == 1  # of the watch call that has ended
+    assert failed_updates(script) == 1  # for the watch call that has ended
 
 
 async def test_calls_deferred_by_a_closed_old_address_end_with_the_new_list() -> None:
-    # Failures of the old address are not reported to the policy, and it is not called again.
+    # Failures of the old address are not reported to the policy, and that address is not called again.
     old, script = FakeDiscovery(), timer_driven_policy()
     new = await start_discovery("s9")
     release = hold_first_list(new)
@@ -227,7 +227,7 @@
         client.proxy.dispatch(TimerExpired(timer_name))
         await wait_until(lambda: client.proxy.discovery_client._target.refuses_connections)
         client.proxy.discovery_client.hand_over_to((HOST, old.server.port))
-        await wait_until(lambda: failed_updates(script) >= 2)  # still closed, but called
+        await wait_until(lambda: failed_updates(script) >= 2)  # the old address is called, and still refuses
     new.server.stop()
 
 
@@ -246,7 +246,7 @@
         old.change("s0", health="draining")
         await wait_until(lambda: reported_statuses(script)[-1] is EndpointStatus.DRAINING)
         release.set()
-        await wait_until(lambda: len(new.calls) == 2)  # its list is read, and it is called again
+        await wait_until(lambda: len(new.calls) == 2)  # the older list has been read, and is requested again
         assert reported_statuses(script) == [EndpointStatus.READY, EndpointStatus.DRAINING]
         assert not client.proxy.addresses.ready()
         new.entries["s0"]["health"], new.version = "draining", 2
--- a/tests/proxy/test_discovery_outage.py
+++ b/tests/proxy/test_discovery_outage.py
@@ -56,7 +56,7 @@
     balancer, now_ns, times = Balancer(settings(discovery_pushes=False), seed, START), START, []
     due_events: list[tuple[int, Event]] = [(START, EndpointUpdate(EndpointUpdateKind.CACHED))]
     while now_ns < START + until_s * NANOSECONDS_PER_SECOND:
-        now_ns, event = due_events.pop(due_events.index(min(due_events, key=lambda d: d[0])))
+        now_ns, event = due_events.pop(due_events.index(min(due_events, key=lambda due: due[0])))
         for action in balancer.handle(now_ns, [event]):
             if isinstance(action, SetTimer):
                 due_events.append((now_ns + action.delay_ns, TimerExpired(action.name)))
@@ -85,12 +85,12 @@
     # must return the change. The backoff alone once grew to 8 s.
     for seed in range(30):
         times = call_times_s(seed, itertools.chain([(9.0, FAILED)], itertools.cycle(failure_cycle)), 120)[1:]
-        gaps = [b - a for a, b in itertools.pairwise(times)]
+        gaps = [following - previous for previous, following in itertools.pairwise(times)]
         assert len(gaps) > 20
         assert max(gaps) <= CHANGE_DUE_S - CALL_MARGIN_S
 
 
-def test_a_call_that_fails_after_a_watch_timeout_is_retried_soon_once() -> None:
+def test_a_failed_call_after_a_watch_timeout_has_one_short_backoff() -> None:
     # A watch call that may be held for 10 s times out after 11 s; changes that it missed count as notified
     # after 12 s.
     for seed in range(30):
@@ -98,7 +98,7 @@
         first, second, third, *later = call_times_s(seed, call_failures, 40)
         assert second - first == pytest.approx(11.0, abs=0.01)
         assert third - second <= 0.05 + 0.2 + 0.01
-        assert later[0] - third >= 1.0  # not only the watch is lost, discovery is down: normal backoff
+        assert later[0] - third >= 1.0  # discovery is down, not only the watch lost: normal backoff
 
 
 def test_discovery_is_still_called_after_hours_of_failure() -> None:
@@ -107,10 +107,10 @@
 
 
 def test_the_calls_of_many_proxies_stay_spread_during_an_outage() -> None:
-    # All watches end at the same moment. Although the backoff is bounded, the calls must not synchronize, nor
-    # reach a recovered discovery all at once.
+    # All watches end at the same moment. Although the backoff is bounded, later calls must not synchronize
+    # and reach a recovered discovery all at once.
     proxy_count = 200
-    per_second: Counter[int] = Counter()
+    calls_by_second: Counter[int] = Counter()
     for seed in range(proxy_count):
         first_calls_end_s = 10.0  # when all first calls end, whenever each one was made
         first_call_s = call_times_s(seed, itertools.repeat((99.0, FAILED)), 5)[0]
@@ -119,10 +119,10 @@
             itertools.chain([(first_calls_end_s - first_call_s, FAILED)], itertools.repeat((0.0, FAILED))),
             60,
         )
-        per_second.update(int(t) for t in times)
-    late = [per_second[s] for s in range(10, 59)]
-    assert max(late) < 0.45 * proxy_count
-    assert sum(late) / len(late) < 0.3 * proxy_count
+        calls_by_second.update(int(time_s) for time_s in times)
+    calls_per_second = [calls_by_second[at_s] for at_s in range(10, 59)]
+    assert max(calls_per_second) < 0.45 * proxy_count
+    assert sum(calls_per_second) / len(calls_per_second) < 0.3 * proxy_count
 
 
 async def respond_unavailable(_received: ReceivedMessage, writer: Writer) -> None:
@@ -189,7 +189,7 @@
     discovery = FakeDiscovery()
     discovery.server = machine = Machine(discovery.server.respond, refuses)
     policy = Balancer(proxy_settings(polls=polls), 1, time.monotonic_ns())
-    # So that the first call times out too.
+    # Makes the first call time out too.
     monkeypatch.setattr("loadbalancer.proxy.discovery_client.POLL_WAIT_MS", 40)
     async with running_proxy(
         policy, discovery=discovery, initial_list=list_of_ports(5), polls=polls
--- a/tests/proxy/test_discovery_watch.py
+++ b/tests/proxy/test_discovery_watch.py
@@ -48,7 +48,7 @@
         await wait_until(lambda: len(script.events_of(EndpointUpdate)) == 2 and len(discovery.calls) == 2)
         update = script.events_of(EndpointUpdate)[1]
         assert update.kind is EndpointUpdateKind.DELTA
-        assert [u.zone for u in update.endpoints] == ["east"]
+        assert [endpoint.zone for endpoint in update.endpoints] == ["east"]
         assert watching == [True]
         assert discovery.calls[1].target.startswith("/registry/instances?after=2&")
         assert len(client.proxy.addresses.by_id) == 2 == len(client.proxy.addresses.ready())
@@ -80,8 +80,8 @@
 async def test_a_lost_watch_call_is_repeated_without_backoff_in_poll_mode(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    # A drain that such a watch missed soon counts as notified: the backoff after a failed call, 0.5 to 1.5 s,
-    # takes all the time that is left.
+    # The drain that the lost call missed counts as notified soon afterwards. A backoff as after a failed
+    # call, 0.5 to 1.5 s, would take all the time that is left.
     monkeypatch.setattr("loadbalancer.proxy.discovery_client.POLL_WAIT_MS", 20)
     monkeypatch.setattr("loadbalancer.proxy.discovery_call.TIMEOUT_MARGIN_S", 0.02)
     discovery = FakeDiscovery()
@@ -142,7 +142,9 @@
         "fetch": FetchEndpoints(),
     }
     discovery = FakeDiscovery()
-    script = ScriptedPolicy(lambda e: [steps[e.name]] if isinstance(e, TimerExpired) else ())
+    script = ScriptedPolicy(
+        lambda incoming: [steps[incoming.name]] if isinstance(incoming, TimerExpired) else ()
+    )
     async with running_proxy(script, discovery=discovery, initial_list=list_of_ports(5)) as client:
         await wait_until(lambda: discovery.calls)
         client.proxy.dispatch(TimerExpired("off"))
@@ -161,7 +163,7 @@
     discovery = FakeDiscovery()
     discovery.entries = {"s0": entry("s0", 5)}
     release = hold_first_list(discovery)
-    script = ScriptedPolicy(lambda e: [FetchEndpoints()] if isinstance(e, TimerExpired) else ())
+    script = ScriptedPolicy(lambda incoming: [FetchEndpoints()] if isinstance(incoming, TimerExpired) else ())
     async with running_proxy(script, discovery=discovery, initial_list=list_of_ports(5)) as client:
         await wait_until(lambda: discovery.calls)
         client.proxy.dispatch(TimerExpired("fetch"))
--- a/tests/proxy/test_drain_with_queued_requests.py
+++ b/tests/proxy/test_drain_with_queued_requests.py
@@ -81,7 +81,7 @@
 async def remove_by_complete_list_in_slices(
     proxy: Proxy, _unreachable: FakeEndpoint, reachable: FakeEndpoint
 ) -> None:
-    others = [entry(f"other{i}", health="draining") for i in range(3 * SLICE_ENTRIES)]
+    others = [entry(f"other{index}", health="draining") for index in range(3 * SLICE_ENTRIES)]
     apply_list(proxy, entry("s1", reachable.port), *others, whole=True)
     await wait_until(lambda: proxy.list_applier.task is None)
 
@@ -111,7 +111,7 @@
     ],
 )
 async def test_requests_queued_when_an_address_is_lost_are_served(apply_change: ApplyChange) -> None:
-    # Guards against cancelled attempts that are retried there before the policy has the update.
+    # Guards against cancelled attempts that are retried at the lost address before the policy has the update.
     release = asyncio.Event()
 
     async def respond_when_released(_request: ReceivedMessage, writer: Writer) -> None:
--- a/tests/proxy/test_endpoint_connections.py
+++ b/tests/proxy/test_endpoint_connections.py
@@ -51,7 +51,7 @@
 async def test_a_late_second_response_is_not_given_to_the_next_request(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    # So long that the quarantine cannot end during the test on a slow machine.
+    # Keeps the quarantine from ending during the test on a slow machine.
     monkeypatch.setattr("loadbalancer.proxy.attempts.QUARANTINE_S", 60.0)
     writers: list[asyncio.StreamWriter] = []
 
@@ -114,7 +114,7 @@
         pool = next(iter(client.proxy.addresses.pools.values()))
         transport = pool.idle_connections[0]._transport
         assert transport is not None
-        transport.close()  # as after a close by the endpoint; the pool is notified one turn later
+        transport.close()  # as after a close by the endpoint; the pool is notified one event loop turn later
         ended: list[AttemptResult] = []
         start_exchange(
             pool, b"GET /read HTTP/1.1\r\n\r\n", None, lambda result, _response: ended.append(result)
@@ -129,7 +129,7 @@
     "unread", [b"", format_response(200, b"nobody's")], ids=["end of stream", "second response"]
 )
 async def test_an_idle_connection_with_unread_data_is_not_reused(unread: bytes) -> None:
-    # A close or a second response arrives in the turn of the event loop in which the next attempt starts.
+    # A close or a second response arrives in the event loop turn in which the next attempt starts.
     writers: list[asyncio.StreamWriter] = []
 
     async def respond(_received: ReceivedMessage, writer: asyncio.StreamWriter) -> None:
@@ -149,7 +149,7 @@
             os.write(endpoint_socket.fileno(), unread)
         else:
             endpoint_socket.shutdown(socket.SHUT_WR)
-        client.proxy.dispatch(TimerExpired("retry"))  # in the same turn of the event loop
+        client.proxy.dispatch(TimerExpired("retry"))  # in the same event loop turn
         assert (await client.read()).body == b"mine"
         assert endpoint.opened_connections == 2
         assert results(policy) == [AttemptResult.OK] * 2
--- a/tests/proxy/test_endpoint_ids.py
+++ b/tests/proxy/test_endpoint_ids.py
@@ -126,8 +126,8 @@
 async def test_an_id_is_freed_only_after_its_hosts_removal_is_applied() -> None:
     async with running_proxy(ScriptedPolicy(), initial_list=list_of_ports(1, 2)) as client:
         proxy, reader = client.proxy, client.proxy._list_reader
-        many_entries = [entry(f"s{i}", i + 1) for i in range(1, 100)]
-        # Applied in slices.
+        many_entries = [entry(f"s{number}", number + 1) for number in range(1, 100)]
+        # This list is applied in slices.
         proxy.list_applier.on_discovery_result(read_hosts(reader, 2, *many_entries, complete=True))
         assert proxy.list_applier.task is not None
         proxy.list_applier.sweep_ids(SEGMENTS)
@@ -154,7 +154,7 @@
         proxy.list_applier.sweep_ids(SEGMENTS)
         assert len(reader.id_registry) > 50  # the list being read may contain any of them
         abandoned.close()
-        for _ in range(SEGMENTS):  # as every second
+        for _ in range(SEGMENTS):  # as the proxy does each second
             assert proxy._sweep_timer is not None
             proxy._sweep_timer.cancel()
             proxy._sweep_once()
@@ -178,4 +178,4 @@
     # which of them came first.
     assert preferred_id("s-0001320d") % 2**32 == preferred_id("s-0001e3f4") % 2**32
     assert preferred_id("s-0001320d") != preferred_id("s-0001e3f4")
-    assert len({preferred_id(f"s-{i:08x}") for i in range(160_000)}) == 160_000
+    assert len({preferred_id(f"s-{number:08x}") for number in range(160_000)}) == 160_000
--- a/tests/proxy/test_endpoint_list_applier.py
+++ b/tests/proxy/test_endpoint_list_applier.py
@@ -31,7 +31,11 @@
 
 
 def last_statuses(script: ScriptedPolicy) -> dict[int, EndpointStatus]:
-    return {u.id: u.status for update in script.events_of(EndpointUpdate) for u in update.endpoints}
+    return {
+        endpoint.id: endpoint.status
+        for update in script.events_of(EndpointUpdate)
+        for endpoint in update.endpoints
+    }
 
 
 async def test_a_long_list_is_applied_in_slices_between_other_work() -> None:
@@ -41,7 +45,7 @@
         while client.proxy.list_applier.task is not None:
             await asyncio.sleep(0)
             turns += 1
-        assert turns >= 1000 // SLICE_ENTRIES  # turns of the event loop in which requests are served
+        assert turns >= 1000 // SLICE_ENTRIES  # event loop turns in which requests are served
         assert max(len(list(update.endpoints)) for update in later_updates(script)) <= SLICE_ENTRIES
         assert {update.kind for update in later_updates(script)} == {EndpointUpdateKind.DELTA}
         removed = {
@@ -50,7 +54,7 @@
             if status is EndpointStatus.REMOVED
         }
         assert removed == {preferred_id("s0"), preferred_id("s1")}  # s2 is in both lists
-        assert set(client.proxy.addresses.by_id) == {preferred_id(f"s{i}") for i in range(2, 1002)}
+        assert set(client.proxy.addresses.by_id) == {preferred_id(f"s{number}") for number in range(2, 1002)}
         assert not client.proxy.addresses.pools  # no pools where nothing is sent
 
 
@@ -59,7 +63,7 @@
     async with running_proxy(script, initial_list=complete_list(3)) as client:
         proxy = client.proxy
         proxy.list_applier.on_discovery_result(read_live_list(complete_list(500, 2)))
-        # Waits for the first one.
+        # This list waits until the first one is applied.
         proxy.list_applier.on_discovery_result(read_live_list(complete_list(500, 3)))
         delta = {
             "seq": 4,
@@ -69,7 +73,9 @@
         proxy.list_applier.on_discovery_result(read_live_list(delta))  # applied at once
         assert proxy.list_applier.task is not None
         hosts = ("s499", "s498", "new")
-        assert [u.id for u in later_updates(script)[-1].endpoints] == [preferred_id(host) for host in hosts]
+        assert [endpoint.id for endpoint in later_updates(script)[-1].endpoints] == [
+            preferred_id(host) for host in hosts
+        ]
         await wait_until(lambda: proxy.list_applier.task is None)
         assert last_statuses(script)[preferred_id("s499")] is EndpointStatus.DRAINING
         assert last_statuses(script)[preferred_id("s498")] is EndpointStatus.REMOVED
--- a/tests/proxy/test_endpoint_list_parser.py
+++ b/tests/proxy/test_endpoint_list_parser.py
@@ -31,7 +31,7 @@
         },
         EndpointListReader(5),
     )
-    by_port = {e.address[1]: e.endpoint for e in endpoint_list.entries}
+    by_port = {listed.address[1]: listed.endpoint for listed in endpoint_list.entries}
     assert by_port[80]._replace(id=1) == Endpoint(1, EndpointStatus.DRAINING, "west", 3, 0.5, 1_999_995, "m")
     assert by_port[81].started_ns == 0
     assert (endpoint_list.version, endpoint_list.complete) == (7, True)
@@ -54,7 +54,7 @@
 )
 def test_a_bad_entry_does_not_hide_the_others(bad_entry: object) -> None:
     endpoint_list = read_list({"seq": 1, "whole": False, "hosts": [bad_entry, entry("b", 81)]})
-    assert [e.address[1] for e in endpoint_list.entries] == [81]
+    assert [listed.address[1] for listed in endpoint_list.entries] == [81]
 
 
 async def test_an_unreadable_entry_does_not_remove_a_known_endpoint() -> None:
@@ -66,19 +66,23 @@
     async with running_proxy(script, discovery=discovery, initial_list=list_of_ports(1, 2, 3)) as client:
         await wait_until(lambda: len(client.proxy.addresses.ready()) == 2)  # s2 is removed, s0 stays
         assert {port for _, port in client.proxy.addresses.ready().values()} == {1, 2}
-        updates = [u for e in script.events_of(EndpointUpdate)[1:] for u in e.endpoints]
-        assert {u.id for u in updates if u.status is EndpointStatus.REMOVED} == {preferred_id("s2")}
+        updated = [
+            reported for update in script.events_of(EndpointUpdate)[1:] for reported in update.endpoints
+        ]
+        assert {reported.id for reported in updated if reported.status is EndpointStatus.REMOVED} == {
+            preferred_id("s2")
+        }
         # The known state of s0 is unchanged: no update reports it, and its address stays.
-        assert preferred_id("s0") not in {u.id for u in updates}
+        assert preferred_id("s0") not in {reported.id for reported in updated}
         assert client.proxy.addresses.ready()[preferred_id("s0")] == (HOST, 1)
-        assert all(e.kind is EndpointUpdateKind.DELTA for e in script.events_of(EndpointUpdate)[1:])
+        assert all(update.kind is EndpointUpdateKind.DELTA for update in script.events_of(EndpointUpdate)[1:])
     unreadable_list = read_list(
         {"seq": 2, "whole": True, "hosts": [entry("s0", health="odd"), entry("s1", 2)]}
     )
     assert unreadable_list.unreadable == [preferred_id("s0")]
     assert list(unreadable_list.ids) == [preferred_id("s1")]
     removal = read_list({"seq": 3, "whole": False, "hosts": [entry("s0", health="removed", dial="")]})
-    assert [e.endpoint.status for e in removal.entries] == [EndpointStatus.REMOVED]
+    assert [listed.endpoint.status for listed in removal.entries] == [EndpointStatus.REMOVED]
     empty_list = read_list({"seq": 4, "whole": True, "hosts": []})
     assert not list(empty_list.entries)
     assert not empty_list.unreadable
@@ -87,8 +91,8 @@
 
 def test_no_endpoint_starts_in_the_future() -> None:
     future_entry = entry("a", 80, born_ms=4 * 10**12)
-    started = read_list({"seq": 1, "whole": True, "hosts": [future_entry]}).attributes[0][4]
-    assert started <= time.monotonic_ns()
+    converted_ns = read_list({"seq": 1, "whole": True, "hosts": [future_entry]}).attributes[0][4]
+    assert converted_ns <= time.monotonic_ns()
 
 
 @pytest.mark.parametrize(
--- a/tests/proxy/test_endpoint_list_reader.py
+++ b/tests/proxy/test_endpoint_list_reader.py
@@ -12,7 +12,7 @@
 
 import pytest
 from hypothesis import given
-from hypothesis import settings as hyp
+from hypothesis import settings as hypothesis_settings
 from hypothesis import strategies as st
 
 from loadbalancer.configuration_reader import ConfigurationError, read_configuration
@@ -46,8 +46,8 @@
 ENTRIES = st.lists(
     st.one_of(
         st.builds(
-            lambda i, health, zone, extra_members: {
-                **entry(f"s{i}", 1 + i, health=health, site=zone),
+            lambda index, health, zone, extra_members: {
+                **entry(f"s{index}", 1 + index, health=health, site=zone),
                 **extra_members,
             },
             st.integers(0, 99),
@@ -72,7 +72,7 @@
 )
 
 
-@hyp(max_examples=200, deadline=None, derandomize=True)
+@hypothesis_settings(max_examples=200, deadline=None, derandomize=True)
 @given(
     ENTRIES,
     st.integers(1, 60),
@@ -151,7 +151,7 @@
     await proxy.start()
     try:
         await wait_until(lambda: caplog.records)
-        assert [r.getMessage() for r in caplog.records] == [
+        assert [record.getMessage() for record in caplog.records] == [
             f"discovery: endpoint list of over {len(long) - 1} bytes rejected; the current list stays in use"
         ]
         assert len(proxy.addresses.ready()) == 3
@@ -186,12 +186,12 @@
                 WAIT_TIMEOUT_S,
                 lambda result, _response, ended=ended: ended.append(result),  # type: ignore[misc]
             )
-            before = exchange._timeout_timer.when()  # type: ignore[union-attr]
-            seen = len(endpoint.requests)
-            await wait_until(lambda seen=seen: len(endpoint.requests) > seen)  # type: ignore[misc]
+            before_s = exchange._timeout_timer.when()  # type: ignore[union-attr]
+            requests_before = len(endpoint.requests)
+            await wait_until(lambda before=requests_before: len(endpoint.requests) > before)  # type: ignore[misc]
             if rate:
-                await wait_until(lambda e=exchange, b=before: e._timeout_timer.when() > b)  # type: ignore[misc]
-            assert exchange._timeout_timer.when() - before == pytest.approx(extension_s)  # type: ignore[union-attr]
+                await wait_until(lambda call=exchange, start_s=before_s: call._timeout_timer.when() > start_s)  # type: ignore[misc]
+            assert exchange._timeout_timer.when() - before_s == pytest.approx(extension_s)  # type: ignore[union-attr]
             finish_response.set()
             await wait_until(lambda ended=ended: ended == [AttemptResult.OK])  # type: ignore[misc]
             finish_response.clear()
@@ -227,7 +227,7 @@
 async def test_a_start_does_its_work_once_for_each_entry(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    # A restarted process must be ready within 10 s on a small share of a core: its work per entry is counted.
+    # A restarted process must be ready within 10 s on a small share of a core: the work per entry is limited.
     path, count = tmp_path / "config.json", 5000
     path.write_text(json.dumps(CONFIG | {"known": complete_list(count)}))
     call_counts: Counter[str] = Counter()
--- a/tests/proxy/test_faults.py
+++ b/tests/proxy/test_faults.py
@@ -95,7 +95,7 @@
             assert (await client.exchange(request())).status == 200  # idempotent: retried at once
             most_ejected = max(most_ejected, ejections.count())
     assert sum(len(endpoint.requests) for endpoint in endpoints) >= 70  # at least 10 retries after resets
-    assert most_ejected <= 1  # the first reset has no other endpoint's to compare with
+    assert most_ejected <= 1  # at the first reset, no other endpoint has had one to compare with
 
 
 async def test_endpoint_that_alone_resets_connections_is_ejected_at_once() -> None:
--- a/tests/proxy/test_gossip.py
+++ b/tests/proxy/test_gossip.py
@@ -25,7 +25,7 @@
     addresses = [transport.get_extra_info("sockname") for transport, _ in bound]
     for transport, _ in bound:
         transport.close()
-    await asyncio.sleep(0)  # closed transports end in the event loop's next turn
+    await asyncio.sleep(0)  # closed transports end in the next event loop turn
     return addresses
 
 
@@ -58,7 +58,10 @@
         )
     )
     receiver = ScriptedPolicy()
-    proxies = [Proxy(gossip_config(i, addresses), policy) for i, policy in enumerate((sender, receiver))]
+    proxies = [
+        Proxy(gossip_config(position, addresses), policy)
+        for position, policy in enumerate((sender, receiver))
+    ]
     for proxy in proxies:
         await proxy.start()
 
--- a/tests/proxy/test_health_checks.py
+++ b/tests/proxy/test_health_checks.py
@@ -48,9 +48,9 @@
     endpoint = await FakeEndpoint(respond_with_report).start()
     policy = ScriptedPolicy(on_timer(lambda: [CheckHealth(policy.endpoint_ids()[0])]))
     async with running_proxy(policy, endpoint) as client:
-        for i in range(len(responses)):
+        for index in range(len(responses)):
             client.proxy.dispatch(TimerExpired("now"))
-            await wait_until(lambda ended=i + 1: len(policy.events_of(HealthCheckEnded)) == ended)  # type: ignore[misc]
+            await wait_until(lambda ended=index + 1: len(policy.events_of(HealthCheckEnded)) == ended)  # type: ignore[misc]
         policy.react = on_timer(lambda: [CheckHealth(99)])
         client.proxy.dispatch(TimerExpired("now"))
     assert endpoint.requests[0].start_line == "GET /stats HTTP/1.1"
--- a/tests/proxy/test_requests.py
+++ b/tests/proxy/test_requests.py
@@ -92,8 +92,10 @@
 
 async def test_a_rejection_is_sent_at_once_with_retry_after() -> None:
     policy = ScriptedPolicy(
-        lambda e: (
-            [Reject(e.request_id, 437 * NANOSECONDS_PER_MILLISECOND)] if isinstance(e, RequestArrived) else ()
+        lambda incoming: (
+            [Reject(incoming.request_id, 437 * NANOSECONDS_PER_MILLISECOND)]
+            if isinstance(incoming, RequestArrived)
+            else ()
         )
     )
     async with running_proxy(policy) as client:
@@ -194,7 +196,9 @@
 
 async def test_a_timer_expires_under_its_name() -> None:
     policy = ScriptedPolicy(
-        lambda e: [SetTimer(2 * NANOSECONDS_PER_MILLISECOND, "next")] if e == TimerExpired("first") else ()
+        lambda incoming: (
+            [SetTimer(2 * NANOSECONDS_PER_MILLISECOND, "next")] if incoming == TimerExpired("first") else ()
+        )
     )
     async with running_proxy(policy) as client:
         client.proxy.dispatch(TimerExpired("first"))
@@ -209,10 +213,10 @@
 ) -> None:
     writers: list[asyncio.StreamWriter] = []
 
-    async def wait(_received: ReceivedMessage, writer: asyncio.StreamWriter) -> None:
+    async def hold_response(_received: ReceivedMessage, writer: asyncio.StreamWriter) -> None:
         writers.append(writer)
 
-    endpoint = await FakeEndpoint(wait).start()
+    endpoint = await FakeEndpoint(hold_response).start()
     policy = forwarding_policy(fail_unless_complete, timeout_ns=100 * NANOSECONDS_PER_MILLISECOND)
     async with running_proxy(policy, endpoint) as client:
         client_socket = socket.socket()
@@ -227,7 +231,7 @@
                 )
             else:
                 client_socket.shutdown(socket.SHUT_WR)
-        time.sleep(0.15)  # the attempt's timeout expires too: all events are handled in one turn of the loop
+        time.sleep(0.15)  # the attempt's timeout expires too: all events are handled in one event loop turn
         await wait_until(lambda: policy.events_of(AttemptEnded))
         await wait_until(lambda: not client.proxy._pending_requests)
         assert len(policy.events_of(AttemptEnded)) == 1
@@ -235,5 +239,5 @@
         assert len(policy.events_of(ClientDisconnected)) <= 1
         forward_requests(policy)
         endpoint.respond = respond_with(200, b"next")
-        assert (await client.exchange(request())).body == b"next"  # it does not get the late response
+        assert (await client.exchange(request())).body == b"next"  # and not the late response
         client_socket.close()
--- a/tests/proxy/test_shutdown.py
+++ b/tests/proxy/test_shutdown.py
@@ -28,8 +28,8 @@
 from tests.support.waiting import wait_until
 
 
-def fail_all_and_earlier_requests(event: Event) -> Iterable[Action]:
-    """Fail each request that arrives, and all earlier ones when a timer expires."""
+def fail_new_and_first_requests(event: Event) -> Iterable[Action]:
+    """Fail each request that arrives, and the first eight requests when a timer expires."""
     if isinstance(event, TimerExpired):
         return [Fail(str(number)) for number in range(1, 9)]
     return fail_all(event)
@@ -81,7 +81,7 @@
         draining = asyncio.create_task(client.proxy.drain())
         await paused.wait()  # the shutdown has reached the backlog
         monkeypatch.undo()
-        policy.react = fail_all_and_earlier_requests
+        policy.react = fail_new_and_first_requests
         client.proxy.dispatch(TimerExpired("now"))
         for other in (*busy, *late):
             response = await other.read()
@@ -143,7 +143,9 @@
         assert (await connect(idle)).status == 200
         data = request()
         await client.send(data[:-3])
-        await wait_until(lambda: any(c.request_started for c in client.proxy.downstream._connections))
+        await wait_until(
+            lambda: any(connection.request_started for connection in client.proxy.downstream._connections)
+        )
         draining = asyncio.create_task(client.proxy.drain())
         assert await idle.is_closed_by_proxy()  # the shutdown has reached the connections between requests
         await client.send(data[-3:])
--- a/tests/proxy/test_unread_disconnect.py
+++ b/tests/proxy/test_unread_disconnect.py
@@ -162,7 +162,7 @@
 
 
 async def test_disconnect_is_notified_while_an_earlier_response_is_unwritten() -> None:
-    # Guards against a disconnect that is noticed only when the transport has written its last byte.
+    # Guards against a disconnect that is noticed only after the last byte of the earlier response is written.
     endpoint = await FakeEndpoint(respond_with(200)).start()
     policy = forwarding_policy()
     async with (
@@ -215,8 +215,8 @@
         disconnect(sock)
 
         await wait_until(lambda: not throttle.buffer)
-        throttle.on_token_due()  # the timer of that token is far in the future
+        throttle.on_token_due()  # stands in for the token's timer, which is far in the future
         throttle.set_rate(4.0, time.monotonic_ns())
         await client.send(request("/read/stays"))
-        assert (await client.read()).status == 200  # it gets the next token
+        assert (await client.read()).status == 200  # this request gets the next token
         assert targets(endpoint) == ["/read/stays"]
