--- a/loadbalancer/proxy/endpoint_list.py
+++ b/loadbalancer/proxy/endpoint_list.py
@@ -34,7 +34,7 @@
         self.ids = array("Q")
         self.attributes: list[EndpointAttributes] = []
         self.addresses: list[CompactAddress] = []
-        self.unreadable: list[int] = []
+        self.invalid_entry_ids: list[int] = []
         """Ids of endpoints whose entries are invalid; these endpoints keep their earlier state."""
         self.superseded: set[int] = set()
         """Ids in a newer list that was applied before this one; their entries in this list are skipped."""
@@ -48,9 +48,9 @@
         self.attributes.append(attributes)
         self.addresses.append(address)
 
-    def add_unreadable(self, endpoint_id: int) -> None:
+    def add_invalid_entry(self, endpoint_id: int) -> None:
         """Record an endpoint whose entry is invalid."""
-        self.unreadable.append(endpoint_id)
+        self.invalid_entry_ids.append(endpoint_id)
 
     def set_version(self, version: int, *, complete: bool) -> None:
         """Set the version and the completeness, which may follow the entries in the text."""
--- a/loadbalancer/proxy/endpoint_list_applier.py
+++ b/loadbalancer/proxy/endpoint_list_applier.py
@@ -103,7 +103,7 @@
         if not endpoint_list.complete:
             return False
         replaces_many = len(self._addresses) > MAX_REPLACED_AT_ONCE
-        return bool(endpoint_list.unreadable or self._pending or replaces_many)
+        return bool(endpoint_list.invalid_entry_ids or self._pending or replaces_many)
 
     def _apply_at_once(self, endpoint_list: EndpointList) -> None:
         endpoints = list(self._store(endpoint_list, 0, len(endpoint_list)))
@@ -123,7 +123,7 @@
 
     async def _apply_in_slices(self, endpoint_list: EndpointList) -> None:
         unlisted = await self._copy_known_ids() if endpoint_list.complete else set()
-        unlisted.difference_update(endpoint_list.unreadable)
+        unlisted.difference_update(endpoint_list.invalid_entry_ids)
         for first in range(0, len(endpoint_list), SLICE_ENTRIES):
             end = min(first + SLICE_ENTRIES, len(endpoint_list))
             unlisted.difference_update(endpoint_list.ids[first:end])
--- a/loadbalancer/proxy/endpoint_list_parser.py
+++ b/loadbalancer/proxy/endpoint_list_parser.py
@@ -98,9 +98,7 @@
         self._entry_nesting = 0  # depth inside the entry; nested values are skipped
         self._entry_key: object = None
         self._weights: dict[float, float] = {}  # lets equal weights share one object
-        self._attributes: dict[
-            EndpointAttributes, EndpointAttributes
-        ] = {}  # lets equal ones share one object
+        self._attributes: dict[EndpointAttributes, EndpointAttributes] = {}  # likewise for attributes
 
     @property
     def started(self) -> bool:
@@ -204,7 +202,7 @@
             log.warning("discovery: invalid entry of host %.*s: %r", MAX_LOGGED_HOST_CHARACTERS, host, error)
             endpoint_id = self._id_registry.find(preferred_id(host), host_fingerprint(host))
             if endpoint_id is not None:
-                self._list.add_unreadable(endpoint_id)
+                self._list.add_invalid_entry(endpoint_id)
             return
         endpoint_id = self._find_or_assign_id(host, attributes.status)
         if endpoint_id is not None:
--- a/tests/proxy/test_endpoint_ids.py
+++ b/tests/proxy/test_endpoint_ids.py
@@ -60,13 +60,13 @@
     assert list(read_hosts(reader, 2, entry("c"), entry("b", health="draining")).ids) == [9, 8]
     assert list(read_hosts(reader, 3, entry("c"), entry("b"), entry("a"), complete=True).ids) == [9, 8, 7]
     assert list(read_hosts(reader, 4, entry("b", health="removed", dial="")).ids) == [8]
-    assert read_hosts(reader, 5, entry("c", health="odd"), entry("a", dial="h")).unreadable == [
+    assert read_hosts(reader, 5, entry("c", health="odd"), entry("a", dial="h")).invalid_entry_ids == [
         9,
         7,
     ]
     unknown = read_hosts(reader, 6, entry("x", health="removed", dial=""), entry("y", health="odd"))
     assert not list(unknown.ids)
-    assert not unknown.unreadable
+    assert not unknown.invalid_entry_ids
 
 
 @pytest.mark.usefixtures("colliding_ids")
--- a/tests/proxy/test_endpoint_list_parser.py
+++ b/tests/proxy/test_endpoint_list_parser.py
@@ -57,7 +57,7 @@
     assert [listed.address[1] for listed in endpoint_list.entries] == [81]
 
 
-async def test_an_unreadable_entry_does_not_remove_a_known_endpoint() -> None:
+async def test_an_invalid_entry_does_not_remove_a_known_endpoint() -> None:
     discovery, script = FakeDiscovery(), ScriptedPolicy()
     discovery.broken_response = format_response(
         200,
@@ -76,16 +76,16 @@
         assert preferred_id("s0") not in {reported.id for reported in updated}
         assert client.proxy.addresses.ready()[preferred_id("s0")] == (HOST, 1)
         assert all(update.kind is EndpointUpdateKind.DELTA for update in script.events_of(EndpointUpdate)[1:])
-    unreadable_list = read_list(
+    partly_invalid_list = read_list(
         {"seq": 2, "whole": True, "hosts": [entry("s0", health="odd"), entry("s1", 2)]}
     )
-    assert unreadable_list.unreadable == [preferred_id("s0")]
-    assert list(unreadable_list.ids) == [preferred_id("s1")]
+    assert partly_invalid_list.invalid_entry_ids == [preferred_id("s0")]
+    assert list(partly_invalid_list.ids) == [preferred_id("s1")]
     removal = read_list({"seq": 3, "whole": False, "hosts": [entry("s0", health="removed", dial="")]})
     assert [listed.endpoint.status for listed in removal.entries] == [EndpointStatus.REMOVED]
     empty_list = read_list({"seq": 4, "whole": True, "hosts": []})
     assert not list(empty_list.entries)
-    assert not empty_list.unreadable
+    assert not empty_list.invalid_entry_ids
     assert empty_list.complete
 
 
--- a/tests/proxy/test_endpoint_list_reader.py
+++ b/tests/proxy/test_endpoint_list_reader.py
@@ -40,7 +40,7 @@
 
 
 def contents(read: EndpointList) -> object:
-    return read.version, read.complete, list(read.entries), read.unreadable
+    return read.version, read.complete, list(read.entries), read.invalid_entry_ids
 
 
 ENTRIES = st.lists(
@@ -93,8 +93,10 @@
     hosts = [
         item["host"] for item in raw_entries if isinstance(item, dict) and isinstance(item.get("host"), str)
     ]
-    # Each entry that names a host is either read or recorded as unreadable: none hides another.
-    assert sorted([*read_whole.ids, *read_whole.unreadable]) == sorted(preferred_id(name) for name in hosts)
+    # Each entry that names a host is either read or recorded as invalid: none hides another.
+    assert sorted([*read_whole.ids, *read_whole.invalid_entry_ids]) == sorted(
+        preferred_id(name) for name in hosts
+    )
 
 
 @pytest.mark.parametrize(
