--- a/loadbalancer/proxy/discovery_client.py
+++ b/loadbalancer/proxy/discovery_client.py
@@ -185,7 +185,7 @@
         if handover is not None and handover.call_in_flight and handover.target.address == address:
             return  # a second call would only queue behind the first one
         self._abandon_handover()
-        self._target.record_connect_result(refused=False)  # not known before the next call to it
+        self._target.record_connect_result(refused=False)  # not known until the next call
         if address == self._target.address:
             self._resume_calls()
             return
--- a/loadbalancer/proxy/http.py
+++ b/loadbalancer/proxy/http.py
@@ -228,5 +228,5 @@
 
 
 def parse_decimal(text: bytes) -> int | None:
-    """Parse a decimal number in a header; None if it is none or has over `MAX_DECIMAL_DIGITS` digits."""
+    """Parse a decimal number in a header; None if it is invalid or has over `MAX_DECIMAL_DIGITS` digits."""
     return int(text) if text.isdigit() and len(text) <= MAX_DECIMAL_DIGITS else None
--- a/loadbalancer/proxy/proxy.py
+++ b/loadbalancer/proxy/proxy.py
@@ -72,7 +72,7 @@
         self._policy = policy
         self._queued_events: list[Event] = []
         self._dispatching = False
-        self._decision_time_ns = 0  # when the policy was last called; its delays count from then
+        self._decision_time_ns = 0  # when the policy was last called; delays and timeouts count from then
         self._draining = False
         self._ready_at_s = 0.0  # on the event loop's clock
         self._sweep_timer: asyncio.TimerHandle | None = None
