--- a/loadbalancer/proxy/exchange.py
+++ b/loadbalancer/proxy/exchange.py
@@ -62,7 +62,7 @@
 
     @property
     def request_written(self) -> bool:
-        """Whether the request's last byte has been passed to the kernel; only then may the request have run."""
+        """Whether the request's last byte has been passed to the kernel; else the request can't have run."""
         return self._connection is not None and self._connection.request_written
 
     def start(self, deadline_s: float | None) -> None:
