--- a/tests/proxy/test_discovery_outage.py
+++ b/tests/proxy/test_discovery_outage.py
@@ -43,7 +43,7 @@
 CHANGE_DUE_S = 6.0
 CALL_MARGIN_S = 1.0  # part of that time, for the call that returns the change, and as a margin
 
-# The longest time after which a call fails.
+# The longest time after which a call fails, for each kind of failure.
 REFUSED_S, UNAVAILABLE_S, NO_RESPONSE_S = 0.0, 2.0, 3.0
 
 FAILED, TIMED_OUT = EndpointUpdateKind.FAILED, EndpointUpdateKind.WATCH_TIMED_OUT
@@ -130,7 +130,7 @@
 
 
 def shorten_discovery_timeouts(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Shorten all waits except a polled watch call's: a change that waits for such a call is not seen."""
+    """Shorten all waits except a polled watch call's: a change that waits for such a call is missed."""
     for name, value in (
         ("discovery_client.PUSH_WAIT_MS", 40),
         ("discovery_client.RECOVERY_WAIT_MS", 20),
