--- a/tests/policy/test_attempt_timing.py
+++ b/tests/policy/test_attempt_timing.py
@@ -6,7 +6,7 @@
 
 from loadbalancer.policy.attempt_timing import attempt_timeout_ns, expected_duration_ns, overdue_after_ns
 from loadbalancer.policy.latency_model import LatencyModel
-from tests.support.policy_harness import NANOSECONDS_PER_MILLISECOND, READ, START
+from tests.support.policy_harness import NANOSECONDS_PER_MILLISECOND, READ, START_NS
 from tests.support.requests import make_request, make_state
 
 
@@ -20,7 +20,7 @@
 
 
 def test_attempt_times_out_at_the_objective_if_late_has_no_value() -> None:
-    now_ns = START + 100 * NANOSECONDS_PER_MILLISECOND
+    now_ns = START_NS + 100 * NANOSECONDS_PER_MILLISECOND
     assert attempt_timeout_ns(make_request(), now_ns) == 200 * NANOSECONDS_PER_MILLISECOND
     assert attempt_timeout_ns(make_request(), now_ns + READ.latency_objective_ns) == 1
 
@@ -28,7 +28,7 @@
 def test_attempt_has_no_timeout_if_late_has_a_value_or_is_streamed() -> None:
     for changes in ({"late_weight_factor": 0.2}, {"stream": True}):
         request_class = dataclasses.replace(READ, **changes)
-        assert attempt_timeout_ns(make_request(request_class), START) == 0
+        assert attempt_timeout_ns(make_request(request_class), START_NS) == 0
 
 
 def test_attempt_is_overdue_beyond_expectation_and_three_deviations() -> None:
--- a/tests/policy/test_discovery_retry.py
+++ b/tests/policy/test_discovery_retry.py
@@ -7,7 +7,7 @@
 from tests.support.policy_harness import (
     NANOSECONDS_PER_MILLISECOND,
     NANOSECONDS_PER_SECOND,
-    START,
+    START_NS,
     PolicyHarness,
     actions_of_type,
     settings,
@@ -45,10 +45,10 @@
 def test_first_calls_are_spread() -> None:
     delays = set()
     for seed in range(10):
-        balancer = Balancer(settings(discovery_pushes=False), seed, START)
+        balancer = Balancer(settings(discovery_pushes=False), seed, START_NS)
         delays |= {
             a.delay_ns // (50 * NANOSECONDS_PER_MILLISECOND)
-            for a in balancer.handle(START, [])
+            for a in balancer.handle(START_NS, [])
             if isinstance(a, SetTimer)
         }
     assert len(delays) > 5
--- a/tests/policy/test_hedging.py
+++ b/tests/policy/test_hedging.py
@@ -6,7 +6,7 @@
 
 from loadbalancer.policy.hedging import should_hedge
 from loadbalancer.settings import Limits
-from tests.support.policy_harness import NANOSECONDS_PER_MILLISECOND, START
+from tests.support.policy_harness import NANOSECONDS_PER_MILLISECOND, START_NS
 from tests.support.requests import add_attempt, make_request, make_state
 
 
@@ -24,6 +24,6 @@
 ) -> None:
     request = make_request()
     overdue = add_attempt(request, make_state(), expected_ms=50)
-    now_ns = START + after_ms * NANOSECONDS_PER_MILLISECOND
+    now_ns = START_NS + after_ms * NANOSECONDS_PER_MILLISECOND
     limits = Limits(hedging=True, cancellation=cancellation)
     assert should_hedge(request, overdue, queue_length, limits, now_ns) is hedged
--- a/tests/policy/test_queue_admission.py
+++ b/tests/policy/test_queue_admission.py
@@ -5,7 +5,7 @@
 import pytest
 
 from loadbalancer.policy.queue_admission import has_queue_capacity, was_delayed_by_throttle
-from tests.support.policy_harness import NANOSECONDS_PER_MILLISECOND, START
+from tests.support.policy_harness import NANOSECONDS_PER_MILLISECOND, START_NS
 from tests.support.requests import make_request
 
 
@@ -32,4 +32,4 @@
 @pytest.mark.parametrize(("waited_ms", "delayed"), [(0, False), (150, False), (151, True)])
 def test_a_request_is_delayed_by_its_throttle_after_half_its_objective(waited_ms: int, delayed: bool) -> None:
     request = make_request()  # with an objective of 300 ms
-    assert was_delayed_by_throttle(request, START + waited_ms * NANOSECONDS_PER_MILLISECOND) is delayed
+    assert was_delayed_by_throttle(request, START_NS + waited_ms * NANOSECONDS_PER_MILLISECOND) is delayed
--- a/tests/policy/test_queue_deadline.py
+++ b/tests/policy/test_queue_deadline.py
@@ -4,7 +4,7 @@
 
 from loadbalancer.policy.latency_model import LatencyModel
 from loadbalancer.policy.queue_deadline import queue_deadline_ns
-from tests.support.policy_harness import NANOSECONDS_PER_MILLISECOND, READ, START
+from tests.support.policy_harness import NANOSECONDS_PER_MILLISECOND, READ, START_NS
 from tests.support.requests import make_request
 
 
@@ -14,7 +14,7 @@
     model.deviation = deviation
     hint_ns = expected_ms * NANOSECONDS_PER_MILLISECOND  # the expected duration while there are no samples
     request = make_request(deadline_ms=deadline_ms, cost_hint_ns=hint_ns)
-    return (queue_deadline_ns(request, model, START) - START) / NANOSECONDS_PER_MILLISECOND
+    return (queue_deadline_ns(request, model, START_NS) - START_NS) / NANOSECONDS_PER_MILLISECOND
 
 
 def test_queue_deadline_is_the_latest_start_that_meets_the_objective() -> None:
--- a/tests/policy/test_rate_control.py
+++ b/tests/policy/test_rate_control.py
@@ -26,7 +26,7 @@
 from tests.support.policy_harness import (
     NANOSECONDS_PER_MILLISECOND,
     NANOSECONDS_PER_SECOND,
-    START,
+    START_NS,
     PolicyHarness,
     arrival,
     make_endpoints,
@@ -105,8 +105,8 @@
 
 def make_balancer(config: Settings) -> Balancer:
     """Return a balancer with six endpoints."""
-    balancer = Balancer(config, 1, START)
-    balancer.handle(START, [EndpointUpdate(EndpointUpdateKind.FULL, make_endpoints(6))])
+    balancer = Balancer(config, 1, START_NS)
+    balancer.handle(START_NS, [EndpointUpdate(EndpointUpdateKind.FULL, make_endpoints(6))])
     return balancer
 
 
@@ -118,11 +118,11 @@
 def failures_after_timeout(tokens_per_s: float) -> int:
     """Return the failures recorded when a buffered request gets a token and its only attempt times out."""
     balancer = make_balancer(settings(tenants={"ash": Tenant("ash")}, limits=Limits(max_attempts=1)))
-    throttle = balancer.throttles.get_or_create("ash", START)
-    throttle.set_rate(tokens_per_s, START)
+    throttle = balancer.throttles.get_or_create("ash", START_NS)
+    throttle.set_rate(tokens_per_s, START_NS)
     throttle.bank.counter = throttle.bank.buffer_capacity
     throttle.bank.fractional_token = 0.0
-    due_events: list[tuple[int, Event]] = [(START, arrival(1, START))]
+    due_events: list[tuple[int, Event]] = [(START_NS, arrival(1, START_NS))]
     for _ in range(40):
         due_events.sort(key=due_time_ns)
         now_ns, event = due_events.pop(0)
@@ -146,12 +146,12 @@
     """Return whether the rate is decreased when half the attempts fail at endpoints with this load report."""
     balancer = make_balancer(settings())
     for endpoint in balancer.fleet.endpoints.values():
-        endpoint.record_load(load, START)
+        endpoint.record_load(load, START_NS)
     controller = balancer.rate_controller
     controller.interval.successes = 100
     controller.interval.failures.update(dict.fromkeys(balancer.fleet.endpoints, 20))
 
-    balancer.handle(START + FEEDBACK_INTERVAL_NS, [])
+    balancer.handle(START_NS + FEEDBACK_INTERVAL_NS, [])
 
     return controller.rate < 1000
 
--- a/tests/policy/test_retry_eligibility.py
+++ b/tests/policy/test_retry_eligibility.py
@@ -27,7 +27,7 @@
     NEAR,
     PAY,
     READ,
-    START,
+    START_NS,
     PolicyHarness,
     actions_of_type,
     arrival,
@@ -182,12 +182,12 @@
     harness = PolicyHarness(settings(tenants={}))
     harness.give(arrival(1, harness.now_ns, tenant=""))
     harness.finish("r1")
-    balancer = Balancer(Settings(), 1, START)
+    balancer = Balancer(Settings(), 1, START_NS)
     balancer.handle(
-        START,
+        START_NS,
         [
             EndpointUpdate(EndpointUpdateKind.FULL, make_endpoints(2)),
-            RequestArrived("x", "never-named", "nobody", START + NANOSECONDS_PER_SECOND),
+            RequestArrived("x", "never-named", "nobody", START_NS + NANOSECONDS_PER_SECOND),
         ],
     )
 
@@ -220,10 +220,10 @@
     request_class: RequestClass, after_ms: int, retried: bool
 ) -> None:
     request = make_request(request_class)
-    request.queue_deadline_ns = START + 100 * NANOSECONDS_PER_MILLISECOND
+    request.queue_deadline_ns = START_NS + 100 * NANOSECONDS_PER_MILLISECOND
     failed, other = (make_state(endpoint) for endpoint in make_endpoints(2))
     add_attempt(request, failed, AttemptResult.RESET, may_have_run=True)
-    now_ns = START + after_ms * NANOSECONDS_PER_MILLISECOND
+    now_ns = START_NS + after_ms * NANOSECONDS_PER_MILLISECOND
     assert should_retry(request, [other], now_ns, Limits(max_attempts=2)) is retried
     assert not should_retry(request, [], now_ns, Limits(max_attempts=2))
 
@@ -231,11 +231,11 @@
 def test_attempts_never_begun_do_not_count_towards_max_attempts() -> None:
     # Otherwise draining endpoints use up max_attempts, and a request is rejected that others could serve.
     request = make_request(READ)
-    request.queue_deadline_ns = START + 1
+    request.queue_deadline_ns = START_NS + 1
     drained, other = (make_state(endpoint) for endpoint in make_endpoints(2))
     limits = Limits(max_attempts=1)
     for _ in range(UNCOUNTED_ATTEMPTS_MAX):
-        assert should_retry(request, [other], START, limits)
+        assert should_retry(request, [other], START_NS, limits)
         attempt = add_attempt(request, drained)
         attempt.end(AttemptResult.NOT_SENT, may_have_run=False, counts=False)
-    assert not should_retry(request, [other], START, limits)
+    assert not should_retry(request, [other], START_NS, limits)
--- a/tests/policy/test_slow_start.py
+++ b/tests/policy/test_slow_start.py
@@ -27,7 +27,7 @@
 from tests.support.policy_harness import (
     NANOSECONDS_PER_MILLISECOND,
     NANOSECONDS_PER_SECOND,
-    START,
+    START_NS,
     PolicyHarness,
     arrival,
     make_endpoints,
@@ -258,7 +258,7 @@
     harness = PolicyHarness(endpoint_count=0)
     harness.give(
         EndpointUpdate(
-            EndpointUpdateKind.CACHED, make_endpoints(4, started_ns=START - NANOSECONDS_PER_MILLISECOND)
+            EndpointUpdateKind.CACHED, make_endpoints(4, started_ns=START_NS - NANOSECONDS_PER_MILLISECOND)
         )
     )
     for i in range(40):
@@ -276,7 +276,8 @@
         harness = PolicyHarness(settings(proxy_count=proxy_count), endpoint_count=0)
         harness.give(
             EndpointUpdate(
-                EndpointUpdateKind.CACHED, make_endpoints(6, started_ns=START - NANOSECONDS_PER_MILLISECOND)
+                EndpointUpdateKind.CACHED,
+                make_endpoints(6, started_ns=START_NS - NANOSECONDS_PER_MILLISECOND),
             )
         )
         for i in range(100):
--- a/tests/policy/test_subset_size.py
+++ b/tests/policy/test_subset_size.py
@@ -6,13 +6,13 @@
 from loadbalancer.policy.balancer import Balancer
 from loadbalancer.settings import Prices, Settings
 from loadbalancer.state.endpoint_state import EndpointState
-from tests.support.policy_harness import START, make_endpoints, make_mixed_endpoints, settings
+from tests.support.policy_harness import START_NS, make_endpoints, make_mixed_endpoints, settings
 
 
 def default_subset(config: Settings, endpoints: list[Endpoint]) -> list[EndpointState]:
     """Return the subset of the default pool of a proxy with these settings and this list."""
-    balancer = Balancer(config, 1, START)
-    balancer.handle(START, [EndpointUpdate(EndpointUpdateKind.FULL, endpoints)])
+    balancer = Balancer(config, 1, START_NS)
+    balancer.handle(START_NS, [EndpointUpdate(EndpointUpdateKind.FULL, endpoints)])
     pool = balancer.fleet.default_pool
     return pool.endpoints[: pool.subset_size]
 
--- a/tests/policy/test_subsetting.py
+++ b/tests/policy/test_subsetting.py
@@ -29,7 +29,7 @@
     NANOSECONDS_PER_MILLISECOND,
     NANOSECONDS_PER_SECOND,
     READ,
-    START,
+    START_NS,
     PolicyHarness,
     arrival,
     settings,
@@ -132,15 +132,15 @@
 ) -> None:
     # The result must not depend on the order of full lists, deltas, drains, returns and repeated entries.
     config = replace(proxy_settings(40, zone_aware), zones=ZONES[:3])
-    balancer = Balancer(config, 1, START)
+    balancer = Balancer(config, 1, START_NS)
     last_entries: dict[int, Endpoint] = {}
     for is_complete, entries in updates:
         kind = EndpointUpdateKind.FULL if is_complete else EndpointUpdateKind.DELTA
-        balancer.handle(START, [EndpointUpdate(kind, entries)])
+        balancer.handle(START_NS, [EndpointUpdate(kind, entries)])
         last_entries = ({} if is_complete else last_entries) | {e.id: e for e in entries}
     listed = [e for e in last_entries.values() if e.status is not EndpointStatus.REMOVED]
-    fresh = Balancer(config, 2, START)
-    fresh.handle(START, [EndpointUpdate(EndpointUpdateKind.FULL, sorted(listed, reverse=True))])
+    fresh = Balancer(config, 2, START_NS)
+    fresh.handle(START_NS, [EndpointUpdate(EndpointUpdateKind.FULL, sorted(listed, reverse=True))])
     assert contents(config, balancer.fleet.table) == contents(config, fresh.fleet.table)
     orders = [[[s.id for s in pool.endpoints] for pool in b.fleet.pools.values()] for b in (balancer, fresh)]
     assert orders[0] == orders[1]
@@ -209,7 +209,7 @@
 def cost_of_updates(monkeypatch: pytest.MonkeyPatch, count: int) -> tuple[Counter[str], Balancer]:
     """Count hashes and ring keys for 40 updates of one endpoint each, in a list of this length."""
     endpoints = endpoints_in_all_zones(count)
-    now_ns = START
+    now_ns = START_NS
     balancer = Balancer(proxy_settings(8800, index=5), 1, now_ns)
     balancer.handle(now_ns, [EndpointUpdate(EndpointUpdateKind.FULL, endpoints)])
     counts: Counter[str] = Counter()
@@ -256,15 +256,15 @@
 
 def test_an_equal_full_list_rebuilds_nothing(monkeypatch: pytest.MonkeyPatch) -> None:
     endpoints = endpoints_in_all_zones(5000)
-    balancer = Balancer(proxy_settings(8800), 1, START)
-    balancer.handle(START, [EndpointUpdate(EndpointUpdateKind.FULL, endpoints)])
+    balancer = Balancer(proxy_settings(8800), 1, START_NS)
+    balancer.handle(START_NS, [EndpointUpdate(EndpointUpdateKind.FULL, endpoints)])
     attributes = dict(balancer.fleet.table.attributes)
     states = dict(balancer.fleet.endpoints)
     # Any change of a ring calls the hash, which would fail now.
     monkeypatch.setattr(placement, "mix64", None)
     monkeypatch.setattr(hash_ring, "mix64", None)
     update = EndpointUpdate(EndpointUpdateKind.FULL, list(reversed(endpoints)))
-    balancer.handle(START + NANOSECONDS_PER_SECOND, [update])
+    balancer.handle(START_NS + NANOSECONDS_PER_SECOND, [update])
     assert all(balancer.fleet.table.attributes[i] is row for i, row in attributes.items())
     assert balancer.fleet.endpoints == states
 
--- a/tests/policy/test_tenant_throttles.py
+++ b/tests/policy/test_tenant_throttles.py
@@ -11,7 +11,7 @@
 from loadbalancer.policy.rate_control import FEEDBACK_INTERVAL_NS
 from loadbalancer.settings import Tenant
 from loadbalancer.state.token_bank import TokenBank
-from tests.support.policy_harness import START, PolicyHarness, arrival, make_endpoints, settings
+from tests.support.policy_harness import START_NS, PolicyHarness, arrival, make_endpoints, settings
 
 
 def make_tenants(count: int) -> dict[str, Tenant]:
@@ -29,8 +29,8 @@
 
 def measure_cost(count: int, monkeypatch: pytest.MonkeyPatch) -> Cost:
     """Serve 10 seconds of requests from 20 tenants while `count` tenants are configured; return the cost."""
-    balancer = Balancer(settings(tenants=make_tenants(count)), 1, START)
-    now_ns = START
+    balancer = Balancer(settings(tenants=make_tenants(count)), 1, START_NS)
+    now_ns = START_NS
     accruals = 0
     accrue = TokenBank.accrue
 
@@ -76,7 +76,7 @@
 
 def test_an_unknown_tenant_uses_the_throttle_of_the_first_tenant() -> None:
     throttles = PolicyHarness(settings(tenants=make_tenants(3))).balancer.throttles
-    assert throttles.get_or_create("nobody", START) is throttles.get_or_create("t0", START)
+    assert throttles.get_or_create("nobody", START_NS) is throttles.get_or_create("t0", START_NS)
 
 
 def test_the_throttle_of_a_buffered_request_is_not_dropped() -> None:
--- a/tests/proxy/test_discovery_outage.py
+++ b/tests/proxy/test_discovery_outage.py
@@ -35,7 +35,7 @@
 from tests.support.fake_machine import Machine as Machine
 from tests.support.fake_policies import ScriptedPolicy
 from tests.support.http_messages import HOST, ReceivedMessage, format_response, request
-from tests.support.policy_harness import NANOSECONDS_PER_SECOND, START, settings
+from tests.support.policy_harness import NANOSECONDS_PER_SECOND, START_NS, settings
 from tests.support.running_proxy import proxy_settings, running_proxy
 from tests.support.waiting import wait_until
 
@@ -53,15 +53,15 @@
     seed: int, call_failures: Iterator[tuple[float, EndpointUpdateKind]], until_s: float
 ) -> list[float]:
     """Return when the policy calls discovery, if each call fails after this time and in this way."""
-    balancer, now_ns, times = Balancer(settings(discovery_pushes=False), seed, START), START, []
-    due_events: list[tuple[int, Event]] = [(START, EndpointUpdate(EndpointUpdateKind.CACHED))]
-    while now_ns < START + until_s * NANOSECONDS_PER_SECOND:
+    balancer, now_ns, times = Balancer(settings(discovery_pushes=False), seed, START_NS), START_NS, []
+    due_events: list[tuple[int, Event]] = [(START_NS, EndpointUpdate(EndpointUpdateKind.CACHED))]
+    while now_ns < START_NS + until_s * NANOSECONDS_PER_SECOND:
         now_ns, event = due_events.pop(due_events.index(min(due_events, key=lambda d: d[0])))
         for action in balancer.handle(now_ns, [event]):
             if isinstance(action, SetTimer):
                 due_events.append((now_ns + action.delay_ns, TimerExpired(action.name)))
             elif action == WatchEndpoints(True):
-                times.append((now_ns - START) / NANOSECONDS_PER_SECOND)
+                times.append((now_ns - START_NS) / NANOSECONDS_PER_SECOND)
                 duration_s, kind = next(call_failures)
                 due_events.append((now_ns + int(duration_s * NANOSECONDS_PER_SECOND), EndpointUpdate(kind)))
     return times
--- a/tests/support/fleet_model.py
+++ b/tests/support/fleet_model.py
@@ -33,7 +33,7 @@
 )
 from loadbalancer.policy.balancer import Balancer
 from loadbalancer.settings import RequestClass, Settings
-from tests.support.policy_harness import NANOSECONDS_PER_MILLISECOND, NANOSECONDS_PER_SECOND, START
+from tests.support.policy_harness import NANOSECONDS_PER_MILLISECOND, NANOSECONDS_PER_SECOND, START_NS
 from tests.support.simulated_endpoint import SimulatedAttempt, SimulatedEndpoint, WorkArrival
 
 CONNECT_NS = NANOSECONDS_PER_MILLISECOND  # the way to an endpoint over a new connection, or to none
@@ -92,7 +92,7 @@
         client_retries: int = 2,
     ) -> None:
         self.rng = random.Random(seed)
-        self.now_ns = START
+        self.now_ns = START_NS
         self.sequence = 0  # of timers and requests
         self.endpoints = {simulated.endpoint.id: simulated for simulated in endpoints}
         self.settings = settings
--- a/tests/support/policy_harness.py
+++ b/tests/support/policy_harness.py
@@ -31,7 +31,7 @@
 
 NANOSECONDS_PER_MILLISECOND = 1_000_000
 NANOSECONDS_PER_SECOND = 1000 * NANOSECONDS_PER_MILLISECOND
-START = 5 * NANOSECONDS_PER_SECOND
+START_NS = 5 * NANOSECONDS_PER_SECOND
 
 READ = RequestClass("read", Idempotency.IDEMPOTENT, latency_objective_ns=300 * NANOSECONDS_PER_MILLISECOND)
 PAY = RequestClass("pay", Idempotency.NON_IDEMPOTENT, latency_objective_ns=300 * NANOSECONDS_PER_MILLISECOND)
@@ -107,7 +107,7 @@
 
     def __init__(self, config: Settings | None = None, seed: int = 7, endpoint_count: int = 6) -> None:
         self.config = config or settings()
-        self.now_ns = START
+        self.now_ns = START_NS
         self.balancer = Balancer(self.config, seed, self.now_ns)
         self.checker = RuleChecker(self.config)
         self.request_classes = self.checker.request_classes
--- a/tests/support/requests.py
+++ b/tests/support/requests.py
@@ -9,15 +9,17 @@
 from loadbalancer.state.placement import Placement
 from loadbalancer.state.request import Attempt, Request
 from loadbalancer.state.token_bank import TokenBank
-from tests.support.policy_harness import NANOSECONDS_PER_MILLISECOND, READ, START, make_endpoints
+from tests.support.policy_harness import NANOSECONDS_PER_MILLISECOND, READ, START_NS, make_endpoints
 
 
 def make_request(
     request_class: RequestClass = READ, deadline_ms: int = 500, cost_hint_ns: int = 0, request_id: str = "r1"
 ) -> Request:
-    """Return a request that arrives at START, at a pool of its own."""
-    deadline_ns = START + deadline_ms * NANOSECONDS_PER_MILLISECOND
-    bank = TokenBank(rate_per_s=1.0, bank_capacity=1, buffer_capacity=1, fractional_token=0.0, now_ns=START)
+    """Return a request that arrives at START_NS, at a pool of its own."""
+    deadline_ns = START_NS + deadline_ms * NANOSECONDS_PER_MILLISECOND
+    bank = TokenBank(
+        rate_per_s=1.0, bank_capacity=1, buffer_capacity=1, fractional_token=0.0, now_ns=START_NS
+    )
     return Request(
         id=request_id,
         request_class=request_class,
@@ -25,7 +27,7 @@
         tenant="ash",
         token_bank=bank,
         deadline_ns=deadline_ns,
-        objective_ns=min(START + request_class.latency_objective_ns, deadline_ns),
+        objective_ns=min(START_NS + request_class.latency_objective_ns, deadline_ns),
         cost_hint_ns=cost_hint_ns,
     )
 
@@ -43,9 +45,12 @@
     may_have_run: bool = True,
     expected_ms: int = 20,
 ) -> Attempt:
-    """Add an attempt sent at START, in flight or ended with a result."""
+    """Add an attempt sent at START_NS, in flight or ended with a result."""
     attempt = Attempt(
-        endpoint_state=state, sent_ns=START, expected_ns=expected_ms * NANOSECONDS_PER_MILLISECOND, load=1.0
+        endpoint_state=state,
+        sent_ns=START_NS,
+        expected_ns=expected_ms * NANOSECONDS_PER_MILLISECOND,
+        load=1.0,
     )
     if result is not None:
         attempt.end(result, may_have_run=may_have_run)
