--- a/tests/policy/test_attempt_results.py
+++ b/tests/policy/test_attempt_results.py
@@ -17,7 +17,7 @@
     make_endpoints,
     settings,
 )
-from tests.support.rule_checker import FinalAnswer
+from tests.support.rule_checker import RequestOutcome
 
 
 def test_resets_do_not_reduce_the_rate() -> None:
@@ -104,7 +104,7 @@
     harness = harness_with_an_overdue_attempt(True)
     harness.give(EndpointUpdate(EndpointUpdateKind.FULL, make_endpoints(2, first=2)))
     harness.finish("rlost", AttemptResult.CONNECT_FAILED)
-    assert harness.answers["rlost"] is FinalAnswer.REJECTED
+    assert harness.outcomes["rlost"] is RequestOutcome.REJECTED
     assert set(harness.balancer.fleet.endpoints) == {1, 2, 3}
     harness.give(EndpointUpdate(EndpointUpdateKind.FULL, make_endpoints(1, first=2)))
     assert set(harness.balancer.fleet.endpoints) == {2}
--- a/tests/policy/test_load_estimate.py
+++ b/tests/policy/test_load_estimate.py
@@ -14,7 +14,7 @@
     make_endpoints,
     settings,
 )
-from tests.support.rule_checker import FinalAnswer
+from tests.support.rule_checker import RequestOutcome
 
 
 def live_weights_update(weights: list[float]) -> EndpointUpdate:
@@ -37,7 +37,7 @@
     harness = PolicyHarness(settings(weight_source=WeightSource.LIVE), endpoint_count=1)
     harness.give(live_weights_update([1.0]), live_weights_update([0.001]))
     harness.give(arrival(1, harness.now_ns))
-    assert harness.answers["r1"] is FinalAnswer.REJECTED
+    assert harness.outcomes["r1"] is RequestOutcome.REJECTED
     harness.advance(4 * NANOSECONDS_PER_SECOND)
     harness.give(arrival(2, harness.now_ns))
     assert len(harness.attempts["r2"]) == 1
@@ -61,4 +61,4 @@
                 {"inflight": load},
             )
         )
-    assert [harness.answers[f"r{i}"] for i in range(6)] == [FinalAnswer.SERVED] * 6
+    assert [harness.outcomes[f"r{i}"] for i in range(6)] == [RequestOutcome.SERVED] * 6
--- a/tests/policy/test_load_probing.py
+++ b/tests/policy/test_load_probing.py
@@ -11,7 +11,7 @@
     arrival,
     settings,
 )
-from tests.support.rule_checker import FinalAnswer
+from tests.support.rule_checker import RequestOutcome
 
 
 def probing_harness(endpoint_count: int = 6) -> PolicyHarness:
@@ -62,7 +62,7 @@
             for u in probed
         )
     )
-    assert harness.answers["r1"] is FinalAnswer.REJECTED
+    assert harness.outcomes["r1"] is RequestOutcome.REJECTED
 
 
 def test_idle_endpoint_is_never_considered_late() -> None:
--- a/tests/policy/test_queue.py
+++ b/tests/policy/test_queue.py
@@ -13,7 +13,7 @@
     make_endpoints,
     settings,
 )
-from tests.support.rule_checker import FinalAnswer
+from tests.support.rule_checker import RequestOutcome
 
 
 def test_request_in_a_blocked_queue_is_answered() -> None:
@@ -21,7 +21,7 @@
     for i in range(30):
         harness.give(arrival(i, harness.now_ns))
     harness.advance(700 * NANOSECONDS_PER_MILLISECOND)
-    assert len(harness.answers) == 30
+    assert len(harness.outcomes) == 30
 
 
 def test_short_deadline_is_answered_though_the_queue_is_blocked() -> None:
@@ -35,7 +35,7 @@
         harness.timers = [(at - 300, name) for at, name in early]
         harness.advance(30 * NANOSECONDS_PER_MILLISECOND, step_ns=NANOSECONDS_PER_MILLISECOND)
     harness.advance(NANOSECONDS_PER_SECOND)
-    assert len(harness.answers) == 39
+    assert len(harness.outcomes) == 39
 
 
 def test_concurrency_limit_does_not_rise_before_the_first_responses() -> None:
@@ -58,7 +58,7 @@
             if harness.now_ns - harness.attempts[request][number][1] >= 50 * NANOSECONDS_PER_MILLISECOND:
                 harness.finish(request, number=number)
     assert len(harness.balancer.queues[harness.balancer.fleet.default_pool].waiting) < 20
-    assert FinalAnswer.REJECTED in harness.answers.values()
+    assert RequestOutcome.REJECTED in harness.outcomes.values()
 
 
 def test_tenant_over_its_share_is_recognised() -> None:
--- a/tests/policy/test_random_days.py
+++ b/tests/policy/test_random_days.py
@@ -74,7 +74,7 @@
             if rng.random() < 0.4:
                 harness.give(harness.attempt_ended(request, attempt, rng.choice(RESULTS)))
         if rng.random() < 0.1:
-            unanswered = [r for r in harness.request_classes if r not in harness.answers]
+            unanswered = [r for r in harness.request_classes if r not in harness.outcomes]
             if unanswered:
                 harness.give(ClientDisconnected(rng.choice(unanswered)))
         if rng.random() < 0.1:
@@ -89,4 +89,4 @@
             harness.give(EndpointUpdate(EndpointUpdateKind.FAILED))
         harness.advance(rng.choice([0, 1, 10, 50]) * NANOSECONDS_PER_MILLISECOND)
     harness.advance(2 * NANOSECONDS_PER_SECOND)
-    assert set(harness.answers) == set(harness.request_classes)
+    assert set(harness.outcomes) == set(harness.request_classes)
--- a/tests/policy/test_retry_eligibility.py
+++ b/tests/policy/test_retry_eligibility.py
@@ -36,14 +36,14 @@
     settings,
 )
 from tests.support.requests import add_attempt, make_request, make_state
-from tests.support.rule_checker import FinalAnswer
+from tests.support.rule_checker import RequestOutcome
 
 
 def test_served_request_needs_no_other_attempt() -> None:
     harness = PolicyHarness()
     assert len(actions_of_type(Forward, harness.give(arrival(1, harness.now_ns)))) == 1
     assert not actions_of_type(Fail, harness.finish("r1"))
-    assert harness.answers["r1"] is FinalAnswer.SERVED
+    assert harness.outcomes["r1"] is RequestOutcome.SERVED
 
 
 @pytest.mark.parametrize("request_class", [READ, PAY, CELL, ANY])
@@ -51,7 +51,7 @@
     harness = PolicyHarness(endpoint_count=0)
     harness.give(EndpointUpdate(EndpointUpdateKind.CACHED), arrival(1, harness.now_ns, request_class))
     harness.advance(600 * NANOSECONDS_PER_MILLISECOND)
-    assert harness.answers["r1"] is FinalAnswer.REJECTED
+    assert harness.outcomes["r1"] is RequestOutcome.REJECTED
 
 
 def test_request_is_rejected_in_time_when_all_endpoints_drain() -> None:
@@ -64,7 +64,7 @@
     )
     harness.give(arrival(1, harness.now_ns, PAY))
     harness.advance(600 * NANOSECONDS_PER_MILLISECOND)
-    assert harness.answers["r1"] is FinalAnswer.REJECTED
+    assert harness.outcomes["r1"] is RequestOutcome.REJECTED
     assert "r1" not in harness.attempts
 
 
@@ -72,7 +72,7 @@
     harness = PolicyHarness()
     harness.give(arrival(1, harness.now_ns, PAY))
     harness.advance(600 * NANOSECONDS_PER_MILLISECOND)
-    assert harness.answers["r1"] is FinalAnswer.FAILED
+    assert harness.outcomes["r1"] is RequestOutcome.FAILED
     assert len(harness.attempts["r1"]) == 1
 
 
@@ -91,7 +91,7 @@
     harness.give(arrival(1, harness.now_ns, PAY))
     harness.now_ns += NANOSECONDS_PER_MILLISECOND
     harness.finish("r1", result)
-    assert harness.answers["r1"] is FinalAnswer.FAILED
+    assert harness.outcomes["r1"] is RequestOutcome.FAILED
 
 
 @pytest.mark.parametrize("request_class", [NEAR, BIG])
@@ -103,7 +103,7 @@
         harness.give(arrival(i, harness.now_ns, request_class))
         harness.now_ns += 5 * NANOSECONDS_PER_MILLISECOND
         for request, number in harness.attempts_in_flight():
-            if request not in harness.answers:
+            if request not in harness.outcomes:
                 harness.give(
                     harness.attempt_ended(request, number, (AttemptResult.REJECTED, AttemptResult.OK)[i % 2])
                 )
@@ -118,15 +118,15 @@
     assert "rread" in harness.attempts
     assert "rnear" not in harness.attempts
     harness.advance(600 * NANOSECONDS_PER_MILLISECOND)
-    assert harness.answers["rnear"] is FinalAnswer.REJECTED
+    assert harness.outcomes["rnear"] is RequestOutcome.REJECTED
 
 
 @pytest.mark.parametrize(
-    ("request_class", "rejected_may_have_run", "answer"),
-    [(PAY, True, FinalAnswer.FAILED), (CELL, True, None), (PAY, False, None), (READ, True, None)],
+    ("request_class", "rejected_may_have_run", "outcome"),
+    [(PAY, True, RequestOutcome.FAILED), (CELL, True, None), (PAY, False, None), (READ, True, None)],
 )
 def test_rejection_proves_that_nothing_ran_only_where_the_rules_say_so(
-    request_class: RequestClass, rejected_may_have_run: bool, answer: FinalAnswer | None
+    request_class: RequestClass, rejected_may_have_run: bool, outcome: RequestOutcome | None
 ) -> None:
     # Endpoints may also reject requests that they have begun: a retry could take effect a second time.
     rules = Rules(slow_start_ns=4 * NANOSECONDS_PER_SECOND, rejected_may_have_run=rejected_may_have_run)
@@ -134,8 +134,8 @@
     harness.give(arrival(1, harness.now_ns, request_class))
     harness.now_ns += NANOSECONDS_PER_MILLISECOND
     harness.finish("r1", AttemptResult.REJECTED)
-    assert harness.answers.get("r1") == answer
-    assert len(harness.attempts["r1"]) == (1 if answer else 2)
+    assert harness.outcomes.get("r1") == outcome
+    assert len(harness.attempts["r1"]) == (1 if outcome else 2)
 
 
 def test_attempts_are_capped() -> None:
@@ -143,10 +143,10 @@
     harness.give(arrival(1, harness.now_ns, READ))
     for _ in range(3):
         harness.now_ns += NANOSECONDS_PER_MILLISECOND
-        if "r1" not in harness.answers:
+        if "r1" not in harness.outcomes:
             harness.finish("r1", AttemptResult.REJECTED)
     harness.advance(600 * NANOSECONDS_PER_MILLISECOND)
-    assert harness.answers["r1"] is FinalAnswer.REJECTED
+    assert harness.outcomes["r1"] is RequestOutcome.REJECTED
     assert len(harness.attempts["r1"]) <= 3
 
 
@@ -165,7 +165,7 @@
         ClientDisconnected("unknown"),
     )
     harness.advance(600 * NANOSECONDS_PER_MILLISECOND)
-    assert harness.answers["r1"] is FinalAnswer.DISCONNECTED
+    assert harness.outcomes["r1"] is RequestOutcome.DISCONNECTED
 
 
 @pytest.mark.parametrize(("elapsed_ms", "again"), [(140, True), (160, False)])
--- a/tests/policy/test_subsetting.py
+++ b/tests/policy/test_subsetting.py
@@ -316,7 +316,7 @@
         harness.finish(f"r{i}", AttemptResult.RESET)  # the harness checks that a retry stays in the group
         retried += len(harness.attempts[f"r{i}"]) > 1
         harness.now_ns += 5 * NANOSECONDS_PER_MILLISECOND
-        if f"r{i}" not in harness.answers:
+        if f"r{i}" not in harness.outcomes:
             harness.finish(f"r{i}")
     assert retried >= 55
     assert (
--- a/tests/support/policy_harness.py
+++ b/tests/support/policy_harness.py
@@ -111,7 +111,7 @@
         self.balancer = Balancer(self.config, seed, self.now_ns)
         self.checker = RuleChecker(self.config)
         self.request_classes = self.checker.request_classes
-        self.answers = self.checker.answers
+        self.outcomes = self.checker.outcomes
         self.attempts = self.checker.attempts
         self.timers: list[tuple[int, str]] = []  # when each is due, and its name
         self.actions: list[Action] = []  # all so far
--- a/tests/support/rule_checker.py
+++ b/tests/support/rule_checker.py
@@ -30,11 +30,11 @@
 )
 from loadbalancer.settings import DeduplicationScope, Idempotency, RequestClass, Settings
 
-LATE_NS = 20_000_000  # an answer may come so long after its deadline
+LATE_NS = 20_000_000  # a request may end so long after its deadline
 GOSSIP_MAX = 256  # bytes
 
 
-class FinalAnswer(Enum):
+class RequestOutcome(Enum):
     """How a request ended for its client."""
 
     SERVED = auto()
@@ -57,7 +57,7 @@
         self.config = config
         self.request_classes: dict[str, RequestClass] = {}
         self.deadlines: dict[str, int] = {}
-        self.answers: dict[str, FinalAnswer] = {}
+        self.outcomes: dict[str, RequestOutcome] = {}
         self.completed: set[str] = set()  # the balancer has been told that they are over
         self.attempts: dict[str, list[SentAttempt]] = {}
         self.results: dict[tuple[str, int], AttemptResult] = {}  # by request and number of the attempt
@@ -73,8 +73,8 @@
         ]
 
     def is_complete(self, request: str) -> bool:
-        """Tell whether a request has its final answer or its client is gone."""
-        return request in self.answers or request in self.completed
+        """Return whether a request has ended or its client has disconnected."""
+        return request in self.outcomes or request in self.completed
 
     def record_event(self, event: Event) -> None:
         """Book what the balancer is told."""
@@ -85,15 +85,15 @@
             case AttemptEnded() if event.request_id in self.request_classes:
                 self._record_attempt_ended(event)
             case ClientDisconnected():
-                self.answers.setdefault(event.request_id, FinalAnswer.DISCONNECTED)
+                self.outcomes.setdefault(event.request_id, RequestOutcome.DISCONNECTED)
                 self.completed.add(event.request_id)
             case EndpointUpdate():
                 self._record_endpoints(event)
 
     def _record_attempt_ended(self, event: AttemptEnded) -> None:
         self.results[event.request_id, event.attempt] = event.result
-        if event.result is AttemptResult.OK and event.request_id not in self.answers:
-            self.answers[event.request_id] = FinalAnswer.SERVED
+        if event.result is AttemptResult.OK and event.request_id not in self.outcomes:
+            self.outcomes[event.request_id] = RequestOutcome.SERVED
         if event.request_complete:
             self.completed.add(event.request_id)
 
@@ -112,7 +112,7 @@
             case Reject():
                 self._check_reject(action, now_ns)
             case Fail():
-                self._record_answer(action.request_id, FinalAnswer.FAILED, now_ns)
+                self._record_outcome(action.request_id, RequestOutcome.FAILED, now_ns)
             case CancelAttempt():
                 assert limits.cancellation
                 assert action.attempt < len(self.attempts[action.request_id])
@@ -126,10 +126,10 @@
                 assert action.delay_ns > 0
 
     def check_deadlines(self, now_ns: int) -> None:
-        """Check that each request whose deadline has passed has its final answer."""
+        """Check that each request whose deadline has passed has ended."""
         for request, deadline in self.deadlines.items():
             if deadline + LATE_NS < now_ns:
-                assert request in self.answers, f"{request} had no final answer in its time"
+                assert request in self.outcomes, f"{request} has not ended by its deadline"
 
     def _attempts_that_may_have_run(self, request: str) -> list[SentAttempt]:
         proofs = set(NEVER_RAN)
@@ -141,12 +141,12 @@
             if self.results.get((request, number)) not in proofs
         ]
 
-    def _record_answer(self, request: str, answer: FinalAnswer, now_ns: int) -> None:
+    def _record_outcome(self, request: str, outcome: RequestOutcome, now_ns: int) -> None:
         assert request in self.request_classes, f"{request} never arrived"
-        earlier = self.answers.get(request)
-        assert earlier is None, f"{request} answered twice: {earlier}, {answer}"
-        assert now_ns <= self.deadlines[request] + LATE_NS, f"{request} answered late"
-        self.answers[request] = answer
+        earlier = self.outcomes.get(request)
+        assert earlier is None, f"{request} ended twice: {earlier}, {outcome}"
+        assert now_ns <= self.deadlines[request] + LATE_NS, f"{request} ended late"
+        self.outcomes[request] = outcome
 
     def _check_reject(self, action: Reject, now_ns: int) -> None:
         cls = self.request_classes[action.request_id]
@@ -160,7 +160,7 @@
             or not self._attempts_that_may_have_run(action.request_id)
         )
         assert is_harmless, f"{action.request_id} rejected though it may have run"
-        self._record_answer(action.request_id, FinalAnswer.REJECTED, now_ns)
+        self._record_outcome(action.request_id, RequestOutcome.REJECTED, now_ns)
         assert 0 <= action.retry_after_ns <= self.config.limits.max_retry_after_ns
 
     def _check_forward(self, action: Forward, now_ns: int) -> None:
