--- a/tests/policy/test_attempt_results.py
+++ b/tests/policy/test_attempt_results.py
@@ -15,7 +15,7 @@
     PolicyHarness,
     arrival,
     make_endpoints,
-    settings,
+    make_settings,
 )
 from tests.support.rule_checker import RequestOutcome
 
@@ -76,7 +76,7 @@
 
 def harness_with_an_overdue_attempt(later_ones_answered: bool) -> PolicyHarness:
     """Return a harness whose only endpoint never responds to the first attempt; two may be in flight."""
-    harness = PolicyHarness(settings(limits=Limits(cancellation=True)), endpoint_count=1)
+    harness = PolicyHarness(make_settings(limits=Limits(cancellation=True)), endpoint_count=1)
     harness.balancer.concurrency_limit.limit = 2
     harness.give(arrival("lost", harness.now_ns, wait_ns=NANOSECONDS_PER_SECOND))
     for i in range(20):
--- a/tests/policy/test_disconnect.py
+++ b/tests/policy/test_disconnect.py
@@ -14,7 +14,7 @@
 def harness_with_slow_attempt(hedging: bool = True) -> policy_harness.PolicyHarness:
     """Return a harness with an attempt that will be overdue: 20 requests before it took 10 ms each."""
     limits = Limits(max_attempts=4, hedging=hedging, cancellation=True)
-    harness = policy_harness.PolicyHarness(policy_harness.settings(limits=limits))
+    harness = policy_harness.PolicyHarness(policy_harness.make_settings(limits=limits))
     for i in range(20):
         harness.give(policy_harness.arrival(i, harness.now_ns))
         harness.now_ns += 10 * NANOSECONDS_PER_MILLISECOND
--- a/tests/policy/test_discovery_retry.py
+++ b/tests/policy/test_discovery_retry.py
@@ -10,12 +10,12 @@
     START_NS,
     PolicyHarness,
     actions_of_type,
-    settings,
+    make_settings,
 )
 
 
 def test_failed_calls_back_off() -> None:
-    harness = PolicyHarness(settings(discovery_pushes=False))
+    harness = PolicyHarness(make_settings(discovery_pushes=False))
     assert not actions_of_type(WatchEndpoints, harness.actions)
     harness.advance(5 * NANOSECONDS_PER_SECOND)
     assert len(actions_of_type(WatchEndpoints, harness.actions)) == 1
@@ -29,11 +29,11 @@
         gaps.append(harness.now_ns - last)
         last = harness.now_ns
     assert gaps[0] < gaps[2]
-    assert max(gaps) <= harness.config.rules.poll_interval_ns
+    assert max(gaps) <= harness.settings.rules.poll_interval_ns
 
 
 def test_watch_that_timed_out_is_renewed_at_once() -> None:
-    harness = PolicyHarness(settings(discovery_pushes=False))
+    harness = PolicyHarness(make_settings(discovery_pushes=False))
     harness.advance(5 * NANOSECONDS_PER_SECOND)
     for _ in range(3):
         assert WatchEndpoints(True) in harness.give(EndpointUpdate(EndpointUpdateKind.WATCH_TIMED_OUT))
@@ -45,7 +45,7 @@
 def test_first_calls_are_spread() -> None:
     delays = set()
     for seed in range(10):
-        balancer = Balancer(settings(discovery_pushes=False), seed, START_NS)
+        balancer = Balancer(make_settings(discovery_pushes=False), seed, START_NS)
         delays |= {
             a.delay_ns // (50 * NANOSECONDS_PER_MILLISECOND)
             for a in balancer.handle(START_NS, [])
--- a/tests/policy/test_latency_model.py
+++ b/tests/policy/test_latency_model.py
@@ -8,7 +8,7 @@
     START_NS,
     PolicyHarness,
     arrival,
-    settings,
+    make_settings,
 )
 
 
@@ -23,7 +23,7 @@
 
 
 def test_base_latency_is_not_attributed_to_requests_in_flight() -> None:
-    latency_model = Balancer(settings(), 1, START_NS).latency_model
+    latency_model = Balancer(make_settings(), 1, START_NS).latency_model
     for i in range(200):
         load = 1.0 + i % 4
         latency_model.record_latency(
--- a/tests/policy/test_load_estimate.py
+++ b/tests/policy/test_load_estimate.py
@@ -12,7 +12,7 @@
     PolicyHarness,
     arrival,
     make_endpoints,
-    settings,
+    make_settings,
 )
 from tests.support.rule_checker import RequestOutcome
 
@@ -24,7 +24,7 @@
 
 def test_live_weights_show_the_less_loaded_endpoint() -> None:
     # With at most one request in flight, this proxy's own counts cannot distinguish the endpoints.
-    harness = PolicyHarness(settings(weight_source=WeightSource.LIVE), endpoint_count=2)
+    harness = PolicyHarness(make_settings(weight_source=WeightSource.LIVE), endpoint_count=2)
     harness.give(live_weights_update([1.0, 1.0]), live_weights_update([0.1, 0.5]))
     for i in range(12):
         harness.give(arrival(i, harness.now_ns))
@@ -34,7 +34,7 @@
 
 
 def test_old_load_report_is_ignored() -> None:
-    harness = PolicyHarness(settings(weight_source=WeightSource.LIVE), endpoint_count=1)
+    harness = PolicyHarness(make_settings(weight_source=WeightSource.LIVE), endpoint_count=1)
     harness.give(live_weights_update([1.0]), live_weights_update([0.001]))
     harness.give(arrival(1, harness.now_ns))
     assert harness.outcomes["r1"] is RequestOutcome.REJECTED
--- a/tests/policy/test_load_probing.py
+++ b/tests/policy/test_load_probing.py
@@ -9,7 +9,7 @@
     PolicyHarness,
     actions_of_type,
     arrival,
-    settings,
+    make_settings,
 )
 from tests.support.rule_checker import RequestOutcome
 
@@ -17,7 +17,7 @@
 def probing_harness(endpoint_count: int = 6) -> PolicyHarness:
     limits = Limits(max_attempts=3, health_checks=True, cancellation=True)
     return PolicyHarness(
-        settings(limits=limits, load_report_columns=("inflight", "queue")), endpoint_count=endpoint_count
+        make_settings(limits=limits, load_report_columns=("inflight", "queue")), endpoint_count=endpoint_count
     )
 
 
@@ -76,8 +76,8 @@
 
 def test_costly_health_checks_or_those_without_a_load_are_not_sent() -> None:
     limits = Limits(max_attempts=3, health_checks=True)
-    costly = settings(limits=limits, load_report_columns=("inflight",), prices=Prices(health_check=0.05))
-    for config in (costly, settings(limits=limits, load_report_columns=("util",))):
+    costly = make_settings(limits=limits, load_report_columns=("inflight",), prices=Prices(health_check=0.05))
+    for config in (costly, make_settings(limits=limits, load_report_columns=("util",))):
         harness = PolicyHarness(config)
         harness.give(arrival(1, harness.now_ns))
         assert "r1" in harness.attempts
--- a/tests/policy/test_queue.py
+++ b/tests/policy/test_queue.py
@@ -11,7 +11,7 @@
     PolicyHarness,
     arrival,
     make_endpoints,
-    settings,
+    make_settings,
 )
 from tests.support.rule_checker import RequestOutcome
 
@@ -50,7 +50,7 @@
 def test_class_with_a_long_objective_keeps_the_queue_short_for_others() -> None:
     # Incident i31aba8: requests with a long objective filled the queue, and all others were rejected.
     slow = RequestClass("slow", Idempotency.IDEMPOTENT, latency_objective_ns=20 * NANOSECONDS_PER_SECOND)
-    harness = PolicyHarness(settings(request_classes={"slow": slow, "read": READ}), endpoint_count=1)
+    harness = PolicyHarness(make_settings(request_classes={"slow": slow, "read": READ}), endpoint_count=1)
     for i in range(200):
         harness.give(arrival(i, harness.now_ns, slow, wait_ns=20 * NANOSECONDS_PER_SECOND))
         harness.advance(10 * NANOSECONDS_PER_MILLISECOND)
@@ -74,7 +74,7 @@
 
 
 def test_blocked_queue_draws_from_one_endpoint_beyond_the_subset() -> None:
-    harness = PolicyHarness(settings(prices=Prices(connection=0.03), proxy_count=40), endpoint_count=0)
+    harness = PolicyHarness(make_settings(prices=Prices(connection=0.03), proxy_count=40), endpoint_count=0)
     harness.give(EndpointUpdate(EndpointUpdateKind.CACHED, make_endpoints(12)))
     for i in range(60):
         harness.give(arrival(i, harness.now_ns, wait_ns=NANOSECONDS_PER_SECOND))
--- a/tests/policy/test_random_days.py
+++ b/tests/policy/test_random_days.py
@@ -28,7 +28,7 @@
     PolicyHarness,
     arrival,
     make_mixed_endpoints,
-    settings,
+    make_settings,
 )
 
 RESULTS = [AttemptResult.OK] * 6 + [r for r in AttemptResult if r is not AttemptResult.TIMEOUT]
@@ -50,7 +50,7 @@
     )
     rules = Rules(slow_start_ns=4 * NANOSECONDS_PER_SECOND, rejected_may_have_run=rng.random() < 0.5)
     harness = PolicyHarness(
-        settings(limits=limits, discovery_pushes=push, proxy_count=rng.choice([1, 3, 40]), rules=rules),
+        make_settings(limits=limits, discovery_pushes=push, proxy_count=rng.choice([1, 3, 40]), rules=rules),
         seed,
         0,
     )
--- a/tests/policy/test_rate_control.py
+++ b/tests/policy/test_rate_control.py
@@ -30,7 +30,7 @@
     PolicyHarness,
     arrival,
     make_endpoints,
-    settings,
+    make_settings,
 )
 
 DRAW_WIDTH = 8  # endpoints that the proxy draws from
@@ -71,7 +71,7 @@
 
 
 def test_idle_time_before_the_first_request_does_not_lower_attempt_rate() -> None:
-    harness = PolicyHarness(settings(tenants={"ash": Tenant("ash")}), endpoint_count=1)
+    harness = PolicyHarness(make_settings(tenants={"ash": Tenant("ash")}), endpoint_count=1)
     controller = harness.balancer.rate_controller
     harness.advance(NANOSECONDS_PER_SECOND)  # idle time
 
@@ -117,7 +117,7 @@
 
 def failures_after_timeout(tokens_per_s: float) -> int:
     """Return the failures recorded when a buffered request gets a token and its only attempt times out."""
-    balancer = make_balancer(settings(tenants={"ash": Tenant("ash")}, limits=Limits(max_attempts=1)))
+    balancer = make_balancer(make_settings(tenants={"ash": Tenant("ash")}, limits=Limits(max_attempts=1)))
     throttle = balancer.throttles.get_or_create("ash", START_NS)
     throttle.set_rate(tokens_per_s, START_NS)
     throttle.bank.counter = throttle.bank.buffer_capacity
@@ -144,7 +144,7 @@
 
 def is_rate_decreased(load: float | None) -> bool:
     """Return whether the rate is decreased when half the attempts fail at endpoints with this load report."""
-    balancer = make_balancer(settings())
+    balancer = make_balancer(make_settings())
     for endpoint in balancer.fleet.endpoints.values():
         endpoint.record_load(load, START_NS)
     controller = balancer.rate_controller
--- a/tests/policy/test_retry_eligibility.py
+++ b/tests/policy/test_retry_eligibility.py
@@ -33,7 +33,7 @@
     arrival,
     make_endpoints,
     make_mixed_endpoints,
-    settings,
+    make_settings,
 )
 from tests.support.requests import add_attempt, make_request, make_state
 from tests.support.rule_checker import RequestOutcome
@@ -130,7 +130,7 @@
 ) -> None:
     # Endpoints may also reject requests that they have begun: a retry could take effect a second time.
     rules = Rules(slow_start_ns=4 * NANOSECONDS_PER_SECOND, rejected_may_have_run=rejected_may_have_run)
-    harness = PolicyHarness(settings(rules=rules))
+    harness = PolicyHarness(make_settings(rules=rules))
     harness.give(arrival(1, harness.now_ns, request_class))
     harness.now_ns += NANOSECONDS_PER_MILLISECOND
     harness.finish("r1", AttemptResult.REJECTED)
@@ -172,14 +172,14 @@
 def test_keyed_retry_leaves_time_to_connect_in_deduplication_window(elapsed_ms: int, again: bool) -> None:
     # The deduplication window is 400 ms.
     limits = Limits(max_attempts=3, connect_timeout_ns=250 * NANOSECONDS_PER_MILLISECOND)
-    harness = PolicyHarness(settings(limits=limits))
+    harness = PolicyHarness(make_settings(limits=limits))
     harness.give(arrival(1, harness.now_ns, ANY, wait_ns=2 * NANOSECONDS_PER_SECOND))
     harness.now_ns += elapsed_ms * NANOSECONDS_PER_MILLISECOND
     assert bool(actions_of_type(Forward, harness.finish("r1", AttemptResult.RESET))) is again
 
 
 def test_requests_without_tenants_or_a_known_class_are_handled() -> None:
-    harness = PolicyHarness(settings(tenants={}))
+    harness = PolicyHarness(make_settings(tenants={}))
     harness.give(arrival(1, harness.now_ns, tenant=""))
     harness.finish("r1")
     balancer = Balancer(Settings(), 1, START_NS)
@@ -203,7 +203,7 @@
 @pytest.mark.parametrize("may_cancel", [True, False])
 def test_request_is_hedged_only_where_attempts_can_be_cancelled(may_cancel: bool) -> None:
     limits = Limits(max_attempts=3, hedging=True, cancellation=may_cancel)
-    harness = PolicyHarness(settings(limits=limits))
+    harness = PolicyHarness(make_settings(limits=limits))
     for i in range(20):
         harness.give(arrival(i, harness.now_ns))
         harness.now_ns += 10 * NANOSECONDS_PER_MILLISECOND
--- a/tests/policy/test_slow_start.py
+++ b/tests/policy/test_slow_start.py
@@ -31,7 +31,7 @@
     PolicyHarness,
     arrival,
     make_endpoints,
-    settings,
+    make_settings,
 )
 from tests.support.simulated_endpoint import SimulatedEndpoint
 
@@ -174,7 +174,7 @@
         ]
 
     def settings_of_all(self, proxy_count: int) -> list[Settings]:
-        common = settings(
+        common = make_settings(
             proxy_count=proxy_count,
             zones=self.zones,
             rules=RULES,
@@ -273,7 +273,7 @@
 def test_proxies_share_the_budget_of_endpoints_that_are_warming_up() -> None:
     attempt_counts = []
     for proxy_count in (1, 40):
-        harness = PolicyHarness(settings(proxy_count=proxy_count), endpoint_count=0)
+        harness = PolicyHarness(make_settings(proxy_count=proxy_count), endpoint_count=0)
         harness.give(
             EndpointUpdate(
                 EndpointUpdateKind.CACHED,
--- a/tests/policy/test_subset_size.py
+++ b/tests/policy/test_subset_size.py
@@ -6,7 +6,7 @@
 from loadbalancer.policy.balancer import Balancer
 from loadbalancer.settings import Prices, Settings
 from loadbalancer.state.endpoint_state import EndpointState
-from tests.support.policy_harness import START_NS, make_endpoints, make_mixed_endpoints, settings
+from tests.support.policy_harness import START_NS, make_endpoints, make_mixed_endpoints, make_settings
 
 
 def default_subset(config: Settings, endpoints: list[Endpoint]) -> list[EndpointState]:
@@ -20,7 +20,7 @@
 def test_every_endpoint_is_in_some_subset() -> None:
     ids: list[int] = []
     for proxy_index in range(10):
-        config = settings(proxy_index=proxy_index, proxy_count=10)
+        config = make_settings(proxy_index=proxy_index, proxy_count=10)
         ids += [state.id for state in default_subset(config, make_endpoints(100))]
     assert sorted(ids) == list(range(1, 101))
 
@@ -28,7 +28,9 @@
 def test_subsets_are_shared_by_few_proxies() -> None:
     # If all proxies share an endpoint, their own requests tell little about its load (incident ib66e0d).
     sizes = {
-        proxy_count: len(default_subset(settings(proxy_index=1, proxy_count=proxy_count), make_endpoints(30)))
+        proxy_count: len(
+            default_subset(make_settings(proxy_index=1, proxy_count=proxy_count), make_endpoints(30))
+        )
         for proxy_count in (3, 20, 400)
     }
     assert sizes == {3: 10, 20: 9, 400: 4}
@@ -38,7 +40,7 @@
     zone: str, proxy_index: int, proxy_count: int, prices: Prices, endpoint_count: int = 24
 ) -> list[Endpoint]:
     """Return the subset of one proxy among endpoints of two zones."""
-    config = settings(
+    config = make_settings(
         proxy_index=proxy_index, proxy_count=proxy_count, zone=zone, zones=("east", "west"), prices=prices
     )
     return [state.endpoint for state in default_subset(config, make_mixed_endpoints(endpoint_count))]
--- a/tests/policy/test_subsetting.py
+++ b/tests/policy/test_subsetting.py
@@ -32,7 +32,7 @@
     START_NS,
     PolicyHarness,
     arrival,
-    settings,
+    make_settings,
 )
 
 ZONES = [f"z{i}" for i in range(8)]
@@ -59,7 +59,7 @@
 def proxy_settings(proxy_count: int, zone_aware: bool = False, index: int = 0) -> Settings:
     """Return the settings of one of these proxies; zone-aware ones have prices for crossing zones."""
     prices = Prices(connection=0.03, cross_zone=0.02) if zone_aware else Prices()
-    return settings(
+    return make_settings(
         proxy_index=index,
         proxy_count=proxy_count,
         zone=ZONES[index % len(ZONES)],
--- a/tests/policy/test_tenant_throttles.py
+++ b/tests/policy/test_tenant_throttles.py
@@ -11,7 +11,7 @@
 from loadbalancer.policy.rate_control import FEEDBACK_INTERVAL_NS
 from loadbalancer.settings import Tenant
 from loadbalancer.state.token_bank import TokenBank
-from tests.support.policy_harness import START_NS, PolicyHarness, arrival, make_endpoints, settings
+from tests.support.policy_harness import START_NS, PolicyHarness, arrival, make_endpoints, make_settings
 
 
 def make_tenants(count: int) -> dict[str, Tenant]:
@@ -29,7 +29,7 @@
 
 def measure_cost(count: int, monkeypatch: pytest.MonkeyPatch) -> Cost:
     """Serve 10 seconds of requests from 20 tenants while `count` tenants are configured; return the cost."""
-    balancer = Balancer(settings(tenants=make_tenants(count)), 1, START_NS)
+    balancer = Balancer(make_settings(tenants=make_tenants(count)), 1, START_NS)
     now_ns = START_NS
     accruals = 0
     accrue = TokenBank.accrue
@@ -59,7 +59,7 @@
 
 
 def test_a_tenant_that_sends_again_has_a_full_bank() -> None:
-    harness = PolicyHarness(settings(tenants=make_tenants(3)))
+    harness = PolicyHarness(make_settings(tenants=make_tenants(3)))
     for i in range(60):  # t1 takes tokens from its bank, then only t0 sends requests
         tenant = "t1" if i < 10 else "t0"
         harness.give(arrival(i, harness.now_ns, tenant=tenant))
@@ -75,12 +75,12 @@
 
 
 def test_an_unknown_tenant_uses_the_throttle_of_the_first_tenant() -> None:
-    throttles = PolicyHarness(settings(tenants=make_tenants(3))).balancer.throttles
+    throttles = PolicyHarness(make_settings(tenants=make_tenants(3))).balancer.throttles
     assert throttles.get_or_create("nobody", START_NS) is throttles.get_or_create("t0", START_NS)
 
 
 def test_the_throttle_of_a_buffered_request_is_not_dropped() -> None:
-    harness = PolicyHarness(settings(tenants=make_tenants(2)))
+    harness = PolicyHarness(make_settings(tenants=make_tenants(2)))
     throttle = harness.balancer.throttles.get_or_create("t1", harness.now_ns)
     throttle.set_rate(0.5, harness.now_ns)
     throttle.bank.counter = throttle.bank.buffer_capacity
--- a/tests/policy/test_throttle.py
+++ b/tests/policy/test_throttle.py
@@ -19,8 +19,8 @@
     NANOSECONDS_PER_SECOND,
     READ,
     PolicyHarness,
+    make_settings,
 )
-from tests.support.policy_harness import settings as policy_settings
 
 LATE_DEADLINE_NS = 10**15
 
@@ -175,7 +175,7 @@
         "read": RequestClass("read", latency_objective_ns=objective_ms * NANOSECONDS_PER_MILLISECOND),
         "slow": RequestClass("slow"),
     }
-    harness = PolicyHarness(policy_settings(request_classes=classes, tenants={"ash": Tenant("ash")}))
+    harness = PolicyHarness(make_settings(request_classes=classes, tenants={"ash": Tenant("ash")}))
     throttle = harness.balancer.throttles.get_or_create("ash", harness.now_ns)
 
     throttle.set_rate(400.0, harness.now_ns)
--- a/tests/proxy/test_discovery_outage.py
+++ b/tests/proxy/test_discovery_outage.py
@@ -35,7 +35,7 @@
 from tests.support.fake_machine import Machine as Machine
 from tests.support.fake_policies import ScriptedPolicy
 from tests.support.http_messages import HOST, ReceivedMessage, format_response, request
-from tests.support.policy_harness import NANOSECONDS_PER_SECOND, START_NS, settings
+from tests.support.policy_harness import NANOSECONDS_PER_SECOND, START_NS, make_settings
 from tests.support.running_proxy import proxy_settings, running_proxy
 from tests.support.waiting import wait_until
 
@@ -53,7 +53,7 @@
     seed: int, call_failures: Iterator[tuple[float, EndpointUpdateKind]], until_s: float
 ) -> list[float]:
     """Return when the policy calls discovery, if each call fails after this time and in this way."""
-    balancer, now_ns, times = Balancer(settings(discovery_pushes=False), seed, START_NS), START_NS, []
+    balancer, now_ns, times = Balancer(make_settings(discovery_pushes=False), seed, START_NS), START_NS, []
     due_events: list[tuple[int, Event]] = [(START_NS, EndpointUpdate(EndpointUpdateKind.CACHED))]
     while now_ns < START_NS + until_s * NANOSECONDS_PER_SECOND:
         now_ns, event = due_events.pop(due_events.index(min(due_events, key=lambda d: d[0])))
--- a/tests/support/policy_harness.py
+++ b/tests/support/policy_harness.py
@@ -65,7 +65,7 @@
 )
 
 
-def settings(**changes: object) -> Settings:
+def make_settings(**changes: object) -> Settings:
     """Return settings with invented names, with some fields changed."""
     base: dict[str, object] = {
         "request_classes": {c.name: c for c in (READ, PAY, CELL, ANY, NEAR, BIG)},
@@ -105,11 +105,11 @@
 class PolicyHarness:
     """Drives one balancer on a simulated clock, keeps its timers, and has its actions checked."""
 
-    def __init__(self, config: Settings | None = None, seed: int = 7, endpoint_count: int = 6) -> None:
-        self.config = config or settings()
+    def __init__(self, settings: Settings | None = None, seed: int = 7, endpoint_count: int = 6) -> None:
+        self.settings = settings or make_settings()
         self.now_ns = START_NS
-        self.balancer = Balancer(self.config, seed, self.now_ns)
-        self.checker = RuleChecker(self.config)
+        self.balancer = Balancer(self.settings, seed, self.now_ns)
+        self.checker = RuleChecker(self.settings)
         self.request_classes = self.checker.request_classes
         self.outcomes = self.checker.outcomes
         self.attempts = self.checker.attempts
--- a/tests/support/rule_checker.py
+++ b/tests/support/rule_checker.py
@@ -53,8 +53,8 @@
 class RuleChecker:
     """The books on one balancer's requests; an action against the rules raises `AssertionError`."""
 
-    def __init__(self, config: Settings) -> None:
-        self.config = config
+    def __init__(self, settings: Settings) -> None:
+        self.settings = settings
         self.request_classes: dict[str, RequestClass] = {}
         self.deadlines: dict[str, int] = {}
         self.outcomes: dict[str, RequestOutcome] = {}
@@ -80,7 +80,7 @@
         """Book what the balancer is told."""
         match event:
             case RequestArrived():
-                self.request_classes[event.request_id] = self.config.request_classes[event.class_name]
+                self.request_classes[event.request_id] = self.settings.request_classes[event.class_name]
                 self.deadlines[event.request_id] = event.deadline_ns
             case AttemptEnded() if event.request_id in self.request_classes:
                 self._record_attempt_ended(event)
@@ -105,7 +105,7 @@
 
     def check_action(self, action: Action, now_ns: int) -> None:
         """Check one action against the books, and book it."""
-        limits = self.config.limits
+        limits = self.settings.limits
         match action:
             case Forward():
                 self._check_forward(action, now_ns)
@@ -133,7 +133,7 @@
 
     def _attempts_that_may_have_run(self, request: str) -> list[SentAttempt]:
         proofs = set(NEVER_RAN)
-        if self.config.rules.rejected_may_have_run:
+        if self.settings.rules.rejected_may_have_run:
             proofs.discard(AttemptResult.REJECTED)
         return [
             attempt
@@ -161,7 +161,7 @@
         )
         assert is_harmless, f"{action.request_id} rejected though it may have run"
         self._record_outcome(action.request_id, RequestOutcome.REJECTED, now_ns)
-        assert 0 <= action.retry_after_ns <= self.config.limits.max_retry_after_ns
+        assert 0 <= action.retry_after_ns <= self.settings.limits.max_retry_after_ns
 
     def _check_forward(self, action: Forward, now_ns: int) -> None:
         request, endpoint = action.request_id, self.endpoints[action.endpoint_id]
@@ -181,7 +181,7 @@
         )
 
     def _check_attempt_limits(self, request: str) -> None:
-        limits = self.config.limits
+        limits = self.settings.limits
         attempts = self.attempts.get(request, [])
         assert len(attempts) < limits.max_attempts
         in_flight = sum((request, number) not in self.results for number in range(len(attempts)))
