--- a/tests/policy/test_attempt_results.py
+++ b/tests/policy/test_attempt_results.py
@@ -23,7 +23,7 @@
 def test_resets_do_not_reduce_the_rate() -> None:
     harness = PolicyHarness(endpoint_count=4)
     for i in range(40):
-        harness.give(arrival(i, harness.now_ns))
+        harness.deliver(arrival(i, harness.now_ns))
         harness.finish(f"r{i}", AttemptResult.RESET)
         harness.finish(f"r{i}")
     # The first reset ever is attributed to its endpoint, because no other endpoint has resets yet.
@@ -32,9 +32,9 @@
 
 def test_late_and_unknown_results_are_ignored() -> None:
     harness = PolicyHarness()
-    harness.give(arrival(1, harness.now_ns))
+    harness.deliver(arrival(1, harness.now_ns))
     late = harness.attempt_ended("r1", 0, AttemptResult.OK)
-    harness.give(late)
+    harness.deliver(late)
     harness.balancer.handle(
         harness.now_ns, [late, late._replace(request_id="unknown"), late._replace(endpoint_id=99)]
     )
@@ -54,7 +54,7 @@
 def test_invalid_events_are_not_counted() -> None:
     # The events: attempts that were never made, endpoints not listed or not used, a repeated request id.
     harness = PolicyHarness(endpoint_count=2)
-    harness.give(arrival(1, harness.now_ns))
+    harness.deliver(arrival(1, harness.now_ns))
     sent = harness.attempts["r1"][0][0].id
     balancer, valid = harness.balancer, harness.attempt_ended("r1", 0, AttemptResult.OK)
     balancer.handle(
@@ -69,7 +69,7 @@
     )
     assert balancer.fleet.endpoints[sent].in_flight == 1
     assert len(balancer.requests) == 1
-    harness.give(valid)
+    harness.deliver(valid)
     assert balancer.fleet.endpoints[sent].in_flight == 0
     assert not balancer.requests
 
@@ -78,10 +78,10 @@
     """Return a harness whose only endpoint never responds to the first attempt; two may be in flight."""
     harness = PolicyHarness(make_settings(limits=Limits(cancellation=True)), endpoint_count=1)
     harness.balancer.concurrency_limit.limit = 2
-    harness.give(arrival("lost", harness.now_ns, wait_ns=NANOSECONDS_PER_SECOND))
+    harness.deliver(arrival("lost", harness.now_ns, wait_ns=NANOSECONDS_PER_SECOND))
     for i in range(20):
         if later_ones_answered:
-            harness.give(arrival(i, harness.now_ns))
+            harness.deliver(arrival(i, harness.now_ns))
             harness.advance(5 * NANOSECONDS_PER_MILLISECOND)
             for request in {r for r, _ in harness.attempts_in_flight()} - {"rlost"}:
                 harness.finish(request)
@@ -95,16 +95,16 @@
     # An endpoint that sends no response at all is considered hung, and is ejected.
     for others_answered, forwarded in ((True, 2), (False, 0)):
         harness = harness_with_an_overdue_attempt(others_answered)
-        harness.give(arrival("a", harness.now_ns), arrival("b", harness.now_ns))
+        harness.deliver(arrival("a", harness.now_ns), arrival("b", harness.now_ns))
         harness.advance(1 * NANOSECONDS_PER_MILLISECOND)
         assert len({"ra", "rb"} & set(harness.attempts)) == forwarded
 
 
 def test_removed_endpoint_is_kept_until_its_overdue_attempt_ends() -> None:
     harness = harness_with_an_overdue_attempt(True)
-    harness.give(EndpointUpdate(EndpointUpdateKind.FULL, make_endpoints(2, first=2)))
+    harness.deliver(EndpointUpdate(EndpointUpdateKind.FULL, make_endpoints(2, first=2)))
     harness.finish("rlost", AttemptResult.CONNECT_FAILED)
     assert harness.outcomes["rlost"] is RequestOutcome.REJECTED
     assert set(harness.balancer.fleet.endpoints) == {1, 2, 3}
-    harness.give(EndpointUpdate(EndpointUpdateKind.FULL, make_endpoints(1, first=2)))
+    harness.deliver(EndpointUpdate(EndpointUpdateKind.FULL, make_endpoints(1, first=2)))
     assert set(harness.balancer.fleet.endpoints) == {2}
--- a/tests/policy/test_disconnect.py
+++ b/tests/policy/test_disconnect.py
@@ -16,10 +16,10 @@
     limits = Limits(max_attempts=4, hedging=hedging, cancellation=True)
     harness = policy_harness.PolicyHarness(policy_harness.make_settings(limits=limits))
     for i in range(20):
-        harness.give(policy_harness.arrival(i, harness.now_ns))
+        harness.deliver(policy_harness.arrival(i, harness.now_ns))
         harness.now_ns += 10 * NANOSECONDS_PER_MILLISECOND
         harness.finish(f"r{i}")
-    harness.give(policy_harness.arrival("slow", harness.now_ns))
+    harness.deliver(policy_harness.arrival("slow", harness.now_ns))
     return harness
 
 
@@ -38,7 +38,7 @@
     harness.now_ns = due
     disconnect: list[Event] = [ClientDisconnected("rslow")] if disconnected else []
     wake_up = TimerExpired(harness.balancer.timers.wake_up_name)
-    actions = harness.give(*([*disconnect, wake_up] if disconnect_first else [wake_up, *disconnect]))
+    actions = harness.deliver(*([*disconnect, wake_up] if disconnect_first else [wake_up, *disconnect]))
 
     assert (CancelAttempt("rslow", 0) in actions) == disconnected
     harness.advance(600 * NANOSECONDS_PER_MILLISECOND)
@@ -57,9 +57,9 @@
     end_event = harness.attempt_ended("rslow", 0, result)
 
     if disconnect_first:
-        harness.give(disconnect, end_event)
+        harness.deliver(disconnect, end_event)
     else:
-        harness.give(end_event, disconnect)
+        harness.deliver(end_event, disconnect)
 
     harness.advance(600 * NANOSECONDS_PER_MILLISECOND)
     assert len(harness.attempts["rslow"]) == 1
@@ -72,7 +72,7 @@
     harness.advance(150 * NANOSECONDS_PER_MILLISECOND)
     assert len(harness.attempts["rslow"]) == 2
 
-    harness.give(ClientDisconnected("rslow"))
+    harness.deliver(ClientDisconnected("rslow"))
     for number in (first_to_end, 1 - first_to_end):
         harness.finish("rslow", AttemptResult.CONNECT_FAILED, number)
 
--- a/tests/policy/test_discovery_retry.py
+++ b/tests/policy/test_discovery_retry.py
@@ -21,7 +21,7 @@
     assert len(actions_of_type(WatchEndpoints, harness.actions)) == 1
     gaps, last = [], harness.now_ns
     for _ in range(4):
-        harness.give(EndpointUpdate(EndpointUpdateKind.FAILED))
+        harness.deliver(EndpointUpdate(EndpointUpdateKind.FAILED))
         before = len(actions_of_type(WatchEndpoints, harness.actions))
         while len(actions_of_type(WatchEndpoints, harness.actions)) == before:
             harness.advance(50 * NANOSECONDS_PER_MILLISECOND)
@@ -36,9 +36,9 @@
     harness = PolicyHarness(make_settings(discovery_pushes=False))
     harness.advance(5 * NANOSECONDS_PER_SECOND)
     for _ in range(3):
-        assert WatchEndpoints(True) in harness.give(EndpointUpdate(EndpointUpdateKind.WATCH_TIMED_OUT))
+        assert WatchEndpoints(True) in harness.deliver(EndpointUpdate(EndpointUpdateKind.WATCH_TIMED_OUT))
     # A watch timeout is no failure: the backoff after the next failure is still that of a first one.
-    assert WatchEndpoints(True) not in harness.give(EndpointUpdate(EndpointUpdateKind.FAILED))
+    assert WatchEndpoints(True) not in harness.deliver(EndpointUpdate(EndpointUpdateKind.FAILED))
     assert WatchEndpoints(True) in harness.advance(1500 * NANOSECONDS_PER_MILLISECOND)
 
 
--- a/tests/policy/test_fleet_updates.py
+++ b/tests/policy/test_fleet_updates.py
@@ -14,14 +14,14 @@
 
 def test_draining_endpoint_gets_no_new_request() -> None:
     harness = PolicyHarness()
-    harness.give(
+    harness.deliver(
         EndpointUpdate(
             EndpointUpdateKind.DELTA,
             [e._replace(status=EndpointStatus.DRAINING) for e in make_endpoints(5)],
         )
     )
     for i in range(20):
-        harness.give(arrival(i, harness.now_ns))
+        harness.deliver(arrival(i, harness.now_ns))
         harness.advance(20 * NANOSECONDS_PER_MILLISECOND)
         for request, number in harness.attempts_in_flight():
             harness.finish(request, number=number)
@@ -30,9 +30,9 @@
 
 def test_endpoint_missing_from_a_full_list_is_removed() -> None:
     harness = PolicyHarness()
-    harness.give(EndpointUpdate(EndpointUpdateKind.FULL, make_endpoints(1)))
+    harness.deliver(EndpointUpdate(EndpointUpdateKind.FULL, make_endpoints(1)))
     for i in range(5):
-        harness.give(arrival(i, harness.now_ns))
+        harness.deliver(arrival(i, harness.now_ns))
         harness.finish(f"r{i}")
     assert {endpoint.id for sent in harness.attempts.values() for endpoint, _ in sent} == {1}
 
@@ -40,8 +40,8 @@
 def test_states_of_removed_endpoints_are_dropped() -> None:
     harness = PolicyHarness(endpoint_count=0)
     for i in range(50):
-        harness.give(EndpointUpdate(EndpointUpdateKind.FULL, make_endpoints(3, first=1 + 3 * i)))
-        harness.give(arrival(i, harness.now_ns))
+        harness.deliver(EndpointUpdate(EndpointUpdateKind.FULL, make_endpoints(3, first=1 + 3 * i)))
+        harness.deliver(arrival(i, harness.now_ns))
         harness.finish(f"r{i}")
         harness.advance(NANOSECONDS_PER_SECOND)
     assert len(harness.balancer.fleet.endpoints) <= 6
--- a/tests/policy/test_latency_model.py
+++ b/tests/policy/test_latency_model.py
@@ -15,7 +15,7 @@
 def test_first_samples_count_more() -> None:
     harness = PolicyHarness()
     for i in range(3):
-        harness.give(arrival(i, harness.now_ns))
+        harness.deliver(arrival(i, harness.now_ns))
         harness.now_ns += 100 * NANOSECONDS_PER_MILLISECOND
         harness.finish(f"r{i}")
     per_request_ns = harness.balancer.latency_model.per_request_ns
--- a/tests/policy/test_load_estimate.py
+++ b/tests/policy/test_load_estimate.py
@@ -25,9 +25,9 @@
 def test_live_weights_show_the_less_loaded_endpoint() -> None:
     # With at most one request in flight, this proxy's own counts cannot distinguish the endpoints.
     harness = PolicyHarness(make_settings(weight_source=WeightSource.LIVE), endpoint_count=2)
-    harness.give(live_weights_update([1.0, 1.0]), live_weights_update([0.1, 0.5]))
+    harness.deliver(live_weights_update([1.0, 1.0]), live_weights_update([0.1, 0.5]))
     for i in range(12):
-        harness.give(arrival(i, harness.now_ns))
+        harness.deliver(arrival(i, harness.now_ns))
         harness.now_ns += NANOSECONDS_PER_MILLISECOND
         harness.finish(f"r{i}")
     assert {u.id for sent in harness.attempts.values() for u, _ in sent} == {2}
@@ -35,11 +35,11 @@
 
 def test_old_load_report_is_ignored() -> None:
     harness = PolicyHarness(make_settings(weight_source=WeightSource.LIVE), endpoint_count=1)
-    harness.give(live_weights_update([1.0]), live_weights_update([0.001]))
-    harness.give(arrival(1, harness.now_ns))
+    harness.deliver(live_weights_update([1.0]), live_weights_update([0.001]))
+    harness.deliver(arrival(1, harness.now_ns))
     assert harness.outcomes["r1"] is RequestOutcome.REJECTED
     harness.advance(4 * NANOSECONDS_PER_SECOND)
-    harness.give(arrival(2, harness.now_ns))
+    harness.deliver(arrival(2, harness.now_ns))
     assert len(harness.attempts["r2"]) == 1
 
 
@@ -47,10 +47,10 @@
 def test_invalid_load_report_is_ignored(load: float) -> None:
     harness = PolicyHarness(endpoint_count=2)
     for i in range(6):
-        harness.give(arrival(i, harness.now_ns))
+        harness.deliver(arrival(i, harness.now_ns))
         harness.now_ns += 20 * NANOSECONDS_PER_MILLISECOND
         endpoint = harness.attempts[f"r{i}"][0][0].id
-        harness.give(
+        harness.deliver(
             AttemptEnded(
                 f"r{i}",
                 0,
--- a/tests/policy/test_load_probing.py
+++ b/tests/policy/test_load_probing.py
@@ -23,11 +23,13 @@
 
 def test_drawn_endpoints_are_probed_and_the_least_loaded_is_chosen() -> None:
     harness = probing_harness()
-    probed = [a.endpoint_id for a in harness.give(arrival(1, harness.now_ns)) if isinstance(a, CheckHealth)]
+    probed = [
+        a.endpoint_id for a in harness.deliver(arrival(1, harness.now_ns)) if isinstance(a, CheckHealth)
+    ]
     assert probed
     assert "r1" not in harness.attempts
     harness.now_ns += NANOSECONDS_PER_MILLISECOND
-    harness.give(
+    harness.deliver(
         *(
             HealthCheckEnded(u, AttemptResult.OK, NANOSECONDS_PER_MILLISECOND, {"inflight": float(i)})
             for i, u in enumerate(probed)
@@ -38,7 +40,7 @@
 
 def test_health_check_without_a_result_is_not_waited_for() -> None:
     harness = probing_harness()
-    harness.give(arrival(1, harness.now_ns))
+    harness.deliver(arrival(1, harness.now_ns))
     harness.advance(20 * NANOSECONDS_PER_MILLISECOND)
     assert len(harness.attempts["r1"]) == 1
 
@@ -47,16 +49,20 @@
     harness = probing_harness(endpoint_count=1)
     counts = []
     for number in range(4):
-        counts.append(sum(isinstance(a, CheckHealth) for a in harness.give(arrival(number, harness.now_ns))))
+        counts.append(
+            sum(isinstance(a, CheckHealth) for a in harness.deliver(arrival(number, harness.now_ns)))
+        )
         harness.now_ns += 2 * NANOSECONDS_PER_MILLISECOND
     assert counts == [1, 0, 0, 1]
 
 
 def test_request_is_rejected_when_all_probed_endpoints_would_respond_late() -> None:
     harness = probing_harness()
-    probed = [a.endpoint_id for a in harness.give(arrival(1, harness.now_ns)) if isinstance(a, CheckHealth)]
+    probed = [
+        a.endpoint_id for a in harness.deliver(arrival(1, harness.now_ns)) if isinstance(a, CheckHealth)
+    ]
     harness.now_ns += NANOSECONDS_PER_MILLISECOND
-    harness.give(
+    harness.deliver(
         *(
             HealthCheckEnded(u, AttemptResult.OK, NANOSECONDS_PER_MILLISECOND, {"inflight": 500.0})
             for u in probed
@@ -69,8 +75,8 @@
     # A single costly request may have raised its relative latency.
     harness = probing_harness(endpoint_count=1)
     harness.balancer.fleet.endpoints[1].relative_latency = 9.0
-    harness.give(arrival(1, harness.now_ns, wait_ns=100 * NANOSECONDS_PER_MILLISECOND))
-    harness.give(HealthCheckEnded(1, AttemptResult.OK, NANOSECONDS_PER_MILLISECOND, {"inflight": 0.0}))
+    harness.deliver(arrival(1, harness.now_ns, wait_ns=100 * NANOSECONDS_PER_MILLISECOND))
+    harness.deliver(HealthCheckEnded(1, AttemptResult.OK, NANOSECONDS_PER_MILLISECOND, {"inflight": 0.0}))
     assert len(harness.attempts["r1"]) == 1
 
 
@@ -79,6 +85,6 @@
     costly = make_settings(limits=limits, load_report_columns=("inflight",), prices=Prices(health_check=0.05))
     for config in (costly, make_settings(limits=limits, load_report_columns=("util",))):
         harness = PolicyHarness(config)
-        harness.give(arrival(1, harness.now_ns))
+        harness.deliver(arrival(1, harness.now_ns))
         assert "r1" in harness.attempts
         assert not actions_of_type(CheckHealth, harness.actions)
--- a/tests/policy/test_outlier_detection.py
+++ b/tests/policy/test_outlier_detection.py
@@ -9,7 +9,7 @@
     # A short pause of an endpoint must not cause an ejection of seconds.
     harness = PolicyHarness(endpoint_count=1)
     for i in range(6):
-        harness.give(arrival(i, harness.now_ns, wait_ns=100 * NANOSECONDS_PER_MILLISECOND))
+        harness.deliver(arrival(i, harness.now_ns, wait_ns=100 * NANOSECONDS_PER_MILLISECOND))
     harness.advance(150 * NANOSECONDS_PER_MILLISECOND)
     state = harness.balancer.fleet.endpoints[1]
     assert state.consecutive_failures <= 2
--- a/tests/policy/test_queue.py
+++ b/tests/policy/test_queue.py
@@ -19,7 +19,7 @@
 def test_request_in_a_blocked_queue_is_answered() -> None:
     harness = PolicyHarness(endpoint_count=1)
     for i in range(30):
-        harness.give(arrival(i, harness.now_ns))
+        harness.deliver(arrival(i, harness.now_ns))
     harness.advance(700 * NANOSECONDS_PER_MILLISECOND)
     assert len(harness.outcomes) == 30
 
@@ -28,9 +28,9 @@
     # Here each wake-up fires slightly early. The policy must not take it for a wake-up that was replaced, but
     # set the next one, or requests are not answered by their deadline.
     harness = PolicyHarness(endpoint_count=1)
-    harness.give(arrival(1, harness.now_ns))
+    harness.deliver(arrival(1, harness.now_ns))
     for i in range(2, 40):
-        harness.give(arrival(i, harness.now_ns, wait_ns=3 * NANOSECONDS_PER_MILLISECOND))
+        harness.deliver(arrival(i, harness.now_ns, wait_ns=3 * NANOSECONDS_PER_MILLISECOND))
         early = list(harness.timers)
         harness.timers = [(at - 300, name) for at, name in early]
         harness.advance(30 * NANOSECONDS_PER_MILLISECOND, step_ns=NANOSECONDS_PER_MILLISECOND)
@@ -42,7 +42,7 @@
     # Incident i4eb9e9: at the start, the limit rose while requests were queued and none had been finished.
     harness = PolicyHarness()
     for i in range(300):
-        harness.give(arrival(i, harness.now_ns))
+        harness.deliver(arrival(i, harness.now_ns))
         harness.now_ns += NANOSECONDS_PER_MILLISECOND // 10
     assert harness.balancer.concurrency_limit.limit == 1
 
@@ -52,7 +52,7 @@
     slow = RequestClass("slow", Idempotency.IDEMPOTENT, latency_objective_ns=20 * NANOSECONDS_PER_SECOND)
     harness = PolicyHarness(make_settings(request_classes={"slow": slow, "read": READ}), endpoint_count=1)
     for i in range(200):
-        harness.give(arrival(i, harness.now_ns, slow, wait_ns=20 * NANOSECONDS_PER_SECOND))
+        harness.deliver(arrival(i, harness.now_ns, slow, wait_ns=20 * NANOSECONDS_PER_SECOND))
         harness.advance(10 * NANOSECONDS_PER_MILLISECOND)
         for request, number in harness.attempts_in_flight():
             if harness.now_ns - harness.attempts[request][number][1] >= 50 * NANOSECONDS_PER_MILLISECOND:
@@ -64,7 +64,7 @@
 def test_tenant_over_its_share_is_recognised() -> None:
     harness = PolicyHarness(endpoint_count=1)
     for i in range(600):
-        harness.give(arrival(i, harness.now_ns, tenant="birch" if i % 10 == 0 else "ash"))
+        harness.deliver(arrival(i, harness.now_ns, tenant="birch" if i % 10 == 0 else "ash"))
         harness.advance(5 * NANOSECONDS_PER_MILLISECOND)
         for request, number in harness.attempts_in_flight():
             if harness.now_ns - harness.attempts[request][number][1] >= 50 * NANOSECONDS_PER_MILLISECOND:
@@ -75,8 +75,8 @@
 
 def test_blocked_queue_draws_from_one_endpoint_beyond_the_subset() -> None:
     harness = PolicyHarness(make_settings(prices=Prices(connection=0.03), proxy_count=40), endpoint_count=0)
-    harness.give(EndpointUpdate(EndpointUpdateKind.CACHED, make_endpoints(12)))
+    harness.deliver(EndpointUpdate(EndpointUpdateKind.CACHED, make_endpoints(12)))
     for i in range(60):
-        harness.give(arrival(i, harness.now_ns, wait_ns=NANOSECONDS_PER_SECOND))
+        harness.deliver(arrival(i, harness.now_ns, wait_ns=NANOSECONDS_PER_SECOND))
         harness.advance(20 * NANOSECONDS_PER_MILLISECOND)
     assert len({u.id for sent in harness.attempts.values() for u, _ in sent}) == 2
--- a/tests/policy/test_random_days.py
+++ b/tests/policy/test_random_days.py
@@ -55,12 +55,12 @@
         0,
     )
     endpoints = make_mixed_endpoints(endpoint_count)
-    harness.give(EndpointUpdate(EndpointUpdateKind.CACHED, endpoints))
+    harness.deliver(EndpointUpdate(EndpointUpdateKind.CACHED, endpoints))
     for number in range(rng.randint(5, 120)):
         for _ in range(rng.choice([0, 1, 1, 2, 12])):
             request_class = rng.choice([READ, PAY, CELL, ANY, NEAR, BIG])
             request_number = f"{number}-{rng.random()}"
-            harness.give(
+            harness.deliver(
                 arrival(
                     request_number,
                     harness.now_ns,
@@ -72,21 +72,21 @@
             )
         for request, attempt in harness.attempts_in_flight():
             if rng.random() < 0.4:
-                harness.give(harness.attempt_ended(request, attempt, rng.choice(RESULTS)))
+                harness.deliver(harness.attempt_ended(request, attempt, rng.choice(RESULTS)))
         if rng.random() < 0.1:
             unanswered = [r for r in harness.request_classes if r not in harness.outcomes]
             if unanswered:
-                harness.give(ClientDisconnected(rng.choice(unanswered)))
+                harness.deliver(ClientDisconnected(rng.choice(unanswered)))
         if rng.random() < 0.1:
             i = rng.randrange(len(endpoints))
             started = harness.now_ns if rng.random() < 0.5 else endpoints[i].started_ns
             endpoints[i] = endpoints[i]._replace(status=rng.choice(list(EndpointStatus)), started_ns=started)
             kind = rng.choice([EndpointUpdateKind.DELTA, EndpointUpdateKind.FULL, EndpointUpdateKind.CACHED])
-            harness.give(
+            harness.deliver(
                 EndpointUpdate(kind, [endpoints[i]] if kind is EndpointUpdateKind.DELTA else endpoints)
             )
         if not push and rng.random() < 0.05:
-            harness.give(EndpointUpdate(EndpointUpdateKind.FAILED))
+            harness.deliver(EndpointUpdate(EndpointUpdateKind.FAILED))
         harness.advance(rng.choice([0, 1, 10, 50]) * NANOSECONDS_PER_MILLISECOND)
     harness.advance(2 * NANOSECONDS_PER_SECOND)
     assert set(harness.outcomes) == set(harness.request_classes)
--- a/tests/policy/test_rate_control.py
+++ b/tests/policy/test_rate_control.py
@@ -76,12 +76,12 @@
     harness.advance(NANOSECONDS_PER_SECOND)  # idle time
 
     for i in range(100):
-        harness.give(arrival(i, harness.now_ns))
+        harness.deliver(arrival(i, harness.now_ns))
         harness.finish(f"r{i}")
         harness.advance(5 * NANOSECONDS_PER_MILLISECOND)
         if i % 4 == 0:
             controller.record_capacity_rejection()  # a fifth of the outcomes, more than is tolerated
-    harness.give(arrival("last", harness.now_ns))
+    harness.deliver(arrival("last", harness.now_ns))
 
     sent_per_s = 200.0  # one request each 5 ms
     assert 0.85 * sent_per_s < controller.attempt_rate < 1.15 * sent_per_s
--- a/tests/policy/test_retry_eligibility.py
+++ b/tests/policy/test_retry_eligibility.py
@@ -41,7 +41,7 @@
 
 def test_served_request_needs_no_other_attempt() -> None:
     harness = PolicyHarness()
-    assert len(actions_of_type(Forward, harness.give(arrival(1, harness.now_ns)))) == 1
+    assert len(actions_of_type(Forward, harness.deliver(arrival(1, harness.now_ns)))) == 1
     assert not actions_of_type(Fail, harness.finish("r1"))
     assert harness.outcomes["r1"] is RequestOutcome.SERVED
 
@@ -49,20 +49,20 @@
 @pytest.mark.parametrize("request_class", [READ, PAY, CELL, ANY])
 def test_request_is_rejected_in_time_when_no_endpoint_is_known(request_class: RequestClass) -> None:
     harness = PolicyHarness(endpoint_count=0)
-    harness.give(EndpointUpdate(EndpointUpdateKind.CACHED), arrival(1, harness.now_ns, request_class))
+    harness.deliver(EndpointUpdate(EndpointUpdateKind.CACHED), arrival(1, harness.now_ns, request_class))
     harness.advance(600 * NANOSECONDS_PER_MILLISECOND)
     assert harness.outcomes["r1"] is RequestOutcome.REJECTED
 
 
 def test_request_is_rejected_in_time_when_all_endpoints_drain() -> None:
     harness = PolicyHarness()
-    harness.give(
+    harness.deliver(
         EndpointUpdate(
             EndpointUpdateKind.DELTA,
             [u._replace(status=EndpointStatus.DRAINING) for u in make_endpoints(6)],
         )
     )
-    harness.give(arrival(1, harness.now_ns, PAY))
+    harness.deliver(arrival(1, harness.now_ns, PAY))
     harness.advance(600 * NANOSECONDS_PER_MILLISECOND)
     assert harness.outcomes["r1"] is RequestOutcome.REJECTED
     assert "r1" not in harness.attempts
@@ -70,7 +70,7 @@
 
 def test_non_idempotent_request_that_times_out_is_failed() -> None:
     harness = PolicyHarness()
-    harness.give(arrival(1, harness.now_ns, PAY))
+    harness.deliver(arrival(1, harness.now_ns, PAY))
     harness.advance(600 * NANOSECONDS_PER_MILLISECOND)
     assert harness.outcomes["r1"] is RequestOutcome.FAILED
     assert len(harness.attempts["r1"]) == 1
@@ -79,7 +79,7 @@
 @pytest.mark.parametrize("result", [AttemptResult.REJECTED, AttemptResult.CONNECT_FAILED])
 def test_non_idempotent_request_that_never_ran_is_retried(result: AttemptResult) -> None:
     harness = PolicyHarness()
-    harness.give(arrival(1, harness.now_ns, PAY))
+    harness.deliver(arrival(1, harness.now_ns, PAY))
     harness.now_ns += NANOSECONDS_PER_MILLISECOND
     harness.finish("r1", result)
     assert len(harness.attempts["r1"]) == 2
@@ -88,7 +88,7 @@
 @pytest.mark.parametrize("result", [AttemptResult.ERROR, AttemptResult.RESET, AttemptResult.CANCELLED])
 def test_non_idempotent_request_that_may_have_run_is_failed(result: AttemptResult) -> None:
     harness = PolicyHarness()
-    harness.give(arrival(1, harness.now_ns, PAY))
+    harness.deliver(arrival(1, harness.now_ns, PAY))
     harness.now_ns += NANOSECONDS_PER_MILLISECOND
     harness.finish("r1", result)
     assert harness.outcomes["r1"] is RequestOutcome.FAILED
@@ -98,13 +98,13 @@
 def test_placement_binds_every_attempt(request_class: RequestClass) -> None:
     # The rule checker asserts the placement of each attempt, retries included.
     harness = PolicyHarness(endpoint_count=0)
-    harness.give(EndpointUpdate(EndpointUpdateKind.CACHED, make_mixed_endpoints(12)))
+    harness.deliver(EndpointUpdate(EndpointUpdateKind.CACHED, make_mixed_endpoints(12)))
     for i in range(60):
-        harness.give(arrival(i, harness.now_ns, request_class))
+        harness.deliver(arrival(i, harness.now_ns, request_class))
         harness.now_ns += 5 * NANOSECONDS_PER_MILLISECOND
         for request, number in harness.attempts_in_flight():
             if request not in harness.outcomes:
-                harness.give(
+                harness.deliver(
                     harness.attempt_ended(request, number, (AttemptResult.REJECTED, AttemptResult.OK)[i % 2])
                 )
     assert len(harness.attempts) > 20
@@ -113,8 +113,8 @@
 def test_placement_holds_without_endpoints_and_does_not_stop_others() -> None:
     harness = PolicyHarness(endpoint_count=0)
     west = [u for u in make_mixed_endpoints(12) if u.zone == "west"]
-    harness.give(EndpointUpdate(EndpointUpdateKind.CACHED, west))
-    harness.give(arrival("near", harness.now_ns, NEAR), arrival("read", harness.now_ns, READ))
+    harness.deliver(EndpointUpdate(EndpointUpdateKind.CACHED, west))
+    harness.deliver(arrival("near", harness.now_ns, NEAR), arrival("read", harness.now_ns, READ))
     assert "rread" in harness.attempts
     assert "rnear" not in harness.attempts
     harness.advance(600 * NANOSECONDS_PER_MILLISECOND)
@@ -131,7 +131,7 @@
     # Endpoints may also reject requests that they have begun: a retry could take effect a second time.
     rules = Rules(slow_start_ns=4 * NANOSECONDS_PER_SECOND, rejected_may_have_run=rejected_may_have_run)
     harness = PolicyHarness(make_settings(rules=rules))
-    harness.give(arrival(1, harness.now_ns, request_class))
+    harness.deliver(arrival(1, harness.now_ns, request_class))
     harness.now_ns += NANOSECONDS_PER_MILLISECOND
     harness.finish("r1", AttemptResult.REJECTED)
     assert harness.outcomes.get("r1") == outcome
@@ -140,7 +140,7 @@
 
 def test_attempts_are_capped() -> None:
     harness = PolicyHarness()
-    harness.give(arrival(1, harness.now_ns, READ))
+    harness.deliver(arrival(1, harness.now_ns, READ))
     for _ in range(3):
         harness.now_ns += NANOSECONDS_PER_MILLISECOND
         if "r1" not in harness.outcomes:
@@ -152,13 +152,13 @@
 
 def test_attempt_times_out_at_the_objective_where_late_is_worth_nothing() -> None:
     harness = PolicyHarness()
-    sends = [a for a in harness.give(arrival(1, harness.now_ns, READ)) if isinstance(a, Forward)]
+    sends = [a for a in harness.deliver(arrival(1, harness.now_ns, READ)) if isinstance(a, Forward)]
     assert sends[0].timeout_ns == READ.latency_objective_ns
 
 
 def test_client_disconnect_ends_the_request() -> None:
     harness = PolicyHarness()
-    harness.give(
+    harness.deliver(
         arrival(1, harness.now_ns),
         ClientDisconnected("r1"),
         ClientDisconnected("r1"),
@@ -173,14 +173,14 @@
     # The deduplication window is 400 ms.
     limits = Limits(max_attempts=3, connect_timeout_ns=250 * NANOSECONDS_PER_MILLISECOND)
     harness = PolicyHarness(make_settings(limits=limits))
-    harness.give(arrival(1, harness.now_ns, ANY, wait_ns=2 * NANOSECONDS_PER_SECOND))
+    harness.deliver(arrival(1, harness.now_ns, ANY, wait_ns=2 * NANOSECONDS_PER_SECOND))
     harness.now_ns += elapsed_ms * NANOSECONDS_PER_MILLISECOND
     assert bool(actions_of_type(Forward, harness.finish("r1", AttemptResult.RESET))) is again
 
 
 def test_requests_without_tenants_or_a_known_class_are_handled() -> None:
     harness = PolicyHarness(make_settings(tenants={}))
-    harness.give(arrival(1, harness.now_ns, tenant=""))
+    harness.deliver(arrival(1, harness.now_ns, tenant=""))
     harness.finish("r1")
     balancer = Balancer(Settings(), 1, START_NS)
     balancer.handle(
@@ -194,7 +194,7 @@
 
 def test_retry_after_is_jittered() -> None:
     harness = PolicyHarness(endpoint_count=0)
-    harness.give(*(arrival(i, harness.now_ns) for i in range(30)))
+    harness.deliver(*(arrival(i, harness.now_ns) for i in range(30)))
     harness.advance(600 * NANOSECONDS_PER_MILLISECOND)
     delays = {a.retry_after_ns for a in harness.actions if isinstance(a, Reject)}
     assert len(delays) > 20
@@ -205,10 +205,10 @@
     limits = Limits(max_attempts=3, hedging=True, cancellation=may_cancel)
     harness = PolicyHarness(make_settings(limits=limits))
     for i in range(20):
-        harness.give(arrival(i, harness.now_ns))
+        harness.deliver(arrival(i, harness.now_ns))
         harness.now_ns += 10 * NANOSECONDS_PER_MILLISECOND
         harness.finish(f"r{i}")
-    harness.give(arrival("slow", harness.now_ns))
+    harness.deliver(arrival("slow", harness.now_ns))
     harness.advance(150 * NANOSECONDS_PER_MILLISECOND)
     assert len(harness.attempts["rslow"]) == (2 if may_cancel else 1)
 
--- a/tests/policy/test_selection.py
+++ b/tests/policy/test_selection.py
@@ -14,7 +14,7 @@
 ) -> None:
     # The cost of a request must not grow with the subset; it once used up all CPU time (event8052).
     harness = PolicyHarness(endpoint_count=10)
-    harness.give(arrival("warm", harness.now_ns))
+    harness.deliver(arrival("warm", harness.now_ns))
     harness.balancer.concurrency_limit.limit = 5  # all are available
     selection = harness.balancer.selection
     pool = harness.balancer.fleet.default_pool
--- a/tests/policy/test_slow_start.py
+++ b/tests/policy/test_slow_start.py
@@ -256,13 +256,13 @@
 
 def test_endpoints_that_are_warming_up_get_one_request_at_a_time() -> None:
     harness = PolicyHarness(endpoint_count=0)
-    harness.give(
+    harness.deliver(
         EndpointUpdate(
             EndpointUpdateKind.CACHED, make_endpoints(4, started_ns=START_NS - NANOSECONDS_PER_MILLISECOND)
         )
     )
     for i in range(40):
-        harness.give(arrival(i, harness.now_ns))
+        harness.deliver(arrival(i, harness.now_ns))
         harness.advance(5 * NANOSECONDS_PER_MILLISECOND)
         in_flight = Counter(
             harness.attempts[request][number][0].id for request, number in harness.attempts_in_flight()
@@ -274,14 +274,14 @@
     attempt_counts = []
     for proxy_count in (1, 40):
         harness = PolicyHarness(make_settings(proxy_count=proxy_count), endpoint_count=0)
-        harness.give(
+        harness.deliver(
             EndpointUpdate(
                 EndpointUpdateKind.CACHED,
                 make_endpoints(6, started_ns=START_NS - NANOSECONDS_PER_MILLISECOND),
             )
         )
         for i in range(100):
-            harness.give(arrival(i, harness.now_ns))
+            harness.deliver(arrival(i, harness.now_ns))
             harness.advance(5 * NANOSECONDS_PER_MILLISECOND)
             for request, number in harness.attempts_in_flight():
                 harness.finish(request, number=number)
--- a/tests/policy/test_subsetting.py
+++ b/tests/policy/test_subsetting.py
@@ -308,10 +308,10 @@
 def test_a_retry_with_an_idempotency_key_finds_its_group_in_a_long_list(request_class: RequestClass) -> None:
     # Few or none of the 100 endpoints of a cell are in the subset or the reserve.
     harness = PolicyHarness(proxy_settings(8800, index=3), endpoint_count=0)
-    harness.give(EndpointUpdate(EndpointUpdateKind.CACHED, endpoints_in_all_zones(30_000)))
+    harness.deliver(EndpointUpdate(EndpointUpdateKind.CACHED, endpoints_in_all_zones(30_000)))
     retried = 0
     for i in range(60):
-        harness.give(arrival(i, harness.now_ns, request_class))
+        harness.deliver(arrival(i, harness.now_ns, request_class))
         harness.now_ns += 5 * NANOSECONDS_PER_MILLISECOND
         harness.finish(f"r{i}", AttemptResult.RESET)  # the harness checks that a retry stays in the group
         retried += len(harness.attempts[f"r{i}"]) > 1
@@ -324,21 +324,21 @@
         <= LARGE_DEPLOYMENT_SUBSET_SIZE + RESERVE_SIZE + 5 * ENDPOINTS_OUTSIDE_POOL_MAX
     )
     harness.advance(NANOSECONDS_PER_SECOND)
-    harness.give()
+    harness.deliver()
     assert len(harness.balancer.fleet.endpoints) <= LARGE_DEPLOYMENT_SUBSET_SIZE + RESERVE_SIZE
 
 
 def test_endpoint_that_left_the_subset_is_no_longer_available() -> None:
     # A request that probed the endpoint still refers to its discarded state, which gets no more updates.
     harness = PolicyHarness(proxy_settings(8800, index=3), endpoint_count=0)
-    harness.give(EndpointUpdate(EndpointUpdateKind.CACHED, endpoints_in_all_zones(2000)))
+    harness.deliver(EndpointUpdate(EndpointUpdateKind.CACHED, endpoints_in_all_zones(2000)))
     fleet = harness.balancer.fleet
     checked = fleet.default_pool.endpoints[0]
     others = [e for e in endpoints_in_all_zones(2000, seed=9) if e.id != checked.id]
-    harness.give(EndpointUpdate(EndpointUpdateKind.FULL, [*others, checked.endpoint._replace(zone="z7")]))
+    harness.deliver(EndpointUpdate(EndpointUpdateKind.FULL, [*others, checked.endpoint._replace(zone="z7")]))
     if checked.id not in fleet.pooled_ids:
         assert not harness.balancer.selection.is_available(checked, harness.now_ns)
         assert checked.id not in fleet.endpoints
-    harness.give(EndpointUpdate(EndpointUpdateKind.FULL, others))
+    harness.deliver(EndpointUpdate(EndpointUpdateKind.FULL, others))
     assert not harness.balancer.selection.is_available(checked, harness.now_ns)
     assert checked.id not in fleet.endpoints
--- a/tests/policy/test_tenant_throttles.py
+++ b/tests/policy/test_tenant_throttles.py
@@ -62,7 +62,7 @@
     harness = PolicyHarness(make_settings(tenants=make_tenants(3)))
     for i in range(60):  # t1 takes tokens from its bank, then only t0 sends requests
         tenant = "t1" if i < 10 else "t0"
-        harness.give(arrival(i, harness.now_ns, tenant=tenant))
+        harness.deliver(arrival(i, harness.now_ns, tenant=tenant))
         harness.finish(f"r{i}")
         harness.now_ns += FEEDBACK_INTERVAL_NS
     throttles = harness.balancer.throttles
@@ -84,7 +84,7 @@
     throttle = harness.balancer.throttles.get_or_create("t1", harness.now_ns)
     throttle.set_rate(0.5, harness.now_ns)
     throttle.bank.counter = throttle.bank.buffer_capacity
-    harness.give(arrival("buffered", harness.now_ns, tenant="t1"))
+    harness.deliver(arrival("buffered", harness.now_ns, tenant="t1"))
     assert throttle.buffer
 
     harness.balancer.throttles.drop_idle(harness.now_ns)
--- a/tests/support/fleet_model.py
+++ b/tests/support/fleet_model.py
@@ -131,7 +131,7 @@
         """Give one proxy an endpoint update."""
         for endpoint in endpoints:
             self.proxies[proxy].known_starts[endpoint.id] = endpoint.started_ns
-        self.give(proxy, EndpointUpdate(kind, list(endpoints)))
+        self.deliver(proxy, EndpointUpdate(kind, list(endpoints)))
 
     def update_all(self, kind: EndpointUpdateKind, endpoints: Sequence[Endpoint]) -> None:
         """Give all proxies an endpoint update."""
@@ -182,7 +182,7 @@
         self.proxies[proxy].requests[request] = OpenRequest(traffic, work, retries)
         incarnation = self.proxies[proxy].incarnation
         self.schedule(deadline_ns, partial(self._client_timeout, proxy, incarnation, request))
-        self.give(proxy, RequestArrived(request, cls.name, "", deadline_ns, is_retry=retries > 0))
+        self.deliver(proxy, RequestArrived(request, cls.name, "", deadline_ns, is_retry=retries > 0))
 
     def _client_timeout(self, proxy: int, incarnation: int, request: str) -> None:
         open_request = self.proxies[proxy].requests.get(request)
@@ -192,7 +192,7 @@
             self.end_attempt(attempt, AttemptResult.TIMEOUT)
         if not open_request.is_answered:
             open_request.is_answered = True
-            self.give(proxy, ClientDisconnected(request))
+            self.deliver(proxy, ClientDisconnected(request))
 
     def _retry(self, request: OpenRequest) -> None:
         if request.retries >= self.client_retries:
@@ -204,7 +204,7 @@
 
     # -- proxies --
 
-    def give(self, proxy: int, event: Event) -> None:
+    def deliver(self, proxy: int, event: Event) -> None:
         """Hand one event to a proxy's balancer, and carry out its actions."""
         state = self.proxies[proxy]
         for action in state.balancer.handle(self.now_ns, [event]):
@@ -231,7 +231,7 @@
 
     def _timer_expired(self, proxy: int, incarnation: int, name: str) -> None:
         if incarnation == self.proxies[proxy].incarnation:
-            self.give(proxy, TimerExpired(name))
+            self.deliver(proxy, TimerExpired(name))
 
     def _check_health(self, proxy: int, incarnation: int, endpoint_id: int) -> None:
         if incarnation != self.proxies[proxy].incarnation:
@@ -239,11 +239,11 @@
         target = self.endpoints[endpoint_id]
         if target.is_running:
             report = {"inflight": float(target.in_flight)}
-            self.give(
+            self.deliver(
                 proxy, HealthCheckEnded(endpoint_id, AttemptResult.OK, NANOSECONDS_PER_MILLISECOND, report)
             )
         else:
-            self.give(
+            self.deliver(
                 proxy,
                 HealthCheckEnded(
                     endpoint_id, AttemptResult.CONNECT_FAILED, NANOSECONDS_PER_MILLISECOND, None
@@ -322,4 +322,4 @@
         event = AttemptEnded(
             attempt.request, attempt.number, endpoint_id, result, elapsed_ns, request.is_answered, report
         )
-        self.give(attempt.proxy, event)
+        self.deliver(attempt.proxy, event)
--- a/tests/support/policy_harness.py
+++ b/tests/support/policy_harness.py
@@ -116,9 +116,9 @@
         self.timers: list[tuple[int, str]] = []  # when each is due, and its name
         self.actions: list[Action] = []  # all so far
         if endpoint_count:
-            self.give(EndpointUpdate(EndpointUpdateKind.CACHED, make_endpoints(endpoint_count)))
+            self.deliver(EndpointUpdate(EndpointUpdateKind.CACHED, make_endpoints(endpoint_count)))
 
-    def give(self, *events: Event) -> list[Action]:
+    def deliver(self, *events: Event) -> list[Action]:
         """Hand events to the balancer now, and return its checked actions."""
         for event in events:
             self.checker.record_event(event)
@@ -138,7 +138,7 @@
             self.now_ns = min(end, self.now_ns + step_ns)
             events = self._due_timers() + self._due_timeouts()
             if events:
-                seen += self.give(*events)
+                seen += self.deliver(*events)
             self.checker.check_deadlines(self.now_ns)
         return seen
 
@@ -169,7 +169,7 @@
     ) -> list[Action]:
         """End an attempt, the last one where no number is given."""
         number = number if number >= 0 else len(self.attempts[request]) - 1
-        return self.give(self.attempt_ended(request, number, result))
+        return self.deliver(self.attempt_ended(request, number, result))
 
 
 def actions_of_type(kind: type, actions: Iterable[Action]) -> list[Action]:
