--- a/tests/policy/test_final_response.py
+++ b/tests/policy/test_final_response.py
@@ -10,7 +10,7 @@
 from loadbalancer.policy.final_response import final_response, retry_after_ns
 from loadbalancer.settings import Limits, RequestClass
 from loadbalancer.units import NANOSECONDS_PER_SECOND
-from tests.support.policy_harness import ANY, CELL, PAY, READ
+from tests.support.policy_harness import CELL_DEDUPLICATED, FULLY_DEDUPLICATED, PAY, READ
 from tests.support.requests import add_attempt, make_request, make_state
 
 
@@ -18,10 +18,10 @@
     ("request_class", "may_have_run", "expected"),
     [
         (READ, True, Reject),
-        (ANY, True, Reject),
-        (CELL, True, Fail),
+        (FULLY_DEDUPLICATED, True, Reject),
+        (CELL_DEDUPLICATED, True, Fail),
         (PAY, True, Fail),
-        (CELL, False, Reject),
+        (CELL_DEDUPLICATED, False, Reject),
         (PAY, False, Reject),
     ],
 )
--- a/tests/policy/test_random_days.py
+++ b/tests/policy/test_random_days.py
@@ -17,12 +17,12 @@
 )
 from loadbalancer.settings import Limits, Rules
 from tests.support.policy_harness import (
-    ANY,
-    BIG,
-    CELL,
+    CELL_DEDUPLICATED,
+    EAST_ONLY,
+    FULLY_DEDUPLICATED,
+    LARGE_MACHINES_ONLY,
     NANOSECONDS_PER_MILLISECOND,
     NANOSECONDS_PER_SECOND,
-    NEAR,
     PAY,
     READ,
     PolicyHarness,
@@ -58,7 +58,9 @@
     harness.deliver(EndpointUpdate(EndpointUpdateKind.CACHED, endpoints))
     for number in range(rng.randint(5, 120)):
         for _ in range(rng.choice([0, 1, 1, 2, 12])):
-            request_class = rng.choice([READ, PAY, CELL, ANY, NEAR, BIG])
+            request_class = rng.choice(
+                [READ, PAY, CELL_DEDUPLICATED, FULLY_DEDUPLICATED, EAST_ONLY, LARGE_MACHINES_ONLY]
+            )
             request_number = f"{number}-{rng.random()}"
             harness.deliver(
                 arrival(
--- a/tests/policy/test_retry_eligibility.py
+++ b/tests/policy/test_retry_eligibility.py
@@ -19,12 +19,12 @@
 from loadbalancer.policy.retry_eligibility import UNCOUNTED_ATTEMPTS_MAX, should_retry
 from loadbalancer.settings import Limits, RequestClass, Rules, Settings
 from tests.support.policy_harness import (
-    ANY,
-    BIG,
-    CELL,
+    CELL_DEDUPLICATED,
+    EAST_ONLY,
+    FULLY_DEDUPLICATED,
+    LARGE_MACHINES_ONLY,
     NANOSECONDS_PER_MILLISECOND,
     NANOSECONDS_PER_SECOND,
-    NEAR,
     PAY,
     READ,
     START_NS,
@@ -46,7 +46,7 @@
     assert harness.outcomes["r1"] is RequestOutcome.SERVED
 
 
-@pytest.mark.parametrize("request_class", [READ, PAY, CELL, ANY])
+@pytest.mark.parametrize("request_class", [READ, PAY, CELL_DEDUPLICATED, FULLY_DEDUPLICATED])
 def test_request_is_rejected_in_time_when_no_endpoint_is_known(request_class: RequestClass) -> None:
     harness = PolicyHarness(endpoint_count=0)
     harness.deliver(EndpointUpdate(EndpointUpdateKind.CACHED), arrival(1, harness.now_ns, request_class))
@@ -94,7 +94,7 @@
     assert harness.outcomes["r1"] is RequestOutcome.FAILED
 
 
-@pytest.mark.parametrize("request_class", [NEAR, BIG])
+@pytest.mark.parametrize("request_class", [EAST_ONLY, LARGE_MACHINES_ONLY])
 def test_placement_binds_every_attempt(request_class: RequestClass) -> None:
     # The rule checker asserts the placement of each attempt, retries included.
     harness = PolicyHarness(endpoint_count=0)
@@ -114,7 +114,7 @@
     harness = PolicyHarness(endpoint_count=0)
     west = [u for u in make_mixed_endpoints(12) if u.zone == "west"]
     harness.deliver(EndpointUpdate(EndpointUpdateKind.CACHED, west))
-    harness.deliver(arrival("near", harness.now_ns, NEAR), arrival("read", harness.now_ns, READ))
+    harness.deliver(arrival("near", harness.now_ns, EAST_ONLY), arrival("read", harness.now_ns, READ))
     assert "rread" in harness.attempts
     assert "rnear" not in harness.attempts
     harness.advance(600 * NANOSECONDS_PER_MILLISECOND)
@@ -123,7 +123,12 @@
 
 @pytest.mark.parametrize(
     ("request_class", "rejected_may_have_run", "outcome"),
-    [(PAY, True, RequestOutcome.FAILED), (CELL, True, None), (PAY, False, None), (READ, True, None)],
+    [
+        (PAY, True, RequestOutcome.FAILED),
+        (CELL_DEDUPLICATED, True, None),
+        (PAY, False, None),
+        (READ, True, None),
+    ],
 )
 def test_rejection_proves_that_nothing_ran_only_where_the_rules_say_so(
     request_class: RequestClass, rejected_may_have_run: bool, outcome: RequestOutcome | None
@@ -173,7 +178,7 @@
     # The deduplication window is 400 ms.
     limits = Limits(max_attempts=3, connect_timeout_ns=250 * NANOSECONDS_PER_MILLISECOND)
     harness = PolicyHarness(make_settings(limits=limits))
-    harness.deliver(arrival(1, harness.now_ns, ANY, wait_ns=2 * NANOSECONDS_PER_SECOND))
+    harness.deliver(arrival(1, harness.now_ns, FULLY_DEDUPLICATED, wait_ns=2 * NANOSECONDS_PER_SECOND))
     harness.now_ns += elapsed_ms * NANOSECONDS_PER_MILLISECOND
     assert bool(actions_of_type(Forward, harness.finish("r1", AttemptResult.RESET))) is again
 
--- a/tests/policy/test_subsetting.py
+++ b/tests/policy/test_subsetting.py
@@ -25,7 +25,7 @@
 from loadbalancer.state.placement import Placement
 from loadbalancer.state.subset import Subset
 from tests.support.policy_harness import (
-    CELL,
+    CELL_DEDUPLICATED,
     NANOSECONDS_PER_MILLISECOND,
     NANOSECONDS_PER_SECOND,
     READ,
@@ -38,7 +38,7 @@
 ZONES = [f"z{i}" for i in range(8)]
 MACHINE_TYPES = ("large", "small")
 CELL_SIZE = 100
-ZONE = replace(CELL, name="zone", deduplication_scope=DeduplicationScope.ZONE)
+ZONE = replace(CELL_DEDUPLICATED, name="zone", deduplication_scope=DeduplicationScope.ZONE)
 NARROW_PLACEMENT = (frozenset({"z1", "z2"}), frozenset({"large"}))
 
 
@@ -65,7 +65,7 @@
         zone=ZONES[index % len(ZONES)],
         zones=ZONES,
         prices=prices,
-        request_classes={c.name: c for c in (READ, ZONE, CELL)},
+        request_classes={c.name: c for c in (READ, ZONE, CELL_DEDUPLICATED)},
     )
 
 
@@ -304,7 +304,7 @@
     )  # in other zones now
 
 
-@pytest.mark.parametrize("request_class", [ZONE, CELL])
+@pytest.mark.parametrize("request_class", [ZONE, CELL_DEDUPLICATED])
 def test_a_retry_with_an_idempotency_key_finds_its_group_in_a_long_list(request_class: RequestClass) -> None:
     # Few or none of the 100 endpoints of a cell are in the subset or the reserve.
     harness = PolicyHarness(proxy_settings(8800, index=3), endpoint_count=0)
--- a/tests/support/policy_harness.py
+++ b/tests/support/policy_harness.py
@@ -35,28 +35,28 @@
 
 READ = RequestClass("read", Idempotency.IDEMPOTENT, latency_objective_ns=300 * NANOSECONDS_PER_MILLISECOND)
 PAY = RequestClass("pay", Idempotency.NON_IDEMPOTENT, latency_objective_ns=300 * NANOSECONDS_PER_MILLISECOND)
-CELL = RequestClass(
-    "cell",
+CELL_DEDUPLICATED = RequestClass(
+    "cell_deduplicated",
     Idempotency.IDEMPOTENCY_KEY,
     DeduplicationScope.CELL,
     deduplication_window_ns=400 * NANOSECONDS_PER_MILLISECOND,
     latency_objective_ns=300 * NANOSECONDS_PER_MILLISECOND,
 )
-ANY = RequestClass(
-    "any",
+FULLY_DEDUPLICATED = RequestClass(
+    "fully_deduplicated",
     Idempotency.IDEMPOTENCY_KEY,
     DeduplicationScope.ALL,
     deduplication_window_ns=400 * NANOSECONDS_PER_MILLISECOND,
     latency_objective_ns=300 * NANOSECONDS_PER_MILLISECOND,
 )
-NEAR = RequestClass(
-    "near",
+EAST_ONLY = RequestClass(
+    "east_only",
     Idempotency.IDEMPOTENT,
     latency_objective_ns=300 * NANOSECONDS_PER_MILLISECOND,
     allowed_zones=frozenset({"east"}),
 )
-BIG = RequestClass(
-    "big",
+LARGE_MACHINES_ONLY = RequestClass(
+    "large_machines_only",
     Idempotency.IDEMPOTENCY_KEY,
     DeduplicationScope.ZONE,
     deduplication_window_ns=400 * NANOSECONDS_PER_MILLISECOND,
@@ -68,7 +68,10 @@
 def make_settings(**changes: object) -> Settings:
     """Return settings with invented names, with some fields changed."""
     base: dict[str, object] = {
-        "request_classes": {c.name: c for c in (READ, PAY, CELL, ANY, NEAR, BIG)},
+        "request_classes": {
+            c.name: c
+            for c in (READ, PAY, CELL_DEDUPLICATED, FULLY_DEDUPLICATED, EAST_ONLY, LARGE_MACHINES_ONLY)
+        },
         "tenants": {"ash": Tenant("ash", 0.5), "birch": Tenant("birch", 0.5)},
         "limits": Limits(max_attempts=3, hedging=True, cancellation=True, retry_after=True),
         "rules": Rules(slow_start_ns=4 * NANOSECONDS_PER_SECOND),
