--- a/tests/support/__init__.py
+++ b/tests/support/__init__.py
@@ -1,1 +1,1 @@
-"""Helpers of the tests: a harness of the policy, stand-ins of other servers, clients."""
+"""Test helpers: a policy harness, fake servers, clients, a fleet model and a rule checker."""
--- a/tests/support/http_messages.py
+++ b/tests/support/http_messages.py
@@ -1,4 +1,4 @@
-"""HTTP messages of the tests' clients and servers, written and read without the code under test."""
+"""Writes and reads the HTTP messages of test clients and servers, without the code under test."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 @dataclass
 class ReceivedMessage:
-    """A request or response as it was received; header names are in lower case."""
+    """A received request or response; header names are in lower case."""
 
     start_line: str
     headers: dict[str, str]
@@ -32,7 +32,7 @@
 
 
 async def read_message(reader: asyncio.StreamReader) -> ReceivedMessage:
-    """Read a message whose body has a `Content-Length`, or none."""
+    """Read a message; without a `Content-Length` its body is empty."""
     head = (await reader.readuntil(END_OF_HEAD)).decode().split("\r\n")
     fields = [line.split(": ", 1) for line in head[1:] if line]
     headers = {name.lower(): value for name, value in fields}
@@ -41,7 +41,7 @@
 
 
 def format_response(status: int, body: bytes = b"", *headers: str) -> bytes:
-    """Write a response as bytes, with further header lines."""
+    """Return a response as bytes, with additional header lines."""
     lines = [f"HTTP/1.1 {status} X", *headers, f"Content-Length: {len(body)}", "", ""]
     return "\r\n".join(lines).encode() + body
 
@@ -54,7 +54,7 @@
     body: bytes = b"",
     request_id: str = "",
 ) -> bytes:
-    """Write a client's request as bytes, with an id of its own unless the test names one."""
+    """Return a client's request as bytes, with a unique id unless `request_id` is given."""
     request_id = request_id or f"{next(REQUEST_NUMBERS):08x}"
     lines = [f"{method} {target} HTTP/1.1", "Host: service.internal", f"Req-Id: {request_id}", *headers]
     if deadline_ms is not None:
--- a/tests/support/policy_harness.py
+++ b/tests/support/policy_harness.py
@@ -66,7 +66,7 @@
 
 
 def make_settings(**changes: object) -> Settings:
-    """Return settings with invented names, with some fields changed."""
+    """Return settings for tests, with the given fields replaced."""
     base: dict[str, object] = {
         "request_classes": {
             c.name: c
@@ -81,12 +81,12 @@
 
 
 def make_endpoints(count: int, first: int = 1, started_ns: int = 0) -> list[Endpoint]:
-    """Return ready endpoints of one zone, three to a cell, with ids from `first` on."""
+    """Return ready endpoints in one zone, three per cell, with consecutive ids from `first`."""
     return [Endpoint(first + i, EndpointStatus.READY, "east", i // 3, 1.0, started_ns) for i in range(count)]
 
 
 def make_mixed_endpoints(count: int, started_ns: int = 0) -> list[Endpoint]:
-    """Return endpoints over two zones and two machine types."""
+    """Return endpoints spread over two zones and two machine types."""
     return [
         u._replace(zone=("east", "west")[i % 2], machine_type=("large", "small")[i // 2 % 2])
         for i, u in enumerate(make_endpoints(count, 1, started_ns))
@@ -101,12 +101,12 @@
     wait_ns: int = 500 * NANOSECONDS_PER_MILLISECOND,
     retry: bool = False,
 ) -> RequestArrived:
-    """Return the arrival of request `r<number>`, whose client waits for so long."""
+    """Return the arrival of request `r<number>`, whose deadline is `wait_ns` after `now_ns`."""
     return RequestArrived(f"r{number}", cls.name, tenant, now_ns + wait_ns, is_retry=retry)
 
 
 class PolicyHarness:
-    """Drives one balancer on a simulated clock, keeps its timers, and has its actions checked."""
+    """Drives one balancer on a simulated clock, runs its timers and checks its actions."""
 
     def __init__(self, settings: Settings | None = None, seed: int = 7, endpoint_count: int = 6) -> None:
         self.settings = settings or make_settings()
@@ -116,13 +116,13 @@
         self.request_classes = self.checker.request_classes
         self.outcomes = self.checker.outcomes
         self.attempts = self.checker.attempts
-        self.timers: list[tuple[int, str]] = []  # when each is due, and its name
-        self.actions: list[Action] = []  # all so far
+        self.timers: list[tuple[int, str]] = []  # due time and name
+        self.actions: list[Action] = []  # all actions so far
         if endpoint_count:
             self.deliver(EndpointUpdate(EndpointUpdateKind.CACHED, make_endpoints(endpoint_count)))
 
     def deliver(self, *events: Event) -> list[Action]:
-        """Hand events to the balancer now, and return its checked actions."""
+        """Hand events to the balancer at the current time; check and return its actions."""
         for event in events:
             self.checker.record_event(event)
         actions = self.balancer.handle(self.now_ns, events)
@@ -134,7 +134,7 @@
         return actions
 
     def advance(self, by_ns: int, step_ns: int = 5 * NANOSECONDS_PER_MILLISECOND) -> list[Action]:
-        """Let time pass in steps, delivering timers that are due and timeouts at the deadline."""
+        """Advance the clock in steps; deliver expired timers, and timeouts of attempts at their deadlines."""
         seen: list[Action] = []
         end = self.now_ns + by_ns
         while self.now_ns < end:
@@ -158,11 +158,11 @@
         ]
 
     def attempts_in_flight(self) -> list[tuple[str, int]]:
-        """Return the request and the number of each attempt that has not ended."""
+        """Return the request id and attempt number of each attempt that has not ended."""
         return self.checker.attempts_in_flight()
 
     def attempt_ended(self, request: str, number: int, result: AttemptResult) -> AttemptEnded:
-        """Return the event that an attempt ends now."""
+        """Return the event for an attempt that ends at the current time."""
         endpoint, sent_ns = self.attempts[request][number]
         complete = self.checker.is_complete(request) or result is AttemptResult.OK
         return AttemptEnded(request, number, endpoint.id, result, self.now_ns - sent_ns, complete)
@@ -170,7 +170,7 @@
     def finish(
         self, request: str, result: AttemptResult = AttemptResult.OK, number: int = -1
     ) -> list[Action]:
-        """End an attempt, the last one where no number is given."""
+        """End an attempt of a request: by default the last one."""
         number = number if number >= 0 else len(self.attempts[request]) - 1
         return self.deliver(self.attempt_ended(request, number, result))
 
--- a/tests/support/requests.py
+++ b/tests/support/requests.py
@@ -1,4 +1,4 @@
-"""Requests and attempts for tests of single rules."""
+"""Requests, endpoint states and attempts for unit tests of the policy."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 def make_request(
     request_class: RequestClass = READ, deadline_ms: int = 500, cost_hint_ns: int = 0, request_id: str = "r1"
 ) -> Request:
-    """Return a request that arrives at START_NS, at a pool of its own."""
+    """Return a request that arrives at START_NS, with an endpoint pool and a token bank of its own."""
     deadline_ns = START_NS + deadline_ms * NANOSECONDS_PER_MILLISECOND
     bank = TokenBank(
         rate_per_s=1.0, bank_capacity=1, buffer_capacity=1, fractional_token=0.0, now_ns=START_NS
@@ -33,7 +33,7 @@
 
 
 def make_state(endpoint: Endpoint | None = None) -> EndpointState:
-    """Return the state of an endpoint in the proxy's subset."""
+    """Return the state of an endpoint that is in the proxy's subset."""
     endpoint = endpoint or make_endpoints(1)[0]
     return EndpointState(endpoint.id, endpoint, in_subset=True)
 
@@ -45,7 +45,7 @@
     may_have_run: bool = True,
     expected_ms: int = 20,
 ) -> Attempt:
-    """Add an attempt sent at START_NS, in flight or ended with a result."""
+    """Add an attempt sent at START_NS: in flight, or ended with `result` if that is given."""
     attempt = Attempt(
         endpoint_state=state,
         sent_ns=START_NS,
