--- a/tests/support/clients.py
+++ b/tests/support/clients.py
@@ -1,4 +1,4 @@
-"""Clients on plain sockets, the ways in which they disconnect, and what must hold afterwards."""
+"""Clients on plain sockets, the ways in which they disconnect, and checks after a disconnect."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 
 
 def half_close(sock: socket.socket) -> None:
-    """Send a FIN, and go on reading."""
+    """Send a FIN, and keep the receiving side open."""
     sock.shutdown(socket.SHUT_WR)
 
 
@@ -42,7 +42,10 @@
 
 @asynccontextmanager
 async def plain_socket(client: Client, receive_buffer: int | None = None) -> AsyncIterator[socket.socket]:
-    """A socket to the client's proxy: what is done to it is done at once, between two turns of the loop."""
+    """Open a non-blocking socket to the client's proxy.
+
+    Calls on it take effect at once: no other code of the event loop runs in between.
+    """
     with socket.socket() as sock:
         if receive_buffer is not None:
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, receive_buffer)
@@ -52,12 +55,12 @@
 
 
 def first_connection(client: Client) -> ClientConnection:
-    """The proxy's side of its only connection."""
+    """Return the first connection that the proxy holds to a client."""
     return next(iter(client.proxy.downstream._connections))
 
 
 def transport_of(connection: ClientConnection) -> asyncio.Transport:
-    """The transport of a connection that is set up."""
+    """Return the transport of an established connection."""
     assert connection._transport is not None
     return connection._transport
 
@@ -66,7 +69,7 @@
 async def client_with_unread_response(
     client: Client, endpoint: FakeEndpoint, response_bytes: int
 ) -> AsyncIterator[socket.socket]:
-    """A client that has not read its response: a good part of that is still the proxy's to write."""
+    """Open a socket that has not read its response, part of which the proxy has yet to send."""
     async with plain_socket(client, receive_buffer=2048) as sock:
         await wait_until(
             lambda: any(connection._transport for connection in client.proxy.downstream._connections)
@@ -84,7 +87,7 @@
 async def assert_only_later_request_is_forwarded(
     endpoint: FakeEndpoint, client: Client, policy: ScriptedPolicy, received_before: int = 0
 ) -> None:
-    """Assert that a later request of another client is served, and that it alone has come to the endpoint."""
+    """Assert that another client's request is served, and that the endpoint has received no other since."""
     forward_requests(policy)
     assert (await client.new_client().exchange(request("/read/later"))).status == 200
     assert targets(endpoint)[received_before:] == ["/read/later"]
@@ -92,5 +95,5 @@
 
 
 def targets(endpoint: FakeEndpoint) -> list[str]:
-    """The targets of the requests that came, in their order."""
+    """Return the targets of the received requests, in order."""
     return [received.start_line.split()[1] for received in endpoint.requests]
--- a/tests/support/endpoint_lists.py
+++ b/tests/support/endpoint_lists.py
@@ -1,4 +1,4 @@
-"""Endpoint lists as discovery sends them in JSON."""
+"""Endpoint lists in the JSON that discovery sends."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 def entry(host: str, port: int = 1, **attributes: object) -> Json:
-    """An entry of the list: an endpoint that is up, but for the attributes given."""
+    """Return the entry of an endpoint that is up, with the given attributes replaced."""
     return {
         "host": host,
         "dial": f"{HOST}:{port}",
@@ -31,26 +31,26 @@
 
 
 def list_json(version: int, *hosts: object, whole: bool = False) -> Json:
-    """An endpoint list of some entries."""
+    """Return an endpoint list of these entries: a delta unless `whole` is set."""
     return {"seq": version, "whole": whole, "hosts": hosts}
 
 
 def list_of_ports(*ports: int) -> Json:
-    """A complete list of endpoints named s0, s1 and so on, at these ports."""
+    """Return a complete list of endpoints named s0, s1 and so on, at these ports."""
     return {"seq": 1, "whole": True, "hosts": [entry(f"s{i}", port) for i, port in enumerate(ports)]}
 
 
 def complete_list(count: int, version: int = 1, first: int = 0, **attributes: object) -> Json:
-    """A complete list of so many entries, named s0, s1 and so on."""
+    """Return a complete list of `count` entries, named s<first>, s<first + 1> and so on."""
     hosts = [entry(f"s{first + i}", 1 + (first + i) % MAX_PORTS, **attributes) for i in range(count)]
     return {"seq": version, "whole": True, "hosts": hosts}
 
 
 def read_list(raw: object, reader: EndpointListReader | None = None) -> EndpointList:
-    """A list as a proxy reads it, by a reader of its own if none is given."""
+    """Parse a list as a proxy does, with a new reader if none is given."""
     return (reader or EndpointListReader(0)).read(json.dumps(raw).encode())
 
 
 def read_live_list(raw: object) -> EndpointList:
-    """A list as a running proxy reads it: start times are on the clock of this process."""
+    """Parse a list as a running proxy does: start times are on this process's monotonic clock."""
     return read_list(raw, EndpointListReader(unix_offset_ns()))
--- a/tests/support/fake_discovery.py
+++ b/tests/support/fake_discovery.py
@@ -15,23 +15,23 @@
 
 
 class DiscoveryCall(NamedTuple):
-    """A call as it was received."""
+    """A received call."""
 
     received_at_s: float  # time.monotonic()
     target: str
 
 
 class DiscoveryWrite(NamedTuple):
-    """A list as it was written."""
+    """A response with an endpoint list that was written."""
 
     written_at_s: float  # time.monotonic()
     version: int
 
 
 class FakeDiscovery:
-    """A discovery whose list is changed by `change`, and which records each call.
+    """A discovery service whose list is changed by `change`, and which records each call.
 
-    With `honors_wait` a watch without a change ends after the time that it names, else it lasts.
+    A watch ends with the next change. With `honors_wait` it also ends after its `wait_ms`.
     """
 
     def __init__(self, *, honors_wait: bool = False) -> None:
@@ -39,14 +39,16 @@
         self.version = 1
         self.calls: list[DiscoveryCall] = []
         self.writes: list[DiscoveryWrite] = []
-        self.broken_response = b""  # sent in place of a list, unless empty
+        self.broken_response = b""  # if not empty, sent in place of a list; then the connection is closed
         self.server = FakeEndpoint(self._respond)
         self._honors_wait = honors_wait
         self._changed = asyncio.Event()
-        self._last_changes: dict[str, int] = {}  # version of a host's last change, the latest one last
+        self._last_changes: dict[
+            str, int
+        ] = {}  # version of each host's last change, in the order of the changes
 
     def change(self, host: str, **attributes: object) -> None:
-        """Add an entry, or change attributes of one, in a new version of the list."""
+        """Add an entry or change attributes of one; this makes a new version of the list."""
         self.entries[host] = {**entry(host), **self.entries.get(host, {}), **attributes}
         self.version += 1
         self._last_changes.pop(host, None)
@@ -75,7 +77,7 @@
         self.writes.append(DiscoveryWrite(time.monotonic(), self.version))
 
     async def _changes_after(self, version: int, wait_s: float | None) -> list[Json]:
-        """Wait for a newer version; return what changed since, also if an earlier response held it."""
+        """Wait for a newer version, then return each entry that has changed since `version`."""
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(wait_s):
                 while self.version <= version:
@@ -86,7 +88,10 @@
 
 
 def hold_first_list(discovery: FakeDiscovery) -> asyncio.Event:
-    """Hold back the first complete list, as it was when it was requested, until the event is set."""
+    """Hold back complete lists until the returned event is set.
+
+    Such a response has the list as it was at the time of the request.
+    """
     release = asyncio.Event()
     respond_normally = discovery.server.respond
 
--- a/tests/support/fake_endpoint.py
+++ b/tests/support/fake_endpoint.py
@@ -1,4 +1,4 @@
-"""A fake endpoint on loopback, and the ways in which it responds."""
+"""A fake endpoint on loopback, and its possible responses."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 def respond_raw(data: bytes, *, close: bool = False) -> Responder:
-    """Respond to each request with these bytes, and close the connection if `close` is set."""
+    """Respond to each request with these bytes, then close the connection if `close` is set."""
 
     async def respond(_request: ReceivedMessage, writer: Writer) -> None:
         writer.write(data)
@@ -28,11 +28,11 @@
 
 
 async def never_respond(received: ReceivedMessage, writer: Writer) -> None:
-    """Leave a request without a response."""
+    """Send no response, and keep the connection open."""
 
 
 async def abort_connection(_request: ReceivedMessage, writer: Writer) -> None:
-    """Abort the connection on which a request came."""
+    """Abort the connection on which a request was received."""
     writer.transport.abort()
 
 
@@ -48,7 +48,7 @@
         self._server: asyncio.Server | None = None
 
     async def start(self) -> FakeEndpoint:
-        """Listen on a free port; returns the endpoint itself."""
+        """Listen on a free port; return the endpoint itself."""
         self._server = await asyncio.start_server(self._serve, HOST, 0)
         self.port = self._server.sockets[0].getsockname()[1]
         return self
@@ -66,6 +66,6 @@
             writer.close()
 
     def stop(self) -> None:
-        """Listen no longer; open connections stay."""
+        """Stop listening; open connections stay."""
         if self._server is not None:
             self._server.close()
--- a/tests/support/running_proxy.py
+++ b/tests/support/running_proxy.py
@@ -1,4 +1,4 @@
-"""A proxy that runs in the test's event loop, and a client of it."""
+"""Runs a proxy in the test's event loop, with a client of it."""
 
 from __future__ import annotations
 
@@ -30,12 +30,12 @@
     client_timeout_ns: int = 0,
     **limits: Any,  # noqa: ANN401 - fields of `Limits`
 ) -> Settings:
-    """Settings with the request classes `read`, `pay` (not idempotent) and `book` (with a key).
+    """Return settings with the request classes `read`, `pay` (non-idempotent), `book` (idempotency key).
 
     Args:
-        reports_in_responses: Whether responses of endpoints carry load reports.
-        polls: Whether the endpoint list is polled, in place of a discovery that pushes it.
-        client_timeout_ns: Of all request classes; 0: none.
+        reports_in_responses: Whether endpoints send load reports in responses.
+        polls: Whether the proxy polls the endpoint list; otherwise discovery pushes it.
+        client_timeout_ns: Client timeout of all request classes; 0 means none.
         **limits: Fields of `Limits`.
     """
     limits = {"max_attempts": 3, "connect_timeout_ns": CONNECT_TIMEOUT_NS, **limits}
@@ -69,9 +69,9 @@
     ready_delay_s: float = 0.0,
     **settings: Any,  # noqa: ANN401 - arguments of `proxy_settings`
 ) -> AsyncIterator[Client]:
-    """Run a proxy and give a client of it; the proxy, endpoints and discovery are stopped at the end.
+    """Run a proxy and yield a client of it; at the end, stop the proxy, the endpoints and discovery.
 
-    The proxy starts with `initial_list`, or else with a list of these endpoints.
+    The proxy starts with `initial_list`, or by default with a list of `endpoints`.
     """
     discovery = discovery or FakeDiscovery()
     await discovery.server.start()
@@ -123,12 +123,12 @@
         return await self.read()
 
     async def is_closed_by_proxy(self) -> bool:
-        """Wait for more data; returns whether the proxy closes the connection instead."""
+        """Wait until the proxy sends data or closes; return whether it closed without sending any."""
         assert self.reader is not None
         return await asyncio.wait_for(self.reader.read(), WAIT_TIMEOUT_S) == b""
 
     def new_client(self) -> Client:
-        """Make another client of the same proxy."""
+        """Return another client of the same proxy."""
         return Client(self.proxy, self.port)
 
     def close(self) -> None:
