--- a/tests/proxy/test_client_disconnect.py
+++ b/tests/proxy/test_client_disconnect.py
@@ -37,7 +37,7 @@
     each_disconnect,
     first_connection,
     plain_socket,
-    targets,
+    request_targets,
     transport_of,
 )
 from tests.support.fake_endpoint import (
@@ -151,7 +151,7 @@
 
 def forwarded(endpoint: FakeEndpoint) -> list[str]:
     """Return the targets of the forwarded requests, without those of health checks."""
-    return [target for target in targets(endpoint) if "/read/" in target]
+    return [target for target in request_targets(endpoint) if "/read/" in target]
 
 
 async def send_until_served(client: Client) -> None:
--- a/tests/proxy/test_discovery_handover.py
+++ b/tests/proxy/test_discovery_handover.py
@@ -17,7 +17,7 @@
 )
 from loadbalancer.state.endpoint_ids import preferred_id
 from tests.support.endpoint_lists import entry, list_of_ports
-from tests.support.fake_discovery import FakeDiscovery, hold_first_list
+from tests.support.fake_discovery import FakeDiscovery, hold_complete_lists
 from tests.support.fake_endpoint import Writer
 from tests.support.fake_policies import ScriptedPolicy
 from tests.support.http_messages import HOST, ReceivedMessage, format_response
@@ -174,7 +174,7 @@
     # Failures of the old address are not reported to the policy, and it is not called again.
     old, script = FakeDiscovery(), timer_driven_policy()
     new = await start_discovery("s9")
-    release = hold_first_list(new)
+    release = hold_complete_lists(new)
     async with running_proxy(script, discovery=old, initial_list=list_of_ports(5), polls=True) as client:
         discovery_client = client.proxy.discovery_client
         await close_old_address_in_handover(old, new, client, script)
@@ -221,7 +221,7 @@
 async def test_deferred_calls_go_to_the_old_address_after_a_handover_back(timer_name: str) -> None:
     old, script = FakeDiscovery(), timer_driven_policy()
     new = await start_discovery("s9")
-    hold_first_list(new)
+    hold_complete_lists(new)
     async with running_proxy(script, discovery=old, initial_list=list_of_ports(5), polls=True) as client:
         await close_old_address_in_handover(old, new, client, script)
         client.proxy.dispatch(TimerExpired(timer_name))
@@ -238,7 +238,7 @@
     old.entries = {"s0": entry("s0", 5)}
     new = await start_discovery("s0")
     new.version = 1
-    release = hold_first_list(new)
+    release = hold_complete_lists(new)
     async with running_proxy(script, discovery=old, initial_list=list_of_ports(5)) as client:
         await wait_until(lambda: old.calls)
         client.proxy.discovery_client.hand_over_to((HOST, new.server.port))
--- a/tests/proxy/test_discovery_watch.py
+++ b/tests/proxy/test_discovery_watch.py
@@ -19,7 +19,7 @@
 )
 from loadbalancer.policy.balancer import Balancer
 from tests.support.endpoint_lists import entry, list_of_ports
-from tests.support.fake_discovery import FakeDiscovery, hold_first_list
+from tests.support.fake_discovery import FakeDiscovery, hold_complete_lists
 from tests.support.fake_endpoint import Responder, Writer
 from tests.support.fake_policies import RecordingPolicy, ScriptedPolicy
 from tests.support.http_messages import ReceivedMessage, format_response
@@ -160,7 +160,7 @@
 async def test_a_fetched_list_that_is_older_does_not_undo_a_drain() -> None:
     discovery = FakeDiscovery()
     discovery.entries = {"s0": entry("s0", 5)}
-    release = hold_first_list(discovery)
+    release = hold_complete_lists(discovery)
     script = ScriptedPolicy(lambda e: [FetchEndpoints()] if isinstance(e, TimerExpired) else ())
     async with running_proxy(script, discovery=discovery, initial_list=list_of_ports(5)) as client:
         await wait_until(lambda: discovery.calls)
--- a/tests/proxy/test_unread_disconnect.py
+++ b/tests/proxy/test_unread_disconnect.py
@@ -31,7 +31,7 @@
     first_connection,
     half_close,
     plain_socket,
-    targets,
+    request_targets,
     transport_of,
 )
 from tests.support.fake_endpoint import FakeEndpoint, Responder, Writer, respond_with
@@ -219,4 +219,4 @@
         throttle.set_rate(4.0, time.monotonic_ns())
         await client.send(request("/read/stays"))
         assert (await client.read()).status == 200  # it gets the next token
-        assert targets(endpoint) == ["/read/stays"]
+        assert request_targets(endpoint) == ["/read/stays"]
--- a/tests/support/clients.py
+++ b/tests/support/clients.py
@@ -90,10 +90,10 @@
     """Assert that another client's request is served, and that the endpoint has received no other since."""
     forward_requests(policy)
     assert (await client.new_client().exchange(request("/read/later"))).status == 200
-    assert targets(endpoint)[received_before:] == ["/read/later"]
+    assert request_targets(endpoint)[received_before:] == ["/read/later"]
     assert not client.proxy._pending_requests
 
 
-def targets(endpoint: FakeEndpoint) -> list[str]:
+def request_targets(endpoint: FakeEndpoint) -> list[str]:
     """Return the targets of the received requests, in order."""
     return [received.start_line.split()[1] for received in endpoint.requests]
--- a/tests/support/fake_discovery.py
+++ b/tests/support/fake_discovery.py
@@ -87,7 +87,7 @@
         return [self.entries[host] for host, last_change in changes if last_change > version]
 
 
-def hold_first_list(discovery: FakeDiscovery) -> asyncio.Event:
+def hold_complete_lists(discovery: FakeDiscovery) -> asyncio.Event:
     """Hold back complete lists until the returned event is set.
 
     Such a response has the list as it was at the time of the request.
