--- a/tests/proxy/test_attempts.py
+++ b/tests/proxy/test_attempts.py
@@ -29,7 +29,6 @@
 from loadbalancer.units import NANOSECONDS_PER_MILLISECOND
 from tests.support.endpoint_lists import entry, list_json, list_of_ports, read_live_list
 from tests.support.fake_endpoint import FakeEndpoint, never_respond, respond_with
-from tests.support.fake_machine import Machine
 from tests.support.fake_policies import RecordingPolicy, ScriptedPolicy
 from tests.support.http_messages import HOST, ReceivedMessage, format_response, request
 from tests.support.running_proxy import proxy_settings, running_proxy
@@ -41,6 +40,7 @@
     results,
     shrink_send_buffers,
 )
+from tests.support.unreachable_server import UnreachableServer
 from tests.support.waiting import WAIT_TIMEOUT_S, wait_until
 
 SMALL_BUFFER_BYTES = 4096
@@ -232,7 +232,7 @@
 
 async def test_unsent_request_is_rejected_instead_of_failed_at_its_timeout() -> None:
     # Guards against failing a request that is not idempotent although its client could safely send it again.
-    unreachable = await Machine(respond_with(200), refuses=False).start()
+    unreachable = await UnreachableServer(respond_with(200), refuses_connections=False).start()
     policy = RecordingPolicy(Balancer(proxy_settings(max_attempts=2), 1, time.monotonic_ns()))
     async with running_proxy(policy, unreachable, max_attempts=2) as client:
         response = await client.exchange(request("/pay", deadline_ms=300, method="POST", body=b"1"))
--- a/tests/proxy/test_discovery_outage.py
+++ b/tests/proxy/test_discovery_outage.py
@@ -32,11 +32,11 @@
     never_respond,
     respond_with,
 )
-from tests.support.fake_machine import Machine as Machine
 from tests.support.fake_policies import ScriptedPolicy
 from tests.support.http_messages import HOST, ReceivedMessage, format_response, request
 from tests.support.policy_harness import NANOSECONDS_PER_SECOND, START_NS, make_settings
 from tests.support.running_proxy import proxy_settings, running_proxy
+from tests.support.unreachable_server import UnreachableServer as UnreachableServer
 from tests.support.waiting import wait_until
 
 # A change must take effect within this time after discovery has it and can be reached.
@@ -187,7 +187,7 @@
 ) -> None:
     shorten_discovery_timeouts(monkeypatch)
     discovery = FakeDiscovery()
-    discovery.server = machine = Machine(discovery.server.respond, refuses)
+    discovery.server = unreachable = UnreachableServer(discovery.server.respond, refuses)
     policy = Balancer(proxy_settings(polls=polls), 1, time.monotonic_ns())
     # So that the first call times out too.
     monkeypatch.setattr("loadbalancer.proxy.discovery_client.POLL_WAIT_MS", 40)
@@ -196,7 +196,7 @@
     ) as client:
         await wait_until(lambda: client.proxy.discovery_client._watch_backoff.failures >= 3)
         discovery.change("s0", health="draining")
-        await machine.comes_back()
+        await unreachable.start_accepting()
         await wait_until(lambda: not client.proxy.addresses.ready())
 
 
@@ -211,7 +211,7 @@
     if kind == "silent":
         new.server.respond = never_respond
     else:
-        new.server = Machine(respond_normally, kind == "refuses")
+        new.server = UnreachableServer(respond_normally, kind == "refuses")
     await new.server.start()
     async with running_proxy(ScriptedPolicy(), discovery=old, initial_list=list_of_ports(5)) as client:
         await wait_until(lambda: old.calls)
@@ -220,8 +220,8 @@
         assert handover is not None
         await wait_until(lambda: handover.backoff.failures >= 2)
         assert client.proxy.addresses.ready()
-        if isinstance(new.server, Machine):
-            await new.server.comes_back()
+        if isinstance(new.server, UnreachableServer):
+            await new.server.start_accepting()
         else:
             new.server.respond = respond_normally
         await wait_until(lambda: not client.proxy.addresses.ready())
@@ -256,7 +256,7 @@
     discovery = FakeDiscovery()
     respond_normally: Responder = discovery.server.respond
     if kind == "refuses":
-        discovery.server = Machine(respond_normally, True)
+        discovery.server = UnreachableServer(respond_normally, True)
     else:
         discovery.server.respond = {"breaks": abort_connection, "silent": never_respond}[kind]
     policy = Balancer(proxy_settings(polls=polls), 1, time.monotonic_ns())
@@ -296,8 +296,8 @@
         while discovery_client._watch_backoff.failures < 4:
             await send_request()
         discovery.change("s0", port=endpoints[0].port, health="draining")
-        if isinstance(discovery.server, Machine):
-            await discovery.server.comes_back()
+        if isinstance(discovery.server, UnreachableServer):
+            await discovery.server.start_accepting()
         else:
             discovery.server.respond = respond_normally
         await wait_until(lambda: ids_by_port[endpoints[0].port] not in client.proxy.addresses.ready())
--- a/tests/proxy/test_drain_with_queued_requests.py
+++ b/tests/proxy/test_drain_with_queued_requests.py
@@ -20,7 +20,7 @@
 from loadbalancer.policy.balancer import Balancer
 from loadbalancer.proxy.endpoint_list_applier import SLICE_ENTRIES
 from loadbalancer.proxy.proxy import Proxy
-from tests.proxy.test_discovery_outage import Machine
+from tests.proxy.test_discovery_outage import UnreachableServer
 from tests.support.endpoint_lists import Json, entry, list_json, read_live_list
 from tests.support.fake_discovery import FakeDiscovery
 from tests.support.fake_endpoint import FakeEndpoint, Writer, respond_with
@@ -41,7 +41,7 @@
         await release.wait()
         writer.write(format_response(200))
 
-    unreachable = await Machine(respond_with(200), refuses=False).start()
+    unreachable = await UnreachableServer(respond_with(200), refuses_connections=False).start()
     reachable = await FakeEndpoint(respond_when_released).start()
     discovery = FakeDiscovery()
     balancer = Balancer(proxy_settings(max_attempts=2), 1, time.monotonic_ns())
@@ -118,7 +118,7 @@
         await release.wait()
         writer.write(format_response(200))
 
-    unreachable = await Machine(respond_with(200), refuses=False).start()
+    unreachable = await UnreachableServer(respond_with(200), refuses_connections=False).start()
     reachable = await FakeEndpoint(respond_when_released).start()
     balancer = Balancer(proxy_settings(max_attempts=2), 1, time.monotonic_ns())
     async with running_proxy(balancer, unreachable, reachable, max_attempts=2) as first_client:
@@ -143,7 +143,9 @@
 
 async def test_an_unsent_request_survives_successive_drains() -> None:
     # Guards against drains that use up the attempts of a request although no byte of it was sent.
-    unreachable = [await Machine(respond_with(200), refuses=False).start() for _ in range(DRAINS)]
+    unreachable = [
+        await UnreachableServer(respond_with(200), refuses_connections=False).start() for _ in range(DRAINS)
+    ]
     reachable = await FakeEndpoint(respond_with(200)).start()
     hosts = {machine.port: f"s{number}" for number, machine in enumerate(unreachable)}
     balancer = Balancer(proxy_settings(max_attempts=2), 1, time.monotonic_ns())
--- a/tests/soak/servers.py
+++ b/tests/soak/servers.py
@@ -15,8 +15,8 @@
 from tests.support.endpoint_lists import Json
 from tests.support.fake_discovery import FakeDiscovery
 from tests.support.fake_endpoint import FakeEndpoint, Writer, abort_connection
-from tests.support.fake_machine import Machine
 from tests.support.http_messages import HOST, ReceivedMessage, format_response
+from tests.support.unreachable_server import UnreachableServer
 
 SERVICE_TIMES_S = (0.002, 0.005, 0.01, 0.02)
 SLOW_SERVICE_TIME_S = 0.3
@@ -32,13 +32,13 @@
         self.number = number
         self.behavior = Behavior.NORMAL
         self._records = records
-        self._machine = Machine(self._respond, refuses=False) if is_late else None
+        self._machine = UnreachableServer(self._respond, refuses_connections=False) if is_late else None
         self.server = self._machine or FakeEndpoint(self._respond)
 
     async def listen_late(self) -> None:
         """Accept connections from now on, if it was late."""
         if self._machine is not None:
-            await self._machine.comes_back()
+            await self._machine.start_accepting()
 
     def set_behavior(self, behavior: Behavior) -> None:
         """Treat requests in this way from now on."""
