--- a/tests/proxy/test_attempt_responses.py
+++ b/tests/proxy/test_attempt_responses.py
@@ -26,10 +26,10 @@
 from tests.support.http_messages import HOST, format_response, request
 from tests.support.running_proxy import running_proxy
 from tests.support.scripted import (
+    attempt_results,
     fail_unless_complete,
     forwarding_policy,
     hold_connections,
-    results,
 )
 from tests.support.waiting import wait_until
 
@@ -77,7 +77,7 @@
     async with running_proxy(policy, endpoint) as client:
         response = await client.exchange(request())
         assert response.status == (200 if result is AttemptResult.OK else 504)
-        assert results(policy) == [result]
+        assert attempt_results(policy) == [result]
         assert len(endpoint.requests) == 1  # the proxy retries nothing on its own
 
 
@@ -111,7 +111,7 @@
     policy = forwarding_policy(fail_unless_complete)
     async with running_proxy(policy, endpoint) as client:
         assert (await client.exchange(request())).status == 504
-        assert results(policy) == [AttemptResult.CONNECT_FAILED]
+        assert attempt_results(policy) == [AttemptResult.CONNECT_FAILED]
 
 
 async def test_a_connect_timeout_is_a_connect_failure(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -121,7 +121,7 @@
         await client.send(request())
         hold_connections(monkeypatch, asyncio.Event())
         assert (await client.read()).status == 504
-        assert results(policy) == [AttemptResult.CONNECT_FAILED]
+        assert attempt_results(policy) == [AttemptResult.CONNECT_FAILED]
 
 
 async def test_a_reset_before_the_last_byte_is_written_is_a_connect_failure() -> None:
@@ -164,4 +164,4 @@
             await client.send(b"")
             monkeypatch.setattr(loop, "create_connection", create_connection)
             assert (await client.exchange(request("/pay", method="POST"))).status == 504
-            assert results(policy) == [AttemptResult.CONNECT_FAILED]
+            assert attempt_results(policy) == [AttemptResult.CONNECT_FAILED]
--- a/tests/proxy/test_attempts.py
+++ b/tests/proxy/test_attempts.py
@@ -33,11 +33,11 @@
 from tests.support.http_messages import HOST, ReceivedMessage, format_response, request
 from tests.support.running_proxy import proxy_settings, running_proxy
 from tests.support.scripted import (
+    attempt_results,
     connect,
     fail_unless_complete,
     forward_requests,
     hold_connections,
-    results,
     shrink_send_buffers,
 )
 from tests.support.unreachable_server import UnreachableServer
@@ -114,7 +114,7 @@
         client.proxy.dispatch(TimerExpired("now"))
         assert (await client.read()).status == 504
         await wait_until(lambda: endpoint.closed_connections == 1)
-        assert results(policy) == [AttemptResult.CANCELLED]
+        assert attempt_results(policy) == [AttemptResult.CANCELLED]
 
 
 async def test_a_stall_after_the_decision_does_not_extend_the_timeout() -> None:
@@ -133,7 +133,7 @@
     policy.react = react
     async with running_proxy(policy, endpoint) as client:
         assert (await client.exchange(request(deadline_ms=150))).status == 503
-        assert results(policy) == [AttemptResult.TIMEOUT]
+        assert attempt_results(policy) == [AttemptResult.TIMEOUT]
         await wait_until(lambda: policy.events_of(TimerExpired))
         assert not policy.events_of(ClientDisconnected)
 
--- a/tests/proxy/test_endpoint_changes.py
+++ b/tests/proxy/test_endpoint_changes.py
@@ -18,13 +18,13 @@
 from tests.support.http_messages import HOST, ReceivedMessage, format_response, request
 from tests.support.running_proxy import running_proxy
 from tests.support.scripted import (
+    attempt_results,
     connect,
     fail_unless_complete,
     forward_requests,
     forwarding_policy,
     hold_connections,
     on_timer,
-    results,
     retry_unless_complete,
     update_first_endpoint,
 )
@@ -46,9 +46,9 @@
         update_first_endpoint(client.proxy, 2, dial=f"{HOST}:{endpoint.port}", health=health)
         assert (await client.read()).status == 504
         may_connect.set()
-        assert results(policy) == [AttemptResult.NOT_SENT]
+        assert attempt_results(policy) == [AttemptResult.NOT_SENT]
         assert (await client.exchange(request())).status == 504  # a new attempt is not sent either
-        assert results(policy) == [AttemptResult.NOT_SENT] * 2
+        assert attempt_results(policy) == [AttemptResult.NOT_SENT] * 2
         assert not endpoint.requests
 
 
@@ -67,7 +67,7 @@
         update_first_endpoint(client.proxy, 2, dial=f"{HOST}:{new.port}")
         may_connect.set()
         assert (await client.read()).body == b"new"
-        assert results(policy) == [AttemptResult.NOT_SENT, AttemptResult.OK]
+        assert attempt_results(policy) == [AttemptResult.NOT_SENT, AttemptResult.OK]
         assert not old.requests
         assert client.proxy._connection_limits.open_connections == 1
     old.stop()
@@ -109,7 +109,7 @@
         await client.send(request())
         await wait_until(lambda: policy.events_of(RequestArrived))
         update_first_endpoint(client.proxy, 2, health="removed")
-        assert results(policy) == [AttemptResult.NOT_SENT]  # before the endpoint is added again
+        assert attempt_results(policy) == [AttemptResult.NOT_SENT]  # before the endpoint is added again
         update_first_endpoint(client.proxy, 3, dial=f"{HOST}:{endpoint.port}")
         policy.react = on_timer(lambda: [Forward("1", policy.endpoint_ids()[0])])
         client.proxy.dispatch(TimerExpired("again"))
--- a/tests/proxy/test_endpoint_connections.py
+++ b/tests/proxy/test_endpoint_connections.py
@@ -22,12 +22,12 @@
 from tests.support.http_messages import ReceivedMessage, format_response, request
 from tests.support.running_proxy import running_proxy
 from tests.support.scripted import (
+    attempt_results,
     end_quarantine,
     fail_unless_complete,
     forward_requests,
     forwarding_policy,
     on_timer,
-    results,
 )
 from tests.support.waiting import wait_until
 
@@ -45,7 +45,7 @@
             assert (await client.exchange(request())).body == b"mine"
             assert endpoint.opened_connections == len(endpoint.requests) == count
             assert not client.proxy._connection_limits.idle_connections
-        assert results(policy) == [AttemptResult.OK] * 2
+        assert attempt_results(policy) == [AttemptResult.OK] * 2
 
 
 async def test_a_late_second_response_is_not_given_to_the_next_request(
@@ -152,7 +152,7 @@
         client.proxy.dispatch(TimerExpired("retry"))  # in the same turn of the event loop
         assert (await client.read()).body == b"mine"
         assert endpoint.opened_connections == 2
-        assert results(policy) == [AttemptResult.OK] * 2
+        assert attempt_results(policy) == [AttemptResult.OK] * 2
 
 
 async def test_connections_to_endpoints_are_limited() -> None:
@@ -167,7 +167,7 @@
         client.proxy._connection_limits.max_connections = 7
         assert (await client.exchange(request())).status == 504
         assert client.proxy._connection_limits.open_connections == 7
-        assert results(policy) == [AttemptResult.CONNECT_FAILED]
+        assert attempt_results(policy) == [AttemptResult.CONNECT_FAILED]
         for other_client in clients:
             other_client.close()
         await wait_until(lambda: client.proxy._connection_limits.open_connections == 0)
--- a/tests/support/scripted.py
+++ b/tests/support/scripted.py
@@ -83,7 +83,7 @@
     return policy
 
 
-def results(policy: ScriptedPolicy) -> list[AttemptResult]:
+def attempt_results(policy: ScriptedPolicy) -> list[AttemptResult]:
     """Give the results of all attempts, in the order in which they ended."""
     return [ended.result for ended in policy.events_of(AttemptEnded)]
 
