--- a/tests/proxy/test_attempts.py
+++ b/tests/proxy/test_attempts.py
@@ -34,10 +34,10 @@
 from tests.support.running_proxy import proxy_settings, running_proxy
 from tests.support.scripted import (
     attempt_results,
-    connect,
     fail_unless_complete,
     forward_requests,
     hold_connections,
+    request_readiness,
     shrink_send_buffers,
 )
 from tests.support.unreachable_server import UnreachableServer
@@ -172,7 +172,7 @@
     refusing.stop()
     policy, may_connect = ScriptedPolicy(forward), asyncio.Event()
     async with running_proxy(policy, refusing, endpoint) as client:
-        await connect(client)
+        await request_readiness(client)
         hold_connections(monkeypatch, may_connect, endpoint.port)
         await client.send(request())
         await wait_until(lambda: len(deadlines_ns) == attempts)
--- a/tests/proxy/test_drain_with_queued_requests.py
+++ b/tests/proxy/test_drain_with_queued_requests.py
@@ -27,7 +27,7 @@
 from tests.support.fake_policies import ScriptedPolicy
 from tests.support.http_messages import HOST, ReceivedMessage, format_response, request
 from tests.support.running_proxy import proxy_settings, running_proxy
-from tests.support.scripted import connect, hold_connections, update_first_endpoint
+from tests.support.scripted import hold_connections, request_readiness, update_first_endpoint
 from tests.support.waiting import wait_until
 
 CLIENTS = 8
@@ -181,7 +181,7 @@
 
     policy.react = react
     async with running_proxy(policy, endpoint) as client:
-        await connect(client)
+        await request_readiness(client)
         hold_connections(monkeypatch, asyncio.Event())
         await client.send(request())
         await wait_until(lambda: policy.events_of(RequestArrived))
--- a/tests/proxy/test_endpoint_changes.py
+++ b/tests/proxy/test_endpoint_changes.py
@@ -19,12 +19,12 @@
 from tests.support.running_proxy import running_proxy
 from tests.support.scripted import (
     attempt_results,
-    connect,
     fail_unless_complete,
     forward_requests,
     forwarding_policy,
     hold_connections,
     on_timer,
+    request_readiness,
     retry_unless_complete,
     update_first_endpoint,
 )
@@ -39,7 +39,7 @@
     policy = forwarding_policy(fail_unless_complete)
     may_connect = asyncio.Event()
     async with running_proxy(policy, endpoint) as client:
-        await connect(client)
+        await request_readiness(client)
         hold_connections(monkeypatch, may_connect)
         await client.send(request())
         await wait_until(lambda: policy.events_of(RequestArrived))
@@ -59,7 +59,7 @@
     new = await FakeEndpoint(respond_with(200, b"new")).start()
     policy = forwarding_policy(retry_unless_complete)
     async with running_proxy(policy, initial_list=list_of_ports(old.port)) as client:
-        await connect(client)
+        await request_readiness(client)
         may_connect = asyncio.Event()
         hold_connections(monkeypatch, may_connect)
         await client.send(request())
@@ -102,7 +102,7 @@
     endpoint = await FakeEndpoint(respond_with(200, b"it")).start()
     policy = ScriptedPolicy()
     async with running_proxy(policy, endpoint) as client:
-        await connect(client)
+        await request_readiness(client)
         may_connect = asyncio.Event()
         hold_connections(monkeypatch, may_connect)
         forward_requests(policy)
--- a/tests/proxy/test_requests.py
+++ b/tests/proxy/test_requests.py
@@ -32,11 +32,11 @@
 from tests.support.http_messages import HOST, ReceivedMessage, format_response, request
 from tests.support.running_proxy import proxy_settings, running_proxy
 from tests.support.scripted import (
-    connect,
     fail_unless_complete,
     forward_requests,
     forwarding_policy,
     on_timer,
+    request_readiness,
 )
 from tests.support.waiting import wait_until
 
@@ -108,10 +108,10 @@
     endpoint = await FakeEndpoint(respond_with(200)).start()
     policy = forwarding_policy()
     async with running_proxy(policy, endpoint, ready_delay_s=3600.0) as client:
-        assert (await connect(client)).status == 503
+        assert (await request_readiness(client)).status == 503
         assert (await client.exchange(request())).status == 200
     async with running_proxy(policy, endpoint) as client:
-        assert (await connect(client)).status == 200
+        assert (await request_readiness(client)).status == 200
 
 
 async def test_one_attempt_at_a_time_and_none_after_the_final_response() -> None:
@@ -140,8 +140,8 @@
             (0, AttemptResult.NOT_SENT, True),
         }
         assert len(endpoint.requests) == 1
-        assert policy.deepest_call == 1
-        assert (await connect(client)).status == 200  # one response only
+        assert policy.max_call_depth == 1
+        assert (await request_readiness(client)).status == 200  # one response only
 
 
 async def test_a_client_disconnect_cancels_its_request() -> None:
--- a/tests/proxy/test_shutdown.py
+++ b/tests/proxy/test_shutdown.py
@@ -24,7 +24,7 @@
 from tests.support.fake_policies import ScriptedPolicy
 from tests.support.http_messages import ReceivedMessage, format_response, request
 from tests.support.running_proxy import running_proxy
-from tests.support.scripted import connect, fail_all, forwarding_policy
+from tests.support.scripted import fail_all, forwarding_policy, request_readiness
 from tests.support.waiting import wait_until
 
 
@@ -140,7 +140,7 @@
         if kept_alive:
             assert (await client.exchange(request())).status == 200
         idle = client.new_client()
-        assert (await connect(idle)).status == 200
+        assert (await request_readiness(idle)).status == 200
         data = request()
         await client.send(data[:-3])
         await wait_until(lambda: any(c.request_started for c in client.proxy.downstream._connections))
--- a/tests/support/fake_policies.py
+++ b/tests/support/fake_policies.py
@@ -18,16 +18,16 @@
 
     react: Callable[[Event], Iterable[Action]] = lambda _event: ()
     events: list[Event] = field(default_factory=list)
-    open_calls: int = 0
-    deepest_call: int = 0  # over 1: `handle` was called again before it returned
+    active_calls: int = 0
+    max_call_depth: int = 0  # over 1: `handle` was called again before it returned
 
     def handle(self, now_ns: int, events: Iterable[Event]) -> list[Action]:  # noqa: ARG002 - the signature of a policy
         """Record the events; returns the reactions to each."""
-        self.open_calls += 1
-        self.deepest_call = max(self.deepest_call, self.open_calls)
+        self.active_calls += 1
+        self.max_call_depth = max(self.max_call_depth, self.active_calls)
         self.events += events
         actions = [action for event in events for action in self.react(event)]
-        self.open_calls -= 1
+        self.active_calls -= 1
         return actions
 
     def events_of(self, kind: type[EventType]) -> list[EventType]:
--- a/tests/support/scripted.py
+++ b/tests/support/scripted.py
@@ -93,7 +93,7 @@
     return [endpoint.status for update in policy.events_of(EndpointUpdate) for endpoint in update.endpoints]
 
 
-async def connect(client: Client) -> ReceivedMessage:
+async def request_readiness(client: Client) -> ReceivedMessage:
     """Open the client's connection; returns the proxy's response to whether it is ready."""
     return await client.exchange(READY_REQUEST)
 
