--- a/tests/support/fake_policies.py
+++ b/tests/support/fake_policies.py
@@ -1,4 +1,4 @@
-"""Policies that stand in for the balancer's, or record what it does."""
+"""Test doubles of the policy: one with scripted actions, and one that records another policy."""
 
 from __future__ import annotations
 
@@ -14,15 +14,15 @@
 
 @dataclass
 class ScriptedPolicy:
-    """A policy that records its events, and whose actions the test gives by `react`."""
+    """A policy that records its events, and whose actions come from `react`."""
 
     react: Callable[[Event], Iterable[Action]] = lambda _event: ()
     events: list[Event] = field(default_factory=list)
     active_calls: int = 0
-    max_call_depth: int = 0  # over 1: `handle` was called again before it returned
+    max_call_depth: int = 0  # above 1: `handle` was called again before it had returned
 
     def handle(self, now_ns: int, events: Iterable[Event]) -> list[Action]:  # noqa: ARG002 - the signature of a policy
-        """Record the events; returns the reactions to each."""
+        """Record the events; return the reactions to them."""
         self.active_calls += 1
         self.max_call_depth = max(self.max_call_depth, self.active_calls)
         self.events += events
@@ -31,11 +31,11 @@
         return actions
 
     def events_of(self, kind: type[EventType]) -> list[EventType]:
-        """The events of one type, in the order in which they came."""
+        """Return the events of one type, in the order of their arrival."""
         return [event for event in self.events if isinstance(event, kind)]
 
     def endpoint_ids(self) -> list[int]:
-        """The ids of the endpoints in the last complete list."""
+        """Return the ids of the endpoints in the last complete list."""
         updates = self.events_of(EndpointUpdate)
         complete = [update for update in updates if update.kind is not EndpointUpdateKind.DELTA]
         return [endpoint.id for endpoint in complete[-1].endpoints]
@@ -49,24 +49,24 @@
     actions: list[Action]
 
     def has_update(self, kind: EndpointUpdateKind) -> bool:
-        """Whether an endpoint update of this kind is among the events."""
+        """Return whether the events include an endpoint update of this kind."""
         return any(isinstance(event, EndpointUpdate) and event.kind is kind for event in self.events)
 
 
 @dataclass
 class RecordingPolicy:
-    """A policy that records what the one behind it does."""
+    """A policy that passes events on to another one, and records them with its actions."""
 
     policy: Policy
     batches: list[HandledBatch] = field(default_factory=list)
 
     def handle(self, now_ns: int, events: Iterable[Event]) -> list[Action]:
-        """Let the policy handle the events, and record both."""
+        """Pass the events on; record them and the returned actions."""
         batch = HandledBatch(list(events), [])
         batch.actions = list(self.policy.handle(now_ns, batch.events))
         self.batches.append(batch)
         return batch.actions
 
     def first_actions_after(self, kind: EndpointUpdateKind) -> list[Action] | None:
-        """The actions that followed the first endpoint update of a kind; None: there was none."""
+        """Return the actions for the batch with the first endpoint update of a kind, or None without one."""
         return next((batch.actions for batch in self.batches if batch.has_update(kind)), None)
--- a/tests/support/scripted.py
+++ b/tests/support/scripted.py
@@ -1,4 +1,4 @@
-"""Reactions of scripted policies, and what tests do to a running proxy."""
+"""Reactions of scripted policies, and manipulation of a running proxy."""
 
 from __future__ import annotations
 
@@ -35,7 +35,7 @@
 
 
 def fail_all(event: Event) -> Iterable[Action]:
-    """Fail each request that arrives."""
+    """Fail each new request."""
     return [Fail(event.request_id)] if isinstance(event, RequestArrived) else ()
 
 
@@ -47,26 +47,26 @@
 
 
 def retry_unless_complete(event: Event) -> Iterable[Action]:
-    """Forward a request whose attempt ended without a final response to the same endpoint again."""
+    """Retry a request whose attempt ended without a final response, on the same endpoint."""
     if isinstance(event, AttemptEnded) and not event.request_complete:
         return [Forward(event.request_id, event.endpoint_id)]
     return ()
 
 
 def on_timer(actions: Callable[[], Iterable[Action]]) -> Reaction:
-    """Do this whenever a timer expires."""
+    """Return a reaction that gives these actions whenever a timer expires."""
     return lambda event: actions() if isinstance(event, TimerExpired) else ()
 
 
 def forward_to_first(policy: ScriptedPolicy, event: Event) -> Iterable[Action]:
-    """Forward each request that arrives to the first endpoint."""
+    """Forward each new request to the first endpoint."""
     return [Forward(event.request_id, policy.endpoint_ids()[0])] if isinstance(event, RequestArrived) else ()
 
 
 def forward_requests(
     policy: ScriptedPolicy, then: Reaction = do_nothing, timeout_ns: int = 0, index: int = 0
 ) -> None:
-    """From now on, forward each request to the endpoint of that index; `then` reacts to other events."""
+    """From now on, forward each new request to the endpoint at `index`; `then` reacts to other events."""
 
     def react(event: Event) -> Iterable[Action]:
         if isinstance(event, RequestArrived):
@@ -77,35 +77,35 @@
 
 
 def forwarding_policy(then: Reaction = do_nothing, timeout_ns: int = 0) -> ScriptedPolicy:
-    """Make a policy that forwards each request to the first endpoint."""
+    """Return a policy that forwards each new request to the first endpoint."""
     policy = ScriptedPolicy()
     forward_requests(policy, then, timeout_ns)
     return policy
 
 
 def attempt_results(policy: ScriptedPolicy) -> list[AttemptResult]:
-    """Give the results of all attempts, in the order in which they ended."""
+    """Return the results of all attempts, in the order in which they ended."""
     return [ended.result for ended in policy.events_of(AttemptEnded)]
 
 
 def reported_statuses(policy: ScriptedPolicy) -> list[EndpointStatus]:
-    """The statuses that were reported to the policy, in order."""
+    """Return the endpoint statuses that were reported to the policy, in order."""
     return [endpoint.status for update in policy.events_of(EndpointUpdate) for endpoint in update.endpoints]
 
 
 async def request_readiness(client: Client) -> ReceivedMessage:
-    """Open the client's connection; returns the proxy's response to whether it is ready."""
+    """Send a readiness request, which opens the client's connection; return the proxy's response."""
     return await client.exchange(READY_REQUEST)
 
 
 def end_quarantine(proxy: Proxy) -> None:
-    """Let the quarantine of all idle connections be over."""
+    """End the quarantine of all idle connections."""
     for connection in proxy._connection_limits.idle_connections:
         connection.quarantined_until_s -= QUARANTINE_S
 
 
 def update_first_endpoint(proxy: Proxy, version: int, **row: object) -> None:
-    """Apply a change of the first endpoint at once, as discovery would send it."""
+    """Apply a list change of the first endpoint at once, without a call to discovery."""
     changed = {**list_of_ports(1)["hosts"][0], **row}
     proxy.list_applier.on_discovery_result(
         read_live_list({"seq": version, "whole": False, "hosts": [changed]})
@@ -115,7 +115,7 @@
 def hold_connections(
     monkeypatch: pytest.MonkeyPatch, until_set: asyncio.Event, port: int | None = None
 ) -> None:
-    """Let new connections (where a port is given, those to it) come up only once the event is set."""
+    """Delay new connections (if a port is given, only those to it) until the event is set."""
     loop = asyncio.get_running_loop()
     original = loop.create_connection
 
@@ -128,7 +128,7 @@
 
 
 def shrink_send_buffers(monkeypatch: pytest.MonkeyPatch, size_bytes: int) -> None:
-    """Let the system take only so many bytes at a time on connections that are opened from now on."""
+    """Limit the socket send buffer of connections that are opened from now on."""
     loop = asyncio.get_running_loop()
     original = loop.create_connection
 
