--- a/tests/policy/test_slow_start.py
+++ b/tests/policy/test_slow_start.py
@@ -100,13 +100,13 @@
         fleet = self.make_fleet(proxy_count, seed, rng)
         crashed = self.crashed_endpoints(fleet)
         self.send_first_lists(fleet, crashed, rng)
-        fleet.stop(crashed)
+        fleet.crash_endpoints(crashed)
         fleet.run(self.seconds_before)
         for endpoint in crashed:
             endpoint.error_share = self.error_share
         self.restart_endpoints(fleet, crashed)
         fleet.run(self.seconds_after)
-        return max(endpoint.overload(RULES) for endpoint in crashed), fleet
+        return max(endpoint.max_overload(RULES) for endpoint in crashed), fleet
 
     def make_fleet(self, proxy_count: int, seed: int, rng: random.Random) -> FleetModel:
         return FleetModel(
@@ -145,17 +145,17 @@
     def restart_endpoints(self, fleet: FleetModel, crashed: Sequence[SimulatedEndpoint]) -> None:
         """Restart the crashed endpoints, all at once or one by one, and notify the proxies."""
         for batch in [[endpoint] for endpoint in crashed] if self.one_by_one else [crashed]:
-            entries = fleet.start(batch)
+            entries = fleet.start_endpoints(batch)
             if self.proxies_restart:
                 self.restart_proxies(fleet)
             else:
-                fleet.update_all(EndpointUpdateKind.DELTA, entries)
+                fleet.update_all_proxies(EndpointUpdateKind.DELTA, entries)
             fleet.run(self.seconds_after / len(crashed) if self.one_by_one else 0)
 
     def restart_proxies(self, fleet: FleetModel) -> None:
         entries = [endpoint.endpoint for endpoint in fleet.endpoints.values()]
         for proxy in range(len(fleet.proxies)):
-            fleet.restart(proxy, entries)
+            fleet.restart_proxy(proxy, entries)
 
     def make_endpoints(self) -> list[SimulatedEndpoint]:
         return [
--- a/tests/support/fleet_model.py
+++ b/tests/support/fleet_model.py
@@ -59,7 +59,7 @@
     work: float
     retries: int  # before this one
     attempts: list[SimulatedAttempt] = field(default_factory=list)
-    is_answered: bool = False
+    is_complete: bool = False
 
 
 @dataclass
@@ -102,10 +102,10 @@
         self.client_retries = client_retries
         self.timers: list[tuple[int, int, Callable[[], None]]] = []  # when, sequence, what to call
         self.proxies = [SimulatedProxy(self._make_balancer(proxy)) for proxy in range(proxy_count)]
-        self.served = self.rejected = 0  # requests
+        self.served = self.unserved = 0  # requests
         mean_work = sum(t.share * t.work for t in traffic)
         self.traffic = [Traffic(t.request_class, t.share, t.work / mean_work) for t in traffic]
-        self.schedule(self.now_ns, self._client)
+        self.schedule(self.now_ns, self._send_next_request)
 
     def _make_balancer(self, proxy: int) -> Balancer:
         return Balancer(self.settings[proxy], self.rng.getrandbits(32), self.now_ns)
@@ -133,12 +133,12 @@
             self.proxies[proxy].known_starts[endpoint.id] = endpoint.started_ns
         self.deliver(proxy, EndpointUpdate(kind, list(endpoints)))
 
-    def update_all(self, kind: EndpointUpdateKind, endpoints: Sequence[Endpoint]) -> None:
+    def update_all_proxies(self, kind: EndpointUpdateKind, endpoints: Sequence[Endpoint]) -> None:
         """Give all proxies an endpoint update."""
         for proxy in range(len(self.proxies)):
             self.update_endpoints(proxy, kind, endpoints)
 
-    def start(self, endpoints: Sequence[SimulatedEndpoint]) -> list[Endpoint]:
+    def start_endpoints(self, endpoints: Sequence[SimulatedEndpoint]) -> list[Endpoint]:
         """Start endpoints cold, and return what proxies are yet to be told."""
         for simulated in endpoints:
             simulated.start(self.now_ns)
@@ -146,7 +146,7 @@
                 proxy.connections.discard(simulated.endpoint.id)
         return [simulated.endpoint for simulated in endpoints]
 
-    def stop(self, endpoints: Sequence[SimulatedEndpoint]) -> list[Endpoint]:
+    def crash_endpoints(self, endpoints: Sequence[SimulatedEndpoint]) -> list[Endpoint]:
         """Crash endpoints, so that what they hold is reset, and return what proxies are yet to be told."""
         for simulated in endpoints:
             simulated.crash()
@@ -156,7 +156,7 @@
                 self.schedule(self.now_ns, partial(self.end_attempt, attempt, AttemptResult.RESET))
         return [simulated.endpoint for simulated in endpoints]
 
-    def restart(self, proxy: int, endpoints: Sequence[Endpoint]) -> None:
+    def restart_proxy(self, proxy: int, endpoints: Sequence[Endpoint]) -> None:
         """Kill a proxy and start it anew, with a cached list as all that it knows."""
         incarnation = self.proxies[proxy].incarnation + 1
         self.proxies[proxy] = SimulatedProxy(self._make_balancer(proxy), incarnation)
@@ -164,12 +164,13 @@
 
     # -- clients --
 
-    def _client(self) -> None:
+    def _send_next_request(self) -> None:
         proxy = self._draw_proxy()
         traffic = self.rng.choices(self.traffic, [t.share for t in self.traffic])[0]
         self._send_request(proxy, traffic, traffic.work * self.rng.uniform(0.5, 1.5), 0)
         self.schedule(
-            self.now_ns + int(self.rng.expovariate(self.rate) * NANOSECONDS_PER_SECOND), self._client
+            self.now_ns + int(self.rng.expovariate(self.rate) * NANOSECONDS_PER_SECOND),
+            self._send_next_request,
         )
 
     def _draw_proxy(self) -> int:
@@ -190,11 +191,11 @@
             return
         for attempt in open_request.attempts:
             self.end_attempt(attempt, AttemptResult.TIMEOUT)
-        if not open_request.is_answered:
-            open_request.is_answered = True
+        if not open_request.is_complete:
+            open_request.is_complete = True
             self.deliver(proxy, ClientDisconnected(request))
 
-    def _retry(self, request: OpenRequest) -> None:
+    def _schedule_retry(self, request: OpenRequest) -> None:
         if request.retries >= self.client_retries:
             return
         proxy = self._draw_proxy()
@@ -224,10 +225,10 @@
                     self.schedule(self.now_ns + NANOSECONDS_PER_MILLISECOND, check)
 
     def _end_request(self, request: OpenRequest, may_retry: bool) -> None:
-        request.is_answered = True
-        self.rejected += 1
+        request.is_complete = True
+        self.unserved += 1
         if may_retry:
-            self._retry(request)
+            self._schedule_retry(request)
 
     def _timer_expired(self, proxy: int, incarnation: int, name: str) -> None:
         if incarnation == self.proxies[proxy].incarnation:
@@ -276,8 +277,8 @@
             self.end_attempt(attempt, AttemptResult.RESET)
             return
         known_start = self.proxies[attempt.proxy].known_starts.get(target.endpoint.id)
-        is_known = known_start == target.endpoint.started_ns
-        target.arrivals.append(WorkArrival(self.now_ns, attempt.work + handshake_work, is_known))
+        sender_knew_start = known_start == target.endpoint.started_ns
+        target.arrivals.append(WorkArrival(self.now_ns, attempt.work + handshake_work, sender_knew_start))
         if target.error_share and self.rng.random() < target.error_share:
             self.schedule(self.now_ns + ONE_WAY_NS, partial(self.end_attempt, attempt, AttemptResult.ERROR))
         elif len(target.queue) >= target.queue_capacity:
@@ -294,10 +295,10 @@
             target.busy += 1
             rate = target.rate * target.capacity_fraction(self.now_ns, self.rules)
             service_ns = int(attempt.work * target.workers / rate * NANOSECONDS_PER_SECOND)
-            serve = partial(self._serve_attempt, attempt, target.endpoint.started_ns)
-            self.schedule(self.now_ns + service_ns, serve)
+            finish = partial(self._finish_service, attempt, target.endpoint.started_ns)
+            self.schedule(self.now_ns + service_ns, finish)
 
-    def _serve_attempt(self, attempt: SimulatedAttempt, started_ns: int) -> None:
+    def _finish_service(self, attempt: SimulatedAttempt, started_ns: int) -> None:
         target = attempt.target
         if target.is_running and target.endpoint.started_ns == started_ns:
             target.busy -= 1
@@ -311,8 +312,8 @@
             return
         attempt.has_ended = True
         is_served = result is AttemptResult.OK
-        if is_served and not request.is_answered:
-            request.is_answered = True
+        if is_served and not request.is_complete:
+            request.is_complete = True
             self.served += 1
         report = None
         if is_served and self.settings[attempt.proxy].load_reports_in_responses:
@@ -320,6 +321,6 @@
         elapsed_ns = self.now_ns - attempt.sent_ns
         endpoint_id = attempt.target.endpoint.id
         event = AttemptEnded(
-            attempt.request, attempt.number, endpoint_id, result, elapsed_ns, request.is_answered, report
+            attempt.request, attempt.number, endpoint_id, result, elapsed_ns, request.is_complete, report
         )
         self.deliver(attempt.proxy, event)
--- a/tests/support/simulated_endpoint.py
+++ b/tests/support/simulated_endpoint.py
@@ -16,7 +16,7 @@
 
     at_ns: int
     work: float  # in requests of mean work
-    is_known_start: bool  # the proxy that sent it had been told that the endpoint started
+    sender_knew_start: bool  # the proxy that sent it had been told that the endpoint started
 
 
 @dataclass(eq=False)
@@ -73,27 +73,27 @@
         initial = rules.slow_start_initial_capacity
         return initial + (1 - initial) * max(0, now_ns - start_ns) / rules.slow_start_ns
 
-    def overload(self, rules: Rules) -> float:
+    def max_overload(self, rules: Rules) -> float:
         """Return the most work of any window, relative to what budget and chance allow: over 1 it crashes.
 
         The budget is that of the window's first moment. Windows of which a third of the work or more came
         from proxies that had not been told of the start break no rule: they are left out.
         """
-        worst = total = known = 0.0
+        worst = total = informed_work = 0.0
         arrivals = sorted(self.arrivals)
         first = 0  # of the window
         for arrival in arrivals:
             total += arrival.work
-            if arrival.is_known_start:
-                known += arrival.work
+            if arrival.sender_knew_start:
+                informed_work += arrival.work
             while arrivals[first].at_ns <= arrival.at_ns - rules.overload_window_ns:
                 total -= arrivals[first].work
-                if arrivals[first].is_known_start:
-                    known -= arrivals[first].work
+                if arrivals[first].sender_knew_start:
+                    informed_work -= arrivals[first].work
                 first += 1
             window_start_ns = arrivals[first].at_ns
             is_cold = window_start_ns - self.endpoint.started_ns < rules.slow_start_ns
-            if is_cold and known > total * 2 / 3:
+            if is_cold and informed_work > total * 2 / 3:
                 worst = max(worst, total / self._work_allowed(window_start_ns, rules))
         return worst
 
