--- a/tests/support/fleet_model.py
+++ b/tests/support/fleet_model.py
@@ -1,6 +1,6 @@
-"""A small fleet for tests: many balancers and many endpoints on one simulated clock, from one seed.
+"""A simulated fleet: many balancers, endpoints and clients on one clock, reproducible from one seed.
 
-The balancers are driven by events and actions alone.
+The balancers are driven only through their events and actions.
 """
 
 from __future__ import annotations
@@ -36,15 +36,15 @@
 from tests.support.policy_harness import NANOSECONDS_PER_MILLISECOND, NANOSECONDS_PER_SECOND, START_NS
 from tests.support.simulated_endpoint import SimulatedAttempt, SimulatedEndpoint, WorkArrival
 
-CONNECT_NS = NANOSECONDS_PER_MILLISECOND  # the way to an endpoint over a new connection, or to none
-ONE_WAY_NS = NANOSECONDS_PER_MILLISECOND // 4  # the way over an open connection
-HANDSHAKE_WORK = 0.25  # of a new connection, in requests of mean work
-RETRY_DELAY_MS = (20, 160)  # the shortest and longest pause of a client before it retries
+CONNECT_NS = NANOSECONDS_PER_MILLISECOND  # one way including the connection setup, or until the connect fails
+ONE_WAY_NS = NANOSECONDS_PER_MILLISECOND // 4  # one way on an open connection
+HANDSHAKE_WORK = 0.25  # work of accepting a connection; 1.0 is the mean work of a request
+RETRY_DELAY_MS = (20, 160)  # the shortest and longest delay before a client retries
 
 
 @dataclass(frozen=True)
 class Traffic:
-    """A class with its share of the requests and their work, in requests of mean work."""
+    """A request class, its share of all requests, and the relative work of each of them."""
 
     request_class: RequestClass
     share: float = 1.0
@@ -57,27 +57,27 @@
 
     traffic: Traffic
     work: float
-    retries: int  # before this one
+    retries: int  # number of times that the client has retried already
     attempts: list[SimulatedAttempt] = field(default_factory=list)
     is_complete: bool = False
 
 
 @dataclass
 class SimulatedProxy:
-    """A balancer, and what its process has at hand; a restart replaces all of it."""
+    """A balancer and the state of its process, all of which a restart replaces."""
 
     balancer: Balancer
     incarnation: int = 0
     requests: dict[str, OpenRequest] = field(default_factory=dict)
-    connections: set[int] = field(default_factory=set)  # ids of the endpoints with an open one
-    known_starts: dict[int, int] = field(default_factory=dict)  # of endpoints, by what it has been told
+    connections: set[int] = field(default_factory=set)  # ids of the endpoints with an open connection
+    known_starts: dict[int, int] = field(default_factory=dict)  # endpoint id to start time as last sent
 
 
 class FleetModel:
     """Proxies, endpoints and clients on one simulated clock.
 
-    Proxies are known by their index. `rate` is that of all clients, in requests a second, and
-    `proxy_shares` says how it is spread.
+    Proxies are identified by index. `rate` is the total of all clients in requests per second, split
+    among the proxies in proportion to `proxy_shares`.
     """
 
     def __init__(
@@ -93,16 +93,16 @@
     ) -> None:
         self.rng = random.Random(seed)
         self.now_ns = START_NS
-        self.sequence = 0  # of timers and requests
+        self.sequence = 0  # last number given to a timer or a request
         self.endpoints = {simulated.endpoint.id: simulated for simulated in endpoints}
         self.settings = settings
         self.rules = settings[0].rules
         self.rate = rate
         self.cumulative_shares = list(accumulate(proxy_shares or [1.0] * proxy_count))
         self.client_retries = client_retries
-        self.timers: list[tuple[int, int, Callable[[], None]]] = []  # when, sequence, what to call
+        self.timers: list[tuple[int, int, Callable[[], None]]] = []  # due time, sequence number, callback
         self.proxies = [SimulatedProxy(self._make_balancer(proxy)) for proxy in range(proxy_count)]
-        self.served = self.unserved = 0  # requests
+        self.served = self.unserved = 0  # numbers of requests
         mean_work = sum(t.share * t.work for t in traffic)
         self.traffic = [Traffic(t.request_class, t.share, t.work / mean_work) for t in traffic]
         self.schedule(self.now_ns, self._send_next_request)
@@ -113,12 +113,12 @@
     # -- time --
 
     def schedule(self, at_ns: int, callback: Callable[[], None]) -> None:
-        """Call something at a time."""
+        """Call `callback` at a simulated time."""
         self.sequence += 1
         heapq.heappush(self.timers, (at_ns, self.sequence, callback))
 
     def run(self, seconds: float) -> None:
-        """Let time pass."""
+        """Advance the clock, and run the callbacks that fall due."""
         end = self.now_ns + int(seconds * NANOSECONDS_PER_SECOND)
         while self.timers and self.timers[0][0] <= end:
             self.now_ns, _, callback = heapq.heappop(self.timers)
@@ -128,18 +128,18 @@
     # -- discovery --
 
     def update_endpoints(self, proxy: int, kind: EndpointUpdateKind, endpoints: Sequence[Endpoint]) -> None:
-        """Give one proxy an endpoint update."""
+        """Deliver an endpoint update to one proxy."""
         for endpoint in endpoints:
             self.proxies[proxy].known_starts[endpoint.id] = endpoint.started_ns
         self.deliver(proxy, EndpointUpdate(kind, list(endpoints)))
 
     def update_all_proxies(self, kind: EndpointUpdateKind, endpoints: Sequence[Endpoint]) -> None:
-        """Give all proxies an endpoint update."""
+        """Deliver an endpoint update to all proxies."""
         for proxy in range(len(self.proxies)):
             self.update_endpoints(proxy, kind, endpoints)
 
     def start_endpoints(self, endpoints: Sequence[SimulatedEndpoint]) -> list[Endpoint]:
-        """Start endpoints cold, and return what proxies are yet to be told."""
+        """Start endpoints in slow start; return entries yet to be sent to the proxies."""
         for simulated in endpoints:
             simulated.start(self.now_ns)
             for proxy in self.proxies:
@@ -147,7 +147,7 @@
         return [simulated.endpoint for simulated in endpoints]
 
     def crash_endpoints(self, endpoints: Sequence[SimulatedEndpoint]) -> list[Endpoint]:
-        """Crash endpoints, so that what they hold is reset, and return what proxies are yet to be told."""
+        """Crash endpoints, which resets their attempts; return entries yet to be sent to the proxies."""
         for simulated in endpoints:
             simulated.crash()
         attempts = [a for p in self.proxies for request in p.requests.values() for a in request.attempts]
@@ -157,7 +157,7 @@
         return [simulated.endpoint for simulated in endpoints]
 
     def restart_proxy(self, proxy: int, endpoints: Sequence[Endpoint]) -> None:
-        """Kill a proxy and start it anew, with a cached list as all that it knows."""
+        """Restart a proxy, which then has nothing but a cached endpoint list."""
         incarnation = self.proxies[proxy].incarnation + 1
         self.proxies[proxy] = SimulatedProxy(self._make_balancer(proxy), incarnation)
         self.update_endpoints(proxy, EndpointUpdateKind.CACHED, endpoints)
@@ -206,7 +206,7 @@
     # -- proxies --
 
     def deliver(self, proxy: int, event: Event) -> None:
-        """Hand one event to a proxy's balancer, and carry out its actions."""
+        """Hand one event to a proxy's balancer, and execute its actions."""
         state = self.proxies[proxy]
         for action in state.balancer.handle(self.now_ns, [event]):
             match action:
@@ -306,7 +306,7 @@
             self._serve_queue(target)
 
     def end_attempt(self, attempt: SimulatedAttempt, result: AttemptResult) -> None:
-        """Give a proxy the result of an attempt, unless that has ended or the proxy has restarted."""
+        """Report the result of an attempt, unless the attempt has ended or its proxy has restarted."""
         request = self.proxies[attempt.proxy].requests.get(attempt.request)
         if attempt.has_ended or request is None or request.attempts[attempt.number] is not attempt:
             return
--- a/tests/support/rule_checker.py
+++ b/tests/support/rule_checker.py
@@ -1,6 +1,8 @@
-"""A checker of rules 1 to 3 and of the grammar of a balancer's actions.
+"""Checks a balancer's actions: rules 1 to 3, and that each action is valid where it is made.
 
-It keeps books of its own from the events and actions alone, and shares no code with the policy.
+The rules concern the outcome of a request by its deadline, the placement and the number of its attempts,
+and the repetition of a request that may have run. The checker derives its state from events and actions
+alone, and shares no code with the policy.
 """
 
 from __future__ import annotations
@@ -30,12 +32,12 @@
 )
 from loadbalancer.settings import DeduplicationScope, Idempotency, RequestClass, Settings
 
-LATE_NS = 20_000_000  # a request may end so long after its deadline
+LATE_NS = 20_000_000  # tolerance for a request that ends after its deadline
 GOSSIP_MAX = 256  # bytes
 
 
 class RequestOutcome(Enum):
-    """How a request ended for its client."""
+    """The outcome of a request for its client."""
 
     SERVED = auto()
     REJECTED = auto()
@@ -44,27 +46,27 @@
 
 
 class SentAttempt(NamedTuple):
-    """Where and when an attempt went out."""
+    """The endpoint and the time of an attempt."""
 
     endpoint: Endpoint
     sent_ns: int
 
 
 class RuleChecker:
-    """The books on one balancer's requests; an action against the rules raises `AssertionError`."""
+    """Tracks the requests of one balancer; an action that breaks a rule raises `AssertionError`."""
 
     def __init__(self, settings: Settings) -> None:
         self.settings = settings
         self.request_classes: dict[str, RequestClass] = {}
         self.deadlines: dict[str, int] = {}
         self.outcomes: dict[str, RequestOutcome] = {}
-        self.completed: set[str] = set()  # the balancer has been told that they are over
+        self.completed: set[str] = set()  # the balancer has been told that they are complete
         self.attempts: dict[str, list[SentAttempt]] = {}
-        self.results: dict[tuple[str, int], AttemptResult] = {}  # by request and number of the attempt
+        self.results: dict[tuple[str, int], AttemptResult] = {}  # by request id and attempt number
         self.endpoints: dict[int, Endpoint] = {}
 
     def attempts_in_flight(self) -> list[tuple[str, int]]:
-        """Return the request and the number of each attempt that has not ended."""
+        """Return the request id and attempt number of each attempt that has not ended."""
         return [
             (request, number)
             for request, attempts in self.attempts.items()
@@ -77,7 +79,7 @@
         return request in self.outcomes or request in self.completed
 
     def record_event(self, event: Event) -> None:
-        """Book what the balancer is told."""
+        """Record an event that the balancer is sent."""
         match event:
             case RequestArrived():
                 self.request_classes[event.request_id] = self.settings.request_classes[event.class_name]
@@ -104,7 +106,7 @@
         self.endpoints |= {endpoint.id: endpoint for endpoint in update.endpoints}
 
     def check_action(self, action: Action, now_ns: int) -> None:
-        """Check one action against the books, and book it."""
+        """Check one action against the recorded state, and record it."""
         limits = self.settings.limits
         match action:
             case Forward():
@@ -165,7 +167,7 @@
 
     def _check_forward(self, action: Forward, now_ns: int) -> None:
         request, endpoint = action.request_id, self.endpoints[action.endpoint_id]
-        assert not self.is_complete(request), f"{request} sent after its end"
+        assert not self.is_complete(request), f"{request} forwarded after it had ended"
         self._check_placement(request, endpoint)
         self._check_attempt_limits(request)
         self._check_repetition(request, endpoint, now_ns)
@@ -174,10 +176,12 @@
     def _check_placement(self, request: str, endpoint: Endpoint) -> None:
         cls = self.request_classes[request]
         zones, machine_types = cls.allowed_zones, cls.allowed_machine_types
-        assert endpoint.status is EndpointStatus.READY, f"{request} sent to a draining or removed endpoint"
-        assert zones is None or endpoint.zone in zones, f"{request} sent outside its zones"
+        assert endpoint.status is EndpointStatus.READY, (
+            f"{request} forwarded to a draining or removed endpoint"
+        )
+        assert zones is None or endpoint.zone in zones, f"{request} forwarded outside its allowed zones"
         assert machine_types is None or endpoint.machine_type in machine_types, (
-            f"{request} sent to a machine type not open to it"
+            f"{request} forwarded to a machine type that is not allowed"
         )
 
     def _check_attempt_limits(self, request: str) -> None:
@@ -193,10 +197,10 @@
         if not earlier or cls.idempotency is Idempotency.IDEMPOTENT:
             return
         assert cls.idempotency is not Idempotency.NON_IDEMPOTENT, (
-            f"{request} is not idempotent, may have run and is sent again"
+            f"{request} is non-idempotent, may have run, and is forwarded again"
         )
         age_ns = now_ns - earlier[0].sent_ns
-        assert age_ns <= cls.deduplication_window_ns, f"{request} repeated after its window"
+        assert age_ns <= cls.deduplication_window_ns, f"{request} repeated after its deduplication window"
         if cls.deduplication_scope is DeduplicationScope.CELL:
             cell = (endpoint.zone, endpoint.cell)
             assert all((first.zone, first.cell) == cell for first, _ in earlier)
--- a/tests/support/simulated_endpoint.py
+++ b/tests/support/simulated_endpoint.py
@@ -1,4 +1,4 @@
-"""An endpoint with known capacity, queue and slow start, and a record of the work that reaches it."""
+"""A simulated endpoint with a capacity, a queue and slow start, which records the work it receives."""
 
 from __future__ import annotations
 
@@ -12,16 +12,16 @@
 
 
 class WorkArrival(NamedTuple):
-    """Work that reached an endpoint, rejected requests and handshakes included."""
+    """Work that reached an endpoint, including rejected requests and handshakes."""
 
     at_ns: int
-    work: float  # in requests of mean work
-    sender_knew_start: bool  # the proxy that sent it had been told that the endpoint started
+    work: float  # 1.0 is the mean work of a request
+    sender_knew_start: bool  # the sending proxy had been told of the endpoint's last start
 
 
 @dataclass(eq=False)
 class SimulatedAttempt:
-    """One attempt of a request, on its way or at its endpoint."""
+    """One attempt of a request, in transit or at its endpoint."""
 
     proxy: int
     request: str
@@ -29,30 +29,30 @@
     target: SimulatedEndpoint
     sent_ns: int
     work: float
-    has_ended: bool = False  # its result has been given; the endpoint works on it all the same
+    has_ended: bool = False  # its proxy has the result; the endpoint may still process it
 
 
 @dataclass(eq=False)
 class SimulatedEndpoint:
-    """Workers before one queue; a request is rejected where the queue is at its capacity."""
+    """Workers with one shared queue; a request is rejected while the queue is full."""
 
     endpoint: Endpoint
-    rate: float  # requests of mean work a second, once warm
+    rate: float  # work per second after slow start
     workers: int = 2
     queue_capacity: int = 40
-    error_share: float = 0.0  # share of requests that it answers at once with an error
+    error_share: float = 0.0  # fraction of requests that get an immediate error response
     is_running: bool = True
-    busy: int = 0  # workers
+    busy: int = 0  # number of busy workers
     queue: deque[SimulatedAttempt] = field(default_factory=deque)
-    arrivals: list[WorkArrival] = field(default_factory=list)  # since its start
+    arrivals: list[WorkArrival] = field(default_factory=list)  # since the last start
 
     @property
     def in_flight(self) -> int:
-        """The requests that it works on or has in its queue."""
+        """The number of requests in processing or in the queue."""
         return self.busy + len(self.queue)
 
     def start(self, now_ns: int) -> None:
-        """Start anew, cold and empty."""
+        """Start in slow start, with an empty queue."""
         self.endpoint = self.endpoint._replace(started_ns=now_ns, status=EndpointStatus.READY)
         self.is_running = True
         self.busy = 0
@@ -60,13 +60,13 @@
         self.arrivals = []
 
     def crash(self) -> None:
-        """Stop, and lose the queue."""
+        """Stop, and drop the queued requests."""
         self.endpoint = self.endpoint._replace(status=EndpointStatus.REMOVED)
         self.is_running = False
         self.queue = deque()
 
     def capacity_fraction(self, now_ns: int, rules: Rules) -> float:
-        """Return the part of its rate that it has in its slow start, 1 once it is warm."""
+        """Return the available fraction of `rate`: less than 1 in slow start, and 1 after it."""
         start_ns = self.endpoint.started_ns
         if not start_ns or now_ns - start_ns >= rules.slow_start_ns:
             return 1.0
@@ -74,14 +74,15 @@
         return initial + (1 - initial) * max(0, now_ns - start_ns) / rules.slow_start_ns
 
     def max_overload(self, rules: Rules) -> float:
-        """Return the most work of any window, relative to what budget and chance allow: over 1 it crashes.
+        """Return the highest ratio of received to allowed work over all windows; above 1 is an overload.
 
-        The budget is that of the window's first moment. Windows of which a third of the work or more came
-        from proxies that had not been told of the start break no rule: they are left out.
+        The budget of a window is taken at its start, with an allowance for random arrivals. Windows are
+        skipped if a third or more of their work came from proxies that had not been told of the start:
+        these break no rule.
         """
         worst = total = informed_work = 0.0
         arrivals = sorted(self.arrivals)
-        first = 0  # of the window
+        first = 0  # index of the window's first arrival
         for arrival in arrivals:
             total += arrival.work
             if arrival.sender_knew_start:
@@ -102,5 +103,5 @@
         budget = (
             rules.overload_factor * self.rate * fraction * rules.overload_window_ns / NANOSECONDS_PER_SECOND
         )
-        deviation: float = budget**0.5  # of chance arrivals
+        deviation: float = budget**0.5  # standard deviation of random arrivals
         return budget + 2 * deviation
