--- a/tests/support/policy_harness.py
+++ b/tests/support/policy_harness.py
@@ -96,13 +96,13 @@
 def arrival(
     number: int | str,
     now_ns: int,
-    cls: RequestClass = READ,
+    request_class: RequestClass = READ,
     tenant: str = "ash",
     wait_ns: int = 500 * NANOSECONDS_PER_MILLISECOND,
     retry: bool = False,
 ) -> RequestArrived:
     """Return the arrival of request `r<number>`, whose deadline is `wait_ns` after `now_ns`."""
-    return RequestArrived(f"r{number}", cls.name, tenant, now_ns + wait_ns, is_retry=retry)
+    return RequestArrived(f"r{number}", request_class.name, tenant, now_ns + wait_ns, is_retry=retry)
 
 
 class PolicyHarness:
@@ -135,15 +135,15 @@
 
     def advance(self, by_ns: int, step_ns: int = 5 * NANOSECONDS_PER_MILLISECOND) -> list[Action]:
         """Advance the clock in steps; deliver expired timers, and timeouts of attempts at their deadlines."""
-        seen: list[Action] = []
+        all_actions: list[Action] = []
         end = self.now_ns + by_ns
         while self.now_ns < end:
             self.now_ns = min(end, self.now_ns + step_ns)
             events = self._due_timers() + self._due_timeouts()
             if events:
-                seen += self.deliver(*events)
+                all_actions += self.deliver(*events)
             self.checker.check_deadlines(self.now_ns)
-        return seen
+        return all_actions
 
     def _due_timers(self) -> list[Event]:
         due = sorted(timer for timer in self.timers if timer[0] <= self.now_ns)
--- a/tests/support/rule_checker.py
+++ b/tests/support/rule_checker.py
@@ -32,8 +32,8 @@
 )
 from loadbalancer.settings import DeduplicationScope, Idempotency, RequestClass, Settings
 
-LATE_NS = 20_000_000  # tolerance for a request that ends after its deadline
-GOSSIP_MAX = 256  # bytes
+MAX_LATENESS_NS = 20_000_000  # tolerance for a request that ends after its deadline
+MAX_GOSSIP_BYTES = 256
 
 
 class RequestOutcome(Enum):
@@ -101,8 +101,8 @@
 
     def _record_endpoints(self, update: EndpointUpdate) -> None:
         if update.kind in (EndpointUpdateKind.FULL, EndpointUpdateKind.CACHED):
-            for number, endpoint in self.endpoints.items():
-                self.endpoints[number] = endpoint._replace(status=EndpointStatus.REMOVED)
+            for key, endpoint in self.endpoints.items():
+                self.endpoints[key] = endpoint._replace(status=EndpointStatus.REMOVED)
         self.endpoints |= {endpoint.id: endpoint for endpoint in update.endpoints}
 
     def check_action(self, action: Action, now_ns: int) -> None:
@@ -123,45 +123,45 @@
                 assert action.endpoint_id in self.endpoints
             case SendGossip():
                 assert limits.gossip
-                assert len(action.data) <= GOSSIP_MAX
+                assert len(action.data) <= MAX_GOSSIP_BYTES
             case SetTimer():
                 assert action.delay_ns > 0
 
     def check_deadlines(self, now_ns: int) -> None:
         """Check that each request whose deadline has passed has ended."""
         for request, deadline in self.deadlines.items():
-            if deadline + LATE_NS < now_ns:
+            if deadline + MAX_LATENESS_NS < now_ns:
                 assert request in self.outcomes, f"{request} has not ended by its deadline"
 
     def _attempts_that_may_have_run(self, request: str) -> list[SentAttempt]:
-        proofs = set(NEVER_RAN)
+        never_ran_results = set(NEVER_RAN)
         if self.settings.rules.rejected_may_have_run:
-            proofs.discard(AttemptResult.REJECTED)
+            never_ran_results.discard(AttemptResult.REJECTED)
         return [
             attempt
             for number, attempt in enumerate(self.attempts.get(request, []))
-            if self.results.get((request, number)) not in proofs
+            if self.results.get((request, number)) not in never_ran_results
         ]
 
     def _record_outcome(self, request: str, outcome: RequestOutcome, now_ns: int) -> None:
         assert request in self.request_classes, f"{request} never arrived"
         earlier = self.outcomes.get(request)
         assert earlier is None, f"{request} ended twice: {earlier}, {outcome}"
-        assert now_ns <= self.deadlines[request] + LATE_NS, f"{request} ended late"
+        assert now_ns <= self.deadlines[request] + MAX_LATENESS_NS, f"{request} ended late"
         self.outcomes[request] = outcome
 
     def _check_reject(self, action: Reject, now_ns: int) -> None:
-        cls = self.request_classes[action.request_id]
+        request_class = self.request_classes[action.request_id]
         deduplicated_everywhere = (
-            cls.idempotency is Idempotency.IDEMPOTENCY_KEY
-            and cls.deduplication_scope is DeduplicationScope.ALL
+            request_class.idempotency is Idempotency.IDEMPOTENCY_KEY
+            and request_class.deduplication_scope is DeduplicationScope.ALL
         )
-        is_harmless = (
-            cls.idempotency is Idempotency.IDEMPOTENT
+        may_reject = (
+            request_class.idempotency is Idempotency.IDEMPOTENT
             or deduplicated_everywhere
             or not self._attempts_that_may_have_run(action.request_id)
         )
-        assert is_harmless, f"{action.request_id} rejected though it may have run"
+        assert may_reject, f"{action.request_id} rejected though it may have run"
         self._record_outcome(action.request_id, RequestOutcome.REJECTED, now_ns)
         assert 0 <= action.retry_after_ns <= self.settings.limits.max_retry_after_ns
 
@@ -174,8 +174,8 @@
         self.attempts.setdefault(request, []).append(SentAttempt(endpoint, now_ns))
 
     def _check_placement(self, request: str, endpoint: Endpoint) -> None:
-        cls = self.request_classes[request]
-        zones, machine_types = cls.allowed_zones, cls.allowed_machine_types
+        request_class = self.request_classes[request]
+        zones, machine_types = request_class.allowed_zones, request_class.allowed_machine_types
         assert endpoint.status is EndpointStatus.READY, (
             f"{request} forwarded to a draining or removed endpoint"
         )
@@ -193,16 +193,18 @@
         assert in_flight < in_flight_max, f"{request}: {in_flight} attempts in flight already"
 
     def _check_repetition(self, request: str, endpoint: Endpoint, now_ns: int) -> None:
-        cls, earlier = self.request_classes[request], self._attempts_that_may_have_run(request)
-        if not earlier or cls.idempotency is Idempotency.IDEMPOTENT:
+        request_class, earlier = self.request_classes[request], self._attempts_that_may_have_run(request)
+        if not earlier or request_class.idempotency is Idempotency.IDEMPOTENT:
             return
-        assert cls.idempotency is not Idempotency.NON_IDEMPOTENT, (
+        assert request_class.idempotency is not Idempotency.NON_IDEMPOTENT, (
             f"{request} is non-idempotent, may have run, and is forwarded again"
         )
         age_ns = now_ns - earlier[0].sent_ns
-        assert age_ns <= cls.deduplication_window_ns, f"{request} repeated after its deduplication window"
-        if cls.deduplication_scope is DeduplicationScope.CELL:
+        assert age_ns <= request_class.deduplication_window_ns, (
+            f"{request} repeated after its deduplication window"
+        )
+        if request_class.deduplication_scope is DeduplicationScope.CELL:
             cell = (endpoint.zone, endpoint.cell)
             assert all((first.zone, first.cell) == cell for first, _ in earlier)
-        if cls.deduplication_scope is DeduplicationScope.ZONE:
+        if request_class.deduplication_scope is DeduplicationScope.ZONE:
             assert all(first.zone == endpoint.zone for first, _ in earlier)
