--- a/tests/__init__.py
+++ b/tests/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of the load balancer, one folder per part; helpers are in `support`."""
+"""Tests of the load balancer, one folder per component; shared helpers are in `support`."""
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,4 +1,4 @@
-"""Runs test functions that are coroutines."""
+"""Runs coroutine test functions, each in an event loop of its own."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 @pytest.hookimpl(tryfirst=True)
 def pytest_pyfunc_call(pyfuncitem: pytest.Function) -> bool | None:
-    """Run a coroutine function in an event loop of its own, with a time limit."""
+    """Run a coroutine test function with a time limit."""
     if not inspect.iscoroutinefunction(pyfuncitem.obj):
         return None
     arguments = inspect.signature(pyfuncitem.obj).parameters
--- a/tests/support/start_cost.py
+++ b/tests/support/start_cost.py
@@ -1,9 +1,9 @@
-"""Measures what a start costs, by the length of the endpoint list, until the proxy is ready.
+"""Measures the CPU time and the duration of a proxy's start, by the length of its endpoint list.
 
     python -m tests.support.start_cost 200 10000 160000
 
-With a fraction of a core, a start takes about its processor time divided by that fraction, and the delay
-that `readiness_delay_s` adds.
+With a fraction of a core, a start takes about its CPU time divided by that fraction, plus the delay that
+`readiness_delay_s` adds.
 """
 
 from __future__ import annotations
@@ -30,31 +30,31 @@
 DEFAULT_LENGTHS = ("200", "10000", "160000")
 CLOCK_TICKS_PER_S = os.sysconf("SC_CLK_TCK")
 
-USER_TICKS_FIELD = 11  # of /proc/PID/stat, counted after the command's name
+USER_TICKS_FIELD = 11  # index in /proc/PID/stat, counted from the field after the command name
 SYSTEM_TICKS_FIELD = 12
 
 
 @dataclass(frozen=True)
 class StartCost:
-    """What a start cost."""
+    """The measured cost of a start."""
 
     list_bytes: int
-    processor_s: float
+    cpu_s: float
     ready_s: float
 
     def __str__(self) -> str:
         megabytes = self.list_bytes / BYTES_PER_MEGABYTE
-        return f"{megabytes:5.1f} MB: {self.processor_s:6.2f} s of processor, {self.ready_s:6.2f} s to ready"
+        return f"{megabytes:5.1f} MB: {self.cpu_s:6.2f} s of processor, {self.ready_s:6.2f} s to ready"
 
 
-def processor_time_s(pid: int) -> float:
-    """The processor time that a process has used so far."""
+def cpu_time_s(pid: int) -> float:
+    """Return the CPU time that a process has used so far."""
     fields = Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()
     return (int(fields[USER_TICKS_FIELD]) + int(fields[SYSTEM_TICKS_FIELD])) / CLOCK_TICKS_PER_S
 
 
 def is_ready(port: int) -> bool:
-    """Whether the proxy at this port reports that it is ready."""
+    """Return whether the proxy at this port reports that it is ready."""
     try:
         with socket.create_connection((HOST, port), timeout=CONNECT_TIMEOUT_S) as connection:
             connection.sendall(READY_REQUEST)
@@ -64,7 +64,7 @@
 
 
 def free_port() -> int:
-    """A port that nothing listens on."""
+    """Return a port that nothing listens on."""
     with socket.socket() as unused:
         unused.bind((HOST, 0))
         port: int = unused.getsockname()[1]
@@ -72,7 +72,7 @@
 
 
 def write_configuration(path: Path, port: int, endpoint_list: str) -> None:
-    """Write a configuration with an endpoint list that is JSON text."""
+    """Write a configuration that contains an endpoint list, given as JSON text."""
     configuration = {
         "name": "n0",
         "listen": f"{HOST}:{port}",
@@ -86,7 +86,7 @@
 
 
 async def start_process(configuration: Path) -> Process:
-    """Start a proxy as a process of its own."""
+    """Start a proxy in a separate process."""
     return await asyncio.create_subprocess_exec(
         sys.executable,
         "-m",
@@ -97,7 +97,7 @@
 
 
 async def measure_start(endpoint_count: int) -> StartCost:
-    """Start a proxy with a list of so many endpoints, and stop it once it is ready."""
+    """Start a proxy with a list of `endpoint_count` endpoints, and stop it once it is ready."""
     endpoint_list = json.dumps(complete_list(endpoint_count))
     port = free_port()
     with tempfile.TemporaryDirectory() as folder:
@@ -107,11 +107,11 @@
         process = await start_process(path)
         try:
             while not is_ready(port):
-                assert process.returncode is None, "it ended before it was ready"
+                assert process.returncode is None, "the proxy exited before it was ready"
                 await asyncio.sleep(POLL_INTERVAL_S)
             return StartCost(
                 list_bytes=len(endpoint_list),
-                processor_s=processor_time_s(process.pid),
+                cpu_s=cpu_time_s(process.pid),
                 ready_s=time.monotonic() - started_s,
             )
         finally:
@@ -120,7 +120,7 @@
 
 
 def main() -> None:
-    """Measure a start with each of the lengths given on the command line."""
+    """Measure a start with each of the list lengths given on the command line."""
     for length in map(int, sys.argv[1:] or DEFAULT_LENGTHS):
         print(f"{length:7d} endpoints, {asyncio.run(measure_start(length))}")
 
