--- a/scale_test/measurements.py
+++ b/scale_test/measurements.py
@@ -1,4 +1,4 @@
-"""The figures of an experiment, measured on its processes and taken from their reports."""
+"""The figures of an experiment: measured on its processes, or calculated from their reports."""
 
 from __future__ import annotations
 
@@ -28,14 +28,14 @@
 
 @dataclass(frozen=True)
 class Memory:
-    """Resident memory of a balancer, in MB."""
+    """Resident memory of a balancer or process, in MB."""
 
     now: float
     peak: float
 
 
 def cpu_seconds(process: ChildProcess) -> float:
-    """Processor seconds of a process so far."""
+    """Processor seconds that a process has used so far."""
     times = psutil.Process(process.pid).cpu_times()
     return float(times.user + times.system)
 
@@ -47,7 +47,7 @@
 
 
 class Measurements:
-    """Collects the rows of the report and notes to them."""
+    """Collects the rows of the report, and the notes on them."""
 
     def __init__(self, cluster: Cluster) -> None:
         self.rows: list[Row] = []
@@ -58,7 +58,7 @@
 
     @property
     def balancer_groups(self) -> dict[Group, range]:
-        """The balancers' numbers by group."""
+        """The numbers of the balancers in each group; discovery counts its callers by the same numbers."""
         plan = self._plan
         return {
             Group.REAL: range(plan.loaded, plan.real),
@@ -66,22 +66,22 @@
             Group.HOLLOW: range(plan.real, plan.balancers),
         }
 
-    def add(
+    def add_row(
         self, figure: str, phase: Phase, group: Group, unit: str, values: Iterable[float | WeightedValue]
     ) -> None:
-        """Add a row."""
+        """Add a row that summarizes these values."""
         self.rows.append(summarize(figure, phase, group, unit, values))
 
     def add_start_times(self, times: StartTimes) -> None:
-        """Add how long the balancers took until they were ready."""
-        self.add("time to ready", Phase.START, Group.REAL, "s", times.real_s)
-        self.add("time to ready", Phase.START, Group.HOLLOW, "s", times.hollow_s)
+        """Add the times that the balancers took to become ready."""
+        self.add_row("time to ready", Phase.START, Group.REAL, "s", times.real_s)
+        self.add_row("time to ready", Phase.START, Group.HOLLOW, "s", times.hollow_s)
 
     # -- processor time and traffic --
 
     @contextlib.asynccontextmanager
     async def phase(self, phase: Phase) -> AsyncIterator[None]:
-        """Measure processor time and calls to discovery within the context."""
+        """Measure processor time and traffic with discovery within the context, as those of a phase."""
         traffic_before = await self._cluster.discovery.traffic()
         cpu_before = self._cpu_seconds()
         begun_ns = time.monotonic_ns()
@@ -92,29 +92,29 @@
         self._windows[phase] = Window(begun_ns, ended_ns)
         seconds = (ended_ns - begun_ns) / NS_PER_S
         for group, before in cpu_before.items():
-            spent = [
+            cpu_ms_per_s = [
                 (after - earlier) * 1000 / seconds
                 for earlier, after in zip(before, cpu_after[group], strict=True)
             ]
-            self.add("processor time a second", phase, group, "ms", spent)
+            self.add_row("processor time a second", phase, group, "ms", cpu_ms_per_s)
         for figure, count_of in TRAFFIC_FIGURES.items():
             for group, numbers in self.balancer_groups.items():
                 rates = [
                     (count_of(traffic_after[number]) - count_of(traffic_before[number])) / seconds
                     for number in numbers
                 ]
-                self.add(figure, phase, group, "", rates)
+                self.add_row(figure, phase, group, "", rates)
 
     def _cpu_seconds(self) -> dict[Group, list[float]]:
-        """Processor seconds of each balancer so far; a hollow one's are its part of its process."""
+        """Processor seconds so far of balancers and discovery; of hollow ones, the mean in each process."""
         cluster = self._cluster
         loaded = self._plan.loaded
         return {
             Group.REAL: [cpu_seconds(process) for process in cluster.real[loaded:]],
             Group.LOADED: [cpu_seconds(process) for process in cluster.real[:loaded]],
             Group.HOLLOW: [
-                cpu_seconds(helper.process) / share
-                for helper, share in zip(cluster.hollow, self._plan.hollow_shares, strict=True)
+                cpu_seconds(helper.process) / count
+                for helper, count in zip(cluster.hollow, self._plan.hollow_counts, strict=True)
             ],
             Group.DISCOVERY: [cpu_seconds(cluster.discovery.process)],
         }
@@ -122,7 +122,7 @@
     # -- memory --
 
     def add_memory(self) -> None:
-        """Add the memory of each balancer."""
+        """Add the memory of each balancer, now and at its peak."""
         real = [memory_of(process) for process in self._cluster.real]
         loaded = self._plan.loaded
         memory = {
@@ -130,66 +130,71 @@
             Group.LOADED: real[:loaded],
             Group.HOLLOW: self._hollow_memory(),
         }
-        for group, seen in memory.items():
-            self.add("memory now", Phase.END, group, "MB", [each.now for each in seen])
-        for group, seen in memory.items():
-            self.add("memory peak", Phase.END, group, "MB", [each.peak for each in seen])
+        for group, memories in memory.items():
+            self.add_row("memory now", Phase.END, group, "MB", [each.now for each in memories])
+        for group, memories in memory.items():
+            self.add_row("memory peak", Phase.END, group, "MB", [each.peak for each in memories])
 
     def _hollow_memory(self) -> list[Memory]:
-        """A hollow balancer's part of its process, less what the process had before it held any."""
-        found = []
-        for helper, share in zip(self._cluster.hollow, self._plan.hollow_shares, strict=True):
+        """The mean of the hollow balancers of each process, without the memory of the empty process."""
+        means = []
+        for helper, count in zip(self._cluster.hollow, self._plan.hollow_counts, strict=True):
             used = memory_of(helper.process)
-            empty = helper.empty_bytes / BYTES_PER_MB
-            found.append(Memory((used.now - empty) / share, (used.peak - empty) / share))
-        return found
+            empty_mb = helper.baseline_rss_bytes / BYTES_PER_MB
+            means.append(Memory((used.now - empty_mb) / count, (used.peak - empty_mb) / count))
+        return means
 
-    # -- the list --
+    # -- the endpoint list --
 
     def add_list_figures(self, discovery: DiscoveryReport, hollow: Sequence[BalancerReport]) -> None:
-        """Add how fast changes and full lists were in force."""
+        """Add how soon changes and full lists were in force."""
         ended_ns = self._windows[Phase.SCENARIO].ended_ns
         versions = [
-            version for version in analysis.effective_versions(discovery) if version.at_ns <= ended_ns
+            version for version in analysis.adjust_for_outages(discovery) if version.at_ns <= ended_ns
         ]
         self.notes.append(f"{sum(version.rows for version in versions)} changes in {len(versions)} versions")
         for group, numbers in self.balancer_groups.items():
             callers = [discovery.callers[number] for number in numbers]
-            found = [analysis.delays_by_calls(versions, caller) for caller in callers]
-            delays = [delay for each in found for delay in each.delays_ms]
-            missing = [each.missing_rows for each in found]
-            self.add("in force, by next call", Phase.SCENARIO, group, "ms", delays)
-            self.add("changes never in force", Phase.SCENARIO, group, "", missing)
+            delays_by_caller = [analysis.delays_by_calls(versions, caller) for caller in callers]
+            delays = [delay for each in delays_by_caller for delay in each.delays_ms]
+            missing_counts = [each.missing_rows for each in delays_by_caller]
+            self.add_row("in force, by next call", Phase.SCENARIO, group, "ms", delays)
+            self.add_row("changes never in force", Phase.SCENARIO, group, "", missing_counts)
             if discovery.outages:
                 rejected = [caller.rejected for caller in callers]
-                self.add("calls refused by discovery", Phase.SCENARIO, group, "", rejected)
+                self.add_row("calls refused by discovery", Phase.SCENARIO, group, "", rejected)
             self._add_full_list_reading(discovery, group)
         delays = [delay for balancer in hollow for delay in analysis.delays_by_policy(versions, balancer)]
-        self.add("in force, by module", Phase.SCENARIO, Group.HOLLOW, "ms", delays)
-        full_lists = [delay.in_force_ns / NS_PER_MS for delay in self.full_list_delays(discovery, hollow)]
-        self.add("whole list in force", Phase.ALL, Group.HOLLOW, "ms", full_lists)
+        self.add_row("in force, by module", Phase.SCENARIO, Group.HOLLOW, "ms", delays)
+        full_list_delays_ms = [
+            delay.total_ns / NS_PER_MS for delay in self.full_list_delays(discovery, hollow)
+        ]
+        self.add_row("whole list in force", Phase.ALL, Group.HOLLOW, "ms", full_list_delays_ms)
         self._add_policy_times(hollow)
 
     def _add_full_list_reading(self, discovery: DiscoveryReport, group: Group) -> None:
-        """Add how long full lists took to read since the scenario began, and how many were rejected."""
+        """Add the times in which full lists were read, from the scenario's start on, and those rejected.
+
+        Lists that no call followed are left out.
+        """
         begun_ns = self._windows[Phase.SCENARIO].begun_ns
         read_ms = []
         rejected_counts = []
         for number in self.balancer_groups[group]:
             rejected = 0
-            for answer in discovery.callers[number].full_lists:
-                if answer.begun_ns < begun_ns or answer.next_call_ns is None:
+            for response in discovery.callers[number].full_lists:
+                if response.begun_ns < begun_ns or response.next_call_ns is None:
                     continue
-                if answer.accepted:
-                    read_ms.append((answer.next_call_ns - answer.begun_ns) / NS_PER_MS)
+                if response.accepted:
+                    read_ms.append((response.next_call_ns - response.begun_ns) / NS_PER_MS)
                 else:
                     rejected += 1
             rejected_counts.append(rejected)
-        self.add("whole list read", Phase.ALL, group, "ms", read_ms)
-        self.add("whole lists turned down", Phase.ALL, group, "", rejected_counts)
+        self.add_row("whole list read", Phase.ALL, group, "ms", read_ms)
+        self.add_row("whole lists turned down", Phase.ALL, group, "", rejected_counts)
 
     def _add_policy_times(self, hollow: Sequence[BalancerReport]) -> None:
-        """Add how long the policy took over changes.
+        """Add the time that the policy took to apply changes: those of a single row, and all.
 
         The rows of a zone or a full list arrive in one response; single changes show the time of one row.
         """
@@ -202,13 +207,13 @@
         ]
         single = [(change.done_ns - change.begun_ns) / NS_PER_MS for change in changes if change.rows == 1]
         all_changes = [(change.done_ns - change.begun_ns) / NS_PER_MS for change in changes]
-        self.add("module's part of a single change", Phase.SCENARIO, Group.HOLLOW, "ms", single)
-        self.add("module's part of that", Phase.SCENARIO, Group.HOLLOW, "ms", all_changes)
+        self.add_row("module's part of a single change", Phase.SCENARIO, Group.HOLLOW, "ms", single)
+        self.add_row("module's part of that", Phase.SCENARIO, Group.HOLLOW, "ms", all_changes)
 
     def full_list_delays(
         self, discovery: DiscoveryReport, hollow: Sequence[BalancerReport]
     ) -> list[FullListDelay]:
-        """How long each full list took at the hollow balancers until it was in force."""
+        """The delay of each full list sent to a hollow balancer, until it was in force there."""
         numbers = self.balancer_groups[Group.HOLLOW]
         return [
             delay
@@ -221,18 +226,21 @@
     def add_request_figures(
         self, samples: Sequence[RequestSample], discovery: DiscoveryReport, tail_ns: int
     ) -> None:
-        """Add what the loaded balancer added to requests, and to those open while it read a full list.
+        """Add the time that the loaded balancer added to requests, by phase, and those not served.
+
+        The phase of full lists is the time in which the balancer read one after the scenario.
+
 
         Args:
-            samples: The clients' requests.
-            discovery: What discovery reported; the loaded balancer is its first caller.
-            tail_ns: How long after the next call a full list is in force at most.
+            samples: The requests of the clients.
+            discovery: The report of discovery; the loaded balancer is its first caller.
+            tail_ns: The longest time from a call that follows a full list until that list was in force.
         """
         ended_ns = self._windows[Phase.SCENARIO].ended_ns
-        answers = [answer for answer in discovery.callers[0].full_lists if answer.begun_ns > ended_ns]
+        responses = [response for response in discovery.callers[0].full_lists if response.begun_ns > ended_ns]
         windows = {phase: [window] for phase, window in self._windows.items()}
-        windows[Phase.FULL_LIST] = analysis.full_list_windows(answers, tail_ns)
-        for phase, spans in windows.items():
-            times = analysis.added_times(samples, spans)
-            self.add("time added to a request", phase, Group.LOADED, "ms", times.added_ms)
-            self.add("requests not served", phase, Group.LOADED, "", [times.not_served])
+        windows[Phase.FULL_LIST] = analysis.full_list_windows(responses, tail_ns)
+        for phase, phase_windows in windows.items():
+            times = analysis.added_times(samples, phase_windows)
+            self.add_row("time added to a request", phase, Group.LOADED, "ms", times.added_ms)
+            self.add_row("requests not served", phase, Group.LOADED, "", [times.not_served])
--- a/tests/soak/checks.py
+++ b/tests/soak/checks.py
@@ -1,117 +1,135 @@
-"""The rules of the service, checked on the records of a run with the slack of the protocol page."""
+"""Checks the records of a run against the service rules, with the tolerances of the protocol page."""
 
 from __future__ import annotations
 
 from typing import NamedTuple
 
 from tests.soak.balancer_process import DEDUPLICATION_WINDOW_S, STOP_SENDING_WITHIN_S
-from tests.soak.kinds import Condition, RequestKind, Rule
+from tests.soak.kinds import DiscoveryCondition, RequestKind, Rule
 from tests.soak.records import Attempt, ClientRequest, ListChange, Records
 from tests.soak.schedule import Schedule
 
 OK = 200
 REJECTED = (429, 503)
-SOCKET_SLACK_S = 0.05  # every time limit is longer by so much on sockets
-LATE_RESPONSE_S = 0.5  # after its deadline a response earns nothing; later, it is lost
-GONE_CLIENT_S = 0.1
-BAD_CLIENT_S = 3.0
-LATE_AT_SHUTDOWN_S = 0.7
-NOTIFIED_AT_LATEST_S = 6.0
-NOTIFIED_AFTER_RELOAD_S = 4.0
+SOCKET_SLACK_S = 0.05  # added to time limits that are measured on sockets
+# A response up to this long after its deadline is late and earns nothing; after that, the request counts
+# as unanswered.
+LATE_RESPONSE_S = 0.5
+GONE_CLIENT_GRACE_S = 0.1  # for attempts that arrive after their client disconnected
+BAD_CLIENT_TIMEOUT_S = 3.0  # for an error or a close by the balancer
+LATE_AT_SHUTDOWN_S = 0.7  # a request sent this long after SIGTERM must be over before SIGKILL
+MAX_NOTIFICATION_DELAY_S = 6.0  # after a change, the end of an outage, or the start of a silence
+RELOAD_NOTIFICATION_DELAY_S = 4.0  # after SIGHUP
 NEVER_S = float("inf")
 
 
 def check_requests(records: Records, schedule: Schedule) -> None:
-    """Check that each request of a client that stayed has one response, in time, that an endpoint made."""
+    """Check that each request whose client waited got one timely response, made by an endpoint."""
     for request in records.requests:
         if request.status is not None:
             _check_response(records, request)
         elif request.ended_s is not None:
-            _check_ended(records, schedule, request)
-        elif request.left_s is not None and request.left_s > request.deadline_s + LATE_RESPONSE_S:
-            records.violate(Rule.UNANSWERED, "no response", request.id, request.left_s)
-        elif request.left_s is None:
-            _check_open(records, request)
+            _check_closed_connection(records, schedule, request)
+        elif (
+            request.disconnected_s is not None
+            and request.disconnected_s > request.deadline_s + LATE_RESPONSE_S
+        ):
+            records.add_violation(Rule.UNANSWERED, "no response", request.id, request.disconnected_s)
+        elif request.disconnected_s is None:
+            _check_unfinished(records, request)
 
 
 def _check_response(records: Records, request: ClientRequest) -> None:
     assert request.ended_s is not None
     late_s = request.ended_s - request.deadline_s
-    if late_s > LATE_RESPONSE_S + SOCKET_SLACK_S + records.lag_at(request.ended_s):
-        records.violate(Rule.UNANSWERED, f"answered {late_s:.3f} s late", request.id, request.ended_s)
+    if late_s > LATE_RESPONSE_S + SOCKET_SLACK_S + records.max_lag_near(request.ended_s):
+        records.add_violation(
+            Rule.UNANSWERED, f"answered {late_s:.3f} s after the deadline", request.id, request.ended_s
+        )
     if request.status == OK and request.body not in records.served_bodies:
-        records.violate(Rule.INVENTED_RESPONSE, repr(request.body), request.id, request.ended_s)
+        records.add_violation(Rule.INVENTED_RESPONSE, repr(request.body), request.id, request.ended_s)
     may_have_run = any(attempt.may_have_run for attempt in records.attempts.get(request.id, ()))
     if request.status in REJECTED and request.kind is RequestKind.PAY and may_have_run:
-        records.violate(Rule.DUPLICATE, "rejected though it may have run", request.id, request.ended_s)
+        records.add_violation(
+            Rule.DUPLICATE, "rejected although an attempt may have run", request.id, request.ended_s
+        )
+
 
+def _check_closed_connection(records: Records, schedule: Schedule, request: ClientRequest) -> None:
+    """Check a request whose connection ended without a complete response.
 
-def _check_ended(records: Records, schedule: Schedule, request: ClientRequest) -> None:
-    """A request whose connection ended is lost, unless it was not read or its response was cut."""
+    It is lost unless its response had begun, or it had not reached an endpoint and either its connection
+    was reused, so that the balancer may have closed it unread, or a connection flood ran.
+    """
     assert request.ended_s is not None
-    was_read = request.id in records.attempts
+    reached_endpoint = request.id in records.attempts
     if request.response_begun:
         return  # the client can tell that it is not complete
-    if not was_read and (not request.on_new_connection or schedule.has_crowd):
+    if not reached_endpoint and (not request.on_new_connection or schedule.has_connection_flood):
         return
-    records.violate(Rule.LOST, "its connection ended without a response", request.id, request.ended_s)
+    records.add_violation(Rule.LOST, "connection ended without a response", request.id, request.ended_s)
 
 
-def _check_open(records: Records, request: ClientRequest) -> None:
-    """A request without an end: SIGKILL found it."""
+def _check_unfinished(records: Records, request: ClientRequest) -> None:
+    """Check a request that was still unanswered at SIGKILL."""
     if records.terminations_s and request.sent_s > records.terminations_s[0] + LATE_AT_SHUTDOWN_S:
-        records.violate(Rule.LATE_AT_SHUTDOWN, "unanswered at SIGKILL", request.id)
+        records.add_violation(Rule.LATE_AT_SHUTDOWN, "unanswered at SIGKILL", request.id)
 
 
 def check_attempts(records: Records, schedule: Schedule) -> None:
-    """Check where, when and how often requests came to endpoints."""
+    """Check where, when and how often requests reached endpoints."""
     requests = {request.id: request for request in records.requests}
     notified = _notifications(records, schedule)
     for request_id, attempts in records.attempts.items():
         request = requests.get(request_id)
         if request is None:
-            records.violate(Rule.DUPLICATE, "no client sent it", request_id, attempts[0].received_s)
+            records.add_violation(
+                Rule.DUPLICATE,
+                "attempt for a request that no client sent",
+                request_id,
+                attempts[0].received_s,
+            )
             continue
-        _check_repetition(records, request, attempts)
+        _check_duplicates(records, request, attempts)
         for attempt in attempts:
             _check_gone_client(records, request, attempt)
             _check_drain(records, notified.get(attempt.endpoint, []), attempt)
 
 
-def _check_repetition(records: Records, request: ClientRequest, attempts: list[Attempt]) -> None:
+def _check_duplicates(records: Records, request: ClientRequest, attempts: list[Attempt]) -> None:
     first = next((attempt for attempt in attempts if attempt.may_have_run), None)
     if first is None or request.kind is RequestKind.READ:
         return
     for later in attempts[attempts.index(first) + 1 :]:
         age_s = later.received_s - first.received_s
-        allowed_s = DEDUPLICATION_WINDOW_S + SOCKET_SLACK_S + records.lag_at(later.received_s)
+        allowed_s = DEDUPLICATION_WINDOW_S + SOCKET_SLACK_S + records.max_lag_near(later.received_s)
         if request.kind is RequestKind.PAY or age_s > allowed_s:
             text = f"{request.kind} again {age_s:.3f} s after an attempt that may have run"
-            records.violate(Rule.DUPLICATE, text, request.id, later.received_s)
+            records.add_violation(Rule.DUPLICATE, text, request.id, later.received_s)
 
 
 def _check_gone_client(records: Records, request: ClientRequest, attempt: Attempt) -> None:
-    if request.left_s is None:
+    if request.disconnected_s is None:
         return
-    after_s = attempt.received_s - request.left_s
-    if after_s > GONE_CLIENT_S + records.lag_at(attempt.received_s):
-        text = f"attempt {after_s:.3f} s after the client left"
-        records.violate(Rule.GONE_CLIENT, text, request.id, attempt.received_s)
+    after_s = attempt.received_s - request.disconnected_s
+    if after_s > GONE_CLIENT_GRACE_S + records.max_lag_near(attempt.received_s):
+        text = f"attempt {after_s:.3f} s after the client disconnected"
+        records.add_violation(Rule.GONE_CLIENT, text, request.id, attempt.received_s)
 
 
 class Notification(NamedTuple):
-    """A change of an endpoint, and when the balancer counts as notified of it."""
+    """A change of an endpoint, and from when the balancer counts as notified of it."""
 
     change: ListChange
     notified_s: float
 
 
-class Disturbance(NamedTuple):
-    """A time in which discovery was not as usual."""
+class DegradedPeriod(NamedTuple):
+    """A period in which discovery was down, slow or silent."""
 
     begin_s: float
     end_s: float
-    condition: Condition
+    condition: DiscoveryCondition
 
 
 def _notifications(records: Records, schedule: Schedule) -> dict[int, list[Notification]]:
@@ -124,49 +142,56 @@
 
 def _notified_s(records: Records, schedule: Schedule, change: ListChange) -> float:
     written = [write.written_at_s for write in records.writes if write.version >= change.version]
-    return min([*written, _notified_at_latest_s(records, schedule, change)])
+    return min([*written, _latest_notification_s(records, schedule, change)])
 
 
-def _notified_at_latest_s(records: Records, schedule: Schedule, change: ListChange) -> float:
-    """When a change counts as told, whether or not it was written."""
-    latest_s = change.at_s if schedule.pushes else change.at_s + NOTIFIED_AT_LATEST_S
-    for each in _disturbances(records):
-        silence_known_s = each.begin_s + NOTIFIED_AT_LATEST_S
-        if each.condition is Condition.SILENT and each.begin_s <= change.at_s < silence_known_s:
-            latest_s = max(latest_s, silence_known_s if schedule.pushes else NEVER_S)
+def _latest_notification_s(records: Records, schedule: Schedule, change: ListChange) -> float:
+    """When the balancer counts as notified of a change at the latest, even if no list with it was written."""
+    latest_s = change.at_s if schedule.pushes else change.at_s + MAX_NOTIFICATION_DELAY_S
+    for each in _degraded_periods(records):
+        silence_detected_s = each.begin_s + MAX_NOTIFICATION_DELAY_S
+        if each.condition is DiscoveryCondition.SILENT and each.begin_s <= change.at_s < silence_detected_s:
+            latest_s = max(latest_s, silence_detected_s if schedule.pushes else NEVER_S)
         elif each.begin_s <= change.at_s < each.end_s:
-            latest_s = max(latest_s, each.end_s + NOTIFIED_AT_LATEST_S)
+            latest_s = max(latest_s, each.end_s + MAX_NOTIFICATION_DELAY_S)
     for reload_s in records.reloads_s:
-        if reload_s - SOCKET_SLACK_S <= latest_s < reload_s + NOTIFIED_AFTER_RELOAD_S or (
+        if reload_s - SOCKET_SLACK_S <= latest_s < reload_s + RELOAD_NOTIFICATION_DELAY_S or (
             abs(reload_s - change.at_s) < STOP_SENDING_WITHIN_S
         ):
-            latest_s = reload_s + NOTIFIED_AFTER_RELOAD_S
+            latest_s = reload_s + RELOAD_NOTIFICATION_DELAY_S
     return latest_s
 
 
-def _disturbances(records: Records) -> list[Disturbance]:
+def _degraded_periods(records: Records) -> list[DegradedPeriod]:
     ends_s = [later.at_s for later in records.conditions[1:]] + [NEVER_S]
     return [
-        Disturbance(change.at_s, end_s, change.condition)
+        DegradedPeriod(change.at_s, end_s, change.condition)
         for change, end_s in zip(records.conditions, ends_s, strict=False)
-        if change.condition is not Condition.UP
+        if change.condition is not DiscoveryCondition.UP
     ]
 
 
 def _check_drain(records: Records, notifications: list[Notification], attempt: Attempt) -> None:
-    """No attempt may begin at an endpoint later than its grace after the balancer was notified."""
+    """Check that no attempt reaches a draining or removed endpoint after its grace period.
+
+    The grace period begins when the balancer counts as notified.
+    """
     earlier = [each for each in notifications if each.change.at_s <= attempt.received_s]
     if not earlier or earlier[-1].change.accepts_requests:
         return
     since_s = attempt.received_s - earlier[-1].notified_s
-    if since_s > STOP_SENDING_WITHIN_S + SOCKET_SLACK_S + records.lag_at(attempt.received_s):
+    if since_s > STOP_SENDING_WITHIN_S + SOCKET_SLACK_S + records.max_lag_near(attempt.received_s):
         text = f"attempt at endpoint {attempt.endpoint} {since_s:.3f} s after the notification of its drain"
-        records.violate(Rule.DRAIN, text, attempt.request_id, attempt.received_s)
+        records.add_violation(Rule.DRAIN, text, attempt.request_id, attempt.received_s)
 
 
 def check_bad_clients(records: Records) -> None:
-    """Check that each bad client got an error or a close in its time."""
+    """Check that each bad client got an error or a close within the time-out."""
     for bad in records.bad_clients:
-        allowed_s = bad.connected_s + BAD_CLIENT_S + SOCKET_SLACK_S + records.lag_at(bad.connected_s)
-        if bad.ended_s is None or bad.ended_s > allowed_s + records.lag_at(bad.ended_s):
-            records.violate(Rule.BAD_CLIENT, f"{bad.name} got neither an error nor a close", "", allowed_s)
+        allowed_s = (
+            bad.connected_s + BAD_CLIENT_TIMEOUT_S + SOCKET_SLACK_S + records.max_lag_near(bad.connected_s)
+        )
+        if bad.ended_s is None or bad.ended_s > allowed_s + records.max_lag_near(bad.ended_s):
+            records.add_violation(
+                Rule.BAD_CLIENT, f"{bad.name} got neither an error nor a close", "", allowed_s
+            )
