--- a/tests/support/fake_discovery.py
+++ b/tests/support/fake_discovery.py
@@ -43,9 +43,7 @@
         self.server = FakeEndpoint(self._respond)
         self._honors_wait = honors_wait
         self._changed = asyncio.Event()
-        self._last_changes: dict[
-            str, int
-        ] = {}  # version of each host's last change, in the order of the changes
+        self._last_changes: dict[str, int] = {}  # host to version of its last change, oldest first
 
     def change(self, host: str, **attributes: object) -> None:
         """Add an entry or change attributes of one; this makes a new version of the list."""
--- a/tests/support/fleet_model.py
+++ b/tests/support/fleet_model.py
@@ -36,7 +36,7 @@
 from tests.support.policy_harness import NANOSECONDS_PER_MILLISECOND, NANOSECONDS_PER_SECOND, START_NS
 from tests.support.simulated_endpoint import SimulatedAttempt, SimulatedEndpoint, WorkArrival
 
-CONNECT_NS = NANOSECONDS_PER_MILLISECOND  # one way including the connection setup, or until the connect fails
+CONNECT_NS = NANOSECONDS_PER_MILLISECOND  # one way including connection setup, or time to a failed connect
 ONE_WAY_NS = NANOSECONDS_PER_MILLISECOND // 4  # one way on an open connection
 HANDSHAKE_WORK = 0.25  # work of accepting a connection; 1.0 is the mean work of a request
 RETRY_DELAY_MS = (20, 160)  # the shortest and longest delay before a client retries
