--- a/tests/policy/test_latency_model.py
+++ b/tests/policy/test_latency_model.py
@@ -3,13 +3,19 @@
 from __future__ import annotations
 
 from loadbalancer.policy.balancer import Balancer
-from tests.support.policy_harness import NANOSECONDS_PER_MILLISECOND, START, PolicyHarness, arrival, settings
+from tests.support.policy_harness import (
+    NANOSECONDS_PER_MILLISECOND,
+    START_NS,
+    PolicyHarness,
+    arrival,
+    make_settings,
+)
 
 
 def test_first_samples_count_more() -> None:
     harness = PolicyHarness()
     for i in range(3):
-        harness.give(arrival(i, harness.now_ns))
+        harness.deliver(arrival(i, harness.now_ns))
         harness.now_ns += 100 * NANOSECONDS_PER_MILLISECOND
         harness.finish(f"r{i}")
     per_request_ns = harness.balancer.latency_model.per_request_ns
@@ -17,7 +23,7 @@
 
 
 def test_base_latency_is_not_attributed_to_requests_in_flight() -> None:
-    latency_model = Balancer(settings(), 1, START).latency_model
+    latency_model = Balancer(make_settings(), 1, START_NS).latency_model
     for i in range(200):
         load = 1.0 + i % 4
         latency_model.record_latency(
--- a/tests/policy/test_rate_control.py
+++ b/tests/policy/test_rate_control.py
@@ -26,11 +26,11 @@
 from tests.support.policy_harness import (
     NANOSECONDS_PER_MILLISECOND,
     NANOSECONDS_PER_SECOND,
-    START,
+    START_NS,
     PolicyHarness,
     arrival,
     make_endpoints,
-    settings,
+    make_settings,
 )
 
 DRAW_WIDTH = 8  # endpoints that the proxy draws from
@@ -71,17 +71,17 @@
 
 
 def test_idle_time_before_the_first_request_does_not_lower_attempt_rate() -> None:
-    harness = PolicyHarness(settings(tenants={"ash": Tenant("ash")}), endpoint_count=1)
+    harness = PolicyHarness(make_settings(tenants={"ash": Tenant("ash")}), endpoint_count=1)
     controller = harness.balancer.rate_controller
     harness.advance(NANOSECONDS_PER_SECOND)  # idle time
 
     for i in range(100):
-        harness.give(arrival(i, harness.now_ns))
+        harness.deliver(arrival(i, harness.now_ns))
         harness.finish(f"r{i}")
         harness.advance(5 * NANOSECONDS_PER_MILLISECOND)
         if i % 4 == 0:
             controller.record_capacity_rejection()  # a fifth of the outcomes, more than is tolerated
-    harness.give(arrival("last", harness.now_ns))
+    harness.deliver(arrival("last", harness.now_ns))
 
     sent_per_s = 200.0  # one request each 5 ms
     assert 0.85 * sent_per_s < controller.attempt_rate < 1.15 * sent_per_s
@@ -105,8 +105,8 @@
 
 def make_balancer(config: Settings) -> Balancer:
     """Return a balancer with six endpoints."""
-    balancer = Balancer(config, 1, START)
-    balancer.handle(START, [EndpointUpdate(EndpointUpdateKind.FULL, make_endpoints(6))])
+    balancer = Balancer(config, 1, START_NS)
+    balancer.handle(START_NS, [EndpointUpdate(EndpointUpdateKind.FULL, make_endpoints(6))])
     return balancer
 
 
@@ -117,12 +117,12 @@
 
 def failures_after_timeout(tokens_per_s: float) -> int:
     """Return the failures recorded when a buffered request gets a token and its only attempt times out."""
-    balancer = make_balancer(settings(tenants={"ash": Tenant("ash")}, limits=Limits(max_attempts=1)))
-    throttle = balancer.throttles.get_or_create("ash", START)
-    throttle.set_rate(tokens_per_s, START)
+    balancer = make_balancer(make_settings(tenants={"ash": Tenant("ash")}, limits=Limits(max_attempts=1)))
+    throttle = balancer.throttles.get_or_create("ash", START_NS)
+    throttle.set_rate(tokens_per_s, START_NS)
     throttle.bank.counter = throttle.bank.buffer_capacity
     throttle.bank.fractional_token = 0.0
-    due_events: list[tuple[int, Event]] = [(START, arrival(1, START))]
+    due_events: list[tuple[int, Event]] = [(START_NS, arrival(1, START_NS))]
     for _ in range(40):
         due_events.sort(key=due_time_ns)
         now_ns, event = due_events.pop(0)
@@ -144,14 +144,14 @@
 
 def is_rate_decreased(load: float | None) -> bool:
     """Return whether the rate is decreased when half the attempts fail at endpoints with this load report."""
-    balancer = make_balancer(settings())
+    balancer = make_balancer(make_settings())
     for endpoint in balancer.fleet.endpoints.values():
-        endpoint.record_load(load, START)
+        endpoint.record_load(load, START_NS)
     controller = balancer.rate_controller
     controller.interval.successes = 100
     controller.interval.failures.update(dict.fromkeys(balancer.fleet.endpoints, 20))
 
-    balancer.handle(START + FEEDBACK_INTERVAL_NS, [])
+    balancer.handle(START_NS + FEEDBACK_INTERVAL_NS, [])
 
     return controller.rate < 1000
 
--- a/tests/policy/test_retry_eligibility.py
+++ b/tests/policy/test_retry_eligibility.py
@@ -19,67 +19,67 @@
 from loadbalancer.policy.retry_eligibility import UNCOUNTED_ATTEMPTS_MAX, should_retry
 from loadbalancer.settings import Limits, RequestClass, Rules, Settings
 from tests.support.policy_harness import (
-    ANY,
-    BIG,
-    CELL,
+    CELL_DEDUPLICATED,
+    EAST_ONLY,
+    FULLY_DEDUPLICATED,
+    LARGE_MACHINES_ONLY,
     NANOSECONDS_PER_MILLISECOND,
     NANOSECONDS_PER_SECOND,
-    NEAR,
     PAY,
     READ,
-    START,
+    START_NS,
     PolicyHarness,
     actions_of_type,
     arrival,
     make_endpoints,
     make_mixed_endpoints,
-    settings,
+    make_settings,
 )
 from tests.support.requests import add_attempt, make_request, make_state
-from tests.support.rule_checker import FinalAnswer
+from tests.support.rule_checker import RequestOutcome
 
 
 def test_served_request_needs_no_other_attempt() -> None:
     harness = PolicyHarness()
-    assert len(actions_of_type(Forward, harness.give(arrival(1, harness.now_ns)))) == 1
+    assert len(actions_of_type(Forward, harness.deliver(arrival(1, harness.now_ns)))) == 1
     assert not actions_of_type(Fail, harness.finish("r1"))
-    assert harness.answers["r1"] is FinalAnswer.SERVED
+    assert harness.outcomes["r1"] is RequestOutcome.SERVED
 
 
-@pytest.mark.parametrize("request_class", [READ, PAY, CELL, ANY])
+@pytest.mark.parametrize("request_class", [READ, PAY, CELL_DEDUPLICATED, FULLY_DEDUPLICATED])
 def test_request_is_rejected_in_time_when_no_endpoint_is_known(request_class: RequestClass) -> None:
     harness = PolicyHarness(endpoint_count=0)
-    harness.give(EndpointUpdate(EndpointUpdateKind.CACHED), arrival(1, harness.now_ns, request_class))
+    harness.deliver(EndpointUpdate(EndpointUpdateKind.CACHED), arrival(1, harness.now_ns, request_class))
     harness.advance(600 * NANOSECONDS_PER_MILLISECOND)
-    assert harness.answers["r1"] is FinalAnswer.REJECTED
+    assert harness.outcomes["r1"] is RequestOutcome.REJECTED
 
 
 def test_request_is_rejected_in_time_when_all_endpoints_drain() -> None:
     harness = PolicyHarness()
-    harness.give(
+    harness.deliver(
         EndpointUpdate(
             EndpointUpdateKind.DELTA,
             [u._replace(status=EndpointStatus.DRAINING) for u in make_endpoints(6)],
         )
     )
-    harness.give(arrival(1, harness.now_ns, PAY))
+    harness.deliver(arrival(1, harness.now_ns, PAY))
     harness.advance(600 * NANOSECONDS_PER_MILLISECOND)
-    assert harness.answers["r1"] is FinalAnswer.REJECTED
+    assert harness.outcomes["r1"] is RequestOutcome.REJECTED
     assert "r1" not in harness.attempts
 
 
 def test_non_idempotent_request_that_times_out_is_failed() -> None:
     harness = PolicyHarness()
-    harness.give(arrival(1, harness.now_ns, PAY))
+    harness.deliver(arrival(1, harness.now_ns, PAY))
     harness.advance(600 * NANOSECONDS_PER_MILLISECOND)
-    assert harness.answers["r1"] is FinalAnswer.FAILED
+    assert harness.outcomes["r1"] is RequestOutcome.FAILED
     assert len(harness.attempts["r1"]) == 1
 
 
 @pytest.mark.parametrize("result", [AttemptResult.REJECTED, AttemptResult.CONNECT_FAILED])
 def test_non_idempotent_request_that_never_ran_is_retried(result: AttemptResult) -> None:
     harness = PolicyHarness()
-    harness.give(arrival(1, harness.now_ns, PAY))
+    harness.deliver(arrival(1, harness.now_ns, PAY))
     harness.now_ns += NANOSECONDS_PER_MILLISECOND
     harness.finish("r1", result)
     assert len(harness.attempts["r1"]) == 2
@@ -88,23 +88,23 @@
 @pytest.mark.parametrize("result", [AttemptResult.ERROR, AttemptResult.RESET, AttemptResult.CANCELLED])
 def test_non_idempotent_request_that_may_have_run_is_failed(result: AttemptResult) -> None:
     harness = PolicyHarness()
-    harness.give(arrival(1, harness.now_ns, PAY))
+    harness.deliver(arrival(1, harness.now_ns, PAY))
     harness.now_ns += NANOSECONDS_PER_MILLISECOND
     harness.finish("r1", result)
-    assert harness.answers["r1"] is FinalAnswer.FAILED
+    assert harness.outcomes["r1"] is RequestOutcome.FAILED
 
 
-@pytest.mark.parametrize("request_class", [NEAR, BIG])
+@pytest.mark.parametrize("request_class", [EAST_ONLY, LARGE_MACHINES_ONLY])
 def test_placement_binds_every_attempt(request_class: RequestClass) -> None:
     # The rule checker asserts the placement of each attempt, retries included.
     harness = PolicyHarness(endpoint_count=0)
-    harness.give(EndpointUpdate(EndpointUpdateKind.CACHED, make_mixed_endpoints(12)))
+    harness.deliver(EndpointUpdate(EndpointUpdateKind.CACHED, make_mixed_endpoints(12)))
     for i in range(60):
-        harness.give(arrival(i, harness.now_ns, request_class))
+        harness.deliver(arrival(i, harness.now_ns, request_class))
         harness.now_ns += 5 * NANOSECONDS_PER_MILLISECOND
         for request, number in harness.attempts_in_flight():
-            if request not in harness.answers:
-                harness.give(
+            if request not in harness.outcomes:
+                harness.deliver(
                     harness.attempt_ended(request, number, (AttemptResult.REJECTED, AttemptResult.OK)[i % 2])
                 )
     assert len(harness.attempts) > 20
@@ -113,88 +113,93 @@
 def test_placement_holds_without_endpoints_and_does_not_stop_others() -> None:
     harness = PolicyHarness(endpoint_count=0)
     west = [u for u in make_mixed_endpoints(12) if u.zone == "west"]
-    harness.give(EndpointUpdate(EndpointUpdateKind.CACHED, west))
-    harness.give(arrival("near", harness.now_ns, NEAR), arrival("read", harness.now_ns, READ))
+    harness.deliver(EndpointUpdate(EndpointUpdateKind.CACHED, west))
+    harness.deliver(arrival("near", harness.now_ns, EAST_ONLY), arrival("read", harness.now_ns, READ))
     assert "rread" in harness.attempts
     assert "rnear" not in harness.attempts
     harness.advance(600 * NANOSECONDS_PER_MILLISECOND)
-    assert harness.answers["rnear"] is FinalAnswer.REJECTED
+    assert harness.outcomes["rnear"] is RequestOutcome.REJECTED
 
 
 @pytest.mark.parametrize(
-    ("request_class", "rejected_may_have_run", "answer"),
-    [(PAY, True, FinalAnswer.FAILED), (CELL, True, None), (PAY, False, None), (READ, True, None)],
+    ("request_class", "rejected_may_have_run", "outcome"),
+    [
+        (PAY, True, RequestOutcome.FAILED),
+        (CELL_DEDUPLICATED, True, None),
+        (PAY, False, None),
+        (READ, True, None),
+    ],
 )
 def test_rejection_proves_that_nothing_ran_only_where_the_rules_say_so(
-    request_class: RequestClass, rejected_may_have_run: bool, answer: FinalAnswer | None
+    request_class: RequestClass, rejected_may_have_run: bool, outcome: RequestOutcome | None
 ) -> None:
     # Endpoints may also reject requests that they have begun: a retry could take effect a second time.
     rules = Rules(slow_start_ns=4 * NANOSECONDS_PER_SECOND, rejected_may_have_run=rejected_may_have_run)
-    harness = PolicyHarness(settings(rules=rules))
-    harness.give(arrival(1, harness.now_ns, request_class))
+    harness = PolicyHarness(make_settings(rules=rules))
+    harness.deliver(arrival(1, harness.now_ns, request_class))
     harness.now_ns += NANOSECONDS_PER_MILLISECOND
     harness.finish("r1", AttemptResult.REJECTED)
-    assert harness.answers.get("r1") == answer
-    assert len(harness.attempts["r1"]) == (1 if answer else 2)
+    assert harness.outcomes.get("r1") == outcome
+    assert len(harness.attempts["r1"]) == (1 if outcome else 2)
 
 
 def test_attempts_are_capped() -> None:
     harness = PolicyHarness()
-    harness.give(arrival(1, harness.now_ns, READ))
+    harness.deliver(arrival(1, harness.now_ns, READ))
     for _ in range(3):
         harness.now_ns += NANOSECONDS_PER_MILLISECOND
-        if "r1" not in harness.answers:
+        if "r1" not in harness.outcomes:
             harness.finish("r1", AttemptResult.REJECTED)
     harness.advance(600 * NANOSECONDS_PER_MILLISECOND)
-    assert harness.answers["r1"] is FinalAnswer.REJECTED
+    assert harness.outcomes["r1"] is RequestOutcome.REJECTED
     assert len(harness.attempts["r1"]) <= 3
 
 
 def test_attempt_times_out_at_the_objective_where_late_is_worth_nothing() -> None:
     harness = PolicyHarness()
-    sends = [a for a in harness.give(arrival(1, harness.now_ns, READ)) if isinstance(a, Forward)]
+    sends = [a for a in harness.deliver(arrival(1, harness.now_ns, READ)) if isinstance(a, Forward)]
     assert sends[0].timeout_ns == READ.latency_objective_ns
 
 
 def test_client_disconnect_ends_the_request() -> None:
     harness = PolicyHarness()
-    harness.give(
+    harness.deliver(
         arrival(1, harness.now_ns),
         ClientDisconnected("r1"),
         ClientDisconnected("r1"),
         ClientDisconnected("unknown"),
     )
     harness.advance(600 * NANOSECONDS_PER_MILLISECOND)
-    assert harness.answers["r1"] is FinalAnswer.DISCONNECTED
+    assert harness.outcomes["r1"] is RequestOutcome.DISCONNECTED
 
 
 @pytest.mark.parametrize(("elapsed_ms", "again"), [(140, True), (160, False)])
 def test_keyed_retry_leaves_time_to_connect_in_deduplication_window(elapsed_ms: int, again: bool) -> None:
     # The deduplication window is 400 ms.
     limits = Limits(max_attempts=3, connect_timeout_ns=250 * NANOSECONDS_PER_MILLISECOND)
-    harness = PolicyHarness(settings(limits=limits))
-    harness.give(arrival(1, harness.now_ns, ANY, wait_ns=2 * NANOSECONDS_PER_SECOND))
+    harness = PolicyHarness(make_settings(limits=limits))
+    harness.deliver(arrival(1, harness.now_ns, FULLY_DEDUPLICATED, wait_ns=2 * NANOSECONDS_PER_SECOND))
     harness.now_ns += elapsed_ms * NANOSECONDS_PER_MILLISECOND
     assert bool(actions_of_type(Forward, harness.finish("r1", AttemptResult.RESET))) is again
 
 
 def test_requests_without_tenants_or_a_known_class_are_handled() -> None:
-    harness = PolicyHarness(settings(tenants={}))
-    harness.give(arrival(1, harness.now_ns, tenant=""))
+    harness = PolicyHarness(make_settings(tenants={}))
+    harness.deliver(arrival(1, harness.now_ns, tenant=""))
     harness.finish("r1")
-    balancer = Balancer(Settings(), 1, START)
+    balancer = Balancer(Settings(), 1, START_NS)
     balancer.handle(
-        START,
+        START_NS,
         [
             EndpointUpdate(EndpointUpdateKind.FULL, make_endpoints(2)),
-            RequestArrived("x", "never-named", "nobody", START + NANOSECONDS_PER_SECOND),
+            RequestArrived("x", "never-named", "nobody", START_NS + NANOSECONDS_PER_SECOND),
         ],
     )
 
 
 def test_retry_after_is_jittered() -> None:
     harness = PolicyHarness(endpoint_count=0)
-    harness.give(*(arrival(i, harness.now_ns) for i in range(30)))
+    harness.deliver(*(arrival(i, harness.now_ns) for i in range(30)))
     harness.advance(600 * NANOSECONDS_PER_MILLISECOND)
     delays = {a.retry_after_ns for a in harness.actions if isinstance(a, Reject)}
     assert len(delays) > 20
@@ -203,12 +208,12 @@
 @pytest.mark.parametrize("may_cancel", [True, False])
 def test_request_is_hedged_only_where_attempts_can_be_cancelled(may_cancel: bool) -> None:
     limits = Limits(max_attempts=3, hedging=True, cancellation=may_cancel)
-    harness = PolicyHarness(settings(limits=limits))
+    harness = PolicyHarness(make_settings(limits=limits))
     for i in range(20):
-        harness.give(arrival(i, harness.now_ns))
+        harness.deliver(arrival(i, harness.now_ns))
         harness.now_ns += 10 * NANOSECONDS_PER_MILLISECOND
         harness.finish(f"r{i}")
-    harness.give(arrival("slow", harness.now_ns))
+    harness.deliver(arrival("slow", harness.now_ns))
     harness.advance(150 * NANOSECONDS_PER_MILLISECOND)
     assert len(harness.attempts["rslow"]) == (2 if may_cancel else 1)
 
@@ -220,10 +225,10 @@
     request_class: RequestClass, after_ms: int, retried: bool
 ) -> None:
     request = make_request(request_class)
-    request.queue_deadline_ns = START + 100 * NANOSECONDS_PER_MILLISECOND
+    request.queue_deadline_ns = START_NS + 100 * NANOSECONDS_PER_MILLISECOND
     failed, other = (make_state(endpoint) for endpoint in make_endpoints(2))
     add_attempt(request, failed, AttemptResult.RESET, may_have_run=True)
-    now_ns = START + after_ms * NANOSECONDS_PER_MILLISECOND
+    now_ns = START_NS + after_ms * NANOSECONDS_PER_MILLISECOND
     assert should_retry(request, [other], now_ns, Limits(max_attempts=2)) is retried
     assert not should_retry(request, [], now_ns, Limits(max_attempts=2))
 
@@ -231,11 +236,11 @@
 def test_attempts_never_begun_do_not_count_towards_max_attempts() -> None:
     # Otherwise draining endpoints use up max_attempts, and a request is rejected that others could serve.
     request = make_request(READ)
-    request.queue_deadline_ns = START + 1
+    request.queue_deadline_ns = START_NS + 1
     drained, other = (make_state(endpoint) for endpoint in make_endpoints(2))
     limits = Limits(max_attempts=1)
     for _ in range(UNCOUNTED_ATTEMPTS_MAX):
-        assert should_retry(request, [other], START, limits)
+        assert should_retry(request, [other], START_NS, limits)
         attempt = add_attempt(request, drained)
         attempt.end(AttemptResult.NOT_SENT, may_have_run=False, counts=False)
-    assert not should_retry(request, [other], START, limits)
+    assert not should_retry(request, [other], START_NS, limits)
--- a/tests/policy/test_slow_start.py
+++ b/tests/policy/test_slow_start.py
@@ -27,11 +27,11 @@
 from tests.support.policy_harness import (
     NANOSECONDS_PER_MILLISECOND,
     NANOSECONDS_PER_SECOND,
-    START,
+    START_NS,
     PolicyHarness,
     arrival,
     make_endpoints,
-    settings,
+    make_settings,
 )
 from tests.support.simulated_endpoint import SimulatedEndpoint
 
@@ -100,13 +100,13 @@
         fleet = self.make_fleet(proxy_count, seed, rng)
         crashed = self.crashed_endpoints(fleet)
         self.send_first_lists(fleet, crashed, rng)
-        fleet.stop(crashed)
+        fleet.crash_endpoints(crashed)
         fleet.run(self.seconds_before)
         for endpoint in crashed:
             endpoint.error_share = self.error_share
         self.restart_endpoints(fleet, crashed)
         fleet.run(self.seconds_after)
-        return max(endpoint.overload(RULES) for endpoint in crashed), fleet
+        return max(endpoint.max_overload(RULES) for endpoint in crashed), fleet
 
     def make_fleet(self, proxy_count: int, seed: int, rng: random.Random) -> FleetModel:
         return FleetModel(
@@ -145,17 +145,17 @@
     def restart_endpoints(self, fleet: FleetModel, crashed: Sequence[SimulatedEndpoint]) -> None:
         """Restart the crashed endpoints, all at once or one by one, and notify the proxies."""
         for batch in [[endpoint] for endpoint in crashed] if self.one_by_one else [crashed]:
-            entries = fleet.start(batch)
+            entries = fleet.start_endpoints(batch)
             if self.proxies_restart:
                 self.restart_proxies(fleet)
             else:
-                fleet.update_all(EndpointUpdateKind.DELTA, entries)
+                fleet.update_all_proxies(EndpointUpdateKind.DELTA, entries)
             fleet.run(self.seconds_after / len(crashed) if self.one_by_one else 0)
 
     def restart_proxies(self, fleet: FleetModel) -> None:
         entries = [endpoint.endpoint for endpoint in fleet.endpoints.values()]
         for proxy in range(len(fleet.proxies)):
-            fleet.restart(proxy, entries)
+            fleet.restart_proxy(proxy, entries)
 
     def make_endpoints(self) -> list[SimulatedEndpoint]:
         return [
@@ -174,7 +174,7 @@
         ]
 
     def settings_of_all(self, proxy_count: int) -> list[Settings]:
-        common = settings(
+        common = make_settings(
             proxy_count=proxy_count,
             zones=self.zones,
             rules=RULES,
@@ -256,13 +256,13 @@
 
 def test_endpoints_that_are_warming_up_get_one_request_at_a_time() -> None:
     harness = PolicyHarness(endpoint_count=0)
-    harness.give(
+    harness.deliver(
         EndpointUpdate(
-            EndpointUpdateKind.CACHED, make_endpoints(4, started_ns=START - NANOSECONDS_PER_MILLISECOND)
+            EndpointUpdateKind.CACHED, make_endpoints(4, started_ns=START_NS - NANOSECONDS_PER_MILLISECOND)
         )
     )
     for i in range(40):
-        harness.give(arrival(i, harness.now_ns))
+        harness.deliver(arrival(i, harness.now_ns))
         harness.advance(5 * NANOSECONDS_PER_MILLISECOND)
         in_flight = Counter(
             harness.attempts[request][number][0].id for request, number in harness.attempts_in_flight()
@@ -273,14 +273,15 @@
 def test_proxies_share_the_budget_of_endpoints_that_are_warming_up() -> None:
     attempt_counts = []
     for proxy_count in (1, 40):
-        harness = PolicyHarness(settings(proxy_count=proxy_count), endpoint_count=0)
-        harness.give(
+        harness = PolicyHarness(make_settings(proxy_count=proxy_count), endpoint_count=0)
+        harness.deliver(
             EndpointUpdate(
-                EndpointUpdateKind.CACHED, make_endpoints(6, started_ns=START - NANOSECONDS_PER_MILLISECOND)
+                EndpointUpdateKind.CACHED,
+                make_endpoints(6, started_ns=START_NS - NANOSECONDS_PER_MILLISECOND),
             )
         )
         for i in range(100):
-            harness.give(arrival(i, harness.now_ns))
+            harness.deliver(arrival(i, harness.now_ns))
             harness.advance(5 * NANOSECONDS_PER_MILLISECOND)
             for request, number in harness.attempts_in_flight():
                 harness.finish(request, number=number)
--- a/tests/policy/test_subsetting.py
+++ b/tests/policy/test_subsetting.py
@@ -25,20 +25,20 @@
 from loadbalancer.state.placement import Placement
 from loadbalancer.state.subset import Subset
 from tests.support.policy_harness import (
-    CELL,
+    CELL_DEDUPLICATED,
     NANOSECONDS_PER_MILLISECOND,
     NANOSECONDS_PER_SECOND,
     READ,
-    START,
+    START_NS,
     PolicyHarness,
     arrival,
-    settings,
+    make_settings,
 )
 
 ZONES = [f"z{i}" for i in range(8)]
 MACHINE_TYPES = ("large", "small")
 CELL_SIZE = 100
-ZONE = replace(CELL, name="zone", deduplication_scope=DeduplicationScope.ZONE)
+ZONE = replace(CELL_DEDUPLICATED, name="zone", deduplication_scope=DeduplicationScope.ZONE)
 NARROW_PLACEMENT = (frozenset({"z1", "z2"}), frozenset({"large"}))
 
 
@@ -59,13 +59,13 @@
 def proxy_settings(proxy_count: int, zone_aware: bool = False, index: int = 0) -> Settings:
     """Return the settings of one of these proxies; zone-aware ones have prices for crossing zones."""
     prices = Prices(connection=0.03, cross_zone=0.02) if zone_aware else Prices()
-    return settings(
+    return make_settings(
         proxy_index=index,
         proxy_count=proxy_count,
         zone=ZONES[index % len(ZONES)],
         zones=ZONES,
         prices=prices,
-        request_classes={c.name: c for c in (READ, ZONE, CELL)},
+        request_classes={c.name: c for c in (READ, ZONE, CELL_DEDUPLICATED)},
     )
 
 
@@ -132,15 +132,15 @@
 ) -> None:
     # The result must not depend on the order of full lists, deltas, drains, returns and repeated entries.
     config = replace(proxy_settings(40, zone_aware), zones=ZONES[:3])
-    balancer = Balancer(config, 1, START)
+    balancer = Balancer(config, 1, START_NS)
     last_entries: dict[int, Endpoint] = {}
     for is_complete, entries in updates:
         kind = EndpointUpdateKind.FULL if is_complete else EndpointUpdateKind.DELTA
-        balancer.handle(START, [EndpointUpdate(kind, entries)])
+        balancer.handle(START_NS, [EndpointUpdate(kind, entries)])
         last_entries = ({} if is_complete else last_entries) | {e.id: e for e in entries}
     listed = [e for e in last_entries.values() if e.status is not EndpointStatus.REMOVED]
-    fresh = Balancer(config, 2, START)
-    fresh.handle(START, [EndpointUpdate(EndpointUpdateKind.FULL, sorted(listed, reverse=True))])
+    fresh = Balancer(config, 2, START_NS)
+    fresh.handle(START_NS, [EndpointUpdate(EndpointUpdateKind.FULL, sorted(listed, reverse=True))])
     assert contents(config, balancer.fleet.table) == contents(config, fresh.fleet.table)
     orders = [[[s.id for s in pool.endpoints] for pool in b.fleet.pools.values()] for b in (balancer, fresh)]
     assert orders[0] == orders[1]
@@ -209,7 +209,7 @@
 def cost_of_updates(monkeypatch: pytest.MonkeyPatch, count: int) -> tuple[Counter[str], Balancer]:
     """Count hashes and ring keys for 40 updates of one endpoint each, in a list of this length."""
     endpoints = endpoints_in_all_zones(count)
-    now_ns = START
+    now_ns = START_NS
     balancer = Balancer(proxy_settings(8800, index=5), 1, now_ns)
     balancer.handle(now_ns, [EndpointUpdate(EndpointUpdateKind.FULL, endpoints)])
     counts: Counter[str] = Counter()
@@ -256,15 +256,15 @@
 
 def test_an_equal_full_list_rebuilds_nothing(monkeypatch: pytest.MonkeyPatch) -> None:
     endpoints = endpoints_in_all_zones(5000)
-    balancer = Balancer(proxy_settings(8800), 1, START)
-    balancer.handle(START, [EndpointUpdate(EndpointUpdateKind.FULL, endpoints)])
+    balancer = Balancer(proxy_settings(8800), 1, START_NS)
+    balancer.handle(START_NS, [EndpointUpdate(EndpointUpdateKind.FULL, endpoints)])
     attributes = dict(balancer.fleet.table.attributes)
     states = dict(balancer.fleet.endpoints)
     # Any change of a ring calls the hash, which would fail now.
     monkeypatch.setattr(placement, "mix64", None)
     monkeypatch.setattr(hash_ring, "mix64", None)
     update = EndpointUpdate(EndpointUpdateKind.FULL, list(reversed(endpoints)))
-    balancer.handle(START + NANOSECONDS_PER_SECOND, [update])
+    balancer.handle(START_NS + NANOSECONDS_PER_SECOND, [update])
     assert all(balancer.fleet.table.attributes[i] is row for i, row in attributes.items())
     assert balancer.fleet.endpoints == states
 
@@ -304,19 +304,19 @@
     )  # in other zones now
 
 
-@pytest.mark.parametrize("request_class", [ZONE, CELL])
+@pytest.mark.parametrize("request_class", [ZONE, CELL_DEDUPLICATED])
 def test_a_retry_with_an_idempotency_key_finds_its_group_in_a_long_list(request_class: RequestClass) -> None:
     # Few or none of the 100 endpoints of a cell are in the subset or the reserve.
     harness = PolicyHarness(proxy_settings(8800, index=3), endpoint_count=0)
-    harness.give(EndpointUpdate(EndpointUpdateKind.CACHED, endpoints_in_all_zones(30_000)))
+    harness.deliver(EndpointUpdate(EndpointUpdateKind.CACHED, endpoints_in_all_zones(30_000)))
     retried = 0
     for i in range(60):
-        harness.give(arrival(i, harness.now_ns, request_class))
+        harness.deliver(arrival(i, harness.now_ns, request_class))
         harness.now_ns += 5 * NANOSECONDS_PER_MILLISECOND
         harness.finish(f"r{i}", AttemptResult.RESET)  # the harness checks that a retry stays in the group
         retried += len(harness.attempts[f"r{i}"]) > 1
         harness.now_ns += 5 * NANOSECONDS_PER_MILLISECOND
-        if f"r{i}" not in harness.answers:
+        if f"r{i}" not in harness.outcomes:
             harness.finish(f"r{i}")
     assert retried >= 55
     assert (
@@ -324,21 +324,21 @@
         <= LARGE_DEPLOYMENT_SUBSET_SIZE + RESERVE_SIZE + 5 * ENDPOINTS_OUTSIDE_POOL_MAX
     )
     harness.advance(NANOSECONDS_PER_SECOND)
-    harness.give()
+    harness.deliver()
     assert len(harness.balancer.fleet.endpoints) <= LARGE_DEPLOYMENT_SUBSET_SIZE + RESERVE_SIZE
 
 
 def test_endpoint_that_left_the_subset_is_no_longer_available() -> None:
     # A request that probed the endpoint still refers to its discarded state, which gets no more updates.
     harness = PolicyHarness(proxy_settings(8800, index=3), endpoint_count=0)
-    harness.give(EndpointUpdate(EndpointUpdateKind.CACHED, endpoints_in_all_zones(2000)))
+    harness.deliver(EndpointUpdate(EndpointUpdateKind.CACHED, endpoints_in_all_zones(2000)))
     fleet = harness.balancer.fleet
     checked = fleet.default_pool.endpoints[0]
     others = [e for e in endpoints_in_all_zones(2000, seed=9) if e.id != checked.id]
-    harness.give(EndpointUpdate(EndpointUpdateKind.FULL, [*others, checked.endpoint._replace(zone="z7")]))
+    harness.deliver(EndpointUpdate(EndpointUpdateKind.FULL, [*others, checked.endpoint._replace(zone="z7")]))
     if checked.id not in fleet.pooled_ids:
         assert not harness.balancer.selection.is_available(checked, harness.now_ns)
         assert checked.id not in fleet.endpoints
-    harness.give(EndpointUpdate(EndpointUpdateKind.FULL, others))
+    harness.deliver(EndpointUpdate(EndpointUpdateKind.FULL, others))
     assert not harness.balancer.selection.is_available(checked, harness.now_ns)
     assert checked.id not in fleet.endpoints
--- a/tests/proxy/test_attempts.py
+++ b/tests/proxy/test_attempts.py
@@ -29,18 +29,18 @@
 from loadbalancer.units import NANOSECONDS_PER_MILLISECOND
 from tests.support.endpoint_lists import entry, list_json, list_of_ports, read_live_list
 from tests.support.fake_endpoint import FakeEndpoint, never_respond, respond_with
-from tests.support.fake_machine import Machine
 from tests.support.fake_policies import RecordingPolicy, ScriptedPolicy
 from tests.support.http_messages import HOST, ReceivedMessage, format_response, request
 from tests.support.running_proxy import proxy_settings, running_proxy
 from tests.support.scripted import (
-    connect,
+    attempt_results,
     fail_unless_complete,
     forward_requests,
     hold_connections,
-    results,
+    request_readiness,
     shrink_send_buffers,
 )
+from tests.support.unreachable_server import UnreachableServer
 from tests.support.waiting import WAIT_TIMEOUT_S, wait_until
 
 SMALL_BUFFER_BYTES = 4096
@@ -116,7 +116,7 @@
         client.proxy.dispatch(TimerExpired("now"))
         assert (await client.read()).status == 504
         await wait_until(lambda: endpoint.closed_connections == 1)
-        assert results(policy) == [AttemptResult.CANCELLED]
+        assert attempt_results(policy) == [AttemptResult.CANCELLED]
 
 
 async def test_a_stall_after_the_decision_does_not_extend_the_timeout() -> None:
@@ -138,7 +138,7 @@
     policy.react = react
     async with running_proxy(policy, endpoint) as client:
         assert (await client.exchange(request(deadline_ms=150))).status == 503
-        assert results(policy) == [AttemptResult.TIMEOUT]
+        assert attempt_results(policy) == [AttemptResult.TIMEOUT]
         await wait_until(lambda: policy.events_of(TimerExpired))
         assert not policy.events_of(ClientDisconnected)
 
@@ -179,7 +179,7 @@
     refusing.stop()
     policy, may_connect = ScriptedPolicy(forward), asyncio.Event()
     async with running_proxy(policy, refusing, endpoint) as client:
-        await connect(client)
+        await request_readiness(client)
         hold_connections(monkeypatch, may_connect, endpoint.port)
         await client.send(request())
         await wait_until(lambda: len(deadlines_ns) == attempts)
@@ -239,7 +239,7 @@
 
 async def test_unsent_request_is_rejected_instead_of_failed_at_its_timeout() -> None:
     # Guards against failing a request that is not idempotent although its client could safely send it again.
-    unreachable = await Machine(respond_with(200), refuses=False).start()
+    unreachable = await UnreachableServer(respond_with(200), refuses_connections=False).start()
     policy = RecordingPolicy(Balancer(proxy_settings(max_attempts=2), 1, time.monotonic_ns()))
     async with running_proxy(policy, unreachable, max_attempts=2) as client:
         response = await client.exchange(request("/pay", deadline_ms=300, method="POST", body=b"1"))
--- a/tests/support/fleet_model.py
+++ b/tests/support/fleet_model.py
@@ -1,6 +1,6 @@
-"""A small fleet for tests: many balancers and many endpoints on one simulated clock, from one seed.
+"""A simulated fleet: many balancers, endpoints and clients on one clock, reproducible from one seed.
 
-The balancers are driven by events and actions alone.
+The balancers are driven only through their events and actions.
 """
 
 from __future__ import annotations
@@ -33,18 +33,18 @@
 )
 from loadbalancer.policy.balancer import Balancer
 from loadbalancer.settings import RequestClass, Settings
-from tests.support.policy_harness import NANOSECONDS_PER_MILLISECOND, NANOSECONDS_PER_SECOND, START
+from tests.support.policy_harness import NANOSECONDS_PER_MILLISECOND, NANOSECONDS_PER_SECOND, START_NS
 from tests.support.simulated_endpoint import SimulatedAttempt, SimulatedEndpoint, WorkArrival
 
-CONNECT_NS = NANOSECONDS_PER_MILLISECOND  # the way to an endpoint over a new connection, or to none
-ONE_WAY_NS = NANOSECONDS_PER_MILLISECOND // 4  # the way over an open connection
-HANDSHAKE_WORK = 0.25  # of a new connection, in requests of mean work
-RETRY_DELAY_MS = (20, 160)  # the shortest and longest pause of a client before it retries
+CONNECT_NS = NANOSECONDS_PER_MILLISECOND  # one way including connection setup, or time to a failed connect
+ONE_WAY_NS = NANOSECONDS_PER_MILLISECOND // 4  # one way on an open connection
+HANDSHAKE_WORK = 0.25  # work of accepting a connection; 1.0 is the mean work of a request
+RETRY_DELAY_MS = (20, 160)  # the shortest and longest delay before a client retries
 
 
 @dataclass(frozen=True)
 class Traffic:
-    """A class with its share of the requests and their work, in requests of mean work."""
+    """A request class, its share of all requests, and the relative work of each of them."""
 
     request_class: RequestClass
     share: float = 1.0
@@ -57,27 +57,27 @@
 
     traffic: Traffic
     work: float
-    retries: int  # before this one
+    retries: int  # number of times that the client has retried already
     attempts: list[SimulatedAttempt] = field(default_factory=list)
-    is_answered: bool = False
+    is_complete: bool = False
 
 
 @dataclass
 class SimulatedProxy:
-    """A balancer, and what its process has at hand; a restart replaces all of it."""
+    """A balancer and the state of its process, all of which a restart replaces."""
 
     balancer: Balancer
     incarnation: int = 0
     requests: dict[str, OpenRequest] = field(default_factory=dict)
-    connections: set[int] = field(default_factory=set)  # ids of the endpoints with an open one
-    known_starts: dict[int, int] = field(default_factory=dict)  # of endpoints, by what it has been told
+    connections: set[int] = field(default_factory=set)  # ids of the endpoints with an open connection
+    known_starts: dict[int, int] = field(default_factory=dict)  # endpoint id to start time as last sent
 
 
 class FleetModel:
     """Proxies, endpoints and clients on one simulated clock.
 
-    Proxies are known by their index. `rate` is that of all clients, in requests a second, and
-    `proxy_shares` says how it is spread.
+    Proxies are identified by index. `rate` is the total of all clients in requests per second, split
+    among the proxies in proportion to `proxy_shares`.
     """
 
     def __init__(
@@ -92,20 +92,20 @@
         client_retries: int = 2,
     ) -> None:
         self.rng = random.Random(seed)
-        self.now_ns = START
-        self.sequence = 0  # of timers and requests
+        self.now_ns = START_NS
+        self.sequence = 0  # last number given to a timer or a request
         self.endpoints = {simulated.endpoint.id: simulated for simulated in endpoints}
         self.settings = settings
         self.rules = settings[0].rules
         self.rate = rate
         self.cumulative_shares = list(accumulate(proxy_shares or [1.0] * proxy_count))
         self.client_retries = client_retries
-        self.timers: list[tuple[int, int, Callable[[], None]]] = []  # when, sequence, what to call
+        self.timers: list[tuple[int, int, Callable[[], None]]] = []  # due time, sequence number, callback
         self.proxies = [SimulatedProxy(self._make_balancer(proxy)) for proxy in range(proxy_count)]
-        self.served = self.rejected = 0  # requests
+        self.served = self.unserved = 0  # numbers of requests
         mean_work = sum(t.share * t.work for t in traffic)
         self.traffic = [Traffic(t.request_class, t.share, t.work / mean_work) for t in traffic]
-        self.schedule(self.now_ns, self._client)
+        self.schedule(self.now_ns, self._send_next_request)
 
     def _make_balancer(self, proxy: int) -> Balancer:
         return Balancer(self.settings[proxy], self.rng.getrandbits(32), self.now_ns)
@@ -113,12 +113,12 @@
     # -- time --
 
     def schedule(self, at_ns: int, callback: Callable[[], None]) -> None:
-        """Call something at a time."""
+        """Call `callback` at a simulated time."""
         self.sequence += 1
         heapq.heappush(self.timers, (at_ns, self.sequence, callback))
 
     def run(self, seconds: float) -> None:
-        """Let time pass."""
+        """Advance the clock, and run the callbacks that fall due."""
         end = self.now_ns + int(seconds * NANOSECONDS_PER_SECOND)
         while self.timers and self.timers[0][0] <= end:
             self.now_ns, _, callback = heapq.heappop(self.timers)
@@ -128,26 +128,26 @@
     # -- discovery --
 
     def update_endpoints(self, proxy: int, kind: EndpointUpdateKind, endpoints: Sequence[Endpoint]) -> None:
-        """Give one proxy an endpoint update."""
+        """Deliver an endpoint update to one proxy."""
         for endpoint in endpoints:
             self.proxies[proxy].known_starts[endpoint.id] = endpoint.started_ns
-        self.give(proxy, EndpointUpdate(kind, list(endpoints)))
+        self.deliver(proxy, EndpointUpdate(kind, list(endpoints)))
 
-    def update_all(self, kind: EndpointUpdateKind, endpoints: Sequence[Endpoint]) -> None:
-        """Give all proxies an endpoint update."""
+    def update_all_proxies(self, kind: EndpointUpdateKind, endpoints: Sequence[Endpoint]) -> None:
+        """Deliver an endpoint update to all proxies."""
         for proxy in range(len(self.proxies)):
             self.update_endpoints(proxy, kind, endpoints)
 
-    def start(self, endpoints: Sequence[SimulatedEndpoint]) -> list[Endpoint]:
-        """Start endpoints cold, and return what proxies are yet to be told."""
+    def start_endpoints(self, endpoints: Sequence[SimulatedEndpoint]) -> list[Endpoint]:
+        """Start endpoints in slow start; return entries yet to be sent to the proxies."""
         for simulated in endpoints:
             simulated.start(self.now_ns)
             for proxy in self.proxies:
                 proxy.connections.discard(simulated.endpoint.id)
         return [simulated.endpoint for simulated in endpoints]
 
-    def stop(self, endpoints: Sequence[SimulatedEndpoint]) -> list[Endpoint]:
-        """Crash endpoints, so that what they hold is reset, and return what proxies are yet to be told."""
+    def crash_endpoints(self, endpoints: Sequence[SimulatedEndpoint]) -> list[Endpoint]:
+        """Crash endpoints, which resets their attempts; return entries yet to be sent to the proxies."""
         for simulated in endpoints:
             simulated.crash()
         attempts = [a for p in self.proxies for request in p.requests.values() for a in request.attempts]
@@ -156,20 +156,21 @@
                 self.schedule(self.now_ns, partial(self.end_attempt, attempt, AttemptResult.RESET))
         return [simulated.endpoint for simulated in endpoints]
 
-    def restart(self, proxy: int, endpoints: Sequence[Endpoint]) -> None:
-        """Kill a proxy and start it anew, with a cached list as all that it knows."""
+    def restart_proxy(self, proxy: int, endpoints: Sequence[Endpoint]) -> None:
+        """Restart a proxy, which then has nothing but a cached endpoint list."""
         incarnation = self.proxies[proxy].incarnation + 1
         self.proxies[proxy] = SimulatedProxy(self._make_balancer(proxy), incarnation)
         self.update_endpoints(proxy, EndpointUpdateKind.CACHED, endpoints)
 
     # -- clients --
 
-    def _client(self) -> None:
+    def _send_next_request(self) -> None:
         proxy = self._draw_proxy()
         traffic = self.rng.choices(self.traffic, [t.share for t in self.traffic])[0]
         self._send_request(proxy, traffic, traffic.work * self.rng.uniform(0.5, 1.5), 0)
         self.schedule(
-            self.now_ns + int(self.rng.expovariate(self.rate) * NANOSECONDS_PER_SECOND), self._client
+            self.now_ns + int(self.rng.expovariate(self.rate) * NANOSECONDS_PER_SECOND),
+            self._send_next_request,
         )
 
     def _draw_proxy(self) -> int:
@@ -182,7 +183,7 @@
         self.proxies[proxy].requests[request] = OpenRequest(traffic, work, retries)
         incarnation = self.proxies[proxy].incarnation
         self.schedule(deadline_ns, partial(self._client_timeout, proxy, incarnation, request))
-        self.give(proxy, RequestArrived(request, cls.name, "", deadline_ns, is_retry=retries > 0))
+        self.deliver(proxy, RequestArrived(request, cls.name, "", deadline_ns, is_retry=retries > 0))
 
     def _client_timeout(self, proxy: int, incarnation: int, request: str) -> None:
         open_request = self.proxies[proxy].requests.get(request)
@@ -190,11 +191,11 @@
             return
         for attempt in open_request.attempts:
             self.end_attempt(attempt, AttemptResult.TIMEOUT)
-        if not open_request.is_answered:
-            open_request.is_answered = True
-            self.give(proxy, ClientDisconnected(request))
+        if not open_request.is_complete:
+            open_request.is_complete = True
+            self.deliver(proxy, ClientDisconnected(request))
 
-    def _retry(self, request: OpenRequest) -> None:
+    def _schedule_retry(self, request: OpenRequest) -> None:
         if request.retries >= self.client_retries:
             return
         proxy = self._draw_proxy()
@@ -204,8 +205,8 @@
 
     # -- proxies --
 
-    def give(self, proxy: int, event: Event) -> None:
-        """Hand one event to a proxy's balancer, and carry out its actions."""
+    def deliver(self, proxy: int, event: Event) -> None:
+        """Hand one event to a proxy's balancer, and execute its actions."""
         state = self.proxies[proxy]
         for action in state.balancer.handle(self.now_ns, [event]):
             match action:
@@ -224,14 +225,14 @@
                     self.schedule(self.now_ns + NANOSECONDS_PER_MILLISECOND, check)
 
     def _end_request(self, request: OpenRequest, may_retry: bool) -> None:
-        request.is_answered = True
-        self.rejected += 1
+        request.is_complete = True
+        self.unserved += 1
         if may_retry:
-            self._retry(request)
+            self._schedule_retry(request)
 
     def _timer_expired(self, proxy: int, incarnation: int, name: str) -> None:
         if incarnation == self.proxies[proxy].incarnation:
-            self.give(proxy, TimerExpired(name))
+            self.deliver(proxy, TimerExpired(name))
 
     def _check_health(self, proxy: int, incarnation: int, endpoint_id: int) -> None:
         if incarnation != self.proxies[proxy].incarnation:
@@ -239,11 +240,11 @@
         target = self.endpoints[endpoint_id]
         if target.is_running:
             report = {"inflight": float(target.in_flight)}
-            self.give(
+            self.deliver(
                 proxy, HealthCheckEnded(endpoint_id, AttemptResult.OK, NANOSECONDS_PER_MILLISECOND, report)
             )
         else:
-            self.give(
+            self.deliver(
                 proxy,
                 HealthCheckEnded(
                     endpoint_id, AttemptResult.CONNECT_FAILED, NANOSECONDS_PER_MILLISECOND, None
@@ -276,8 +277,8 @@
             self.end_attempt(attempt, AttemptResult.RESET)
             return
         known_start = self.proxies[attempt.proxy].known_starts.get(target.endpoint.id)
-        is_known = known_start == target.endpoint.started_ns
-        target.arrivals.append(WorkArrival(self.now_ns, attempt.work + handshake_work, is_known))
+        sender_knew_start = known_start == target.endpoint.started_ns
+        target.arrivals.append(WorkArrival(self.now_ns, attempt.work + handshake_work, sender_knew_start))
         if target.error_share and self.rng.random() < target.error_share:
             self.schedule(self.now_ns + ONE_WAY_NS, partial(self.end_attempt, attempt, AttemptResult.ERROR))
         elif len(target.queue) >= target.queue_capacity:
@@ -294,10 +295,10 @@
             target.busy += 1
             rate = target.rate * target.capacity_fraction(self.now_ns, self.rules)
             service_ns = int(attempt.work * target.workers / rate * NANOSECONDS_PER_SECOND)
-            serve = partial(self._serve_attempt, attempt, target.endpoint.started_ns)
-            self.schedule(self.now_ns + service_ns, serve)
+            finish = partial(self._finish_service, attempt, target.endpoint.started_ns)
+            self.schedule(self.now_ns + service_ns, finish)
 
-    def _serve_attempt(self, attempt: SimulatedAttempt, started_ns: int) -> None:
+    def _finish_service(self, attempt: SimulatedAttempt, started_ns: int) -> None:
         target = attempt.target
         if target.is_running and target.endpoint.started_ns == started_ns:
             target.busy -= 1
@@ -305,14 +306,14 @@
             self._serve_queue(target)
 
     def end_attempt(self, attempt: SimulatedAttempt, result: AttemptResult) -> None:
-        """Give a proxy the result of an attempt, unless that has ended or the proxy has restarted."""
+        """Report the result of an attempt, unless the attempt has ended or its proxy has restarted."""
         request = self.proxies[attempt.proxy].requests.get(attempt.request)
         if attempt.has_ended or request is None or request.attempts[attempt.number] is not attempt:
             return
         attempt.has_ended = True
         is_served = result is AttemptResult.OK
-        if is_served and not request.is_answered:
-            request.is_answered = True
+        if is_served and not request.is_complete:
+            request.is_complete = True
             self.served += 1
         report = None
         if is_served and self.settings[attempt.proxy].load_reports_in_responses:
@@ -320,6 +321,6 @@
         elapsed_ns = self.now_ns - attempt.sent_ns
         endpoint_id = attempt.target.endpoint.id
         event = AttemptEnded(
-            attempt.request, attempt.number, endpoint_id, result, elapsed_ns, request.is_answered, report
+            attempt.request, attempt.number, endpoint_id, result, elapsed_ns, request.is_complete, report
         )
-        self.give(attempt.proxy, event)
+        self.deliver(attempt.proxy, event)
