--- a/tests/support/clients.py
+++ b/tests/support/clients.py
@@ -44,7 +44,7 @@
 async def plain_socket(client: Client, receive_buffer: int | None = None) -> AsyncIterator[socket.socket]:
     """Open a non-blocking socket to the client's proxy.
 
-    Calls on it take effect at once: no other code of the event loop runs in between.
+    A call on the socket does not yield to the event loop, so that no other code runs between two calls.
     """
     with socket.socket() as sock:
         if receive_buffer is not None:
@@ -55,7 +55,7 @@
 
 
 def first_connection(client: Client) -> ClientConnection:
-    """Return the first connection that the proxy holds to a client."""
+    """Return the first client connection of the proxy that this client uses."""
     return next(iter(client.proxy.downstream._connections))
 
 
@@ -69,7 +69,10 @@
 async def client_with_unread_response(
     client: Client, endpoint: FakeEndpoint, response_bytes: int
 ) -> AsyncIterator[socket.socket]:
-    """Open a socket that has not read its response, part of which the proxy has yet to send."""
+    """Open a socket that does not read its response, so that a part of it is still unsent in the proxy.
+
+    The endpoint sends an empty response to each later request.
+    """
     async with plain_socket(client, receive_buffer=2048) as sock:
         await wait_until(
             lambda: any(connection._transport for connection in client.proxy.downstream._connections)
@@ -87,7 +90,11 @@
 async def assert_only_later_request_is_forwarded(
     endpoint: FakeEndpoint, client: Client, policy: ScriptedPolicy, received_before: int = 0
 ) -> None:
-    """Assert that another client's request is served, and that the endpoint has received no other since."""
+    """Send a request from a new client; assert that it is served, and that the proxy has no pending request.
+
+    Assert also that the endpoint received no other request after its first `received_before` ones. From now
+    on, the policy forwards each new request to the first endpoint.
+    """
     forward_requests(policy)
     assert (await client.new_client().exchange(request("/read/later"))).status == 200
     assert request_targets(endpoint)[received_before:] == ["/read/later"]
--- a/tests/support/endpoint_lists.py
+++ b/tests/support/endpoint_lists.py
@@ -12,7 +12,7 @@
 
 Json = dict[str, Any]
 
-MAX_PORTS = 60_000  # a longer list uses each port more than once
+MAX_PORTS = 60_000  # a longer list uses some ports more than once
 
 
 def entry(host: str, port: int = 1, **attributes: object) -> Json:
@@ -47,7 +47,7 @@
 
 
 def read_list(raw: object, reader: EndpointListReader | None = None) -> EndpointList:
-    """Parse a list as a proxy does, with a new reader if none is given."""
+    """Parse a list as a proxy does; the default is a new reader with a clock offset of 0."""
     return (reader or EndpointListReader(0)).read(json.dumps(raw).encode())
 
 
--- a/tests/support/fake_discovery.py
+++ b/tests/support/fake_discovery.py
@@ -22,7 +22,7 @@
 
 
 class DiscoveryWrite(NamedTuple):
-    """A response with an endpoint list that was written."""
+    """A response with an endpoint list, written to its connection."""
 
     written_at_s: float  # time.monotonic()
     version: int
@@ -31,7 +31,7 @@
 class FakeDiscovery:
     """A discovery service whose list is changed by `change`, and which records each call.
 
-    A watch ends with the next change. With `honors_wait` it also ends after its `wait_ms`.
+    A watch ends with the next change. With `honors_wait` a watch also ends once its `wait_ms` has passed.
     """
 
     def __init__(self, *, honors_wait: bool = False) -> None:
@@ -88,7 +88,7 @@
 def hold_complete_lists(discovery: FakeDiscovery) -> asyncio.Event:
     """Hold back complete lists until the returned event is set.
 
-    Such a response has the list as it was at the time of the request.
+    A response that was held back has the list as it was at the time of the request.
     """
     release = asyncio.Event()
     respond_normally = discovery.server.respond
--- a/tests/support/fake_endpoint.py
+++ b/tests/support/fake_endpoint.py
@@ -12,12 +12,12 @@
 
 
 def respond_with(status: int, body: bytes = b"", *headers: str) -> Responder:
-    """Respond to each request with the same response."""
+    """Return a responder that sends the same response to each request."""
     return respond_raw(format_response(status, body, *headers))
 
 
 def respond_raw(data: bytes, *, close: bool = False) -> Responder:
-    """Respond to each request with these bytes, then close the connection if `close` is set."""
+    """Return a responder that sends these bytes, then closes the connection if `close` is set."""
 
     async def respond(_request: ReceivedMessage, writer: Writer) -> None:
         writer.write(data)
--- a/tests/support/fake_policies.py
+++ b/tests/support/fake_policies.py
@@ -22,7 +22,7 @@
     max_call_depth: int = 0  # above 1: `handle` was called again before it had returned
 
     def handle(self, now_ns: int, events: Iterable[Event]) -> list[Action]:  # noqa: ARG002 - the signature of a policy
-        """Record the events; return the reactions to them."""
+        """Record the events; return the actions that `react` gives for them."""
         self.active_calls += 1
         self.max_call_depth = max(self.max_call_depth, self.active_calls)
         self.events += events
@@ -68,5 +68,5 @@
         return batch.actions
 
     def first_actions_after(self, kind: EndpointUpdateKind) -> list[Action] | None:
-        """Return the actions for the batch with the first endpoint update of a kind, or None without one."""
+        """Return the actions for the first batch with an endpoint update of this kind, or None."""
         return next((batch.actions for batch in self.batches if batch.has_update(kind)), None)
--- a/tests/support/fleet_model.py
+++ b/tests/support/fleet_model.py
@@ -36,8 +36,9 @@
 from tests.support.policy_harness import NANOSECONDS_PER_MILLISECOND, NANOSECONDS_PER_SECOND, START_NS
 from tests.support.simulated_endpoint import SimulatedAttempt, SimulatedEndpoint, WorkArrival
 
-CONNECT_NS = NANOSECONDS_PER_MILLISECOND  # one way including connection setup, or time to a failed connect
-ONE_WAY_NS = NANOSECONDS_PER_MILLISECOND // 4  # one way on an open connection
+# Time until a request arrives on a new connection, or until a connection attempt fails.
+CONNECT_NS = NANOSECONDS_PER_MILLISECOND
+ONE_WAY_NS = NANOSECONDS_PER_MILLISECOND // 4  # transfer time on an open connection
 HANDSHAKE_WORK = 0.25  # work of accepting a connection; 1.0 is the mean work of a request
 RETRY_DELAY_MS = (20, 160)  # the shortest and longest delay before a client retries
 
@@ -102,7 +103,9 @@
         self.client_retries = client_retries
         self.timers: list[tuple[int, int, Callable[[], None]]] = []  # due time, sequence number, callback
         self.proxies = [SimulatedProxy(self._make_balancer(proxy)) for proxy in range(proxy_count)]
-        self.served = self.unserved = 0  # numbers of requests
+        # Numbers of requests: those with a successful response before the client's timeout, and those that a
+        # balancer rejected or failed. Requests that end with the client's timeout are in neither.
+        self.served = self.unserved = 0
         mean_work = sum(t.share * t.work for t in traffic)
         self.traffic = [Traffic(t.request_class, t.share, t.work / mean_work) for t in traffic]
         self.schedule(self.now_ns, self._send_next_request)
@@ -139,7 +142,7 @@
             self.update_endpoints(proxy, kind, endpoints)
 
     def start_endpoints(self, endpoints: Sequence[SimulatedEndpoint]) -> list[Endpoint]:
-        """Start endpoints in slow start; return entries yet to be sent to the proxies."""
+        """Start endpoints in slow start; return their new entries, unknown to all proxies."""
         for simulated in endpoints:
             simulated.start(self.now_ns)
             for proxy in self.proxies:
@@ -147,7 +150,7 @@
         return [simulated.endpoint for simulated in endpoints]
 
     def crash_endpoints(self, endpoints: Sequence[SimulatedEndpoint]) -> list[Endpoint]:
-        """Crash endpoints, which resets their attempts; return entries yet to be sent to the proxies."""
+        """Crash endpoints and reset their attempts; return their new entries, unknown to all proxies."""
         for simulated in endpoints:
             simulated.crash()
         attempts = [a for p in self.proxies for request in p.requests.values() for a in request.attempts]
@@ -157,7 +160,7 @@
         return [simulated.endpoint for simulated in endpoints]
 
     def restart_proxy(self, proxy: int, endpoints: Sequence[Endpoint]) -> None:
-        """Restart a proxy, which then has nothing but a cached endpoint list."""
+        """Restart a proxy: it loses all state, and is sent these endpoints as its cached list."""
         incarnation = self.proxies[proxy].incarnation + 1
         self.proxies[proxy] = SimulatedProxy(self._make_balancer(proxy), incarnation)
         self.update_endpoints(proxy, EndpointUpdateKind.CACHED, endpoints)
@@ -206,7 +209,7 @@
     # -- proxies --
 
     def deliver(self, proxy: int, event: Event) -> None:
-        """Hand one event to a proxy's balancer, and execute its actions."""
+        """Hand one event to a proxy's balancer, and execute the actions that it returns."""
         state = self.proxies[proxy]
         for action in state.balancer.handle(self.now_ns, [event]):
             match action:
@@ -306,7 +309,7 @@
             self._serve_queue(target)
 
     def end_attempt(self, attempt: SimulatedAttempt, result: AttemptResult) -> None:
-        """Report the result of an attempt, unless the attempt has ended or its proxy has restarted."""
+        """End an attempt and report its result, unless it has ended already or its proxy has restarted."""
         request = self.proxies[attempt.proxy].requests.get(attempt.request)
         if attempt.has_ended or request is None or request.attempts[attempt.number] is not attempt:
             return
--- a/tests/support/policy_harness.py
+++ b/tests/support/policy_harness.py
@@ -134,7 +134,11 @@
         return actions
 
     def advance(self, by_ns: int, step_ns: int = 5 * NANOSECONDS_PER_MILLISECOND) -> list[Action]:
-        """Advance the clock in steps; deliver expired timers, and timeouts of attempts at their deadlines."""
+        """Advance the clock in steps, and return the balancer's actions.
+
+        Each step delivers the timers that are due, and a timeout for each attempt in flight whose request has
+        reached its deadline.
+        """
         all_actions: list[Action] = []
         end = self.now_ns + by_ns
         while self.now_ns < end:
@@ -162,7 +166,7 @@
         return self.checker.attempts_in_flight()
 
     def attempt_ended(self, request: str, number: int, result: AttemptResult) -> AttemptEnded:
-        """Return the event for an attempt that ends at the current time."""
+        """Return the event that reports the end of an attempt at the current time."""
         endpoint, sent_ns = self.attempts[request][number]
         complete = self.checker.is_complete(request) or result is AttemptResult.OK
         return AttemptEnded(request, number, endpoint.id, result, self.now_ns - sent_ns, complete)
@@ -170,7 +174,7 @@
     def finish(
         self, request: str, result: AttemptResult = AttemptResult.OK, number: int = -1
     ) -> list[Action]:
-        """End an attempt of a request: by default the last one."""
+        """End an attempt of a request, by default the last one; return the balancer's actions."""
         number = number if number >= 0 else len(self.attempts[request]) - 1
         return self.deliver(self.attempt_ended(request, number, result))
 
--- a/tests/support/requests.py
+++ b/tests/support/requests.py
@@ -45,7 +45,7 @@
     may_have_run: bool = True,
     expected_ms: int = 20,
 ) -> Attempt:
-    """Add an attempt sent at START_NS: in flight, or ended with `result` if that is given."""
+    """Add an attempt that was sent at START_NS, and return it; it is in flight if `result` is None."""
     attempt = Attempt(
         endpoint_state=state,
         sent_ns=START_NS,
--- a/tests/support/rule_checker.py
+++ b/tests/support/rule_checker.py
@@ -1,8 +1,15 @@
-"""Checks a balancer's actions: rules 1 to 3, and that each action is valid where it is made.
+"""Checks that a balancer's actions keep the rules for requests, and that each action is valid when made.
 
-The rules concern the outcome of a request by its deadline, the placement and the number of its attempts,
-and the repetition of a request that may have run. The checker derives its state from events and actions
-alone, and shares no code with the policy.
+The rules:
+
+- Each request ends exactly once, at the latest `MAX_LATENESS_NS` after its deadline, and has no attempts
+  sent after that.
+- Attempts are sent only to ready endpoints in the zones and on the machine types that the request class
+  allows, not more than `Limits.max_attempts` in total, and one at a time, or two with hedging.
+- A request that may have run is sent again only if it is idempotent, or within its deduplication window and
+  scope. Such a request is rejected only if it is idempotent or its deduplication scope is `ALL`.
+
+The checker derives its state from events and actions alone, and shares no code with the policy.
 """
 
 from __future__ import annotations
@@ -32,7 +39,7 @@
 )
 from loadbalancer.settings import DeduplicationScope, Idempotency, RequestClass, Settings
 
-MAX_LATENESS_NS = 20_000_000  # tolerance for a request that ends after its deadline
+MAX_LATENESS_NS = 20_000_000  # time after its deadline within which a request must end
 MAX_GOSSIP_BYTES = 256
 
 
@@ -60,7 +67,7 @@
         self.request_classes: dict[str, RequestClass] = {}
         self.deadlines: dict[str, int] = {}
         self.outcomes: dict[str, RequestOutcome] = {}
-        self.completed: set[str] = set()  # the balancer has been told that they are complete
+        self.completed: set[str] = set()  # requests that the balancer has been told are complete
         self.attempts: dict[str, list[SentAttempt]] = {}
         self.results: dict[tuple[str, int], AttemptResult] = {}  # by request id and attempt number
         self.endpoints: dict[int, Endpoint] = {}
@@ -75,7 +82,7 @@
         ]
 
     def is_complete(self, request: str) -> bool:
-        """Return whether a request has ended or its client has disconnected."""
+        """Return whether a request has an outcome, or the balancer has been told that it is complete."""
         return request in self.outcomes or request in self.completed
 
     def record_event(self, event: Event) -> None:
@@ -128,7 +135,7 @@
                 assert action.delay_ns > 0
 
     def check_deadlines(self, now_ns: int) -> None:
-        """Check that each request whose deadline has passed has ended."""
+        """Check that each request has ended `MAX_LATENESS_NS` after its deadline at the latest."""
         for request, deadline in self.deadlines.items():
             if deadline + MAX_LATENESS_NS < now_ns:
                 assert request in self.outcomes, f"{request} has not ended by its deadline"
@@ -144,6 +151,7 @@
         ]
 
     def _record_outcome(self, request: str, outcome: RequestOutcome, now_ns: int) -> None:
+        """Record the end of a request, and check that it had arrived and that it ends once and in time."""
         assert request in self.request_classes, f"{request} never arrived"
         earlier = self.outcomes.get(request)
         assert earlier is None, f"{request} ended twice: {earlier}, {outcome}"
--- a/tests/support/running_proxy.py
+++ b/tests/support/running_proxy.py
@@ -1,4 +1,4 @@
-"""Runs a proxy in the test's event loop, with a client of it."""
+"""Runs a proxy in the test's event loop, and provides a client that connects to it."""
 
 from __future__ import annotations
 
@@ -113,17 +113,17 @@
         self.writer.write(data)
 
     async def read(self) -> ReceivedMessage:
-        """Read a response."""
+        """Read a response, and return it."""
         assert self.reader is not None
         return await asyncio.wait_for(read_message(self.reader), WAIT_TIMEOUT_S)
 
     async def exchange(self, data: bytes) -> ReceivedMessage:
-        """Send a request, and read its response."""
+        """Send a request, and return its response."""
         await self.send(data)
         return await self.read()
 
     async def is_closed_by_proxy(self) -> bool:
-        """Wait until the proxy sends data or closes; return whether it closed without sending any."""
+        """Wait until the proxy closes the connection; return whether it sent nothing more before that."""
         assert self.reader is not None
         return await asyncio.wait_for(self.reader.read(), WAIT_TIMEOUT_S) == b""
 
--- a/tests/support/scripted.py
+++ b/tests/support/scripted.py
@@ -66,7 +66,7 @@
 def forward_requests(
     policy: ScriptedPolicy, then: Reaction = do_nothing, timeout_ns: int = 0, index: int = 0
 ) -> None:
-    """From now on, forward each new request to the endpoint at `index`; `then` reacts to other events."""
+    """From now on, forward each new request to the endpoint at `index`; `then` reacts to all other events."""
 
     def react(event: Event) -> Iterable[Action]:
         if isinstance(event, RequestArrived):
@@ -105,7 +105,10 @@
 
 
 def update_first_endpoint(proxy: Proxy, version: int, **row: object) -> None:
-    """Apply a list change of the first endpoint at once, without a call to discovery."""
+    """Apply a changed entry of endpoint s0 at once, without a call to discovery.
+
+    Attributes that are not given get their defaults: the entry is up, and its address has port 1.
+    """
     changed = {**list_of_ports(1)["hosts"][0], **row}
     proxy.list_applier.on_discovery_result(
         read_live_list({"seq": version, "whole": False, "hosts": [changed]})
--- a/tests/support/simulated_endpoint.py
+++ b/tests/support/simulated_endpoint.py
@@ -66,7 +66,7 @@
         self.queue = deque()
 
     def capacity_fraction(self, now_ns: int, rules: Rules) -> float:
-        """Return the available fraction of `rate`: less than 1 in slow start, and 1 after it."""
+        """Return the available fraction of `rate`: less than 1 in slow start, otherwise 1."""
         start_ns = self.endpoint.started_ns
         if not start_ns or now_ns - start_ns >= rules.slow_start_ns:
             return 1.0
@@ -74,11 +74,12 @@
         return initial + (1 - initial) * max(0, now_ns - start_ns) / rules.slow_start_ns
 
     def max_overload(self, rules: Rules) -> float:
-        """Return the highest ratio of received to allowed work over all windows; above 1 is an overload.
+        """Return the highest ratio of received to allowed work in a window; above 1 is an overload.
 
-        The budget of a window is taken at its start, with an allowance for random arrivals. Windows are
-        skipped if a third or more of their work came from proxies that had not been told of the start:
-        these break no rule.
+        A window lasts up to `Rules.overload_window_ns` and counts if it begins in slow start. The work
+        allowed follows from the capacity at the window's beginning, with an allowance for random arrivals. A
+        window is skipped if a third or more of its work came from proxies that had not been told of the
+        start, since these break no rule.
         """
         worst = total = informed_work = 0.0
         arrivals = sorted(self.arrivals)
--- a/tests/support/waiting.py
+++ b/tests/support/waiting.py
@@ -1,4 +1,4 @@
-"""Waiting for a condition, with a timeout."""
+"""Waits for a condition, with a timeout."""
 
 from __future__ import annotations
 
