--- a/tests/support/fake_policies.py
+++ b/tests/support/fake_policies.py
@@ -30,9 +30,9 @@
         self.active_calls -= 1
         return actions
 
-    def events_of(self, kind: type[EventType]) -> list[EventType]:
+    def events_of(self, event_type: type[EventType]) -> list[EventType]:
         """Return the events of one type, in the order of their arrival."""
-        return [event for event in self.events if isinstance(event, kind)]
+        return [event for event in self.events if isinstance(event, event_type)]
 
     def endpoint_ids(self) -> list[int]:
         """Return the ids of the endpoints in the last complete list."""
--- a/tests/support/fleet_model.py
+++ b/tests/support/fleet_model.py
@@ -106,8 +106,11 @@
         # Numbers of requests: those with a successful response before the client's timeout, and those that a
         # balancer rejected or failed. Requests that end with the client's timeout are in neither.
         self.served = self.unserved = 0
-        mean_work = sum(t.share * t.work for t in traffic)
-        self.traffic = [Traffic(t.request_class, t.share, t.work / mean_work) for t in traffic]
+        mean_work = sum(traffic_class.share * traffic_class.work for traffic_class in traffic)
+        self.traffic = [
+            Traffic(traffic_class.request_class, traffic_class.share, traffic_class.work / mean_work)
+            for traffic_class in traffic
+        ]
         self.schedule(self.now_ns, self._send_next_request)
 
     def _make_balancer(self, proxy: int) -> Balancer:
@@ -122,11 +125,11 @@
 
     def run(self, seconds: float) -> None:
         """Advance the clock, and run the callbacks that fall due."""
-        end = self.now_ns + int(seconds * NANOSECONDS_PER_SECOND)
-        while self.timers and self.timers[0][0] <= end:
+        end_ns = self.now_ns + int(seconds * NANOSECONDS_PER_SECOND)
+        while self.timers and self.timers[0][0] <= end_ns:
             self.now_ns, _, callback = heapq.heappop(self.timers)
             callback()
-        self.now_ns = end
+        self.now_ns = end_ns
 
     # -- discovery --
 
@@ -153,7 +156,12 @@
         """Crash endpoints and reset their attempts; return their new entries, unknown to all proxies."""
         for simulated in endpoints:
             simulated.crash()
-        attempts = [a for p in self.proxies for request in p.requests.values() for a in request.attempts]
+        attempts = [
+            sent_attempt
+            for simulated_proxy in self.proxies
+            for request in simulated_proxy.requests.values()
+            for sent_attempt in request.attempts
+        ]
         for attempt in attempts:
             if not attempt.has_ended and not attempt.target.is_running:
                 self.schedule(self.now_ns, partial(self.end_attempt, attempt, AttemptResult.RESET))
@@ -169,7 +177,7 @@
 
     def _send_next_request(self) -> None:
         proxy = self._draw_proxy()
-        traffic = self.rng.choices(self.traffic, [t.share for t in self.traffic])[0]
+        traffic = self.rng.choices(self.traffic, [traffic_class.share for traffic_class in self.traffic])[0]
         self._send_request(proxy, traffic, traffic.work * self.rng.uniform(0.5, 1.5), 0)
         self.schedule(
             self.now_ns + int(self.rng.expovariate(self.rate) * NANOSECONDS_PER_SECOND),
@@ -181,12 +189,14 @@
 
     def _send_request(self, proxy: int, traffic: Traffic, work: float, retries: int) -> None:
         self.sequence += 1
-        request, cls = f"q{self.sequence}", traffic.request_class
-        deadline_ns = self.now_ns + cls.client_timeout_ns
+        request, class_of_request = f"q{self.sequence}", traffic.request_class
+        deadline_ns = self.now_ns + class_of_request.client_timeout_ns
         self.proxies[proxy].requests[request] = OpenRequest(traffic, work, retries)
         incarnation = self.proxies[proxy].incarnation
         self.schedule(deadline_ns, partial(self._client_timeout, proxy, incarnation, request))
-        self.deliver(proxy, RequestArrived(request, cls.name, "", deadline_ns, is_retry=retries > 0))
+        self.deliver(
+            proxy, RequestArrived(request, class_of_request.name, "", deadline_ns, is_retry=retries > 0)
+        )
 
     def _client_timeout(self, proxy: int, incarnation: int, request: str) -> None:
         open_request = self.proxies[proxy].requests.get(request)
--- a/tests/support/policy_harness.py
+++ b/tests/support/policy_harness.py
@@ -69,8 +69,15 @@
     """Return settings for tests, with the given fields replaced."""
     base: dict[str, object] = {
         "request_classes": {
-            c.name: c
-            for c in (READ, PAY, CELL_DEDUPLICATED, FULLY_DEDUPLICATED, EAST_ONLY, LARGE_MACHINES_ONLY)
+            test_class.name: test_class
+            for test_class in (
+                READ,
+                PAY,
+                CELL_DEDUPLICATED,
+                FULLY_DEDUPLICATED,
+                EAST_ONLY,
+                LARGE_MACHINES_ONLY,
+            )
         },
         "tenants": {"ash": Tenant("ash", 0.5), "birch": Tenant("birch", 0.5)},
         "limits": Limits(max_attempts=3, hedging=True, cancellation=True, retry_after=True),
@@ -88,8 +95,8 @@
 def make_mixed_endpoints(count: int, started_ns: int = 0) -> list[Endpoint]:
     """Return endpoints spread over two zones and two machine types."""
     return [
-        u._replace(zone=("east", "west")[i % 2], machine_type=("large", "small")[i // 2 % 2])
-        for i, u in enumerate(make_endpoints(count, 1, started_ns))
+        base_endpoint._replace(zone=("east", "west")[i % 2], machine_type=("large", "small")[i // 2 % 2])
+        for i, base_endpoint in enumerate(make_endpoints(count, 1, started_ns))
     ]
 
 
@@ -140,16 +147,16 @@
         reached its deadline.
         """
         all_actions: list[Action] = []
-        end = self.now_ns + by_ns
-        while self.now_ns < end:
-            self.now_ns = min(end, self.now_ns + step_ns)
-            events = self._due_timers() + self._due_timeouts()
+        end_ns = self.now_ns + by_ns
+        while self.now_ns < end_ns:
+            self.now_ns = min(end_ns, self.now_ns + step_ns)
+            events = self._take_due_timers() + self._due_timeouts()
             if events:
                 all_actions += self.deliver(*events)
             self.checker.check_deadlines(self.now_ns)
         return all_actions
 
-    def _due_timers(self) -> list[Event]:
+    def _take_due_timers(self) -> list[Event]:
         due = sorted(timer for timer in self.timers if timer[0] <= self.now_ns)
         self.timers = [timer for timer in self.timers if timer[0] > self.now_ns]
         return [TimerExpired(name) for _, name in due]
@@ -158,7 +165,7 @@
         return [
             self.attempt_ended(request, number, AttemptResult.TIMEOUT)
             for request, number in self.attempts_in_flight()
-            if self.checker.deadlines[request] <= self.now_ns
+            if self.checker.deadlines_ns[request] <= self.now_ns
         ]
 
     def attempts_in_flight(self) -> list[tuple[str, int]]:
@@ -179,6 +186,6 @@
         return self.deliver(self.attempt_ended(request, number, result))
 
 
-def actions_of_type(kind: type, actions: Iterable[Action]) -> list[Action]:
+def actions_of_type(action_type: type, actions: Iterable[Action]) -> list[Action]:
     """Return the actions of one type."""
-    return [action for action in actions if isinstance(action, kind)]
+    return [action for action in actions if isinstance(action, action_type)]
--- a/tests/support/rule_checker.py
+++ b/tests/support/rule_checker.py
@@ -65,7 +65,7 @@
     def __init__(self, settings: Settings) -> None:
         self.settings = settings
         self.request_classes: dict[str, RequestClass] = {}
-        self.deadlines: dict[str, int] = {}
+        self.deadlines_ns: dict[str, int] = {}
         self.outcomes: dict[str, RequestOutcome] = {}
         self.completed: set[str] = set()  # requests that the balancer has been told are complete
         self.attempts: dict[str, list[SentAttempt]] = {}
@@ -90,7 +90,7 @@
         match event:
             case RequestArrived():
                 self.request_classes[event.request_id] = self.settings.request_classes[event.class_name]
-                self.deadlines[event.request_id] = event.deadline_ns
+                self.deadlines_ns[event.request_id] = event.deadline_ns
             case AttemptEnded() if event.request_id in self.request_classes:
                 self._record_attempt_ended(event)
             case ClientDisconnected():
@@ -108,8 +108,8 @@
 
     def _record_endpoints(self, update: EndpointUpdate) -> None:
         if update.kind in (EndpointUpdateKind.FULL, EndpointUpdateKind.CACHED):
-            for key, endpoint in self.endpoints.items():
-                self.endpoints[key] = endpoint._replace(status=EndpointStatus.REMOVED)
+            for known_id, endpoint in self.endpoints.items():
+                self.endpoints[known_id] = endpoint._replace(status=EndpointStatus.REMOVED)
         self.endpoints |= {endpoint.id: endpoint for endpoint in update.endpoints}
 
     def check_action(self, action: Action, now_ns: int) -> None:
@@ -136,8 +136,8 @@
 
     def check_deadlines(self, now_ns: int) -> None:
         """Check that each request has ended `MAX_LATENESS_NS` after its deadline at the latest."""
-        for request, deadline in self.deadlines.items():
-            if deadline + MAX_LATENESS_NS < now_ns:
+        for request, request_deadline_ns in self.deadlines_ns.items():
+            if request_deadline_ns + MAX_LATENESS_NS < now_ns:
                 assert request in self.outcomes, f"{request} has not ended by its deadline"
 
     def _attempts_that_may_have_run(self, request: str) -> list[SentAttempt]:
@@ -155,7 +155,7 @@
         assert request in self.request_classes, f"{request} never arrived"
         earlier = self.outcomes.get(request)
         assert earlier is None, f"{request} ended twice: {earlier}, {outcome}"
-        assert now_ns <= self.deadlines[request] + MAX_LATENESS_NS, f"{request} ended late"
+        assert now_ns <= self.deadlines_ns[request] + MAX_LATENESS_NS, f"{request} ended late"
         self.outcomes[request] = outcome
 
     def _check_reject(self, action: Reject, now_ns: int) -> None:
@@ -213,6 +213,8 @@
         )
         if request_class.deduplication_scope is DeduplicationScope.CELL:
             cell = (endpoint.zone, endpoint.cell)
-            assert all((first.zone, first.cell) == cell for first, _ in earlier)
+            assert all(
+                (earlier_endpoint.zone, earlier_endpoint.cell) == cell for earlier_endpoint, _ in earlier
+            )
         if request_class.deduplication_scope is DeduplicationScope.ZONE:
-            assert all(first.zone == endpoint.zone for first, _ in earlier)
+            assert all(earlier_endpoint.zone == endpoint.zone for earlier_endpoint, _ in earlier)
--- a/tests/support/scripted.py
+++ b/tests/support/scripted.py
@@ -104,12 +104,12 @@
         connection.quarantined_until_s -= QUARANTINE_S
 
 
-def update_first_endpoint(proxy: Proxy, version: int, **row: object) -> None:
+def update_first_endpoint(proxy: Proxy, version: int, **attributes: object) -> None:
     """Apply a changed entry of endpoint s0 at once, without a call to discovery.
 
     Attributes that are not given get their defaults: the entry is up, and its address has port 1.
     """
-    changed = {**list_of_ports(1)["hosts"][0], **row}
+    changed = {**list_of_ports(1)["hosts"][0], **attributes}
     proxy.list_applier.on_discovery_result(
         read_live_list({"seq": version, "whole": False, "hosts": [changed]})
     )
--- a/tests/support/simulated_endpoint.py
+++ b/tests/support/simulated_endpoint.py
@@ -24,7 +24,7 @@
     """One attempt of a request, in transit or at its endpoint."""
 
     proxy: int
-    request: str
+    request: str  # its id
     number: int
     target: SimulatedEndpoint
     sent_ns: int
