--- a/tests/soak/balancer_process.py
+++ b/tests/soak/balancer_process.py
@@ -85,7 +85,7 @@
     """A balancer process, started by `run` of the deploy file."""
 
     def __init__(self, schedule: Schedule, folder: Path) -> None:
-        self.port = 0  # known once it is ready
+        self.port = 0  # 0 until the balancer has logged its port
         self._schedule = schedule
         self._folder = folder
         self._path = folder / "config.json"
@@ -131,7 +131,7 @@
 
     @property
     def child(self) -> ChildProcess:
-        """The process; it must have been started."""
+        """The started process; an assertion fails before the start."""
         assert self._child is not None
         return self._child
 
@@ -147,7 +147,7 @@
                 os.kill(self.child.pid, number)
 
     def reload(self, discovery: str, known_entries: int, known: Json) -> None:
-        """Send SIGHUP with a new configuration, with a list of `known_entries` entries, or `known` if 0."""
+        """Write a new configuration with so many made-up entries, or with `known` if 0, and send SIGHUP."""
         self.write_configuration(discovery, complete_list(known_entries) if known_entries else known)
         self.send_signal(signal.SIGHUP)
 
@@ -158,7 +158,7 @@
         self.send_signal(signal.SIGCONT)
 
     async def wait(self, timeout_s: float) -> bool:
-        """Wait for the end of the balancer; return whether it ended within the time-out."""
+        """Wait for the end of the balancer; return whether it ended within the timeout."""
         try:
             async with asyncio.timeout(timeout_s):
                 await self.child.process.wait()
--- a/tests/soak/checks.py
+++ b/tests/soak/checks.py
@@ -1,4 +1,4 @@
-"""Checks the records of a run against the service rules, with the tolerances of the protocol page."""
+"""Checks the records of a run against the service rules, which `Rule` lists, within the tolerances below."""
 
 from __future__ import annotations
 
@@ -11,20 +11,22 @@
 
 OK = 200
 REJECTED = (429, 503)
-SOCKET_SLACK_S = 0.05  # added to time limits that are measured on sockets
+SOCKET_SLACK_S = 0.05  # tolerance added to time limits that are measured on sockets
 # A response up to this long after its deadline is late and earns nothing; after that, the request counts
 # as unanswered.
 LATE_RESPONSE_S = 0.5
-GONE_CLIENT_GRACE_S = 0.1  # for attempts that arrive after their client disconnected
-BAD_CLIENT_TIMEOUT_S = 3.0  # for an error or a close by the balancer
-LATE_AT_SHUTDOWN_S = 0.7  # a request sent this long after SIGTERM must be over before SIGKILL
-MAX_NOTIFICATION_DELAY_S = 6.0  # after a change, the end of an outage, or the start of a silence
-RELOAD_NOTIFICATION_DELAY_S = 4.0  # after SIGHUP
+GONE_CLIENT_GRACE_S = 0.1  # attempts may arrive up to this long after their client disconnected
+BAD_CLIENT_TIMEOUT_S = 3.0  # the balancer must respond with an error or close within this time
+LATE_AT_SHUTDOWN_S = 0.7  # a request sent later than this after SIGTERM must end before SIGKILL
+# Time until the balancer counts as notified: from a change if it polls, from the end of a period in which
+# discovery was down or slow, or from the start of a silent period if discovery pushes its lists.
+MAX_NOTIFICATION_DELAY_S = 6.0
+RELOAD_NOTIFICATION_DELAY_S = 4.0  # time until it counts as notified after a reload
 NEVER_S = float("inf")
 
 
 def check_requests(records: Records, schedule: Schedule) -> None:
-    """Check that each request whose client waited got one timely response, made by an endpoint."""
+    """Check that each request whose client waited got a response in time, a 200 only from an endpoint."""
     for request in records.requests:
         if request.status is not None:
             _check_response(records, request)
@@ -58,8 +60,9 @@
 def _check_closed_connection(records: Records, schedule: Schedule, request: ClientRequest) -> None:
     """Check a request whose connection ended without a complete response.
 
-    It is lost unless its response had begun, or it had not reached an endpoint and either its connection
-    was reused, so that the balancer may have closed it unread, or a connection flood ran.
+    The request counts as lost, with two exceptions: its response had begun, or it had reached no endpoint and
+    either the run has a connection flood or the request was sent on a reused connection, which the balancer
+    may have closed without reading the request.
     """
     assert request.ended_s is not None
     reached_endpoint = request.id in records.attempts
@@ -97,6 +100,7 @@
 
 
 def _check_duplicates(records: Records, request: ClientRequest, attempts: list[Attempt]) -> None:
+    """Check that no attempt repeats one that may have run, except within the deduplication window."""
     first = next((attempt for attempt in attempts if attempt.may_have_run), None)
     if first is None or request.kind is RequestKind.READ:
         return
@@ -146,7 +150,7 @@
 
 
 def _latest_notification_s(records: Records, schedule: Schedule, change: ListChange) -> float:
-    """When the balancer counts as notified of a change at the latest, even if no list with it was written."""
+    """Return when the balancer counts as notified of a change even if discovery wrote no list with it."""
     latest_s = change.at_s if schedule.pushes else change.at_s + MAX_NOTIFICATION_DELAY_S
     for each in _degraded_periods(records):
         silence_detected_s = each.begin_s + MAX_NOTIFICATION_DELAY_S
@@ -172,9 +176,9 @@
 
 
 def _check_drain(records: Records, notifications: list[Notification], attempt: Attempt) -> None:
-    """Check that no attempt reaches a draining or removed endpoint after its grace period.
+    """Check that the attempt did not reach a draining or removed endpoint after its grace period.
 
-    The grace period begins when the balancer counts as notified.
+    The grace period lasts `STOP_SENDING_WITHIN_S` from when the balancer counts as notified.
     """
     earlier = [each for each in notifications if each.change.at_s <= attempt.received_s]
     if not earlier or earlier[-1].change.accepts_requests:
@@ -186,7 +190,7 @@
 
 
 def check_bad_clients(records: Records) -> None:
-    """Check that each bad client got an error or a close within the time-out."""
+    """Check that each bad client got an error or a close within `BAD_CLIENT_TIMEOUT_S`."""
     for bad in records.bad_clients:
         allowed_s = (
             bad.connected_s + BAD_CLIENT_TIMEOUT_S + SOCKET_SLACK_S + records.max_lag_near(bad.connected_s)
--- a/tests/soak/clients.py
+++ b/tests/soak/clients.py
@@ -14,7 +14,7 @@
 from tests.support.http_messages import HOST, ReceivedMessage, read_message, request
 
 CONNECT_TIMEOUT_S = 1.0
-LATE_RESPONSE_WAIT_S = 1.0  # after the deadline, to tell a late response from a missing one
+LATE_RESPONSE_WAIT_S = 1.0  # wait after the deadline, to tell a late response from a missing one
 BAD_CLIENT_WAIT_S = 4.0
 BAD_REQUESTS = {
     BadClientKind.NOTHING: b"",
@@ -48,7 +48,7 @@
 
 
 class Clients:
-    """Clients that send requests on idle connections, and open another when all are busy."""
+    """Clients that send requests on idle connections, and open a new connection when all are busy."""
 
     def __init__(self, records: Records) -> None:
         self.open_connections = 0
@@ -67,7 +67,7 @@
         task.add_done_callback(self._tasks.discard)
 
     async def wait(self, timeout_s: float) -> None:
-        """Wait until all background tasks are done, or until the time-out."""
+        """Wait until all background tasks are done, or until the timeout."""
         if self._tasks:
             await asyncio.wait(self._tasks, timeout=timeout_s)
 
@@ -76,11 +76,11 @@
         self._port = port
 
     def stop_connecting(self) -> None:
-        """Open no more connections, as the platform now sends new ones elsewhere."""
+        """Open no more connections from now on, as the platform sends new ones elsewhere."""
         self.may_connect = False
 
     async def send(self, planned: PlannedRequest) -> None:
-        """Send a request, and once more if it raced with the balancer's close of an idle connection."""
+        """Send a request, and again on a new connection if the balancer may have closed the idle one."""
         first = await self._send_once(planned)
         if first is not None and self._raced_with_close(first):
             await self._send_once(planned, on_new_connection=True)
@@ -134,7 +134,7 @@
             self._records.log_event(f"client of {sent.id} disconnects")
             sent.disconnect(time.monotonic())
         except asyncio.IncompleteReadError as error:
-            if error.partial or error.expected is not None:
+            if error.partial or error.expected is not None:  # part of the head, or all of it, has arrived
                 sent.begin_response()
             sent.end(time.monotonic())
         except OSError:
@@ -155,7 +155,7 @@
         connection.writer.close()
 
     async def connect_bad_client(self, kind: BadClientKind) -> None:
-        """Connect, send no complete, valid request, and wait for an error or a close."""
+        """Connect, send the bytes of this kind of bad client, and wait for an error or a close."""
         connection = await self._connect()
         if connection is None:
             return
@@ -174,7 +174,7 @@
         self._close(connection)
 
     async def open_connection_flood(self, connections: int) -> None:
-        """Open at least so many connections, and leave them idle."""
+        """Try to open this many connections, rounded up to whole batches, and leave them idle."""
         for _ in range(0, connections, FLOOD_BATCH_SIZE):
             opened = await asyncio.gather(*(self._connect() for _ in range(FLOOD_BATCH_SIZE)))
             self._flood_writers += [connection.writer for connection in opened if connection is not None]
--- a/tests/soak/kinds.py
+++ b/tests/soak/kinds.py
@@ -26,18 +26,18 @@
 class Rule(StrEnum):
     """A rule of the service, or a sign that the balancer process is unhealthy."""
 
-    LOST = "lost"
-    UNANSWERED = "unanswered"
-    DUPLICATE = "duplicate"
-    DRAIN = "drain"
-    GONE_CLIENT = "gone client"
-    INVENTED_RESPONSE = "invented response"
-    LATE_AT_SHUTDOWN = "late at shutdown"
-    BAD_CLIENT = "bad client"
-    GROWTH = "growth"
-    CRASH = "crash"
-    READINESS = "readiness"
-    TRACEBACK = "traceback"
+    LOST = "lost"  # the connection of a request ended without a response
+    UNANSWERED = "unanswered"  # no response, or one long after the deadline
+    DUPLICATE = "duplicate"  # an attempt or a rejection by which a request may run twice
+    DRAIN = "drain"  # an attempt at a draining or removed endpoint after its grace period
+    GONE_CLIENT = "gone client"  # an attempt after its client disconnected
+    INVENTED_RESPONSE = "invented response"  # a response that no endpoint made
+    LATE_AT_SHUTDOWN = "late at shutdown"  # a request sent late after SIGTERM got no response until SIGKILL
+    BAD_CLIENT = "bad client"  # a bad client got neither an error nor a close in time
+    GROWTH = "growth"  # too much memory or too many open descriptors
+    CRASH = "crash"  # an exit before SIGTERM, or an exit status other than 0 after it
+    READINESS = "readiness"  # not ready in time after the start
+    TRACEBACK = "traceback"  # a traceback in the log
 
 
 class EndpointBehavior(StrEnum):
--- a/tests/soak/records.py
+++ b/tests/soak/records.py
@@ -46,7 +46,7 @@
     on_new_connection: bool
     status: int | None = None
     body: str = ""
-    ended_s: float | None = None  # by a complete response, or by the end of the connection
+    ended_s: float | None = None  # when the response was complete or the connection ended
     disconnected_s: float | None = None  # when the client closed its connection
     response_begun: bool = False
 
@@ -90,7 +90,7 @@
 
 
 class ConditionChange(NamedTuple):
-    """Discovery is in this condition from this time on."""
+    """A change of the condition of discovery."""
 
     at_s: float
     condition: DiscoveryCondition
@@ -128,12 +128,12 @@
     bad_clients: list[BadClient] = field(default_factory=list)
     changes: list[ListChange] = field(default_factory=list)
     conditions: list[ConditionChange] = field(default_factory=list)
-    reloads_s: list[float] = field(default_factory=list)
-    terminations_s: list[float] = field(default_factory=list)
+    reloads_s: list[float] = field(default_factory=list)  # times of each SIGHUP
+    terminations_s: list[float] = field(default_factory=list)  # times of each SIGTERM
     writes: list[DiscoveryWrite] = field(default_factory=list)
     lags: list[Lag] = field(default_factory=list)
     log: list[LogLine] = field(default_factory=list)
-    served_bodies: set[str] = field(default_factory=set)
+    served_bodies: set[str] = field(default_factory=set)  # bodies of the endpoints' complete 200 responses
     violations: list[Violation] = field(default_factory=list)
 
     def log_event(self, text: str) -> None:
@@ -141,7 +141,7 @@
         self.log.append(LogLine(time.monotonic(), text))
 
     def add_violation(self, rule: Rule, text: str, request_id: str = "", at_s: float = 0.0) -> None:
-        """Record that a rule was broken, now unless `at_s` is given."""
+        """Record that a rule was broken: at `at_s`, or at the current time if that is 0."""
         self.violations.append(Violation(rule, request_id, at_s or time.monotonic(), text))
 
     def attempts_in_flight(self) -> list[Attempt]:
@@ -151,9 +151,9 @@
         ]
 
     def max_lag_near(self, at_s: float, within_s: float = 0.5) -> float:
-        """Return the largest lag of this process that was measured near a moment."""
+        """Return the largest lag of this process measured within `within_s` of a moment."""
         return max((lag.seconds for lag in self.lags if abs(lag.at_s - at_s) <= within_s), default=0.0)
 
     def log_before(self, at_s: float, seconds: float = 1.0) -> list[LogLine]:
-        """Return the log lines of the seconds before a moment."""
+        """Return the log lines of the last `seconds` before a moment."""
         return [line for line in self.log if at_s - seconds <= line.at_s <= at_s]
--- a/tests/soak/run.py
+++ b/tests/soak/run.py
@@ -34,12 +34,12 @@
 from tests.support.endpoint_lists import entry
 from tests.support.http_messages import HOST
 
-NEW_CONNECTIONS_AFTER_SIGTERM_S = 0.4  # then the platform sends new connections elsewhere
-LAG_CHECK_INTERVAL_S = 0.01  # of the event loop of this process
+NEW_CONNECTIONS_AFTER_SIGTERM_S = 0.4  # afterwards, the platform sends new connections elsewhere
+LAG_CHECK_INTERVAL_S = 0.01  # the lag is that of this process's event loop
 MIN_RECORDED_LAG_S = 0.005
 SAMPLE_INTERVAL_S = 0.5
 MAX_MEMORY_GROWTH_BYTES = 24_000_000
-MAX_OTHER_DESCRIPTORS = 48  # event loop, discovery, logs, and sockets that are being closed
+MAX_OTHER_DESCRIPTORS = 48  # descriptors for the event loop, discovery, logs, and sockets being closed
 
 
 @dataclass(frozen=True)
@@ -85,7 +85,7 @@
         self._tasks: list[asyncio.Task[None]] = []
 
     async def play(self) -> SeedResult:
-        """Start the balancer, play the schedule, end the balancer, and check the rules."""
+        """Start the balancer, play the schedule, kill the balancer and check the rules; return the result."""
         self._tasks.append(asyncio.create_task(self._measure_lag()))
         try:
             await self._start()
--- a/tests/soak/schedule.py
+++ b/tests/soak/schedule.py
@@ -15,16 +15,16 @@
 LATE_ENDPOINT_COUNT = 2
 REQUESTS_PER_S = 60.0
 CONNECT_TIMEOUTS_MS = (200, 1500)  # one below and one above the grace period of a drain
-DISCONNECTING_FRACTION = 0.1
+DISCONNECTING_FRACTION = 0.1  # fraction of the requests whose client disconnects before the deadline
 DEADLINES_MS = (80, 200, 500, 1000, 1500)
-CONNECTION_FLOOD_FRACTION = 0.3  # of the seeds: more connections than descriptors
-FLOOD_DESCRIPTORS = (256, 1024)  # limits on open descriptors
+CONNECTION_FLOOD_FRACTION = 0.3  # fraction of the seeds that open more connections than descriptors
+FLOOD_DESCRIPTORS = (256, 1024)  # limits on open descriptors, for seeds with a connection flood
 DEFAULT_DESCRIPTORS = 1024
-RELOADED_LIST_LENGTHS = (0, 0, 2_000, 8_000, 20_000)  # entries; 0: the current list
-TERMINATE_RANGE_S = (6.5, 7.5)  # since readiness
-KILL_AFTER_GRACE_S = 0.7  # SIGKILL follows SIGTERM after the longest deadline and this time
+RELOADED_LIST_LENGTHS = (0, 0, 2_000, 8_000, 20_000)  # numbers of entries; 0: the current list
+TERMINATE_RANGE_S = (6.5, 7.5)  # earliest and latest time of SIGTERM
+KILL_AFTER_GRACE_S = 0.7  # SIGKILL follows SIGTERM after the longest deadline plus this time
 MAX_DEADLINE_IN_GRACE_S = 3.0  # longer deadlines do not delay SIGKILL further
-MAX_OLD_ADDRESS_LISTENS_S = 1.0  # after SIGHUP, for the old address of discovery
+MAX_OLD_ADDRESS_LISTENS_S = 1.0  # longest time that the old address of discovery listens after SIGHUP
 PAUSE_S = 0.14  # the service rules let a balancer stall for up to 0.15 s
 
 
@@ -42,7 +42,7 @@
 
     endpoint: int
     health: str
-    is_cold: bool = False  # it has just been restarted, so that slow start applies
+    is_cold: bool = False  # the endpoint has just restarted, so that slow start applies
 
 
 @dataclass(frozen=True)
@@ -54,9 +54,9 @@
 
 @dataclass(frozen=True)
 class Reload:
-    """SIGHUP, with a configuration that names a new address of discovery and so many endpoints."""
+    """SIGHUP, with a configuration that has a new address of discovery and a list of endpoints."""
 
-    known_entries: int
+    known_entries: int  # number of made-up entries in the list; 0: the current list of discovery
     old_address_listens_s: float  # how long the old address still accepts connections
 
 
@@ -69,7 +69,7 @@
 
 @dataclass(frozen=True)
 class OpenConnectionFlood:
-    """So many clients connect, and stay idle."""
+    """This many clients connect, and stay idle."""
 
     connections: int
 
@@ -120,15 +120,15 @@
 
     seed: int
     pushes: bool  # discovery pushes lists; else the balancer polls
-    descriptors: int  # the limit on open descriptors of the balancer
+    descriptors: int  # the balancer's limit on open descriptors
     has_connection_flood: bool
     endpoint_count: int
-    late_endpoints: dict[int, float]  # from when these endpoints listen
+    late_endpoints: dict[int, float]  # endpoint number to the time from which it accepts connections
     steps: list[TimedStep]
     requests: list[PlannedRequest]
     terminate_s: float
     max_deadline_s: float
-    connect_timeout_ms: int  # of the settings
+    connect_timeout_ms: int  # the balancer's timeout for connections to endpoints
 
     @property
     def kill_s(self) -> float:
@@ -174,7 +174,10 @@
 
 
 class _ScheduleGenerator:
-    """Draws the parts of a schedule; the last two endpoints listen late."""
+    """Draws the parts of a schedule; the last `LATE_ENDPOINT_COUNT` endpoints listen late.
+
+    Each method draws from the same random generator, so that the order of the calls changes the schedule.
+    """
 
     def __init__(self, rng: random.Random, endpoint_count: int, terminate_s: float) -> None:
         self._rng = rng
@@ -182,7 +185,7 @@
         self._terminate_s = terminate_s
 
     def behaviors(self) -> list[TimedStep]:
-        """Temporary faults of some endpoints; in half of the seeds, one hangs through the shutdown."""
+        """Draw temporary faults of some endpoints; in half of the seeds, one hangs through the shutdown."""
         steps = []
         for endpoint in self._rng.sample(range(self._endpoint_count), FAULTY_ENDPOINT_COUNT):
             behavior = self._rng.choice(
@@ -199,7 +202,7 @@
         return steps
 
     def list_changes(self) -> list[TimedStep]:
-        """Two thirds of the endpoints drain or are removed at random times; most return, some restarted."""
+        """Draw the drain or removal of two thirds of the endpoints; most return, many of these restarted."""
         steps = []
         for endpoint in self._rng.sample(range(self._endpoint_count), 2 * self._endpoint_count // 3):
             at_s = self._rng.uniform(0.3, self._terminate_s)
@@ -211,7 +214,7 @@
         return steps
 
     def discovery(self) -> list[TimedStep]:
-        """In half of the seeds, a period in which discovery is down, slow or silent."""
+        """Draw, in half of the seeds, a period in which discovery is down, slow or silent."""
         if self._rng.random() < 0.5:
             return []
         begin_s = self._rng.uniform(0.5, self._terminate_s - 2.5)
@@ -225,7 +228,7 @@
         ]
 
     def reloads(self) -> list[TimedStep]:
-        """A rapid series of SIGHUPs in half of the seeds, 1 s after readiness at the earliest."""
+        """Draw, in half of the seeds, up to four SIGHUPs in rapid succession, from 1 s after readiness on."""
         if self._rng.random() < 0.5:
             return []
         at_s = self._rng.uniform(1.0, 2.0)
@@ -236,7 +239,7 @@
         return steps
 
     def bad_clients(self) -> list[TimedStep]:
-        """Up to eight bad clients, before SIGTERM."""
+        """Draw up to eight bad clients, which connect before SIGTERM."""
         return [
             TimedStep(
                 self._rng.uniform(0.0, self._terminate_s - 0.5),
@@ -246,14 +249,14 @@
         ]
 
     def pauses(self) -> list[TimedStep]:
-        """Up to three pauses of the balancer process."""
+        """Draw up to three pauses of the balancer process."""
         return [
             TimedStep(self._rng.uniform(0.5, self._terminate_s - 0.5), Pause())
             for _ in range(self._rng.randint(0, 3))
         ]
 
     def termination(self) -> list[TimedStep]:
-        """SIGTERM, in some seeds repeated, and in some followed by a SIGHUP."""
+        """Draw SIGTERM, in some seeds repeated, and in some followed by a SIGHUP."""
         steps = [TimedStep(self._terminate_s, Terminate())]
         if self._rng.random() < 0.5:
             steps += [TimedStep(self._terminate_s + 0.1 * n, Terminate()) for n in range(1, 4)]
@@ -267,11 +270,11 @@
         )
 
     def late_endpoints(self) -> dict[int, float]:
-        """The endpoints that listen late, and from when."""
+        """Draw the times from which the late endpoints accept connections."""
         return {endpoint: self._rng.uniform(0.3, 1.5) for endpoint in self._last_endpoints}
 
     def late_drains(self) -> list[TimedStep]:
-        """In half of the seeds, drains of the late endpoints during the first connection attempts to them."""
+        """Draw, in half of the seeds, drains of the late endpoints during the first connects to them."""
         if self._rng.random() < 0.5:
             return []
         return [
@@ -284,7 +287,7 @@
         return range(self._endpoint_count - LATE_ENDPOINT_COUNT, self._endpoint_count)
 
     def requests(self, end_s: float, max_deadline_ms: int) -> list[PlannedRequest]:
-        """Requests at random times until SIGKILL, with deadlines up to the longest of the run."""
+        """Draw requests at random times until SIGKILL, with deadlines up to the longest of the run."""
         deadlines_ms = [each for each in DEADLINES_MS if each <= max_deadline_ms]
         requests = []
         at_s = 0.0
--- a/tests/soak/servers.py
+++ b/tests/soak/servers.py
@@ -92,7 +92,7 @@
 
 
 def _is_open(writer: Writer) -> bool:
-    """Whether the balancer still has the connection open; any unread input is taken for a close."""
+    """Return whether the balancer still has the connection open; any unread input counts as a close."""
     transport = cast(asyncio.Transport, writer.transport)
     return not transport.is_closing() and not has_unread_input(transport)
 
@@ -121,7 +121,7 @@
 
 
 class SoakDiscovery:
-    """A discovery that may be down, slow or silent, and whose address changes."""
+    """A discovery service that may be down, slow or silent, and whose address changes."""
 
     def __init__(self, records: Records, *, pushes: bool) -> None:
         self.fake = FakeDiscovery(honors_wait=True)
@@ -136,7 +136,7 @@
         self._closing: set[asyncio.Task[None]] = set()
 
     async def open_address(self, old_address_listens_s: float = 0.0) -> str:
-        """Listen at a new address, and return it; older ones close after `old_address_listens_s`."""
+        """Listen at a new address and return it; the old one listens for `old_address_listens_s` more."""
         for older in self._addresses:
             self._closing.add(asyncio.create_task(older.close_later(old_address_listens_s)))
         self._addresses.clear()
@@ -163,7 +163,11 @@
         self._records.changes.append(change)
 
     def set_condition(self, condition: DiscoveryCondition) -> None:
-        """Change the condition; SILENT cancels the open calls, and so does DOWN when discovery is polled."""
+        """Change the condition, which may affect deferred changes and open calls.
+
+        UP applies the deferred changes. SILENT cancels the open calls and keeps their connections open; DOWN
+        cancels the calls and aborts the connections, unless discovery pushes its lists.
+        """
         self.condition = condition
         self._records.conditions.append(ConditionChange(time.monotonic(), condition))
         if condition is DiscoveryCondition.UP:
