--- a/tests/soak/clients.py
+++ b/tests/soak/clients.py
@@ -132,18 +132,18 @@
                 response = await read_message(connection.reader)
         except TimeoutError:
             self._records.log_event(f"client of {sent.id} disconnects")
-            sent.disconnect(time.monotonic())
+            sent.record_disconnect(time.monotonic())
         except asyncio.IncompleteReadError as error:
             if error.partial or error.expected is not None:  # part of the head, or all of it, has arrived
-                sent.begin_response()
-            sent.end(time.monotonic())
+                sent.record_response_start()
+            sent.record_end(time.monotonic())
         except OSError:
-            sent.end(time.monotonic())
+            sent.record_end(time.monotonic())
         if response is None:
             self._records.log_event(f"{sent.id} ends without a response")
             self._close(connection)
             return
-        sent.answer(response.status, response.body.decode(), time.monotonic())
+        sent.record_response(response.status, response.body.decode(), time.monotonic())
         self._records.log_event(f"{sent.id} answered {response.status}")
         if response.headers.get("connection") == "close":
             self._close(connection)
@@ -168,9 +168,9 @@
         except TimeoutError:
             self._records.log_event(f"bad client ({kind}) got neither an error nor a close")
         except OSError:
-            bad.end(time.monotonic())
+            bad.record_end(time.monotonic())
         else:
-            bad.end(time.monotonic())
+            bad.record_end(time.monotonic())
         self._close(connection)
 
     async def open_connection_flood(self, connections: int) -> None:
--- a/tests/soak/records.py
+++ b/tests/soak/records.py
@@ -25,7 +25,7 @@
     is_open: Callable[[], bool]  # whether the balancer still has its connection open
     outcome: AttemptOutcome | None = None  # None: the endpoint has not ended it
 
-    def finish(self, outcome: AttemptOutcome) -> None:
+    def record_outcome(self, outcome: AttemptOutcome) -> None:
         """Record how the endpoint ended the attempt."""
         self.outcome = outcome
 
@@ -50,19 +50,19 @@
     disconnected_s: float | None = None  # when the client closed its connection
     response_begun: bool = False
 
-    def answer(self, status: int, body: str, now_s: float) -> None:
+    def record_response(self, status: int, body: str, now_s: float) -> None:
         """Record the complete response."""
         self.status, self.body, self.ended_s = status, body, now_s
 
-    def end(self, now_s: float) -> None:
+    def record_end(self, now_s: float) -> None:
         """Record that the connection ended without a complete response."""
         self.ended_s = now_s
 
-    def disconnect(self, now_s: float) -> None:
+    def record_disconnect(self, now_s: float) -> None:
         """Record that the client closes its connection."""
         self.disconnected_s = now_s
 
-    def begin_response(self) -> None:
+    def record_response_start(self) -> None:
         """Record that the first byte of the response has arrived."""
         self.response_begun = True
 
@@ -75,7 +75,7 @@
     connected_s: float
     ended_s: float | None = None  # when the balancer responded with an error or closed the connection
 
-    def end(self, now_s: float) -> None:
+    def record_end(self, now_s: float) -> None:
         """Record that the balancer responded or closed the connection."""
         self.ended_s = now_s
 
--- a/tests/soak/servers.py
+++ b/tests/soak/servers.py
@@ -59,13 +59,13 @@
             case EndpointBehavior.HUNG:
                 return
             case EndpointBehavior.DECLINING:
-                attempt.finish(AttemptOutcome.DECLINED)
+                attempt.record_outcome(AttemptOutcome.DECLINED)
                 writer.write(format_response(503, b"", DECLINED_HEADER))
             case EndpointBehavior.FAILING:
-                attempt.finish(AttemptOutcome.ERROR)
+                attempt.record_outcome(AttemptOutcome.ERROR)
                 writer.write(format_response(500))
             case EndpointBehavior.RESETTING:
-                attempt.finish(AttemptOutcome.RESET)
+                attempt.record_outcome(AttemptOutcome.RESET)
                 await abort_connection(received, writer)
             case _:
                 await self._serve(attempt, received, writer, behavior)
@@ -81,12 +81,12 @@
         body = f"{attempt.request_id} at {self.number}"
         response = format_response(200, body.encode())
         if behavior is EndpointBehavior.CUTTING:
-            attempt.finish(AttemptOutcome.CUT)
+            attempt.record_outcome(AttemptOutcome.CUT)
             writer.write(response[:-1])
             await writer.drain()
             await abort_connection(received, writer)
             return
-        attempt.finish(AttemptOutcome.SERVED)
+        attempt.record_outcome(AttemptOutcome.SERVED)
         self._records.served_bodies.add(body)
         writer.write(response)
 
@@ -136,7 +136,7 @@
         self._closing: set[asyncio.Task[None]] = set()
 
     async def open_address(self, old_address_listens_s: float = 0.0) -> str:
-        """Listen at a new address and return it; the old one listens for `old_address_listens_s` more."""
+        """Listen at a new address and return it; the old one stops after `old_address_listens_s`."""
         for older in self._addresses:
             self._closing.add(asyncio.create_task(older.close_later(old_address_listens_s)))
         self._addresses.clear()
--- a/tests/soak/test_checks.py
+++ b/tests/soak/test_checks.py
@@ -48,7 +48,7 @@
 
 def served_request(kind: RequestKind = RequestKind.READ, answered_s: float = SENT_S + 0.1) -> ClientRequest:
     request = request_sent(kind)
-    request.answer(200, "body", answered_s)
+    request.record_response(200, "body", answered_s)
     return request
 
 
@@ -77,7 +77,7 @@
 
 def test_a_request_without_a_response_counts_as_unanswered() -> None:
     request = request_sent()
-    request.disconnect(request.deadline_s + 1.0)
+    request.record_disconnect(request.deadline_s + 1.0)
     assert broken_rules(records_of(request)) == [Rule.UNANSWERED]
 
 
@@ -89,7 +89,7 @@
     on_new_connection: bool, reached_endpoint: bool, rules: list[Rule]
 ) -> None:
     request = replace(request_sent(), on_new_connection=on_new_connection)
-    request.end(SENT_S + 0.1)
+    request.record_end(SENT_S + 0.1)
     assert broken_rules(records_of(request, *[attempt_at(SENT_S)] * reached_endpoint)) == rules
 
 
@@ -121,14 +121,14 @@
 
 def test_rejecting_an_unsafe_request_that_may_have_run_breaks_a_rule() -> None:
     request = request_sent(RequestKind.PAY)
-    request.answer(503, "", SENT_S + 0.1)
+    request.record_response(503, "", SENT_S + 0.1)
     assert broken_rules(records_of(request, attempt_at(SENT_S, AttemptOutcome.RESET))) == [Rule.DUPLICATE]
 
 
 @pytest.mark.parametrize(("after_s", "rules"), [(0.09, []), (0.11, [Rule.GONE_CLIENT])])
 def test_an_attempt_after_its_client_disconnected_breaks_a_rule(after_s: float, rules: list[Rule]) -> None:
     request = request_sent()
-    request.disconnect(SENT_S)
+    request.record_disconnect(SENT_S)
     assert broken_rules(records_of(request, attempt_at(SENT_S + after_s))) == rules
 
 
