--- a/tests/soak/schedule.py
+++ b/tests/soak/schedule.py
@@ -274,7 +274,7 @@
         return {endpoint: self._rng.uniform(0.3, 1.5) for endpoint in self._last_endpoints}
 
     def late_drains(self) -> list[TimedStep]:
-        """Draw, in half of the seeds, drains of the late endpoints at the first connection attempts to them."""
+        """Draw, in half of the seeds, drains of the late endpoints during the first attempts to connect."""
         if self._rng.random() < 0.5:
             return []
         return [
