--- a/tests/soak/balancer_process.py
+++ b/tests/soak/balancer_process.py
@@ -88,23 +88,23 @@
         self.port = 0  # 0 until the balancer has logged its port
         self._schedule = schedule
         self._folder = folder
-        self._path = folder / "config.json"
+        self._configuration_path = folder / "config.json"
         self._child: ChildProcess | None = None
 
-    def write_configuration(self, discovery: str, known: Json) -> None:
+    def write_configuration(self, discovery_address: str, known: Json) -> None:
         """Replace the configuration file atomically."""
         content = {
             "name": "n0",
             "listen": f"{HOST}:0",
-            "discovery": discovery,
+            "discovery": discovery_address,
             "seed": f"{self._schedule.seed:016x}",
             "limits": {"sockets": self._schedule.descriptors, "memory_mb": MEMORY_MB},
             "known": known,
             "settings": soak_settings(self._schedule),
         }
-        new = self._path.with_suffix(".new")
-        new.write_text(json.dumps(content))
-        new.replace(self._path)
+        new_path = self._configuration_path.with_suffix(".new")
+        new_path.write_text(json.dumps(content))
+        new_path.replace(self._configuration_path)
 
     async def start(self) -> float:
         """Start the balancer; return the seconds until it was ready.
@@ -115,14 +115,14 @@
         command = f"ulimit -n {self._schedule.descriptors}; {read_deployment().run}"
         started_s = time.monotonic()
         self._child = await ChildProcess.start(
-            "balancer", self._folder, "/bin/sh", "-c", command, RELAY_CONFIG=str(self._path)
+            "balancer", self._folder, "/bin/sh", "-c", command, RELAY_CONFIG=str(self._configuration_path)
         )
         async with asyncio.timeout(READINESS_TIMEOUT_S):
-            while not await self._is_ready():
+            while not await self._read_port_and_check_readiness():
                 await asyncio.sleep(READY_POLL_INTERVAL_S)
         return time.monotonic() - started_s
 
-    async def _is_ready(self) -> bool:
+    async def _read_port_and_check_readiness(self) -> bool:
         match = READY_LOG_LINE.search(self.log())
         if match is None:
             return False
@@ -140,15 +140,15 @@
         """The exit status; None while the balancer runs."""
         return self.child.process.returncode
 
-    def send_signal(self, number: signal.Signals) -> None:
+    def send_signal(self, signal_number: signal.Signals) -> None:
         """Send a signal to the balancer, unless it has ended."""
         if self.exit_status is None:
             with contextlib.suppress(ProcessLookupError):  # ended, but its status has not been read yet
-                os.kill(self.child.pid, number)
+                os.kill(self.child.pid, signal_number)
 
-    def reload(self, discovery: str, known_entries: int, known: Json) -> None:
+    def reload(self, discovery_address: str, known_entries: int, known: Json) -> None:
         """Write a new configuration with so many made-up entries, or with `known` if 0, and send SIGHUP."""
-        self.write_configuration(discovery, complete_list(known_entries) if known_entries else known)
+        self.write_configuration(discovery_address, complete_list(known_entries) if known_entries else known)
         self.send_signal(signal.SIGHUP)
 
     async def pause(self) -> None:
--- a/tests/soak/checks.py
+++ b/tests/soak/checks.py
@@ -82,7 +82,7 @@
 def check_attempts(records: Records, schedule: Schedule) -> None:
     """Check where, when and how often requests reached endpoints."""
     requests = {request.id: request for request in records.requests}
-    notified = _notifications(records, schedule)
+    notifications_by_endpoint = _notifications_by_endpoint(records, schedule)
     for request_id, attempts in records.attempts.items():
         request = requests.get(request_id)
         if request is None:
@@ -96,7 +96,7 @@
         _check_duplicates(records, request, attempts)
         for attempt in attempts:
             _check_gone_client(records, request, attempt)
-            _check_drain(records, notified.get(attempt.endpoint, []), attempt)
+            _check_drain(records, notifications_by_endpoint.get(attempt.endpoint, []), attempt)
 
 
 def _check_duplicates(records: Records, request: ClientRequest, attempts: list[Attempt]) -> None:
@@ -136,7 +136,7 @@
     condition: DiscoveryCondition
 
 
-def _notifications(records: Records, schedule: Schedule) -> dict[int, list[Notification]]:
+def _notifications_by_endpoint(records: Records, schedule: Schedule) -> dict[int, list[Notification]]:
     by_endpoint: dict[int, list[Notification]] = {}
     for change in records.changes:
         notification = Notification(change, _notified_s(records, schedule, change))
@@ -152,12 +152,15 @@
 def _latest_notification_s(records: Records, schedule: Schedule, change: ListChange) -> float:
     """Return when the balancer counts as notified of a change even if discovery wrote no list with it."""
     latest_s = change.at_s if schedule.pushes else change.at_s + MAX_NOTIFICATION_DELAY_S
-    for each in _degraded_periods(records):
-        silence_detected_s = each.begin_s + MAX_NOTIFICATION_DELAY_S
-        if each.condition is DiscoveryCondition.SILENT and each.begin_s <= change.at_s < silence_detected_s:
+    for degraded_period in _degraded_periods(records):
+        silence_detected_s = degraded_period.begin_s + MAX_NOTIFICATION_DELAY_S
+        if (
+            degraded_period.condition is DiscoveryCondition.SILENT
+            and degraded_period.begin_s <= change.at_s < silence_detected_s
+        ):
             latest_s = max(latest_s, silence_detected_s if schedule.pushes else NEVER_S)
-        elif each.begin_s <= change.at_s < each.end_s:
-            latest_s = max(latest_s, each.end_s + MAX_NOTIFICATION_DELAY_S)
+        elif degraded_period.begin_s <= change.at_s < degraded_period.end_s:
+            latest_s = max(latest_s, degraded_period.end_s + MAX_NOTIFICATION_DELAY_S)
     for reload_s in records.reloads_s:
         if reload_s - SOCKET_SLACK_S <= latest_s < reload_s + RELOAD_NOTIFICATION_DELAY_S or (
             abs(reload_s - change.at_s) < STOP_SENDING_WITHIN_S
@@ -180,7 +183,7 @@
 
     The grace period lasts `STOP_SENDING_WITHIN_S` from when the balancer counts as notified.
     """
-    earlier = [each for each in notifications if each.change.at_s <= attempt.received_s]
+    earlier = [candidate for candidate in notifications if candidate.change.at_s <= attempt.received_s]
     if not earlier or earlier[-1].change.accepts_requests:
         return
     since_s = attempt.received_s - earlier[-1].notified_s
@@ -191,11 +194,16 @@
 
 def check_bad_clients(records: Records) -> None:
     """Check that each bad client got an error or a close within `BAD_CLIENT_TIMEOUT_S`."""
-    for bad in records.bad_clients:
+    for bad_client in records.bad_clients:
         allowed_s = (
-            bad.connected_s + BAD_CLIENT_TIMEOUT_S + SOCKET_SLACK_S + records.max_lag_near(bad.connected_s)
+            bad_client.connected_s
+            + BAD_CLIENT_TIMEOUT_S
+            + SOCKET_SLACK_S
+            + records.max_lag_near(bad_client.connected_s)
         )
-        if bad.ended_s is None or bad.ended_s > allowed_s + records.max_lag_near(bad.ended_s):
+        if bad_client.ended_s is None or bad_client.ended_s > allowed_s + records.max_lag_near(
+            bad_client.ended_s
+        ):
             records.add_violation(
-                Rule.BAD_CLIENT, f"{bad.name} got neither an error nor a close", "", allowed_s
+                Rule.BAD_CLIENT, f"{bad_client.name} got neither an error nor a close", "", allowed_s
             )
--- a/tests/soak/clients.py
+++ b/tests/soak/clients.py
@@ -159,8 +159,8 @@
         connection = await self._connect()
         if connection is None:
             return
-        bad = BadClient(kind, time.monotonic())
-        self._records.bad_clients.append(bad)
+        bad_client = BadClient(kind, time.monotonic())
+        self._records.bad_clients.append(bad_client)
         connection.writer.write(BAD_REQUESTS[kind])
         try:
             async with asyncio.timeout(BAD_CLIENT_WAIT_S):
@@ -168,9 +168,9 @@
         except TimeoutError:
             self._records.log_event(f"bad client ({kind}) got neither an error nor a close")
         except OSError:
-            bad.record_end(time.monotonic())
+            bad_client.record_end(time.monotonic())
         else:
-            bad.record_end(time.monotonic())
+            bad_client.record_end(time.monotonic())
         self._close(connection)
 
     async def open_connection_flood(self, connections: int) -> None:
--- a/tests/soak/run.py
+++ b/tests/soak/run.py
@@ -79,7 +79,7 @@
         self.discovery = SoakDiscovery(self.records, pushes=schedule.pushes)
         self.balancer = BalancerProcess(schedule, folder)
         self.clients = Clients(self.records)
-        self.ready_s = 0.0
+        self.start_duration_s = 0.0
         self._ready_at_s = 0.0
         self._memory_at_readiness_bytes = 0
         self._tasks: list[asyncio.Task[None]] = []
@@ -108,7 +108,7 @@
             self.discovery.fake.entries[row["host"]] = row
         address = await self.discovery.open_address()
         self.balancer.write_configuration(address, self.discovery.known_list())
-        self.ready_s = await self.balancer.start()
+        self.start_duration_s = await self.balancer.start()
         self.clients.set_balancer_port(self.balancer.port)
         self._ready_at_s = time.monotonic()
         self._memory_at_readiness_bytes = self.balancer.memory_bytes()
@@ -238,14 +238,14 @@
                     for line in records.log_before(violation.at_s)
                 ],
             )
-            for violation in sorted(records.violations, key=lambda each: each.at_s)
+            for violation in sorted(records.violations, key=lambda reported: reported.at_s)
         ]
         return SeedResult(
             seed=self.schedule.seed,
             requests=len(records.requests),
             served=sum(request.status == checks.OK for request in records.requests),
             attempts=sum(len(attempts) for attempts in records.attempts.values()),
-            ready_s=round(self.ready_s, 3),
+            ready_s=round(self.start_duration_s, 3),
             max_lag_s=round(max((lag.seconds for lag in records.lags), default=0.0), 3),
             broken=broken,
         )
--- a/tests/soak/schedule.py
+++ b/tests/soak/schedule.py
@@ -146,9 +146,9 @@
     max_deadline_ms = rng.choice(DEADLINES_MS[2:])
     generator = _ScheduleGenerator(rng, endpoint_count, terminate_s)
     steps = [
-        *generator.behaviors(),
+        *generator.endpoint_faults(),
         *generator.list_changes(),
-        *generator.discovery(),
+        *generator.discovery_fault(),
         *generator.reloads(),
         *generator.bad_clients(),
         *generator.late_drains(),
@@ -184,12 +184,12 @@
         self._endpoint_count = endpoint_count
         self._terminate_s = terminate_s
 
-    def behaviors(self) -> list[TimedStep]:
+    def endpoint_faults(self) -> list[TimedStep]:
         """Draw temporary faults of some endpoints; in half of the seeds, one hangs through the shutdown."""
         steps = []
         for endpoint in self._rng.sample(range(self._endpoint_count), FAULTY_ENDPOINT_COUNT):
             behavior = self._rng.choice(
-                [each for each in EndpointBehavior if each is not EndpointBehavior.NORMAL]
+                [candidate for candidate in EndpointBehavior if candidate is not EndpointBehavior.NORMAL]
             )
             begin_s = self._rng.uniform(0.0, self._terminate_s - 1.0)
             steps.append(TimedStep(begin_s, SetEndpointBehavior(endpoint, behavior)))
@@ -213,7 +213,7 @@
                 steps.append(TimedStep(back_s, ChangeList(endpoint, "up", is_cold)))
         return steps
 
-    def discovery(self) -> list[TimedStep]:
+    def discovery_fault(self) -> list[TimedStep]:
         """Draw, in half of the seeds, a period in which discovery is down, slow or silent."""
         if self._rng.random() < 0.5:
             return []
@@ -288,7 +288,7 @@
 
     def requests(self, end_s: float, max_deadline_ms: int) -> list[PlannedRequest]:
         """Draw requests at random times until SIGKILL, with deadlines up to the longest of the run."""
-        deadlines_ms = [each for each in DEADLINES_MS if each <= max_deadline_ms]
+        deadlines_ms = [candidate_ms for candidate_ms in DEADLINES_MS if candidate_ms <= max_deadline_ms]
         requests = []
         at_s = 0.0
         while (at_s := at_s + self._rng.expovariate(REQUESTS_PER_S)) < end_s:
--- a/tests/soak/servers.py
+++ b/tests/soak/servers.py
@@ -32,13 +32,13 @@
         self.number = number
         self.behavior = EndpointBehavior.NORMAL
         self._records = records
-        self._machine = UnreachableServer(self._respond, refuses_connections=False) if is_late else None
-        self.server = self._machine or FakeEndpoint(self._respond)
+        self._late_server = UnreachableServer(self._respond, refuses_connections=False) if is_late else None
+        self.server = self._late_server or FakeEndpoint(self._respond)
 
     async def listen_late(self) -> None:
         """Accept connections from now on, if the endpoint listens late."""
-        if self._machine is not None:
-            await self._machine.start_accepting()
+        if self._late_server is not None:
+            await self._late_server.start_accepting()
 
     def set_behavior(self, behavior: EndpointBehavior) -> None:
         """Set how requests are treated from now on."""
