--- a/tests/soak/clients.py
+++ b/tests/soak/clients.py
@@ -108,7 +108,7 @@
         self._records.requests.append(sent)
         self._records.log_event(f"client sends {sent.id} {planned.kind} {planned.deadline_ms} ms")
         connection.writer.write(format_request(sent.id, planned.kind, planned.deadline_ms))
-        await self._read(connection, sent, planned)
+        await self._read_and_record_response(connection, sent, planned)
         return sent
 
     async def _connect(self) -> Connection | None:
@@ -122,7 +122,9 @@
         self.open_connections += 1
         return connection
 
-    async def _read(self, connection: Connection, sent: ClientRequest, planned: PlannedRequest) -> None:
+    async def _read_and_record_response(
+        self, connection: Connection, sent: ClientRequest, planned: PlannedRequest
+    ) -> None:
         wait_s = sent.deadline_s + LATE_RESPONSE_WAIT_S - time.monotonic()
         if planned.disconnect_after_s is not None:
             wait_s = planned.disconnect_after_s
--- a/tests/support/fake_discovery.py
+++ b/tests/support/fake_discovery.py
@@ -69,12 +69,12 @@
         else:
             wait = re.search(r"wait_ms=(\d+)", received.start_line)
             wait_s = int(wait[1]) / 1000 if wait and self._honors_wait else None
-            hosts = await self._changes_after(int(after[1]), wait_s)
+            hosts = await self._wait_for_changes_after(int(after[1]), wait_s)
         body = json.dumps({"seq": self.version, "whole": after is None, "hosts": hosts}).encode()
         writer.write(format_response(200, body))
         self.writes.append(DiscoveryWrite(time.monotonic(), self.version))
 
-    async def _changes_after(self, version: int, wait_s: float | None) -> list[Json]:
+    async def _wait_for_changes_after(self, version: int, wait_s: float | None) -> list[Json]:
         """Wait for a newer version, then return each entry that has changed since `version`."""
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(wait_s):
