--- a/loadbalancer/messages.py
+++ b/loadbalancer/messages.py
@@ -35,9 +35,8 @@
     FULL = 1  # the complete list
     CACHED = 2  # the complete list as stored before a restart, possibly out of date
     FAILED = 3  # a discovery call failed or the connection of the watch broke; no entries
-    WATCH_TIMED_OUT = (
-        4  # no response to the watch in time: its events are lost; no entries. Never on the wire
-    )
+    # The watch was not answered in time, and its events are lost; no entries. Never on the wire.
+    WATCH_TIMED_OUT = 4
 
 
 class AttemptResult(Enum):
--- a/loadbalancer/state/endpoint_ids.py
+++ b/loadbalancer/state/endpoint_ids.py
@@ -91,14 +91,14 @@
         return endpoint_id
 
     def find(self, preferred: int, fingerprint: int) -> int | None:
-        """Return the id that a host has, else its preferred id; None if another host holds that one."""
+        """Return the id that a host holds, else its preferred id; None if that is another host's id."""
         if fingerprint in self._displaced:
             return self._displaced[fingerprint]
         holder = self._segment(preferred).holder(preferred)
         return preferred if holder in (None, fingerprint) else None
 
     def sweep(self, in_use: Container[int], segments: int = SEGMENTS) -> None:
-        """Free the ids that are not in use in the next `segments` segments after the last one swept."""
+        """Free the unused ids of the next `segments` segments; each call continues after the last one."""
         for _ in range(segments):
             self._sweep_segment(self._segments[self._next_swept_segment], in_use)
             self._next_swept_segment = (self._next_swept_segment + 1) % SEGMENTS
--- a/loadbalancer/state/endpoint_pool.py
+++ b/loadbalancer/state/endpoint_pool.py
@@ -15,15 +15,15 @@
     """The endpoints that this proxy uses among those that one placement allows."""
 
     placement: Placement
-    endpoints: list[EndpointState] = field(default_factory=list)  # ready ones, the subset first
+    endpoints: list[EndpointState] = field(default_factory=list)  # ready endpoints, those of the subset first
     subset_size: int = 0  # how many of `endpoints` are in the subset
-    sharing_proxies: float = 0.0  # mean number of proxies that have a given one of these in their subset
+    sharing_proxies: float = 0.0  # mean number of proxies whose subsets contain a given endpoint of this one
     draw_width: int = 0  # random choices are made among this many of `endpoints`, from the first on
     current_subset: Subset | None = None  # the subset that `endpoints` was filled from
-    last_choice: EndpointState | None = None
+    last_choice: EndpointState | None = None  # the endpoint selected for the latest attempt
 
     def allows(self, endpoint: Endpoint) -> bool:
-        """Tell whether the placement allows an endpoint."""
+        """Return whether the placement allows an endpoint."""
         return self.placement.allows(endpoint.zone, endpoint.machine_type)
 
     def replace_endpoints(
@@ -41,7 +41,7 @@
         self.sharing_proxies = sharing_proxies
 
     def record_choice(self, state: EndpointState) -> None:
-        """Store the latest choice."""
+        """Store the endpoint that was just selected."""
         self.last_choice = state
 
     def set_draw_width(self, width: int) -> None:
--- a/loadbalancer/state/endpoint_state.py
+++ b/loadbalancer/state/endpoint_state.py
@@ -6,7 +6,7 @@
 
 from loadbalancer.messages import Endpoint, EndpointStatus
 
-LOAD_MAX = 1e6  # a report of more requests in flight is invalid
+LOAD_MAX = 1e6  # a report of this many requests in flight, or more, is invalid
 
 
 @dataclass(slots=True, eq=False)
@@ -27,10 +27,10 @@
     consecutive_failures: int = 0
     ejected_until_ns: int = 0
     recent_attempts: float = 0.0  # number of attempts that have ended, decayed over time
-    recent_resets: float = 0.0  # those of them whose connection broke
+    recent_resets: float = 0.0  # number of these attempts whose connection broke
     consecutive_resets: int = 0
     # Reported load.
-    reported_load: float = 0.0  # requests of all proxies in flight, by its last load report
+    reported_load: float = 0.0  # requests of all proxies in flight: last load report, and own attempts since
     reported_ns: int = 0  # when that report was received; 0: none yet
     check_sent_ns: int = 0  # when the last health check was sent
     check_reset_ns: int = 0  # when the connection of a health check last broke
@@ -56,7 +56,7 @@
     # ---- attempts ----------------------------------------------------------------------------------------
 
     def add_attempt(self) -> None:
-        """Count an attempt that is being sent; the last reported load grows by one, too."""
+        """Count an attempt that is being sent, also in the reported load if there is one."""
         self.in_flight += 1
         if self.reported_ns > 0:
             self.reported_load += 1
@@ -67,7 +67,7 @@
         self.overdue += 1
 
     def remove_attempt(self, *, overdue: bool) -> None:
-        """Remove an attempt that has ended from the counts."""
+        """Remove an attempt that has ended from the counts and from the reported load."""
         if overdue:
             self.overdue -= 1
         else:
@@ -102,7 +102,7 @@
         self.ejected_until_ns = until_ns
 
     def extend_ejection(self, until_ns: int) -> None:
-        """Eject the endpoint until `until_ns` at the earliest."""
+        """Eject the endpoint at least until `until_ns`; a later end is kept."""
         self.ejected_until_ns = max(self.ejected_until_ns, until_ns)
 
     def record_ended_attempt(self, *, was_reset: bool) -> None:
@@ -122,7 +122,7 @@
     # ---- load reports ------------------------------------------------------------------------------------
 
     def record_load(self, load: float | None, now_ns: int) -> None:
-        """Store a reported load; None and invalid loads (negative, `LOAD_MAX` and more, NaN) are ignored."""
+        """Store a reported load; None and invalid loads (negative, NaN, `LOAD_MAX` or more) are ignored."""
         if load is not None and 0 <= load < LOAD_MAX:
             self.reported_load = load
             self.reported_ns = now_ns
--- a/loadbalancer/state/endpoint_table.py
+++ b/loadbalancer/state/endpoint_table.py
@@ -25,8 +25,9 @@
 class EndpointTable:
     """The attributes of all listed endpoints, and the rings of the placements.
 
-    `upsert` and `remove` record entries of the endpoint list; `apply_changes` updates the rings for all of
-    them at once. `index_zones` and `index_cells` say whether the placements have rings by zone and by cell.
+    `upsert` and `remove` record entries of the endpoint list; `apply_changes` then updates the rings
+    for all these entries at once. `index_zones` and `index_cells` say whether the placements have rings by
+    zone and by cell.
     """
 
     def __init__(self, *, index_zones: bool, index_cells: bool) -> None:
@@ -35,7 +36,7 @@
         self._index_zones = index_zones
         self._index_cells = index_cells
         self._interned: dict[EndpointFields, EndpointAttributes] = {}  # one shared object for equal ones
-        # Endpoints changed since `apply_changes`, with the attributes by which they are on the rings.
+        # Endpoints changed since `apply_changes`, with the attributes as of then; None: not listed then.
         self._changed: dict[int, EndpointAttributes | None] = {}
         self._must_rebuild = False
 
@@ -83,7 +84,10 @@
             self._changed.clear()
 
     def apply_changes(self) -> bool:
-        """Update the rings; return whether any endpoint was added to them or removed."""
+        """Update the rings; return whether ready endpoints were added, changed or removed.
+
+        Always true after a rebuild, which does not check this.
+        """
         self._drop_unused_attributes()
         if self._must_rebuild:
             self._must_rebuild = False
@@ -94,7 +98,7 @@
         return self._update_rings(changed)
 
     def _update_rings(self, changed: dict[int, EndpointAttributes | None]) -> bool:
-        """Apply changes, given as old attributes by endpoint id; return whether any concerns the rings."""
+        """Apply changes, given as old attributes by id; return whether any concerns a ready endpoint."""
         ready = EndpointStatus.READY
         attributes = self.attributes
         removed = [(i, old) for i, old in changed.items() if old is not None and old.status is ready]
@@ -142,7 +146,7 @@
 
 
 def _same_ring_position(old: EndpointAttributes, new: EndpointAttributes) -> bool:
-    """Tell whether two entries of one endpoint differ at most in weight and start time.
+    """Return whether two entries of one endpoint differ at most in weight and start time.
 
     The rings depend on neither, and weights change all the time.
     """
--- a/loadbalancer/state/fleet.py
+++ b/loadbalancer/state/fleet.py
@@ -35,7 +35,7 @@
         return self.pools[key]
 
     def add(self, state: EndpointState) -> None:
-        """Store the state of another endpoint."""
+        """Store the state of an endpoint that is not in use yet."""
         self.endpoints[state.id] = state
 
     def discard(self, state: EndpointState) -> None:
--- a/loadbalancer/state/placement.py
+++ b/loadbalancer/state/placement.py
@@ -30,7 +30,7 @@
     by_cell: dict[tuple[str, int], list[RingKey]] = field(default_factory=lambda: defaultdict(list))
 
     def allows(self, zone: str, machine_type: str) -> bool:
-        """Tell whether requests of this placement may be forwarded to a zone and machine type."""
+        """Return whether requests of this placement may be forwarded to a zone and machine type."""
         return (self.allowed_zones is None or zone in self.allowed_zones) and (
             self.allowed_machine_types is None or machine_type in self.allowed_machine_types
         )
--- a/loadbalancer/state/request.py
+++ b/loadbalancer/state/request.py
@@ -31,10 +31,10 @@
     endpoint_state: EndpointState
     sent_ns: int
     expected_ns: float  # expected duration
-    load: float  # estimated requests in flight at the endpoint when it was sent, including this one
+    load: float  # estimated requests in flight at the endpoint at the time of sending, including this one
     result: AttemptResult | None = None  # None: in flight
-    may_have_run: bool = True  # True until the result proves that it never ran
-    overdue: bool = False  # the response is considered lost, and it no longer counts as in flight
+    may_have_run: bool = True  # True until the result proves that the attempt never ran
+    overdue: bool = False  # the response is considered lost; the attempt is not in `EndpointState.in_flight`
     counts: bool = True  # counts towards `Limits.max_attempts`
 
     def end(self, result: AttemptResult, *, may_have_run: bool, counts: bool = True) -> None:
@@ -44,7 +44,7 @@
         self.counts = counts
 
     def mark_overdue(self) -> None:
-        """Consider the response lost: the attempt no longer counts as in flight at its endpoint."""
+        """Consider the response lost: the endpoint no longer has the attempt in its `in_flight`."""
         self.overdue = True
         self.endpoint_state.mark_overdue()
 
@@ -57,7 +57,7 @@
     request_class: RequestClass
     pool: EndpointPool  # the endpoints that the request class may use
     tenant: str  # the tenant whose throttle admits the request
-    token_bank: TokenBank  # of that throttle, which may have been dropped since
+    token_bank: TokenBank  # the bank of that throttle, which may have been dropped since
     deadline_ns: int
     objective_ns: int  # the latency objective as a time: a response by then has the full priority weight
     cost_hint_ns: int
@@ -68,7 +68,9 @@
     stalled: bool = False  # the event loop stalled while the request was pending: its durations are invalid
     queued_in: Queue | None = None  # None: the request is not queued
     queue_deadline_ns: int = 0  # the request is rejected if it is still queued at this time
-    probed_endpoints: list[EndpointState] = field(default_factory=list)  # those whose load is being probed
+    probed_endpoints: list[EndpointState] = field(
+        default_factory=list
+    )  # endpoints whose load is being probed for the request
     probed_ns: int = 0  # when load probing started
 
     def join_queue(self, queue: Queue) -> None:
@@ -90,12 +92,12 @@
     def record_throttle_delay(self, *, delayed: bool) -> None:
         """Record whether the throttle delayed the request too much for a late response to blame endpoints.
 
-        A request that was pending during a stall of the event loop counts as delayed in any case.
+        A request that was pending during a stall of the event loop is recorded as delayed in any case.
         """
         self.delayed_by_throttle = self.stalled or delayed
 
     def attempt_in_flight(self, number: int, endpoint_id: int) -> Attempt | None:
-        """Return an attempt in flight; None if it was never started, has another endpoint, or has ended."""
+        """Return an attempt in flight; None if it was never made, is at another endpoint, or has ended."""
         if not 0 <= number < len(self.attempts):
             return None
         attempt = self.attempts[number]
@@ -119,7 +121,7 @@
 
     @property
     def uncounted_attempts(self) -> int:
-        """The number of attempts that the proxy never began; they don't count for `Limits.max_attempts`."""
+        """The number of attempts that the proxy never began; `Limits.max_attempts` does not include them."""
         return [attempt.counts for attempt in self.attempts].count(False)
 
     @property
--- a/loadbalancer/state/throughput_samples.py
+++ b/loadbalancer/state/throughput_samples.py
@@ -8,8 +8,8 @@
 class ThroughputSamples:
     """The seconds that endpoints spent at each level of concurrency, and the requests finished at that level.
 
-    A level is a number of requests in flight at one endpoint, from 1 to `top_level`; higher numbers count as
-    `top_level`. The throughput of a level is unknown until it has `min_completions` completions.
+    A level is a number of requests in flight at one endpoint, from 1 to `top_level`; higher numbers are
+    recorded as `top_level`. The throughput of a level is unknown until it has `min_completions` completions.
     """
 
     def __init__(self, top_level: int, min_completions: float) -> None:
