--- a/loadbalancer/policy/attempt_results.py
+++ b/loadbalancer/policy/attempt_results.py
@@ -38,7 +38,7 @@
         self.latency_model = latency_model
 
     def record(self, request: Request, attempt: Attempt, event: AttemptEnded, now_ns: int) -> None:
-        """Record an attempt that has ended; it no longer counts as in flight at its endpoint."""
+        """Record an attempt that has ended, and remove it from the counts of its endpoint."""
         state = attempt.endpoint_state
         self.concurrency_limit.record_occupancy(state, now_ns)
         if event.load_report and IN_FLIGHT_COLUMN in event.load_report:
@@ -81,7 +81,7 @@
                 self.rate_controller.record_success()
 
     def _record_success(self, request: Request, attempt: Attempt, elapsed_ns: int, now_ns: int) -> None:
-        """Record a response; one after the latency objective counts as a failure."""
+        """Record a response; one after the latency objective is recorded as late."""
         state = attempt.endpoint_state
         state.record_response(attempt.sent_ns)
         if not request.stalled:
@@ -112,8 +112,8 @@
     def record_overdue(self, attempt: Attempt, now_ns: int) -> None:
         """Eject the endpoint of an overdue attempt.
 
-        If the endpoint has answered a later request, the response is considered lost, and the attempt no
-        longer counts as in flight.
+        If the endpoint has answered an attempt that was sent later, the response is considered lost, and the
+        attempt no longer uses up the concurrency limit.
         """
         state = attempt.endpoint_state
         self.outlier_detection.eject_overloaded(attempt, now_ns)
@@ -124,7 +124,7 @@
     def exclude_stalled_samples(
         self, requests: Iterable[Request], states: Iterable[EndpointState], now_ns: int
     ) -> None:
-        """Exclude samples taken during an event loop stall: the proxy caused the delay, not the endpoints."""
+        """Mark all requests as stalled: in a stall of the event loop, the proxy causes the delay."""
         for request in requests:
             request.mark_stalled()
         for state in states:
--- a/loadbalancer/policy/balancer.py
+++ b/loadbalancer/policy/balancer.py
@@ -33,7 +33,7 @@
 
 
 class Balancer:
-    """Decides for one proxy. Pass events to `handle`, and carry out the actions it returns, in order."""
+    """Decides for one proxy. Pass events to `handle`, and carry out the returned actions in order."""
 
     def __init__(self, settings: Settings, seed: int, now_ns: int) -> None:
         self.settings = settings
--- a/loadbalancer/policy/concurrency_limit.py
+++ b/loadbalancer/policy/concurrency_limit.py
@@ -36,7 +36,7 @@
         self._samples = ThroughputSamples(CONCURRENCY_LIMIT_MAX + 1, OUTCOMES_MIN)
 
     def record_occupancy(self, endpoint: EndpointState, now_ns: int) -> None:
-        """Record how long an endpoint had its number of requests in flight; call before that changes."""
+        """Record how long an endpoint had its present number in flight; call before the number changes."""
         if endpoint.in_flight and endpoint.in_subset:
             seconds = (now_ns - endpoint.in_flight_since_ns) / NANOSECONDS_PER_SECOND
             self._samples.add_time(endpoint.in_flight, seconds)
@@ -50,8 +50,8 @@
     def has_enough_samples(self, level: int) -> bool:
         """Return whether the samples of a level suffice to judge its throughput.
 
-        They do if, at the throughput of the next lower level, EXPECTED_COMPLETIONS_MIN requests would have
-        finished in the time spent at this level. In any case, level 1 must have OUTCOMES_MIN completions.
+        At the throughput of the next lower level, at least EXPECTED_COMPLETIONS_MIN requests must be expected
+        to finish in the time spent at this level. In any case, level 1 must have OUTCOMES_MIN completions.
         """
         completions = self._samples.completions
         busy_seconds = self._samples.busy_seconds
@@ -102,7 +102,7 @@
     def decay(self) -> None:
         """Decay the samples, and lower the limit to the first level with a higher throughput, if any.
 
-        The throughput at the limit counts as one standard error higher, as it may rest on few samples.
+        The throughput at the limit is taken one standard error higher, as it may be based on few samples.
         """
         self._samples.decay(SAMPLE_DECAY_PER_FEEDBACK_INTERVAL)
         if not self.has_enough_samples(self.limit):
--- a/loadbalancer/policy/discovery_retry.py
+++ b/loadbalancer/policy/discovery_retry.py
@@ -22,11 +22,11 @@
 class DiscoveryRetry:
     """Jittered backoff of the calls to discovery, so that many proxies don't call it at the same time.
 
-    The duration of a failed call counts as part of the backoff: discovery may have become available since the
-    call was made, and the next call must not be late. A call that lasted BACKOFF_MAX_NS or longer was a watch
-    that discovery held open, and does not count. The wide jitter of the first backoff spreads the proxies
-    whose watches ended together. Updates that a silent watch missed count as notified one second after its
-    timeout: the next call is made at once and, if it fails, the one after that soon.
+    The duration of a failed call is part of the backoff: discovery may have become available since the call
+    was made, and the next call must not be late. This does not apply to a call that lasted BACKOFF_MAX_NS or
+    longer, which was a watch that discovery held open. The wide jitter of the first backoff spreads the
+    proxies whose watches ended together. Updates that a silent watch missed must be known within one second
+    of the watch timeout: the next call is made at once and, if it fails, the one after that soon.
     """
 
     def __init__(self, settings: Settings, timers: TimerQueue[Timer], rng: random.Random) -> None:
@@ -35,7 +35,7 @@
         self.poll_interval_ns = settings.rules.poll_interval_ns
         self.discovery_pushes = settings.discovery_pushes
         self.call_in_flight = settings.discovery_pushes
-        self.watch_timed_out = False  # the last call was a watch that timed out
+        self.watch_timed_out = False  # a watch has timed out since the last failed call
         self.consecutive_failures = 0
         self.called_ns = 0
 
@@ -53,7 +53,7 @@
         self.timers.schedule(now_ns + self._delay_after_ns(kind, now_ns), PollDiscovery())
 
     def _delay_after_ns(self, kind: EndpointUpdateKind, now_ns: int) -> int:
-        """Return the delay of the next call: a jittered backoff after a failure, 0 after a watch timeout."""
+        """Record the end of a call; return the jittered backoff, or 0 after a watch timeout."""
         failed = kind is EndpointUpdateKind.FAILED
         failed_after_watch_timeout = failed and self.watch_timed_out
         self.call_in_flight = False
@@ -69,7 +69,7 @@
         return int(backoff_ns)
 
     def _backoff_max_ns(self, now_ns: int) -> float:
-        """Return the longest backoff, which is shorter after a long call unless that was a held watch."""
+        """Return the backoff before jitter; it is shorter after a long call that was not a held watch."""
         backoff_max_ns = min(BACKOFF_MAX_NS, self.poll_interval_ns * BACKOFF_MAX_POLL_INTERVAL_FRACTION)
         call_duration_ns = now_ns - self.called_ns
         if call_duration_ns >= BACKOFF_MAX_NS:
@@ -77,12 +77,12 @@
         return max(backoff_max_ns / BACKOFF_MIN_DIVISOR, backoff_max_ns - call_duration_ns)
 
     def record_list(self, kind: EndpointUpdateKind) -> None:
-        """Record that entries came; cached ones from before a restart say nothing about discovery."""
+        """Reset the backoff; a list stored before a restart does not show that discovery is available."""
         if kind is not EndpointUpdateKind.CACHED:
             self.consecutive_failures = 0
 
     def start_call(self, now_ns: int) -> bool:
-        """Record that a call is due, and return whether to make it: not while another is in flight."""
+        """Return whether to make a call that is due, and record it; False while another is in flight."""
         if self.call_in_flight:
             return False
         self.call_in_flight = True
--- a/loadbalancer/policy/draw_width.py
+++ b/loadbalancer/policy/draw_width.py
@@ -6,9 +6,9 @@
 
 
 def draw_width(pool: EndpointPool, *, queue_is_blocked: bool) -> int:
-    """Return how many of a pool's endpoints, its subset first, random choices are drawn from.
+    """Return the number of endpoints, from the first of the pool on, that random choices are drawn from.
 
-    While its queue is blocked, a pool also draws from one reserve endpoint; more would cost too many
+    This is the subset and, while the queue is blocked, one endpoint of the reserve. More would cost too many
     connections.
     """
     extra = EXTRA_ENDPOINTS_WHILE_BLOCKED if queue_is_blocked else 0
--- a/loadbalancer/policy/fair_shares.py
+++ b/loadbalancer/policy/fair_shares.py
@@ -9,7 +9,7 @@
 
 from loadbalancer.policy.throttle import Throttle
 
-REMAINING_WEIGHT_MIN = 1e-9  # rounding errors may leave zero or a negative weight, which must not divide
+REMAINING_WEIGHT_MIN = 1e-9  # avoids a division by 0 or less, which rounding errors may leave
 
 
 class Allocation(NamedTuple):
--- a/loadbalancer/policy/fleet_updates.py
+++ b/loadbalancer/policy/fleet_updates.py
@@ -28,7 +28,7 @@
         self.draws_from_reserve = draws_from_reserve
 
     def apply(self, update: EndpointUpdate, now_ns: int) -> list[EndpointState]:
-        """Apply a list; return the endpoints that are new in a subset of this proxy or have restarted."""
+        """Apply a list; return the endpoints of this proxy's subsets that are new there or have restarted."""
         fleet = self.fleet
         previous_subset = {state for state in fleet.endpoints.values() if state.in_subset}
         unlisted = self._ids_to_confirm(update.kind)
@@ -47,16 +47,16 @@
         return [self._get_or_add_state(endpoint_id, now_ns) for endpoint_id in endpoint_ids]
 
     def discard_unused_states(self) -> None:
-        """Discard the states of endpoints that are in no pool and have no attempt of this proxy."""
+        """Discard the states of endpoints that are in no pool and have no unfinished attempt."""
         for state in [state for state in self.fleet.endpoints.values() if self._is_unused(state)]:
             self.fleet.discard(state)
 
     def _is_unused(self, state: EndpointState) -> bool:
-        """Return whether an endpoint is in no pool and has no attempt of this proxy."""
+        """Return whether an endpoint is in no pool and has no unfinished attempt."""
         return not (state.id in self.fleet.pooled_ids or state.in_flight or state.overdue)
 
     def _ids_to_confirm(self, kind: EndpointUpdateKind) -> set[int]:
-        """Return the ids that a list must contain to stay listed: all for a complete list, else none."""
+        """Return the ids to remove unless the list contains them: all for a complete list, else none."""
         return set() if kind is EndpointUpdateKind.DELTA else set(self.fleet.table.attributes)
 
     def _record_entries(
@@ -76,7 +76,7 @@
             if state is None:
                 continue
             if endpoint.started_ns != state.endpoint.started_ns:
-                state.clear_failures_and_ejection()  # they are those of the process before the restart
+                state.clear_failures_and_ejection()  # of the process before the restart
                 restarted.add(state)
             state.update_entry(endpoint)
             self.live_weights.record_implied_load(state, now_ns)
@@ -104,7 +104,7 @@
         self.discard_unused_states()
 
     def _rebuild_pool(self, pool: EndpointPool, subset: Subset, now_ns: int) -> None:
-        """Fill a pool: the subset first, then the reserve of the zone, then that of all zones."""
+        """Fill a pool: the subset first, then the zone reserve, then the remote reserve."""
         assigned = self._states_of_keys(subset.assigned, now_ns)
         zone_reserve = self._states_of_keys(subset.zone_reserve, now_ns)
         remote_reserve = self._states_of_keys(subset.remote_reserve, now_ns)
@@ -137,5 +137,5 @@
 
 
 def _reserve_rank(state: EndpointState) -> int:
-    """Return the sort key of a reserve."""
+    """Return the key by which a reserve is sorted."""
     return state.reserve_rank
--- a/loadbalancer/policy/hedging.py
+++ b/loadbalancer/policy/hedging.py
@@ -5,10 +5,10 @@
 
 
 def should_hedge(request: Request, overdue: Attempt, queue_length: int, limits: Limits, now_ns: int) -> bool:
-    """Return whether a second attempt, at another endpoint, is worth its load.
+    """Return whether a second attempt is worth its load.
 
-    Its response must be expected before the latency objective, and it must not take an endpoint from queued
-    requests. If attempts cannot be cancelled the overdue one continues, and a hedged request only adds load.
+    Its response must be expected before the latency objective, and no request may be queued, which would have
+    to wait longer. If attempts cannot be cancelled, the overdue one continues, and a second only adds load.
     """
     if queue_length or not limits.cancellation:
         return False
--- a/loadbalancer/policy/latency_model.py
+++ b/loadbalancer/policy/latency_model.py
@@ -2,7 +2,8 @@
 
 The latencies of successful attempts are used to estimate the mean latency of each class, the relative latency
 of each endpoint, and a linear model of latency over load: base_ns + per_request_ns * load. The load is the
-number of requests in flight at an endpoint. All durations are in nanoseconds.
+number of requests in flight at an endpoint. For an attempt that times out, the linear model is given an
+estimate. All durations are in nanoseconds.
 """
 
 from loadbalancer.state.request import Attempt, Request
@@ -37,12 +38,12 @@
     def __init__(self, longest_objective_ns: int) -> None:
         self.base_ns = 0.0  # latency that does not depend on the load
         self.per_request_ns = INITIAL_PER_REQUEST_NS  # added by each request in flight at the endpoint
-        # Mean latency by mean load: the time between two completions at a busy endpoint.
+        # Mean latency divided by mean load: the time between two completions at a busy endpoint.
         self.service_interval_ns = longest_objective_ns / OBJECTIVE_TO_INITIAL_LATENCY_RATIO
         self.mean_ns = INITIAL_MEAN_NS  # mean latency over all classes
         self.deviation = INITIAL_DEVIATION  # mean relative deviation from the expected latency
         self._latency_over_load = RunningRegression(REGRESSION_SAMPLE_DECAY)
-        self._mean_ns_by_class: dict[str, float] = {}  # of requests without a cost hint
+        self._mean_ns_by_class: dict[str, float] = {}  # by class name; requests without a cost hint
         self._cost_hint_factor: float | None = None  # mean latency as a multiple of the cost hint
 
     def expected_ns(self, request: Request) -> float:
--- a/loadbalancer/policy/live_weights.py
+++ b/loadbalancer/policy/live_weights.py
@@ -15,8 +15,8 @@
 class LiveWeights:
     """Estimates loads from weights.
 
-    The largest weight seen for a machine type is taken for that of an idle endpoint; dividing it by an
-    endpoint's current weight gives the load.
+    The largest weight seen for a machine type is taken as the weight of an idle endpoint. Divided by an
+    endpoint's current weight, and less 1, it gives the load (requests in flight per core).
     """
 
     def __init__(self, settings: Settings) -> None:
--- a/loadbalancer/policy/load_estimate.py
+++ b/loadbalancer/policy/load_estimate.py
@@ -10,7 +10,7 @@
 from loadbalancer.state.endpoint_state import EndpointState
 from loadbalancer.units import NANOSECONDS_PER_SECOND
 
-IN_FLIGHT_COLUMN = "inflight"  # of a load report, on the wire
+IN_FLIGHT_COLUMN = "inflight"  # the name, on the wire, of the column with the requests in flight
 LOAD_REPORT_MAX_AGE_NS = 3 * NANOSECONDS_PER_SECOND
 LOADED_MEAN_IN_FLIGHT_MIN = 1.0
 
@@ -21,7 +21,10 @@
 
 
 def estimated_load(state: EndpointState, now_ns: int) -> float:
-    """Return the load of an endpoint: as reported, but at least this proxy's requests in flight."""
+    """Return the load of an endpoint: as reported, but at least this proxy's requests in flight.
+
+    Without a fresh report it is this proxy's attempts, including those whose response is considered lost.
+    """
     if has_fresh_load(state, now_ns):
         return max(state.in_flight, state.reported_load)
     return state.in_flight + state.overdue
@@ -30,8 +33,8 @@
 def is_loaded(states: Iterable[EndpointState], now_ns: int) -> bool:
     """Return whether ready endpoints report one request in flight each or more, on average.
 
-    With fewer, endpoints are not overloaded, and less traffic would not help. If none reports, they count
-    as loaded.
+    With fewer, endpoints are not overloaded, and less traffic would not help. Also true if no endpoint has a
+    fresh report, because overload is then possible.
     """
     loads = [
         state.reported_load
--- a/loadbalancer/policy/load_probing.py
+++ b/loadbalancer/policy/load_probing.py
@@ -23,7 +23,7 @@
 
 
 def is_probing_enabled(settings: Settings) -> bool:
-    """Return whether loads are probed: if health checks report them, and cost little enough."""
+    """Return whether loads are probed: if health checks are allowed, report loads and cost little enough."""
     price = settings.prices.health_check * (PROBED_ENDPOINTS + REPEATED_PROBES)
     is_load_reported = IN_FLIGHT_COLUMN in settings.load_report_columns
     return settings.limits.health_checks and is_load_reported and price <= PROBING_PRICE_MAX_PER_REQUEST
@@ -38,7 +38,7 @@
         self._timers = timers
 
     def start(self, request: Request, now_ns: int) -> list[CheckHealth]:
-        """Draw endpoints for a request, and return the health checks of those whose load is not fresh."""
+        """Draw endpoints for a request; return checks of those not reported or checked in the last 5 ms."""
         drawn = self._selection.draw(request.pool, PROBED_ENDPOINTS, now_ns)
         request.start_probing(list(dict.fromkeys(drawn)), now_ns)
         checks = []
@@ -52,7 +52,8 @@
     def record_result(self, state: EndpointState, event: HealthCheckEnded, now_ns: int) -> list[CheckHealth]:
         """Record the reported load, and return a second health check if the first one's connection broke.
 
-        Any connection may break by chance, and the request would then wait until the probe timeout.
+        Any connection may break by chance; without a second check, the request would wait until the probe
+        timeout.
         """
         if event.load_report is not None:
             state.record_load(event.load_report.get(IN_FLIGHT_COLUMN), now_ns)
--- a/loadbalancer/policy/outlier_detection.py
+++ b/loadbalancer/policy/outlier_detection.py
@@ -10,10 +10,10 @@
 - an attempt that took too long or was rejected (`eject_overloaded`): its expected duration, at most the
   shortest latency objective.
 
-An endpoint is not ejected while EJECTED_FRACTION_MAX of the endpoints that one of its pools draws from are
-ejected. Pacing (`SlowStart.apply_pacing`) uses the same `ejected_until_ns`, so paced endpoints count as
-ejected. The next successful response of an endpoint that has failed clears its failures and ends its ejection
-or pacing; so does a restart that the endpoint list reports.
+An endpoint is not ejected while at least EJECTED_FRACTION_MAX of the endpoints that one of its pools draws
+from are ejected. Pacing (`SlowStart.apply_pacing`) uses the same `ejected_until_ns`, so paced endpoints are
+included. The next successful response of an endpoint that has failed clears its failures and ends its
+ejection or pacing; so does a restart that the endpoint list reports.
 """
 
 import random
@@ -31,11 +31,11 @@
 EJECTION_DOUBLINGS_MAX = 5
 EJECTION_JITTER_MIN = 0.75
 EJECTION_JITTER_MAX = 1.25
-EJECTED_FRACTION_MAX = 0.7  # of the endpoints that a pool draws from
-RESET_PROBABILITY_MAX = 1e-3  # resets in a row less likely than this are attributed to the endpoint
+EJECTED_FRACTION_MAX = 0.7  # maximum ejected fraction of the endpoints that a pool draws from
+RESET_PROBABILITY_MAX = 1e-3  # resets in a row with at most this probability are attributed to the endpoint
 # The assumed probability of a reset is capped at this, so that 6 resets in a row are always attributed.
 COMMON_RESET_FRACTION_MAX = 0.3
-RESET_COUNTS_DECAY = 0.8  # per feedback tick
+RESET_COUNTS_DECAY = 0.8  # factor applied at each feedback tick
 
 
 class OutlierDetection:
@@ -48,8 +48,8 @@
         self.timers = timers
         self.rng = rng
         self.shortest_objective_ns = shortest_objective_ns
-        self.recent_attempts = 0.0  # ended, over the endpoints in use; decayed over time
-        self.recent_resets = 0.0
+        self.recent_attempts = 0.0  # ended attempts at all endpoints in use, decayed over time
+        self.recent_resets = 0.0  # those of these attempts whose connection broke
 
     def eject_overloaded(self, attempt: Attempt, now_ns: int) -> None:
         """Eject an endpoint that did not finish an attempt in time, or had no capacity for it.
@@ -61,10 +61,10 @@
         self.eject(attempt.endpoint_state, now_ns, base_ns)
 
     def eject(self, state: EndpointState, now_ns: int, base_ns: float) -> None:
-        """Eject a failing endpoint, unless too many are ejected already.
+        """Count a failure of an endpoint; eject the endpoint unless too many are ejected already.
 
-        The ejection time is `base_ns`, doubled for each failure in a row before this one. Further failures
-        of an ejected endpoint are ignored, because attempts in flight at a hung endpoint fail together.
+        The ejection time is `base_ns`, doubled for each failure in a row before this one. Failures of an
+        ejected or paced endpoint are ignored, because attempts in flight at a hung endpoint fail together.
         """
         if state.ejected_until_ns <= now_ns:
             state.record_failure()
@@ -106,7 +106,7 @@
         return self._are_resets_unlikely_by_chance(state)
 
     def _are_resets_unlikely_by_chance(self, state: EndpointState) -> bool:
-        """Return whether an endpoint's resets in a row are too unlikely, given the resets of the others.
+        """Return whether an endpoint's resets in a row are unlikely at the rate of the others' resets.
 
         If connections break at all endpoints alike (a bad network, a middlebox, connections closed as a
         request is sent), a reset is not attributed to the endpoint: most of a healthy fleet would be ejected
@@ -118,7 +118,7 @@
         return probability <= RESET_PROBABILITY_MAX
 
     def decay(self) -> None:
-        """Reduce the counts of attempts and resets, so that recent ones count more."""
+        """Decay the counts of attempts and resets, so that recent ones have more weight."""
         self.recent_attempts = 0.0
         self.recent_resets = 0.0
         for state in self.fleet.endpoints.values():
--- a/loadbalancer/policy/rate_control.py
+++ b/loadbalancer/policy/rate_control.py
@@ -1,8 +1,8 @@
 """Adaptive rate of the proxy, and the tenant rates derived from it (types: loadbalancer/messages.py).
 
 The proxy has one rate R, in requests per second. R is decreased when more than a tenth of the outcomes of a
-rate interval (0.5 s, up to 2 s with little traffic) are failures that indicate overload. It is increased when
-failures were few and a throttle had no token for a request.
+rate interval (0.5 s, up to 2 s with little traffic) are failures, unless the endpoints have too little load
+to be overloaded. Otherwise it is increased if a throttle had no token for a request.
 
 `fair_shares` divides R among the tenants that send requests, by demand and weight; each tenant may also
 borrow the whole rate that the others leave unused. A tenant's throttle admits requests at the resulting
@@ -51,25 +51,25 @@
     start_ns: int
     has_begun: bool = False  # a request or an outcome has been recorded
     successes: int = 0  # ended attempts that do not indicate overload
-    rejected_for_capacity: int = 0  # requests: queue too long, queue deadline, endpoint too slow
+    rejected_for_capacity: int = 0  # requests; see `RateController.record_capacity_rejection`
     failures: Counter[int] = field(default_factory=Counter)  # failed or late attempts, by endpoint id
 
     @property
     def attempts(self) -> int:
-        """The number of attempts that ended and count for or against the rate."""
+        """The number of attempts that ended as a success or a failure for rate control."""
         return self.successes + self.failures.total()
 
     @property
     def outcomes(self) -> int:
-        """The number of counted attempts and of requests rejected for lack of capacity."""
+        """The number of these attempts and of the requests rejected for lack of capacity."""
         return self.attempts + self.rejected_for_capacity
 
 
 class RateController:
     """Adapts the proxy's rate to the outcomes of attempts, and sets the tenants' rates.
 
-    All rates are in requests per second. `total_weight` is the sum over all configured tenants, including
-    those that send nothing.
+    All rates are in requests or attempts per second. `total_weight` is the sum over all configured tenants,
+    including those that send nothing.
     """
 
     def __init__(self, total_weight: float, now_ns: int) -> None:
@@ -77,8 +77,8 @@
         self.rate = INITIAL_RATE_PER_S
         self.unused_rate = INITIAL_RATE_PER_S  # the rate less the demand of all tenants
         self.last_overload_rate = 0.0  # rate at which too many attempts failed; decays with each decrease
-        self.attempt_rate = 0.0  # ended attempts per second, in the last interval
-        self.success_rate = INITIAL_RATE_PER_S  # of these, the ones not counted as failures
+        self.attempt_rate = 0.0  # successes and failures in the last interval
+        self.success_rate = INITIAL_RATE_PER_S  # successes in the last interval
         self.interval = RateInterval(now_ns)
 
     def record_arrival(self, now_ns: int) -> None:
@@ -102,7 +102,7 @@
         self.interval.failures[endpoint_id] += 1
 
     def record_unattributed_late_attempt(self) -> None:
-        """Start the interval at a late attempt whose endpoint is not at fault, without counting it."""
+        """Record that the interval has begun, by a late attempt that is not counted."""
         self.interval.has_begun = True
 
     def record_capacity_rejection(self) -> None:
@@ -122,7 +122,7 @@
         Args:
             throttles: The throttles of the tenants that send requests.
             now_ns: The current time.
-            draw_width: The number of endpoints that requests are sent to.
+            draw_width: The number of endpoints that random choices are drawn from.
             is_loaded: Whether the endpoints have enough load for failures to indicate overload.
         """
         elapsed_ns = now_ns - self.interval.start_ns
@@ -151,10 +151,10 @@
         self.attempt_rate = self.interval.attempts * NANOSECONDS_PER_SECOND / elapsed_ns
 
     def _failed_fraction(self, draw_width: int) -> float:
-        """Return the fraction of the outcomes that are failures indicating overload.
+        """Return failures and capacity rejections as a fraction of the outcomes, or of 16 if they are fewer.
 
-        The failures of the half of the endpoints that failed most are ignored: a few faulty endpoints do not
-        mean that the fleet is overloaded.
+        The endpoints with the most failures, up to half of `draw_width`, are ignored: a few faulty endpoints
+        do not mean that the fleet is overloaded.
         """
         failures_by_endpoint = sorted(self.interval.failures.values(), reverse=True)
         ignored_endpoints = int(draw_width * IGNORED_ENDPOINTS_FRACTION)
--- a/loadbalancer/policy/request_admission.py
+++ b/loadbalancer/policy/request_admission.py
@@ -72,9 +72,9 @@
         return request
 
     def _admit(self, request: Request, throttle: Throttle, now_ns: int, *, is_retry: bool) -> Admission:
-        """Ask the throttle for a token.
+        """Take a token from the throttle if possible; return what happens to the request.
 
-        A client's retry gets no token that is reserved for new requests, and is never buffered.
+        A client's retry never gets a token that is reserved for new requests, and is never buffered.
         """
         if not is_retry:
             return throttle.admit(request, now_ns)
--- a/loadbalancer/policy/request_lifecycle.py
+++ b/loadbalancer/policy/request_lifecycle.py
@@ -120,8 +120,8 @@
 
     def _retry_or_reject(self, request: Request, now_ns: int) -> None:
         """Queue a request whose attempts have all failed again, or reject it."""
-        # Without a list of candidates, any one endpoint of the pool is enough: the check has the same result
-        # for all of them, both if every endpoint may be used (None) and if none may (an empty list).
+        # The candidates are None if every endpoint of the pool may be used, and empty if none may. In both
+        # cases the check has the same result for all endpoints of the pool, so one of them is enough.
         candidates = self.retry_candidates.find(request, now_ns) or request.pool.endpoints[:1]
         if should_retry(request, candidates, now_ns=now_ns, limits=self.settings.limits):
             self.queues[request.pool].prepend(request)
@@ -186,7 +186,7 @@
         self.requests.remove_if_over(request)
 
     def _leave_queue(self, request: Request) -> None:
-        """Remove a request from its pool's queue, or from its tenant's buffer, returning its token."""
+        """Remove a request from its pool's queue, or from its tenant's buffer, where it frees its place."""
         if request.queued_in is Queue.POOL_QUEUE:
             self.queues[request.pool].remove(request)
         elif request.queued_in is Queue.THROTTLE_BUFFER:
--- a/loadbalancer/policy/request_queue.py
+++ b/loadbalancer/policy/request_queue.py
@@ -12,7 +12,7 @@
     def __init__(self, pool: EndpointPool) -> None:
         self.pool = pool
         self.waiting: deque[Request] = deque()
-        self.blocked_since_ns = 0  # when it first found no available endpoint; 0: it is not blocked
+        self.blocked_since_ns = 0  # since when no endpoint has been available; 0: not blocked
 
     def append(self, request: Request) -> None:
         """Add a request at the end."""
@@ -20,7 +20,7 @@
         request.join_queue(Queue.POOL_QUEUE)
 
     def prepend(self, request: Request) -> None:
-        """Add a request that is retried at the head."""
+        """Add a request at the head: a retry."""
         self.waiting.appendleft(request)
         request.join_queue(Queue.POOL_QUEUE)
 
--- a/loadbalancer/policy/retry_candidates.py
+++ b/loadbalancer/policy/retry_candidates.py
@@ -21,7 +21,7 @@
         self.rng = rng
 
     def find(self, request: Request, now_ns: int) -> list[EndpointState] | None:
-        """Return the endpoints to which a request may be forwarded again, or None for all of its pool.
+        """Return the endpoints at which a request may be retried; None if all of its pool may be used.
 
         Once a request may have run at an endpoint, its retries must stay in that endpoint's zone or cell if
         only the endpoints there recognise its idempotency key.
--- a/loadbalancer/policy/retry_eligibility.py
+++ b/loadbalancer/policy/retry_eligibility.py
@@ -17,7 +17,7 @@
 def may_have_run(result: AttemptResult, rules: Rules) -> bool:
     """Return whether an attempt with this result may have had its effect at the endpoint.
 
-    A rejection is no proof that it never ran if endpoints also reject requests that they have begun.
+    After a rejection it may have run if endpoints also reject requests that they have begun.
     """
     if result is AttemptResult.REJECTED:
         return rules.rejected_may_have_run
@@ -36,8 +36,8 @@
 def may_forward(request: Request, endpoint: Endpoint, now_ns: int, limits: Limits) -> bool:
     """Return whether an attempt at an endpoint may start now.
 
-    It may not after the request's final response or its deadline, beyond the limits on attempts, outside the
-    request's placement, or if an earlier attempt may have run and another could take effect a second time.
+    It must not start after the request's final response or its deadline, beyond the limits on attempts, at an
+    endpoint that is not ready or outside the placement, or if the request could take effect a second time.
     """
     if request.finished or request.streaming or now_ns >= request.deadline_ns:
         return False
@@ -52,7 +52,7 @@
 
 
 def _has_no_attempts_left(request: Request, limits: Limits) -> bool:
-    """Return whether a request has no attempts left; those that were never begun have a separate limit."""
+    """Return whether a request has used up its attempts; those never begun have a separate limit."""
     if len(request.attempts) < limits.max_attempts:
         return False
     uncounted = request.uncounted_attempts
@@ -60,7 +60,7 @@
 
 
 def _may_repeat(request: Request, endpoint: Endpoint, now_ns: int, limits: Limits) -> bool:
-    """Return whether another attempt can have no second effect, whatever the earlier ones did."""
+    """Return whether another attempt is safe: it has no second effect, whatever the earlier ones did."""
     request_class = request.request_class
     possibly_run = [attempt for attempt in request.attempts if attempt.may_have_run]
     if not possibly_run or request_class.idempotency is Idempotency.IDEMPOTENT:
@@ -76,10 +76,10 @@
 
 
 def should_retry(request: Request, candidates: Iterable[EndpointState], now_ns: int, limits: Limits) -> bool:
-    """Return whether a request without an attempt in flight is queued again; it needs no second token.
+    """Return whether a request without an attempt in flight should be queued again, without a new token.
 
-    It must be before its queue deadline, and an attempt at one of the candidates must be safe: a request
-    that cannot be forwarded anywhere is rejected at once.
+    Its queue deadline must be in the future, and an attempt at one of the candidates must be allowed: a
+    request that may not be forwarded anywhere is rejected at once.
     """
     if now_ns >= request.queue_deadline_ns:
         return False
--- a/loadbalancer/policy/selection.py
+++ b/loadbalancer/policy/selection.py
@@ -20,7 +20,7 @@
 RESERVE_MAX_IN_FLIGHT = 1  # requests in flight at an endpoint outside the subset
 FAILING_ENDPOINT_MAX_IN_FLIGHT = 1  # requests in flight at an endpoint whose last attempt failed
 WARMING_UP_LIMIT_DIVISOR = 2
-REQUESTS_SINCE_REPORT = 1.5  # assumed to have reached an endpoint since its load report, the new one included
+REQUESTS_SINCE_REPORT = 1.5  # assumed to reach an endpoint after its load report, including the new one
 
 
 class Selection:
@@ -98,7 +98,7 @@
     ) -> EndpointState | None:
         """Return the least loaded of two random draws and the last choice, or of the available candidates.
 
-        None if no endpoint is available.
+        The endpoint is recorded as the pool's last choice. Returns None if no endpoint is available.
         """
         if candidates is None:
             available = self.draw(pool, RANDOM_CHOICES, now_ns)
@@ -113,7 +113,7 @@
     def would_respond_late(self, request: Request, state: EndpointState, now_ns: int) -> bool:
         """Return whether an endpoint, by its load report, would respond after the latency objective.
 
-        An endpoint without a recent load report, or that reports no load, is never considered late.
+        False without a recent load report, or if the reported load is less than one request.
         """
         if state.reported_load < 1 or not has_fresh_load(state, now_ns):
             return False
--- a/loadbalancer/policy/slow_start.py
+++ b/loadbalancer/policy/slow_start.py
@@ -14,8 +14,8 @@
 from loadbalancer.state.timer_queue import TimerQueue
 from loadbalancer.units import NANOSECONDS_PER_SECOND
 
-OVERLOAD_BUDGET_FRACTION = 0.7  # of the rate that overloads an endpoint that is warming up
-THROUGHPUT_SMOOTHING = 0.2  # weight of the newest feedback tick
+OVERLOAD_BUDGET_FRACTION = 0.7  # fraction of the overloading rate that all proxies together may send
+THROUGHPUT_SMOOTHING = 0.2  # weight of the sample of the newest feedback tick
 
 
 class SlowStart:
@@ -39,7 +39,7 @@
     def pacing_interval_ns(self, state: EndpointState, now_ns: int) -> int:
         """Return the minimum interval between this proxy's attempts at an endpoint that is warming up.
 
-        All proxies that share the endpoint must together stay within its current capacity.
+        All proxies that share the endpoint must together stay below the rate that overloads it now.
         """
         capacity = self._capacity_fraction(state, now_ns)
         throughput = self._warm_throughput(state)
@@ -55,8 +55,9 @@
     def _warm_throughput(self, state: EndpointState) -> float:
         """Return the requests per second that a warm endpoint is estimated to serve for this proxy.
 
-        That is the throughput observed, or this proxy's part of the rate at which endpoints finish requests.
-        The latency that a request adds is not used: late load reports make it several times too small.
+        That is the throughput observed or, if it is more, this proxy's part of the rate at which endpoints
+        finish requests. `LatencyModel.per_request_ns` is not used for that rate: late load reports make it
+        several times too small.
         """
         finished = NANOSECONDS_PER_SECOND / self.latency_model.service_interval_ns
         return max(self.sustained_throughput, finished / self._sharing_proxies(state))
@@ -64,14 +65,14 @@
     def _sharing_proxies(self, state: EndpointState) -> float:
         """Return how many proxies may send to an endpoint, over all pools that allow it.
 
-        Other proxies may have it in the subset of a different pool than this proxy.
+        Other proxies may have the endpoint in the subset of a different pool than this proxy.
         """
         pools = self.fleet.pools.values()
         sharing_proxies = sum(pool.sharing_proxies for pool in pools if pool.allows(state.endpoint))
         return max(1.0, min(self.proxy_count, sharing_proxies))
 
     def apply_pacing(self, state: EndpointState, now_ns: int, intervals: float) -> None:
-        """Send nothing for this many pacing intervals to an endpoint that is warming up."""
+        """Send nothing to an endpoint that is warming up for `intervals` pacing intervals."""
         pause_ns = int(intervals * self.pacing_interval_ns(state, now_ns))
         state.extend_ejection(now_ns + pause_ns)
         self.timers.schedule(state.ejected_until_ns, ServeQueue())
--- a/loadbalancer/policy/subset_size.py
+++ b/loadbalancer/policy/subset_size.py
@@ -10,7 +10,9 @@
 LARGE_DEPLOYMENT_PROXIES = 512
 # In a large deployment several proxies share each endpoint: a proxy with little traffic leaves none idle.
 LARGE_DEPLOYMENT_SUBSET_SIZE = 64
-LARGE_DEPLOYMENT_SHARING_PROXIES_MIN = 2  # golden-ratio steps are up to 1.9 times the mean step
+LARGE_DEPLOYMENT_SHARING_PROXIES_MIN = (
+    2  # golden-ratio steps are up to 1.9 times the mean: 1 would leave gaps
+)
 PROXY_OFFSET_SALT = 1
 
 
@@ -22,7 +24,7 @@
 def proxy_offset(settings: Settings) -> float:
     """Return a number from 0 to 1, different for each proxy.
 
-    With it, no change of the endpoint list affects the subset sizes or segments of all proxies at once.
+    Because of it, no change of the endpoint list alters the subset sizes or segments of all proxies at once.
     """
     return unit_hash(settings.proxy_index, PROXY_OFFSET_SALT)
 
@@ -30,8 +32,8 @@
 def subset_size(settings: Settings, endpoints: int, proxies: int) -> int:
     """Return the size of this proxy's subset, given the numbers of endpoints and proxies of its ring.
 
-    It is the full size if few enough proxies then share each endpoint, and never so small that some endpoint
-    is in no subset.
+    It is the full size or, if that is less, the size with which SHARING_PROXIES_MAX proxies share each
+    endpoint. It is never below the minimum, or so small that some endpoint would be in no subset.
     """
     size_at_max_sharing = SHARING_PROXIES_MAX * endpoints / proxies
     if is_large_deployment(settings):
--- a/loadbalancer/policy/subsetting.py
+++ b/loadbalancer/policy/subsetting.py
@@ -3,9 +3,9 @@
 Types of the interface: loadbalancer/messages.py.
 
 A subset is a run of consecutive keys on a hash ring that all proxies compute alike. Few proxies share an
-endpoint, so a proxy's own requests in flight are a measure of its load. In addition each proxy has a reserve.
-If open connections have a price, subsets are small; if crossing zones has a price too, they lie in the
-proxy's own zone.
+endpoint, so a proxy's own requests in flight are a measure of the endpoint's load. In addition each proxy has
+a reserve. If open connections have a price, subsets are small; if crossing zones has a price too, they lie in
+the proxy's own zone.
 
 In a large deployment the ring is divided into segments of the key space, and the start of a subset is a rank
 in its segment. This spreads subsets evenly whatever the keys are, and a change of the endpoint list moves
@@ -79,7 +79,7 @@
 def _prefers_own_zone(settings: Settings) -> bool:
     """Return whether subsets should lie in the proxies' zones: if connections and crossing zones have prices.
 
-    Not with fewer proxies than zones: endpoints in zones without a proxy would be idle.
+    With fewer proxies than zones they should not: endpoints in zones without a proxy would be idle.
     """
     prices = settings.prices
     has_prices = prices.connection > 0 and prices.cross_zone > 0
@@ -102,8 +102,8 @@
 def _sharing_proxies(settings: Settings, *, is_partial_ring: bool) -> int:
     """Return how many proxies have their subsets on the same ring.
 
-    If a ring has only part of the ready endpoints, which proxies use it is not known: proxies are assumed
-    to be spread evenly over the zones.
+    If a ring has only part of the ready endpoints, it is not known which proxies use it. Proxies are then
+    assumed to be spread evenly over the zones.
     """
     proxies = max(1, settings.proxy_count)
     return max(1, proxies // _zone_count(settings)) if is_partial_ring else proxies
--- a/loadbalancer/policy/throttle.py
+++ b/loadbalancer/policy/throttle.py
@@ -139,7 +139,7 @@
             yield self.buffer.popleft()
 
     def remove_buffered(self, request: Request) -> None:
-        """Remove a buffered request that has ended, and return the token that it was waiting for."""
+        """Remove a buffered request that has ended, and free its place in the buffer."""
         self.buffer.remove(request)
         self.bank.return_token()
 
