--- a/loadbalancer/policy/attempt_results.py
+++ b/loadbalancer/policy/attempt_results.py
@@ -45,7 +45,7 @@
             # The report does not count this attempt, but remove_attempt subtracts it.
             state.record_load(event.load_report[IN_FLIGHT_COLUMN] + 1, now_ns)
         self._record_result(request=request, attempt=attempt, event=event, now_ns=now_ns)
-        state.remove_attempt(overdue=attempt.overdue)
+        state.remove_attempt(presumed_lost=attempt.presumed_lost)
 
     def _record_result(self, request: Request, attempt: Attempt, event: AttemptEnded, now_ns: int) -> None:
         """Count an attempt as a success or failure for rate control, and eject an endpoint at fault."""
@@ -112,14 +112,14 @@
     def record_overdue(self, attempt: Attempt, now_ns: int) -> None:
         """Eject the endpoint of an overdue attempt.
 
-        If the endpoint has answered an attempt that was sent later, the response is considered lost, and the
+        If the endpoint has answered an attempt that was sent later, the response is presumed lost, and the
         attempt no longer uses up the concurrency limit.
         """
         state = attempt.endpoint_state
         self.outlier_detection.eject_overloaded(attempt, now_ns)
         if state.latest_answered_send_ns > attempt.sent_ns:
             self.concurrency_limit.record_occupancy(state, now_ns)
-            attempt.mark_overdue()
+            attempt.mark_presumed_lost()
 
     def exclude_stalled_samples(
         self, requests: Iterable[Request], states: Iterable[EndpointState], now_ns: int
--- a/loadbalancer/policy/fleet_updates.py
+++ b/loadbalancer/policy/fleet_updates.py
@@ -53,7 +53,7 @@
 
     def _is_unused(self, state: EndpointState) -> bool:
         """Return whether an endpoint is in no pool and has no unfinished attempt."""
-        return not (state.id in self.fleet.pooled_ids or state.in_flight or state.overdue)
+        return not (state.id in self.fleet.pooled_ids or state.in_flight or state.presumed_lost)
 
     def _ids_to_confirm(self, kind: EndpointUpdateKind) -> set[int]:
         """Return the ids to remove unless the list contains them: all for a complete list, else none."""
--- a/loadbalancer/policy/load_estimate.py
+++ b/loadbalancer/policy/load_estimate.py
@@ -23,11 +23,11 @@
 def estimated_load(state: EndpointState, now_ns: int) -> float:
     """Return the load of an endpoint: as reported, but at least this proxy's requests in flight.
 
-    Without a fresh report it is this proxy's attempts, including those whose response is considered lost.
+    Without a fresh report it is this proxy's attempts, including those presumed lost.
     """
     if has_fresh_load(state, now_ns):
         return max(state.in_flight, state.reported_load)
-    return state.in_flight + state.overdue
+    return state.in_flight + state.presumed_lost
 
 
 def is_loaded(states: Iterable[EndpointState], now_ns: int) -> bool:
--- a/loadbalancer/policy/request_lifecycle.py
+++ b/loadbalancer/policy/request_lifecycle.py
@@ -108,13 +108,13 @@
         attempt.end(
             event.result,
             may_have_run=event.was_written and may_have_run(event.result, self.settings.rules),
-            counts=event.counts_as_attempt,
+            counts_towards_max_attempts=event.counts_as_attempt,
         )
         self.attempt_results.record(request=request, attempt=attempt, event=event, now_ns=now_ns)
         if event.request_complete:
             self._finish(request)
         elif request.finished:
-            self.requests.remove_if_over(request)
+            self.requests.try_remove(request)
         elif not request.attempts_in_flight and not request.streaming:
             self._retry_or_reject(request, now_ns)
 
@@ -183,7 +183,7 @@
             for number, attempt in enumerate(request.attempts):
                 if attempt.result is None:
                     self.actions.append(CancelAttempt(request.id, number))
-        self.requests.remove_if_over(request)
+        self.requests.try_remove(request)
 
     def _leave_queue(self, request: Request) -> None:
         """Remove a request from its pool's queue, or from its tenant's buffer, where it frees its place."""
--- a/loadbalancer/state/endpoint_state.py
+++ b/loadbalancer/state/endpoint_state.py
@@ -18,8 +18,8 @@
     reserve_rank: int = 0  # its position in the order in which this proxy uses its reserve
     in_subset: bool = False  # in the subset of one of this proxy's pools
     # Attempts of this proxy.
-    in_flight: int = 0  # attempts in flight, without the overdue ones
-    overdue: int = 0  # attempts in flight whose response is considered lost
+    in_flight: int = 0  # attempts in flight, without those presumed lost
+    presumed_lost: int = 0  # attempts in flight whose response is presumed lost
     in_flight_since_ns: int = 0  # `in_flight` is known to have had its present value since this time
     latest_answered_send_ns: int = 0  # the latest send time of the attempts that it has answered
     relative_latency: float = 1.0  # its latency as a multiple of the mean over the endpoints
@@ -61,15 +61,15 @@
         if self.reported_ns > 0:
             self.reported_load += 1
 
-    def mark_overdue(self) -> None:
-        """Move one attempt from `in_flight` to `overdue`."""
+    def mark_presumed_lost(self) -> None:
+        """Move one attempt from `in_flight` to `presumed_lost`."""
         self.in_flight -= 1
-        self.overdue += 1
+        self.presumed_lost += 1
 
-    def remove_attempt(self, *, overdue: bool) -> None:
+    def remove_attempt(self, *, presumed_lost: bool) -> None:
         """Remove an attempt that has ended from the counts and from the reported load."""
-        if overdue:
-            self.overdue -= 1
+        if presumed_lost:
+            self.presumed_lost -= 1
         else:
             self.in_flight -= 1
         self.reported_load = max(0.0, self.reported_load - 1)
--- a/loadbalancer/state/request.py
+++ b/loadbalancer/state/request.py
@@ -34,19 +34,21 @@
     load: float  # estimated requests in flight at the endpoint at the time of sending, including this one
     result: AttemptResult | None = None  # None: in flight
     may_have_run: bool = True  # True until the result proves that the attempt never ran
-    overdue: bool = False  # the response is considered lost; the attempt is not in `EndpointState.in_flight`
-    counts: bool = True  # counts towards `Limits.max_attempts`
+    presumed_lost: bool = False  # no longer in `EndpointState.in_flight`
+    counts_towards_max_attempts: bool = True  # False if the proxy never began the attempt
 
-    def end(self, result: AttemptResult, *, may_have_run: bool, counts: bool = True) -> None:
+    def end(
+        self, result: AttemptResult, *, may_have_run: bool, counts_towards_max_attempts: bool = True
+    ) -> None:
         """Record the result of the attempt."""
         self.result = result
         self.may_have_run = may_have_run
-        self.counts = counts
+        self.counts_towards_max_attempts = counts_towards_max_attempts
 
-    def mark_overdue(self) -> None:
-        """Consider the response lost: the endpoint no longer has the attempt in its `in_flight`."""
-        self.overdue = True
-        self.endpoint_state.mark_overdue()
+    def mark_presumed_lost(self) -> None:
+        """Presume that the response is lost: the endpoint no longer has the attempt in its `in_flight`."""
+        self.presumed_lost = True
+        self.endpoint_state.mark_presumed_lost()
 
 
 @dataclass(slots=True, eq=False)
@@ -122,11 +124,11 @@
     @property
     def uncounted_attempts(self) -> int:
         """The number of attempts that the proxy never began; `Limits.max_attempts` does not include them."""
-        return [attempt.counts for attempt in self.attempts].count(False)
+        return [attempt.counts_towards_max_attempts for attempt in self.attempts].count(False)
 
     @property
-    def is_over(self) -> bool:
-        """Whether the request is finished and has no attempt in flight."""
+    def is_removable(self) -> bool:
+        """Whether no event can concern the request: it is finished and has no attempt in flight."""
         return self.finished and not self.attempts_in_flight
 
     def mark_stalled(self) -> None:
@@ -162,7 +164,7 @@
         """Add a request; its id must not be in use."""
         self._requests[request.id] = request
 
-    def remove_if_over(self, request: Request) -> None:
+    def try_remove(self, request: Request) -> None:
         """Remove a request if it is finished and has no attempt in flight."""
-        if request.is_over:
+        if request.is_removable:
             self._requests.pop(request.id, None)
--- a/tests/policy/test_request.py
+++ b/tests/policy/test_request.py
@@ -23,9 +23,9 @@
     attempt = add_attempt(request, make_state())
     requests.add(request)
     request.finished = True
-    requests.remove_if_over(request)
+    requests.try_remove(request)
     assert requests.get(request.id) is request
     attempt.end(AttemptResult.CANCELLED, may_have_run=True)
-    requests.remove_if_over(request)
+    requests.try_remove(request)
     assert request.id not in requests
     assert len(requests) == 0
--- a/tests/policy/test_retry_eligibility.py
+++ b/tests/policy/test_retry_eligibility.py
@@ -237,5 +237,5 @@
     for _ in range(UNCOUNTED_ATTEMPTS_MAX):
         assert should_retry(request, [other], START, limits)
         attempt = add_attempt(request, drained)
-        attempt.end(AttemptResult.NOT_SENT, may_have_run=False, counts=False)
+        attempt.end(AttemptResult.NOT_SENT, may_have_run=False, counts_towards_max_attempts=False)
     assert not should_retry(request, [other], START, limits)
