--- a/loadbalancer/policy/balancer.py
+++ b/loadbalancer/policy/balancer.py
@@ -163,7 +163,7 @@
         self.request_lifecycle.serve_queues(now_ns)
         if now_ns >= self.feedback.due_ns:
             self.feedback.adjust(now_ns)
-        wake_up = timers.next_wake_up(now_ns)
+        wake_up = timers.set_wake_up(now_ns)
         if wake_up is not None:
             self.actions.append(wake_up)
         return self.actions.copy()
--- a/loadbalancer/policy/concurrency_limit.py
+++ b/loadbalancer/policy/concurrency_limit.py
@@ -99,7 +99,7 @@
         throughput = self._samples.throughput(level)
         return self._samples.throughput(level + 1) < THROUGHPUT_GAIN_MIN_FACTOR * throughput
 
-    def decay(self) -> None:
+    def decay_and_decrease(self) -> None:
         """Decay the samples, and lower the limit to the first level with a higher throughput, if any.
 
         The throughput at the limit is taken one standard error higher, as it may be based on few samples.
--- a/loadbalancer/policy/discovery_retry.py
+++ b/loadbalancer/policy/discovery_retry.py
@@ -50,9 +50,9 @@
 
     def schedule_poll_after(self, kind: EndpointUpdateKind, now_ns: int) -> None:
         """Set the timer for the next call, after one that failed or a watch that timed out."""
-        self.timers.schedule(now_ns + self._delay_after_ns(kind, now_ns), PollDiscovery())
+        self.timers.schedule(now_ns + self._end_call(kind, now_ns), PollDiscovery())
 
-    def _delay_after_ns(self, kind: EndpointUpdateKind, now_ns: int) -> int:
+    def _end_call(self, kind: EndpointUpdateKind, now_ns: int) -> int:
         """Record the end of a call; return the jittered backoff, or 0 after a watch timeout."""
         failed = kind is EndpointUpdateKind.FAILED
         failed_after_watch_timeout = failed and self.watch_timed_out
--- a/loadbalancer/policy/feedback.py
+++ b/loadbalancer/policy/feedback.py
@@ -43,7 +43,7 @@
         end a rate interval (`RateController.adjust`).
         """
         self.due_ns = now_ns + FEEDBACK_INTERVAL_NS
-        self.concurrency_limit.decay()
+        self.concurrency_limit.decay_and_decrease()
         self.fleet_updater.discard_unused_states()
         self.outlier_detection.decay()
         self._adjust_draw_widths()
--- a/loadbalancer/policy/request_admission.py
+++ b/loadbalancer/policy/request_admission.py
@@ -61,7 +61,7 @@
         request = Request(
             id=event.request_id,
             request_class=request_class,
-            pool=self.fleet.pool(request_class),
+            pool=self.fleet.get_or_create_pool(request_class),
             tenant=throttle.tenant,
             token_bank=throttle.bank,
             deadline_ns=event.deadline_ns,
@@ -90,7 +90,7 @@
         """Queue the buffered requests for which tokens have accrued, and set a timer for the next token."""
         for request in throttle.release(now_ns):
             self._enqueue(request, throttle, now_ns)
-        token_due_ns = throttle.next_wake_up_ns(now_ns)
+        token_due_ns = throttle.schedule_wake_up_ns(now_ns)
         if token_due_ns is not None:
             self.timers.schedule(token_due_ns, TokenDue(throttle))
 
--- a/loadbalancer/policy/throttle.py
+++ b/loadbalancer/policy/throttle.py
@@ -143,8 +143,8 @@
         self.buffer.remove(request)
         self.bank.return_token()
 
-    def next_wake_up_ns(self, now_ns: int) -> int | None:
-        """Return when the caller must call `on_token_due`, and mark this wake-up as scheduled.
+    def schedule_wake_up_ns(self, now_ns: int) -> int | None:
+        """Mark a wake-up as scheduled, and return when the caller must call `on_token_due`.
 
         Returns None if no request is buffered or a wake-up is already scheduled.
         """
--- a/loadbalancer/state/fleet.py
+++ b/loadbalancer/state/fleet.py
@@ -22,11 +22,11 @@
         self.pooled_ids: set[int] = set()  # ids of the endpoints in a pool
         self.subset_size = 0  # number of endpoints in the subsets of this proxy
         self.pools: dict[PlacementKey, EndpointPool] = {}
-        self.default_pool = self.pool(RequestClass(""))
+        self.default_pool = self.get_or_create_pool(RequestClass(""))
         for request_class in request_classes.values():
-            self.pool(request_class)
+            self.get_or_create_pool(request_class)
 
-    def pool(self, request_class: RequestClass) -> EndpointPool:
+    def get_or_create_pool(self, request_class: RequestClass) -> EndpointPool:
         """Return the pool of a request class, which is created if there is none for its placement yet."""
         key = (request_class.allowed_zones, request_class.allowed_machine_types)
         if key not in self.pools:
--- a/loadbalancer/state/timer_queue.py
+++ b/loadbalancer/state/timer_queue.py
@@ -61,8 +61,8 @@
         if name == self.wake_up_name:
             self._wake_up_due_ns = 0
 
-    def next_wake_up(self, now_ns: int) -> SetTimer | None:
-        """Return the wake-up to set; None if there is no timer or the current wake-up is early enough."""
+    def set_wake_up(self, now_ns: int) -> SetTimer | None:
+        """Record and return the next wake-up; None if there is no timer or the current one is early enough."""
         first_due_ns = self.first_due_ns
         if first_due_ns >= (self._wake_up_due_ns or NEVER_NS):
             return None
--- a/tests/policy/test_timer_queue.py
+++ b/tests/policy/test_timer_queue.py
@@ -33,22 +33,22 @@
 
 def test_another_wake_up_is_set_only_for_an_earlier_timer() -> None:
     queue = TimerQueue[Timer]()
-    assert queue.next_wake_up(0) is None
+    assert queue.set_wake_up(0) is None
     queue.schedule(20, ServeQueue())
-    assert queue.next_wake_up(0) == SetTimer(20, "1")
+    assert queue.set_wake_up(0) == SetTimer(20, "1")
     queue.schedule(30, ServeQueue())
-    assert queue.next_wake_up(0) is None
+    assert queue.set_wake_up(0) is None
     queue.schedule(10, ServeQueue())
-    assert queue.next_wake_up(0) == SetTimer(10, "2")
+    assert queue.set_wake_up(0) == SetTimer(10, "2")
 
 
 def test_a_wake_up_that_was_replaced_is_ignored() -> None:
     queue = TimerQueue[Timer]()
     queue.schedule(20, ServeQueue())
-    queue.next_wake_up(0)
+    queue.set_wake_up(0)
     queue.schedule(10, ServeQueue())
-    queue.next_wake_up(0)
+    queue.set_wake_up(0)
     queue.on_wake_up("1")
-    assert queue.next_wake_up(9) is None
+    assert queue.set_wake_up(9) is None
     queue.on_wake_up("2")  # slightly early
-    assert queue.next_wake_up(9) == SetTimer(1, "3")
+    assert queue.set_wake_up(9) == SetTimer(1, "3")
