--- a/loadbalancer/state/timer_queue.py
+++ b/loadbalancer/state/timer_queue.py
@@ -62,7 +62,7 @@
             self._wake_up_due_ns = 0
 
     def set_wake_up(self, now_ns: int) -> SetTimer | None:
-        """Record and return the next wake-up; None if there is no timer or the current one is early enough."""
+        """Record and return the next wake-up; None if there is no timer or the current one is in time."""
         first_due_ns = self.first_due_ns
         if first_due_ns >= (self._wake_up_due_ns or NEVER_NS):
             return None
