--- a/loadbalancer/policy/attempt_results.py
+++ b/loadbalancer/policy/attempt_results.py
@@ -27,33 +27,35 @@
 
     def __init__(
         self,
-        outliers: OutlierDetection,
-        limit: ConcurrencyLimit,
-        rate: RateController,
+        outlier_detection: OutlierDetection,
+        concurrency_limit: ConcurrencyLimit,
+        rate_controller: RateController,
         latency_model: LatencyModel,
     ) -> None:
-        self.outlier_detection = outliers
-        self.concurrency_limit = limit
-        self.rate_controller = rate
+        self.outlier_detection = outlier_detection
+        self.concurrency_limit = concurrency_limit
+        self.rate_controller = rate_controller
         self.latency_model = latency_model
 
     def record(self, request: Request, attempt: Attempt, event: AttemptEnded, now_ns: int) -> None:
         """Record an attempt that has ended, and remove it from the counts of its endpoint."""
-        state = attempt.endpoint_state
-        self.concurrency_limit.record_occupancy(state, now_ns)
+        endpoint_state = attempt.endpoint_state
+        self.concurrency_limit.record_occupancy(endpoint_state, now_ns)
         if event.load_report and IN_FLIGHT_COLUMN in event.load_report:
             # The report does not count this attempt, but remove_attempt subtracts it.
-            state.record_load(event.load_report[IN_FLIGHT_COLUMN] + 1, now_ns)
+            endpoint_state.record_load(event.load_report[IN_FLIGHT_COLUMN] + 1, now_ns)
         self._record_result(request=request, attempt=attempt, event=event, now_ns=now_ns)
-        state.remove_attempt(presumed_lost=attempt.presumed_lost)
+        endpoint_state.remove_attempt(presumed_lost=attempt.presumed_lost)
 
     def _record_result(self, request: Request, attempt: Attempt, event: AttemptEnded, now_ns: int) -> None:
         """Count an attempt as a success or failure for rate control, and eject an endpoint at fault."""
-        state = attempt.endpoint_state
+        endpoint_state = attempt.endpoint_state
         result = event.result
         reset_attributed = (
             result not in RESULTS_WITHOUT_CONNECTION_EVIDENCE
-            and self.outlier_detection.record_attempt_end(state, was_reset=result is AttemptResult.RESET)
+            and self.outlier_detection.record_attempt_end(
+                endpoint_state, was_reset=result is AttemptResult.RESET
+            )
         )
         match result:
             case AttemptResult.OK:
@@ -68,31 +70,31 @@
                         request=request, attempt=attempt, elapsed_ns=event.elapsed_ns, now_ns=now_ns
                     )
             case AttemptResult.REJECTED:
-                self.rate_controller.record_failure(state.id)
+                self.rate_controller.record_failure(endpoint_state.id)
                 self.outlier_detection.eject_overloaded(attempt, now_ns)
             case AttemptResult.CONNECT_FAILED:
-                self.rate_controller.record_failure(state.id)
-                self.outlier_detection.eject(state, now_ns, BASE_EJECTION_NS)
+                self.rate_controller.record_failure(endpoint_state.id)
+                self.outlier_detection.eject(endpoint_state, now_ns, BASE_EJECTION_NS)
             case AttemptResult.RESET if reset_attributed:
-                self.rate_controller.record_failure(state.id)
-                self.outlier_detection.eject(state, now_ns, BASE_EJECTION_NS)
+                self.rate_controller.record_failure(endpoint_state.id)
+                self.outlier_detection.eject(endpoint_state, now_ns, BASE_EJECTION_NS)
             case AttemptResult.RESET:
                 # Attributed to the network: a lower rate would not help.
                 self.rate_controller.record_success()
 
     def _record_success(self, request: Request, attempt: Attempt, elapsed_ns: int, now_ns: int) -> None:
         """Record a response; one after the latency objective is recorded as late."""
-        state = attempt.endpoint_state
-        state.record_response(attempt.sent_ns)
+        endpoint_state = attempt.endpoint_state
+        endpoint_state.record_response(attempt.sent_ns)
         if not request.stalled:
             self.latency_model.record_success(request, attempt, elapsed_ns)
-        self.concurrency_limit.record_completion(state)
+        self.concurrency_limit.record_completion(endpoint_state)
         if now_ns <= request.objective_ns:
             self.rate_controller.record_success()
         else:
-            self._record_late(request, state.id)
-        if state.consecutive_failures:
-            state.clear_failures_and_ejection()
+            self._record_late(request, endpoint_state.id)
+        if endpoint_state.consecutive_failures:
+            endpoint_state.clear_failures_and_ejection()
 
     def _record_timeout(self, request: Request, attempt: Attempt, elapsed_ns: int, now_ns: int) -> None:
         """Record an attempt that timed out, with an estimate of how long it would have taken."""
@@ -115,17 +117,17 @@
         If the endpoint has answered an attempt that was sent later, the response is presumed lost, and the
         attempt no longer uses up the concurrency limit.
         """
-        state = attempt.endpoint_state
+        endpoint_state = attempt.endpoint_state
         self.outlier_detection.eject_overloaded(attempt, now_ns)
-        if state.latest_answered_send_ns > attempt.sent_ns:
-            self.concurrency_limit.record_occupancy(state, now_ns)
+        if endpoint_state.latest_answered_send_ns > attempt.sent_ns:
+            self.concurrency_limit.record_occupancy(endpoint_state, now_ns)
             attempt.mark_presumed_lost()
 
     def exclude_stalled_samples(
-        self, requests: Iterable[Request], states: Iterable[EndpointState], now_ns: int
+        self, requests: Iterable[Request], endpoint_states: Iterable[EndpointState], now_ns: int
     ) -> None:
         """Mark all requests as stalled: in a stall of the event loop, the proxy causes the delay."""
         for request in requests:
             request.mark_stalled()
-        for state in states:
-            state.restart_occupancy(now_ns)
+        for endpoint_state in endpoint_states:
+            endpoint_state.restart_occupancy(now_ns)
--- a/loadbalancer/policy/attempt_timing.py
+++ b/loadbalancer/policy/attempt_timing.py
@@ -9,9 +9,11 @@
 NO_TIMEOUT_NS = 0
 
 
-def expected_duration_ns(request: Request, state: EndpointState, latency_model: LatencyModel) -> float:
+def expected_duration_ns(
+    request: Request, endpoint_state: EndpointState, latency_model: LatencyModel
+) -> float:
     """Return how long a request should take at an endpoint, in ns, by its cost and the relative latency."""
-    return max(1.0, latency_model.expected_ns(request) * state.relative_latency)
+    return max(1.0, latency_model.expected_ns(request) * endpoint_state.relative_latency)
 
 
 def attempt_timeout_ns(request: Request, now_ns: int) -> int:
--- a/loadbalancer/policy/balancer.py
+++ b/loadbalancer/policy/balancer.py
@@ -72,9 +72,9 @@
         )
         self.load_probing = LoadProbing(self.selection, self.timers, enabled=probing_enabled)
         self.attempt_results = AttemptResults(
-            outliers=self.outlier_detection,
-            limit=self.concurrency_limit,
-            rate=self.rate_controller,
+            outlier_detection=self.outlier_detection,
+            concurrency_limit=self.concurrency_limit,
+            rate_controller=self.rate_controller,
             latency_model=self.latency_model,
         )
         self.actions: list[messages.Action] = []
@@ -101,7 +101,7 @@
             retry_candidates=RetryCandidates(self.fleet_updater, self.rng),
             load_probing=self.load_probing,
             forwarding=Forwarding(
-                limit=self.concurrency_limit,
+                concurrency_limit=self.concurrency_limit,
                 latency_model=self.latency_model,
                 slow_start=self.slow_start,
                 timers=self.timers,
@@ -172,9 +172,9 @@
         self.timers.on_wake_up(event.name)
 
     def _on_health_check_ended(self, event: messages.HealthCheckEnded, now_ns: int) -> None:
-        state = self.fleet.endpoints.get(event.endpoint_id)
-        if state is not None:
-            self.actions.extend(self.load_probing.record_result(state, event, now_ns))
+        endpoint_state = self.fleet.endpoints.get(event.endpoint_id)
+        if endpoint_state is not None:
+            self.actions.extend(self.load_probing.record_result(endpoint_state, event, now_ns))
 
     def _on_endpoint_update(self, event: messages.EndpointUpdate, now_ns: int) -> None:
         if event.kind in (messages.EndpointUpdateKind.FAILED, messages.EndpointUpdateKind.WATCH_TIMED_OUT):
--- a/loadbalancer/policy/concurrency_limit.py
+++ b/loadbalancer/policy/concurrency_limit.py
@@ -35,17 +35,17 @@
         self._last_increase_ns = 0
         self._samples = ThroughputSamples(CONCURRENCY_LIMIT_MAX + 1, OUTCOMES_MIN)
 
-    def record_occupancy(self, endpoint: EndpointState, now_ns: int) -> None:
+    def record_occupancy(self, endpoint_state: EndpointState, now_ns: int) -> None:
         """Record how long an endpoint had its present number in flight; call before the number changes."""
-        if endpoint.in_flight and endpoint.in_subset:
-            seconds = (now_ns - endpoint.in_flight_since_ns) / NANOSECONDS_PER_SECOND
-            self._samples.add_time(endpoint.in_flight, seconds)
-        endpoint.restart_occupancy(now_ns)
+        if endpoint_state.in_flight and endpoint_state.in_subset:
+            seconds = (now_ns - endpoint_state.in_flight_since_ns) / NANOSECONDS_PER_SECOND
+            self._samples.add_time(endpoint_state.in_flight, seconds)
+        endpoint_state.restart_occupancy(now_ns)
 
-    def record_completion(self, endpoint: EndpointState) -> None:
+    def record_completion(self, endpoint_state: EndpointState) -> None:
         """Record a request that an endpoint finished; call before the requests in flight are reduced."""
-        if endpoint.in_subset:
-            self._samples.add_completion(endpoint.in_flight)
+        if endpoint_state.in_subset:
+            self._samples.add_completion(endpoint_state.in_flight)
 
     def has_enough_samples(self, level: int) -> bool:
         """Return whether the samples of a level suffice to judge its throughput.
--- a/loadbalancer/policy/forwarding.py
+++ b/loadbalancer/policy/forwarding.py
@@ -17,30 +17,30 @@
 
     def __init__(
         self,
-        limit: ConcurrencyLimit,
+        concurrency_limit: ConcurrencyLimit,
         latency_model: LatencyModel,
         slow_start: SlowStart,
         timers: TimerQueue[Timer],
     ) -> None:
-        self.concurrency_limit = limit
+        self.concurrency_limit = concurrency_limit
         self.latency_model = latency_model
         self.slow_start = slow_start
         self.timers = timers
 
-    def start_attempt(self, request: Request, state: EndpointState, now_ns: int) -> Forward:
+    def start_attempt(self, request: Request, endpoint_state: EndpointState, now_ns: int) -> Forward:
         """Record an attempt at an endpoint, and return the action that starts it."""
-        self.concurrency_limit.record_occupancy(state, now_ns)
-        state.add_attempt()
-        expected_ns = expected_duration_ns(request, state, self.latency_model)
-        load = max(1.0, estimated_load(state, now_ns))
+        self.concurrency_limit.record_occupancy(endpoint_state, now_ns)
+        endpoint_state.add_attempt()
+        expected_ns = expected_duration_ns(request, endpoint_state, self.latency_model)
+        load = max(1.0, estimated_load(endpoint_state, now_ns))
         number = len(request.attempts)
-        attempt = Attempt(endpoint_state=state, sent_ns=now_ns, expected_ns=expected_ns, load=load)
+        attempt = Attempt(endpoint_state=endpoint_state, sent_ns=now_ns, expected_ns=expected_ns, load=load)
         request.attempts.append(attempt)
-        if self.slow_start.is_warming_up(state, now_ns):
-            self.slow_start.apply_pacing(state, now_ns, self._relative_cost(request))
+        if self.slow_start.is_warming_up(endpoint_state, now_ns):
+            self.slow_start.apply_pacing(endpoint_state, now_ns, self._relative_cost(request))
         overdue_ns = now_ns + overdue_after_ns(expected_ns, self.latency_model.deviation)
         self.timers.schedule(overdue_ns, AttemptOverdue(request, number))
-        return Forward(request.id, state.id, attempt_timeout_ns(request, now_ns))
+        return Forward(request.id, endpoint_state.id, attempt_timeout_ns(request, now_ns))
 
     def _relative_cost(self, request: Request) -> float:
         """Return a request's cost as a multiple of the mean, at least 1, by which slow start paces."""
--- a/loadbalancer/policy/hedging.py
+++ b/loadbalancer/policy/hedging.py
@@ -4,7 +4,9 @@
 from loadbalancer.state.request import Attempt, Request
 
 
-def should_hedge(request: Request, overdue: Attempt, queue_length: int, limits: Limits, now_ns: int) -> bool:
+def should_hedge(
+    request: Request, overdue_attempt: Attempt, queue_length: int, limits: Limits, now_ns: int
+) -> bool:
     """Return whether a second attempt is worth its load.
 
     Its response must be expected before the latency objective, and no request may be queued, which would have
@@ -12,4 +14,4 @@
     """
     if queue_length or not limits.cancellation:
         return False
-    return now_ns + overdue.expected_ns <= request.objective_ns
+    return now_ns + overdue_attempt.expected_ns <= request.objective_ns
--- a/loadbalancer/policy/latency_model.py
+++ b/loadbalancer/policy/latency_model.py
@@ -80,11 +80,11 @@
 
     def _record_relative_latency(self, attempt: Attempt, ratio: float) -> None:
         """Update the deviation and the endpoint's relative latency with a ratio of latency to expectation."""
-        endpoint = attempt.endpoint_state
-        deviation = min(DEVIATION_SAMPLE_MAX, abs(ratio / endpoint.relative_latency - 1))
+        endpoint_state = attempt.endpoint_state
+        deviation = min(DEVIATION_SAMPLE_MAX, abs(ratio / endpoint_state.relative_latency - 1))
         self.deviation += MEAN_SMOOTHING * (deviation - self.deviation)
         clipped_ratio = min(RELATIVE_LATENCY_SAMPLE_MAX, max(RELATIVE_LATENCY_SAMPLE_MIN, ratio))
-        endpoint.adjust_relative_latency(clipped_ratio, RELATIVE_LATENCY_SMOOTHING)
+        endpoint_state.adjust_relative_latency(clipped_ratio, RELATIVE_LATENCY_SMOOTHING)
 
     def record_latency(self, load: float, latency_ns: float) -> None:
         """Update the linear model of latency over load with one more sample.
--- a/loadbalancer/policy/request_lifecycle.py
+++ b/loadbalancer/policy/request_lifecycle.py
@@ -75,25 +75,25 @@
                 break
             candidates = self.retry_candidates.find(request, now_ns) if request.attempts else None
             probed = self.load_probing.end(request, now_ns) if request.probed_endpoints else None
-            state = self.selection.pick(queue.pool, now_ns, probed or candidates)
-            if state is None and candidates is None:
+            endpoint_state = self.selection.pick(queue.pool, now_ns, probed or candidates)
+            if endpoint_state is None and candidates is None:
                 queue.mark_blocked(now_ns)
                 if not self.concurrency_limit.increase(now_ns):
                     break
-            elif state is None or self.selection.would_respond_late(request, state, now_ns):
+            elif endpoint_state is None or self.selection.would_respond_late(request, endpoint_state, now_ns):
                 # A retry without an available candidate must not block the requests behind it, which may use
                 # other endpoints. A response after the latency objective is not worth its load.
                 self.reject_for_capacity(request)
             else:
                 queue.remove(request)
-                self._forward_or_reject(request, state, now_ns)
+                self._forward_or_reject(request, endpoint_state, now_ns)
         if not queue.waiting:
             queue.mark_unblocked()
 
-    def _forward_or_reject(self, request: Request, state: EndpointState, now_ns: int) -> None:
+    def _forward_or_reject(self, request: Request, endpoint_state: EndpointState, now_ns: int) -> None:
         """Start an attempt at the selected endpoint, or reject the request if it may not be forwarded."""
-        if may_forward(request, state.endpoint, now_ns=now_ns, limits=self.settings.limits):
-            self.actions.append(self.forwarding.start_attempt(request, state, now_ns))
+        if may_forward(request, endpoint_state.endpoint, now_ns=now_ns, limits=self.settings.limits):
+            self.actions.append(self.forwarding.start_attempt(request, endpoint_state, now_ns))
         else:
             self.reject(request)
 
@@ -136,7 +136,7 @@
         self.attempt_results.record_overdue(attempt, now_ns)
         if should_hedge(
             request=request,
-            overdue=attempt,
+            overdue_attempt=attempt,
             queue_length=len(self.queues[request.pool].waiting),
             limits=self.settings.limits,
             now_ns=now_ns,
@@ -146,12 +146,12 @@
     def _hedge(self, request: Request, now_ns: int) -> None:
         """Start a second attempt, if an endpoint is available and the tenant has a token to spare."""
         candidates = self.retry_candidates.find(request, now_ns)
-        state = self.selection.pick(request.pool, now_ns, candidates)
-        if state is None:
+        endpoint_state = self.selection.pick(request.pool, now_ns, candidates)
+        if endpoint_state is None:
             return
-        is_safe = may_forward(request, state.endpoint, now_ns=now_ns, limits=self.settings.limits)
+        is_safe = may_forward(request, endpoint_state.endpoint, now_ns=now_ns, limits=self.settings.limits)
         if is_safe and take_low_priority_token(request.token_bank, now_ns):
-            self.actions.append(self.forwarding.start_attempt(request, state, now_ns))
+            self.actions.append(self.forwarding.start_attempt(request, endpoint_state, now_ns))
 
     def on_queue_deadline(self, request: Request) -> None:
         """Reject a request that is still queued at its queue deadline."""
