--- a/loadbalancer/policy/slow_start.py
+++ b/loadbalancer/policy/slow_start.py
@@ -59,8 +59,8 @@
         finish requests. `LatencyModel.per_request_ns` is not used for that rate: late load reports make it
         several times too small.
         """
-        finished = NANOSECONDS_PER_SECOND / self.latency_model.service_interval_ns
-        return max(self.sustained_throughput, finished / self._sharing_proxies(state))
+        finished_per_s = NANOSECONDS_PER_SECOND / self.latency_model.service_interval_ns
+        return max(self.sustained_throughput, finished_per_s / self._sharing_proxies(state))
 
     def _sharing_proxies(self, state: EndpointState) -> float:
         """Return how many proxies may send to an endpoint, over all pools that allow it.
@@ -86,7 +86,7 @@
             if self.is_warming_up(state, now_ns):
                 self.apply_pacing(state, now_ns, rng.random())
 
-    def record_throughput(self, attempts_per_second: float) -> None:
+    def record_throughput(self, attempts_per_s: float) -> None:
         """Update the sustained throughput from the subset's attempts per second, at each feedback tick."""
-        throughput = attempts_per_second / max(1, self.fleet.subset_size)
+        throughput = attempts_per_s / max(1, self.fleet.subset_size)
         self.sustained_throughput += THROUGHPUT_SMOOTHING * (throughput - self.sustained_throughput)
--- a/loadbalancer/policy/subset_size.py
+++ b/loadbalancer/policy/subset_size.py
@@ -29,29 +29,32 @@
     return unit_hash(settings.proxy_index, PROXY_OFFSET_SALT)
 
 
-def subset_size(settings: Settings, endpoints: int, proxies: int) -> int:
+def subset_size(settings: Settings, endpoint_count: int, ring_proxy_count: int) -> int:
     """Return the size of this proxy's subset, given the numbers of endpoints and proxies of its ring.
 
     It is the full size or, if that is less, the size with which SHARING_PROXIES_MAX proxies share each
     endpoint. It is never below the minimum, or so small that some endpoint would be in no subset.
     """
-    size_at_max_sharing = SHARING_PROXIES_MAX * endpoints / proxies
+    size_at_max_sharing = SHARING_PROXIES_MAX * endpoint_count / ring_proxy_count
     if is_large_deployment(settings):
         size = _large_deployment_subset_size(
-            settings=settings, endpoints=endpoints, proxies=proxies, size_at_max_sharing=size_at_max_sharing
+            settings=settings,
+            endpoint_count=endpoint_count,
+            ring_proxy_count=ring_proxy_count,
+            size_at_max_sharing=size_at_max_sharing,
         )
     else:
-        size_to_cover_all = -(-endpoints // proxies)
+        size_to_cover_all = -(-endpoint_count // ring_proxy_count)
         size = max(min(FULL_SUBSET_SIZE, int(size_at_max_sharing)), size_to_cover_all)
     has_connection_price = settings.prices.connection > 0
     size_min = SUBSET_SIZE_MIN_WITH_CONNECTION_PRICE if has_connection_price else SUBSET_SIZE_MIN
-    return min(endpoints, max(size_min, size))
+    return min(endpoint_count, max(size_min, size))
 
 
 def _large_deployment_subset_size(
-    settings: Settings, endpoints: int, proxies: int, size_at_max_sharing: float
+    settings: Settings, endpoint_count: int, ring_proxy_count: int, size_at_max_sharing: float
 ) -> int:
     """Return the subset size in a large deployment, before the minimum is applied."""
     offset = proxy_offset(settings)
-    size_to_cover_all = int(LARGE_DEPLOYMENT_SHARING_PROXIES_MIN * endpoints / proxies + offset)
+    size_to_cover_all = int(LARGE_DEPLOYMENT_SHARING_PROXIES_MIN * endpoint_count / ring_proxy_count + offset)
     return max(min(LARGE_DEPLOYMENT_SUBSET_SIZE, int(size_at_max_sharing + offset)), size_to_cover_all)
--- a/loadbalancer/policy/subsetting.py
+++ b/loadbalancer/policy/subsetting.py
@@ -35,14 +35,14 @@
     """Return this proxy's subset and reserve among the ready endpoints that a placement allows."""
     ring = _subset_ring(settings, placement)
     is_partial_ring = len(ring) < len(placement.ring) or placement.allowed_zones is not None
-    sharing_proxies = _sharing_proxies(settings, is_partial_ring=is_partial_ring)
+    ring_proxy_count = _ring_proxy_count(settings, is_partial_ring=is_partial_ring)
     position = _ring_position(settings, is_partial_ring=is_partial_ring)
-    size = subset_size(settings, len(ring), sharing_proxies)
+    size = subset_size(settings, len(ring), ring_proxy_count)
     first = _first_rank(
         settings=settings,
         ring=ring,
         position=position,
-        proxies=sharing_proxies,
+        ring_proxy_count=ring_proxy_count,
         is_partial_ring=is_partial_ring,
     )
     assigned = ring_slice(ring, first, size)
@@ -55,7 +55,7 @@
         assigned=assigned,
         zone_reserve=zone_reserve,
         remote_reserve=[key for key in remote_reserve if key not in in_use],
-        sharing_proxies=sharing_proxies * size / max(1, len(ring)),
+        sharing_proxies=ring_proxy_count * size / max(1, len(ring)),
     )
 
 
@@ -99,8 +99,8 @@
     return zone_ring if len(zone_ring) >= FULL_SUBSET_SIZE else placement.ring
 
 
-def _sharing_proxies(settings: Settings, *, is_partial_ring: bool) -> int:
-    """Return how many proxies have their subsets on the same ring.
+def _ring_proxy_count(settings: Settings, *, is_partial_ring: bool) -> int:
+    """Return how many proxies have their subsets on the ring of this one.
 
     If a ring has only part of the ready endpoints, it is not known which proxies use it. Proxies are then
     assumed to be spread evenly over the zones.
@@ -127,30 +127,37 @@
 
 
 def _first_rank(
-    settings: Settings, ring: SortedList[RingKey], position: float, proxies: int, *, is_partial_ring: bool
+    settings: Settings,
+    ring: SortedList[RingKey],
+    position: float,
+    ring_proxy_count: int,
+    *,
+    is_partial_ring: bool,
 ) -> int:
     """Return the rank on its ring at which this proxy's subset begins."""
     if is_large_deployment(settings):
-        return _first_rank_in_segment(settings=settings, ring=ring, position=position, proxies=proxies)
+        return _first_rank_in_segment(
+            settings=settings, ring=ring, position=position, ring_proxy_count=ring_proxy_count
+        )
     if is_partial_ring:
         return int(position * len(ring))
-    return settings.proxy_index * len(ring) // proxies
+    return settings.proxy_index * len(ring) // ring_proxy_count
 
 
 def _first_rank_in_segment(
-    settings: Settings, ring: SortedList[RingKey], position: float, proxies: int
+    settings: Settings, ring: SortedList[RingKey], position: float, ring_proxy_count: int
 ) -> int:
     """Return the rank at which a subset begins, at its position within a segment of the key space."""
-    segments = _segment_count(settings, len(ring), proxies)
+    segments = _segment_count(settings, len(ring), ring_proxy_count)
     segment = int(position * segments)
     low, high = segment_ranks(ring, segment, segments)
     return low + int((position * segments - segment) * (high - low))
 
 
-def _segment_count(settings: Settings, endpoints: int, proxies: int) -> int:
+def _segment_count(settings: Settings, endpoint_count: int, ring_proxy_count: int) -> int:
     """Return the number of segments into which this proxy divides the ring, a power of two."""
-    scaled_endpoints = int(endpoints * 2 ** proxy_offset(settings))
-    segments_max = min(proxies // SEGMENT_PROXIES_MIN, scaled_endpoints // SEGMENT_ENDPOINTS_MIN)
+    scaled_endpoints = int(endpoint_count * 2 ** proxy_offset(settings))
+    segments_max = min(ring_proxy_count // SEGMENT_PROXIES_MIN, scaled_endpoints // SEGMENT_ENDPOINTS_MIN)
     return 1 << max(0, segments_max.bit_length() - 1)
 
 
