--- a/loadbalancer/state/running_regression.py
+++ b/loadbalancer/state/running_regression.py
@@ -20,11 +20,11 @@
     Each new sample multiplies the weights of all earlier samples by `decay`.
     """
 
-    __slots__ = ("accumulated_weight", "decay", "sum_x", "sum_xx", "sum_xy", "sum_y")
+    __slots__ = ("count", "decay", "sum_x", "sum_xx", "sum_xy", "sum_y")
 
     def __init__(self, decay: float) -> None:
         self.decay = decay
-        self.accumulated_weight = 0.0
+        self.count = 0.0  # sum of the weights of all samples
         self.sum_x = 0.0
         self.sum_y = 0.0
         self.sum_xx = 0.0
@@ -32,7 +32,7 @@
 
     def add(self, x: float, y: float) -> None:
         """Add a sample."""
-        self.accumulated_weight = self.decay * self.accumulated_weight + 1.0
+        self.count = self.decay * self.count + 1.0
         self.sum_x = self.decay * self.sum_x + x
         self.sum_y = self.decay * self.sum_y + y
         self.sum_xx = self.decay * self.sum_xx + x * x
@@ -44,8 +44,8 @@
         Raises:
             ZeroDivisionError: No sample has been added.
         """
-        mean_x = self.sum_x / self.accumulated_weight
-        mean_y = self.sum_y / self.accumulated_weight
-        variance_x = self.sum_xx / self.accumulated_weight - mean_x**2
-        covariance = self.sum_xy / self.accumulated_weight - mean_x * mean_y
+        mean_x = self.sum_x / self.count
+        mean_y = self.sum_y / self.count
+        variance_x = self.sum_xx / self.count - mean_x**2
+        covariance = self.sum_xy / self.count - mean_x * mean_y
         return Moments(mean_x=mean_x, mean_y=mean_y, variance_x=variance_x, covariance=covariance)
--- a/tests/policy/test_running_regression.py
+++ b/tests/policy/test_running_regression.py
@@ -21,6 +21,6 @@
     regression = RunningRegression(0.5)
     regression.add(0.0, 0.0)
     regression.add(3.0, 6.0)
-    assert regression.accumulated_weight == 1.5
+    assert regression.count == 1.5
     assert regression.moments().mean_x == 2.0
     assert regression.moments().mean_y == 4.0
