--- a/tests/policy/test_attempt_results.py
+++ b/tests/policy/test_attempt_results.py
@@ -26,7 +26,7 @@
         harness.give(arrival(i, harness.now_ns))
         harness.finish(f"r{i}", AttemptResult.RESET)
         harness.finish(f"r{i}")
-    # The first reset ever is attributed to its endpoint, because no other endpoint has resets yet.
+    # Only the very first reset is attributed to its endpoint, because no other endpoint has resets yet.
     assert sum(harness.balancer.rate_controller.interval.failures.values()) <= 1
 
 
@@ -41,7 +41,7 @@
 
 
 def test_overload_of_a_small_subset_lowers_the_rate() -> None:
-    # The rate never fell while three or more of a subset of four failed (incident i430663).
+    # Incident i430663: the rate never fell while three or more endpoints of a subset of four failed.
     throttle = Throttle("ash", 1.0, random.Random(1), 0)
     for failing, is_lowered in ((2, False), (4, True)):
         controller = RateController(throttle.weight, 0)
@@ -74,13 +74,13 @@
     assert not balancer.requests
 
 
-def harness_with_an_overdue_attempt(later_ones_answered: bool) -> PolicyHarness:
-    """Return a harness whose only endpoint never responds to the first attempt; two may be in flight."""
+def harness_with_unanswered_attempt(others_answered: bool) -> PolicyHarness:
+    """Return a harness with one endpoint, which may have two attempts and never responds to the first."""
     harness = PolicyHarness(settings(limits=Limits(cancellation=True)), endpoint_count=1)
     harness.balancer.concurrency_limit.limit = 2
     harness.give(arrival("lost", harness.now_ns, wait_ns=NANOSECONDS_PER_SECOND))
     for i in range(20):
-        if later_ones_answered:
+        if others_answered:
             harness.give(arrival(i, harness.now_ns))
             harness.advance(5 * NANOSECONDS_PER_MILLISECOND)
             for request in {r for r, _ in harness.attempts_in_flight()} - {"rlost"}:
@@ -90,18 +90,18 @@
     return harness
 
 
-def test_lost_answer_does_not_count_as_in_flight() -> None:
+def test_attempt_with_a_lost_response_is_not_in_flight() -> None:
     # Responses lost by the network must not use up the concurrency limit of healthy endpoints.
     # An endpoint that sends no response at all is considered hung, and is ejected.
     for others_answered, forwarded in ((True, 2), (False, 0)):
-        harness = harness_with_an_overdue_attempt(others_answered)
+        harness = harness_with_unanswered_attempt(others_answered)
         harness.give(arrival("a", harness.now_ns), arrival("b", harness.now_ns))
         harness.advance(1 * NANOSECONDS_PER_MILLISECOND)
         assert len({"ra", "rb"} & set(harness.attempts)) == forwarded
 
 
-def test_removed_endpoint_is_kept_until_its_overdue_attempt_ends() -> None:
-    harness = harness_with_an_overdue_attempt(True)
+def test_removed_endpoint_is_kept_until_its_lost_attempt_ends() -> None:
+    harness = harness_with_unanswered_attempt(True)
     harness.give(EndpointUpdate(EndpointUpdateKind.FULL, make_endpoints(2, first=2)))
     harness.finish("rlost", AttemptResult.CONNECT_FAILED)
     assert harness.answers["rlost"] is FinalAnswer.REJECTED
--- a/tests/policy/test_attempt_timing.py
+++ b/tests/policy/test_attempt_timing.py
@@ -25,7 +25,7 @@
     assert attempt_timeout_ns(make_request(), now_ns + READ.latency_objective_ns) == 1
 
 
-def test_attempt_has_no_timeout_if_late_has_a_value_or_is_streamed() -> None:
+def test_attempt_has_no_timeout_if_late_has_value_or_class_is_streamed() -> None:
     for changes in ({"late_weight_factor": 0.2}, {"stream": True}):
         request_class = dataclasses.replace(READ, **changes)
         assert attempt_timeout_ns(make_request(request_class), START) == 0
--- a/tests/policy/test_disconnect.py
+++ b/tests/policy/test_disconnect.py
@@ -25,7 +25,9 @@
 
 @pytest.mark.parametrize("disconnect_first", [False, True])
 @pytest.mark.parametrize("disconnected", [False, True])
-def test_disconnect_and_a_hedged_request_due_in_one_batch(disconnected: bool, disconnect_first: bool) -> None:
+def test_disconnect_in_the_batch_of_the_overdue_timer_prevents_hedging(
+    disconnected: bool, disconnect_first: bool
+) -> None:
     harness = harness_with_slow_attempt()
     due = next(
         due_ns
@@ -48,7 +50,7 @@
 @pytest.mark.parametrize("result", [result for result in AttemptResult if result is not AttemptResult.OK])
 @pytest.mark.parametrize("disconnect_first", [False, True])
 @pytest.mark.parametrize("hedging", [False, True])
-def test_disconnect_and_the_end_of_an_attempt_in_one_batch(
+def test_disconnect_in_the_batch_of_an_attempts_end_prevents_a_retry(
     result: AttemptResult, disconnect_first: bool, hedging: bool
 ) -> None:
     harness = harness_with_slow_attempt(hedging)
@@ -67,7 +69,7 @@
 
 
 @pytest.mark.parametrize("first_to_end", [0, 1])
-def test_both_attempts_of_a_hedged_request_end_after_the_disconnect(first_to_end: int) -> None:
+def test_disconnected_hedged_request_is_removed_when_its_attempts_end(first_to_end: int) -> None:
     harness = harness_with_slow_attempt()
     harness.advance(150 * NANOSECONDS_PER_MILLISECOND)
     assert len(harness.attempts["rslow"]) == 2
--- a/tests/policy/test_discovery_retry.py
+++ b/tests/policy/test_discovery_retry.py
@@ -54,7 +54,7 @@
     assert len(delays) > 5
 
 
-def test_discovery_is_not_called_where_it_pushes() -> None:
+def test_discovery_that_pushes_is_not_called() -> None:
     harness = PolicyHarness()
     harness.advance(5 * NANOSECONDS_PER_SECOND)
     assert not actions_of_type(WatchEndpoints, harness.actions)
--- a/tests/policy/test_final_response.py
+++ b/tests/policy/test_final_response.py
@@ -25,7 +25,7 @@
         (PAY, False, Reject),
     ],
 )
-def test_a_request_is_rejected_only_where_a_retry_is_harmless(
+def test_a_request_is_rejected_only_if_a_retry_is_harmless(
     request_class: RequestClass, may_have_run: bool, expected: type
 ) -> None:
     request = make_request(request_class)
@@ -42,7 +42,7 @@
     assert len(set(delays)) > 90
 
 
-def test_the_retry_after_is_no_longer_than_a_client_follows() -> None:
+def test_the_retry_after_is_no_longer_than_clients_respect() -> None:
     rng = random.Random(1)
     assert all(
         retry_after_ns(Limits(retry_after=True, max_retry_after_ns=100), rng) <= 100 for _ in range(20)
--- a/tests/policy/test_latency_model.py
+++ b/tests/policy/test_latency_model.py
@@ -6,7 +6,7 @@
 from tests.support.policy_harness import NANOSECONDS_PER_MILLISECOND, START, PolicyHarness, arrival, settings
 
 
-def test_first_samples_count_more() -> None:
+def test_first_samples_outweigh_the_initial_latency() -> None:
     harness = PolicyHarness()
     for i in range(3):
         harness.give(arrival(i, harness.now_ns))
--- a/tests/policy/test_load_estimate.py
+++ b/tests/policy/test_load_estimate.py
@@ -19,18 +19,20 @@
 
 def live_weights_update(weights: list[float]) -> EndpointUpdate:
     pairs = zip(make_endpoints(len(weights)), weights, strict=True)
-    return EndpointUpdate(EndpointUpdateKind.DELTA, [u._replace(weight=w) for u, w in pairs])
+    return EndpointUpdate(
+        EndpointUpdateKind.DELTA, [endpoint._replace(weight=weight) for endpoint, weight in pairs]
+    )
 
 
-def test_live_weights_show_the_less_loaded_endpoint() -> None:
-    # With at most one request in flight, this proxy's own counts cannot distinguish the endpoints.
+def test_live_weights_direct_requests_to_the_less_loaded_endpoint() -> None:
+    # At most one request is in flight, so this proxy's own counts do not show which endpoint has less load.
     harness = PolicyHarness(settings(weight_source=WeightSource.LIVE), endpoint_count=2)
     harness.give(live_weights_update([1.0, 1.0]), live_weights_update([0.1, 0.5]))
     for i in range(12):
         harness.give(arrival(i, harness.now_ns))
         harness.now_ns += NANOSECONDS_PER_MILLISECOND
         harness.finish(f"r{i}")
-    assert {u.id for sent in harness.attempts.values() for u, _ in sent} == {2}
+    assert {endpoint.id for sent in harness.attempts.values() for endpoint, _ in sent} == {2}
 
 
 def test_old_load_report_is_ignored() -> None:
--- a/tests/policy/test_load_probing.py
+++ b/tests/policy/test_load_probing.py
@@ -29,8 +29,10 @@
     harness.now_ns += NANOSECONDS_PER_MILLISECOND
     harness.give(
         *(
-            HealthCheckEnded(u, AttemptResult.OK, NANOSECONDS_PER_MILLISECOND, {"inflight": float(i)})
-            for i, u in enumerate(probed)
+            HealthCheckEnded(
+                endpoint_id, AttemptResult.OK, NANOSECONDS_PER_MILLISECOND, {"inflight": float(i)}
+            )
+            for i, endpoint_id in enumerate(probed)
         )
     )
     assert harness.attempts["r1"][0][0].id == probed[0]
@@ -58,8 +60,8 @@
     harness.now_ns += NANOSECONDS_PER_MILLISECOND
     harness.give(
         *(
-            HealthCheckEnded(u, AttemptResult.OK, NANOSECONDS_PER_MILLISECOND, {"inflight": 500.0})
-            for u in probed
+            HealthCheckEnded(endpoint_id, AttemptResult.OK, NANOSECONDS_PER_MILLISECOND, {"inflight": 500.0})
+            for endpoint_id in probed
         )
     )
     assert harness.answers["r1"] is FinalAnswer.REJECTED
--- a/tests/policy/test_queue.py
+++ b/tests/policy/test_queue.py
@@ -24,9 +24,9 @@
     assert len(harness.answers) == 30
 
 
-def test_short_deadline_is_answered_though_the_queue_is_blocked() -> None:
-    # Here each wake-up fires slightly early. The policy must not take it for a wake-up that was replaced, but
-    # set the next one, or requests are not answered by their deadline.
+def test_short_deadline_is_answered_while_the_queue_is_blocked() -> None:
+    # Each wake-up fires slightly early here. If the policy took such a wake-up for one that was replaced, it
+    # would set no further one, and requests would not be answered by their deadline.
     harness = PolicyHarness(endpoint_count=1)
     harness.give(arrival(1, harness.now_ns))
     for i in range(2, 40):
@@ -79,4 +79,4 @@
     for i in range(60):
         harness.give(arrival(i, harness.now_ns, wait_ns=NANOSECONDS_PER_SECOND))
         harness.advance(20 * NANOSECONDS_PER_MILLISECOND)
-    assert len({u.id for sent in harness.attempts.values() for u, _ in sent}) == 2
+    assert len({endpoint.id for sent in harness.attempts.values() for endpoint, _ in sent}) == 2
--- a/tests/policy/test_rate_control.py
+++ b/tests/policy/test_rate_control.py
@@ -80,7 +80,7 @@
         harness.finish(f"r{i}")
         harness.advance(5 * NANOSECONDS_PER_MILLISECOND)
         if i % 4 == 0:
-            controller.record_capacity_rejection()  # a fifth of the outcomes, more than is tolerated
+            controller.record_capacity_rejection()  # a fifth of the outcomes; a tenth is tolerated
     harness.give(arrival("last", harness.now_ns))
 
     sent_per_s = 200.0  # one request each 5 ms
--- a/tests/policy/test_retry_eligibility.py
+++ b/tests/policy/test_retry_eligibility.py
@@ -59,7 +59,7 @@
     harness.give(
         EndpointUpdate(
             EndpointUpdateKind.DELTA,
-            [u._replace(status=EndpointStatus.DRAINING) for u in make_endpoints(6)],
+            [endpoint._replace(status=EndpointStatus.DRAINING) for endpoint in make_endpoints(6)],
         )
     )
     harness.give(arrival(1, harness.now_ns, PAY))
@@ -95,7 +95,7 @@
 
 
 @pytest.mark.parametrize("request_class", [NEAR, BIG])
-def test_placement_binds_every_attempt(request_class: RequestClass) -> None:
+def test_every_attempt_respects_the_placement(request_class: RequestClass) -> None:
     # The rule checker asserts the placement of each attempt, retries included.
     harness = PolicyHarness(endpoint_count=0)
     harness.give(EndpointUpdate(EndpointUpdateKind.CACHED, make_mixed_endpoints(12)))
@@ -110,9 +110,9 @@
     assert len(harness.attempts) > 20
 
 
-def test_placement_holds_without_endpoints_and_does_not_stop_others() -> None:
+def test_placement_without_endpoints_rejects_only_its_own_requests() -> None:
     harness = PolicyHarness(endpoint_count=0)
-    west = [u for u in make_mixed_endpoints(12) if u.zone == "west"]
+    west = [endpoint for endpoint in make_mixed_endpoints(12) if endpoint.zone == "west"]
     harness.give(EndpointUpdate(EndpointUpdateKind.CACHED, west))
     harness.give(arrival("near", harness.now_ns, NEAR), arrival("read", harness.now_ns, READ))
     assert "rread" in harness.attempts
@@ -125,7 +125,7 @@
     ("request_class", "rejected_may_have_run", "answer"),
     [(PAY, True, FinalAnswer.FAILED), (CELL, True, None), (PAY, False, None), (READ, True, None)],
 )
-def test_rejection_proves_that_nothing_ran_only_where_the_rules_say_so(
+def test_rejected_attempt_may_have_run_if_the_rules_say_so(
     request_class: RequestClass, rejected_may_have_run: bool, answer: FinalAnswer | None
 ) -> None:
     # Endpoints may also reject requests that they have begun: a retry could take effect a second time.
@@ -150,7 +150,7 @@
     assert len(harness.attempts["r1"]) <= 3
 
 
-def test_attempt_times_out_at_the_objective_where_late_is_worth_nothing() -> None:
+def test_timeout_is_the_objective_if_a_late_response_has_no_value() -> None:
     harness = PolicyHarness()
     sends = [a for a in harness.give(arrival(1, harness.now_ns, READ)) if isinstance(a, Forward)]
     assert sends[0].timeout_ns == READ.latency_objective_ns
@@ -201,7 +201,7 @@
 
 
 @pytest.mark.parametrize("may_cancel", [True, False])
-def test_request_is_hedged_only_where_attempts_can_be_cancelled(may_cancel: bool) -> None:
+def test_request_is_hedged_only_if_attempts_can_be_cancelled(may_cancel: bool) -> None:
     limits = Limits(max_attempts=3, hedging=True, cancellation=may_cancel)
     harness = PolicyHarness(settings(limits=limits))
     for i in range(20):
@@ -229,7 +229,7 @@
 
 
 def test_attempts_never_begun_do_not_count_towards_max_attempts() -> None:
-    # Otherwise draining endpoints use up max_attempts, and a request is rejected that others could serve.
+    # Otherwise draining endpoints use up max_attempts, and a request that others could serve is rejected.
     request = make_request(READ)
     request.queue_deadline_ns = START + 1
     drained, other = (make_state(endpoint) for endpoint in make_endpoints(2))
--- a/tests/policy/test_selection.py
+++ b/tests/policy/test_selection.py
@@ -9,10 +9,10 @@
 from tests.support.policy_harness import NANOSECONDS_PER_SECOND, PolicyHarness, arrival
 
 
-def test_all_endpoints_are_scanned_only_where_a_drawn_one_is_unavailable(
+def test_all_endpoints_are_scanned_only_if_a_drawn_one_is_unavailable(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    # The cost of a request must not grow with the subset; it once used up all CPU time (event8052).
+    # event8052: the cost of a request grew with the subset and used up all CPU time.
     harness = PolicyHarness(endpoint_count=10)
     harness.give(arrival("warm", harness.now_ns))
     harness.balancer.concurrency_limit.limit = 5  # all are available
--- a/tests/policy/test_subset_size.py
+++ b/tests/policy/test_subset_size.py
@@ -26,7 +26,7 @@
 
 
 def test_subsets_are_shared_by_few_proxies() -> None:
-    # If all proxies share an endpoint, their own requests tell little about its load (incident ib66e0d).
+    # Incident ib66e0d: if all proxies share an endpoint, a proxy's own requests say little about its load.
     sizes = {
         proxy_count: len(default_subset(settings(proxy_index=1, proxy_count=proxy_count), make_endpoints(30)))
         for proxy_count in (3, 20, 400)
@@ -58,8 +58,8 @@
     assert len(subset_of("east", 1, 60, Prices(cross_zone=0.01))) == 4
 
 
-def test_subset_of_few_proxies_is_large_whatever_the_prices() -> None:
-    # All endpoints of a small subset may drain or reject while others are idle (event487).
+def test_subset_of_few_proxies_is_large_despite_prices() -> None:
+    # event487: all endpoints of a small subset may drain or reject while others are idle.
     prices = Prices(connection=0.03, cross_zone=0.025)
     for proxy_count in (2, 4):
         subsets = [
@@ -70,7 +70,7 @@
         assert all({endpoint.zone for endpoint in subset} == {"east", "west"} for subset in subsets)
 
 
-def test_zone_without_endpoints_uses_the_others() -> None:
+def test_proxy_in_a_zone_without_endpoints_uses_other_zones() -> None:
     subsets = subset_of("south", 3, 40, Prices(connection=0.03, cross_zone=0.01))
     assert subsets
     assert subsets[0].zone in ("east", "west")
--- a/tests/policy/test_subsetting.py
+++ b/tests/policy/test_subsetting.py
@@ -171,7 +171,7 @@
 
 
 @pytest.mark.parametrize("zone_aware", [False, True])
-def test_one_endpoint_or_one_proxy_more_or_less_moves_few_members(zone_aware: bool) -> None:
+def test_adding_or_removing_an_endpoint_or_proxy_moves_few_members(zone_aware: bool) -> None:
     proxy_count = 1650
     endpoints = endpoints_in_all_zones(30_000)
     table = table_of(proxy_settings(proxy_count, zone_aware), endpoints)
@@ -189,7 +189,7 @@
     assert sum(count_moved(before, after[:proxy_count])) <= 0.002 * members
 
 
-def test_growing_list_moves_few_members_when_segments_double() -> None:
+def test_growing_list_moves_few_members_when_segment_count_doubles() -> None:
     # Proxies must not all switch to more, shorter segments at the same length of the list.
     proxy_count = 1030
     endpoints = endpoints_in_all_zones(4300)
@@ -278,7 +278,7 @@
 
 
 @pytest.mark.parametrize("zone_aware", [False, True])
-def test_the_loss_of_a_cell_or_a_zone_leaves_enough_in_subset_and_reserve(zone_aware: bool) -> None:
+def test_subset_and_reserve_suffice_after_the_loss_of_a_cell_or_zone(zone_aware: bool) -> None:
     endpoints = endpoints_in_all_zones(30_000)
     table = table_of(proxy_settings(1650, zone_aware), endpoints)
     cell = {e.id for e in endpoints if (e.zone, e.cell) == ("z0", 3)}
--- a/tests/policy/test_throughput_samples.py
+++ b/tests/policy/test_throughput_samples.py
@@ -28,14 +28,14 @@
     assert samples.throughput(1) == 0.0
 
 
-def test_levels_above_the_top_count_as_the_top() -> None:
+def test_levels_above_the_top_are_recorded_as_the_top() -> None:
     samples = ThroughputSamples(4, 1)
     samples.add_time(9, 2.0)
     add_completions(samples, 5, 4)
     assert samples.throughput(4) == 2.0
 
 
-def test_a_clock_that_stands_still_does_not_divide_by_zero() -> None:
+def test_a_clock_that_stands_still_causes_no_division_by_zero() -> None:
     samples = ThroughputSamples(4, 1)
     add_completions(samples, 1, 2)
     assert samples.throughput(1) == 2000.0
--- a/tests/policy/test_timer_queue.py
+++ b/tests/policy/test_timer_queue.py
@@ -50,5 +50,5 @@
     queue.set_wake_up(0)
     queue.on_wake_up("1")
     assert queue.set_wake_up(9) is None
-    queue.on_wake_up("2")  # slightly early
+    queue.on_wake_up("2")  # fires slightly early
     assert queue.set_wake_up(9) == SetTimer(1, "3")
