--- a/loadbalancer/policy/attempt_results.py
+++ b/loadbalancer/policy/attempt_results.py
@@ -126,7 +126,7 @@
     def exclude_stalled_samples(
         self, requests: Iterable[Request], endpoint_states: Iterable[EndpointState], now_ns: int
     ) -> None:
-        """Mark all requests as stalled: in a stall of the event loop, the proxy causes the delay."""
+        """Exclude samples taken during an event loop stall: the proxy caused the delay, not the endpoints."""
         for request in requests:
             request.mark_stalled()
         for endpoint_state in endpoint_states:
--- a/loadbalancer/policy/concurrency_limit.py
+++ b/loadbalancer/policy/concurrency_limit.py
@@ -88,7 +88,7 @@
         return now_ns - self._last_increase_ns >= SETTLING_MEAN_LATENCIES * self._latency_model.mean_ns
 
     def _has_gain_over_lower_levels(self, level: int) -> bool:
-        """Return whether the throughput of a level is clearly higher than that of all lower levels."""
+        """Return whether a level has clearly more throughput than every lower level."""
         best_lower = max((self._samples.throughput(lower) for lower in range(1, level)), default=0.0)
         return self._samples.throughput(level) >= THROUGHPUT_GAIN_MIN_FACTOR * best_lower
 
--- a/loadbalancer/policy/latency_model.py
+++ b/loadbalancer/policy/latency_model.py
@@ -43,7 +43,7 @@
         self.mean_ns = INITIAL_MEAN_NS  # mean latency over all classes
         self.deviation = INITIAL_DEVIATION  # mean relative deviation from the expected latency
         self._latency_over_load = RunningRegression(REGRESSION_SAMPLE_DECAY)
-        self._mean_ns_by_class: dict[str, float] = {}  # by class name; requests without a cost hint
+        self._mean_ns_by_class: dict[str, float] = {}  # of requests without a cost hint, by class name
         self._cost_hint_factor: float | None = None  # mean latency as a multiple of the cost hint
 
     def expected_ns(self, request: Request) -> float:
--- a/loadbalancer/policy/live_weights.py
+++ b/loadbalancer/policy/live_weights.py
@@ -21,7 +21,7 @@
 
     def __init__(self, settings: Settings) -> None:
         self.enabled = settings.weight_source is WeightSource.LIVE
-        self._idle_weights: dict[str, float] = {}  # by machine type
+        self._idle_weights: dict[str, float] = {}  # largest weight seen, by machine type
 
     def update_idle_weight(self, endpoint: Endpoint) -> None:
         """Update the idle weight of a machine type from the weight of a listed endpoint."""
--- a/loadbalancer/policy/load_probing.py
+++ b/loadbalancer/policy/load_probing.py
@@ -38,7 +38,7 @@
         self._timers = timers
 
     def start(self, request: Request, now_ns: int) -> list[CheckHealth]:
-        """Draw endpoints for a request; return checks of those not reported or checked in the last 5 ms."""
+        """Draw endpoints for a request; return health checks of those whose last report and check are old."""
         drawn = self._selection.draw(request.pool, PROBED_ENDPOINTS, now_ns)
         request.start_probing(list(dict.fromkeys(drawn)), now_ns)
         checks = []
--- a/loadbalancer/policy/rate_control.py
+++ b/loadbalancer/policy/rate_control.py
@@ -51,7 +51,7 @@
     start_ns: int
     has_begun: bool = False  # a request or an outcome has been recorded
     successes: int = 0  # ended attempts that do not indicate overload
-    rejected_for_capacity: int = 0  # requests; see `RateController.record_capacity_rejection`
+    rejected_for_capacity: int = 0  # requests without an endpoint in time: see `record_capacity_rejection`
     failures: Counter[int] = field(default_factory=Counter)  # failed or late attempts, by endpoint id
 
     @property
@@ -77,8 +77,8 @@
         self.rate = INITIAL_RATE_PER_S
         self.unused_rate = INITIAL_RATE_PER_S  # the rate less the demand of all tenants
         self.last_overload_rate = 0.0  # rate at which too many attempts failed; decays with each decrease
-        self.attempt_rate = 0.0  # successes and failures in the last interval
-        self.success_rate = INITIAL_RATE_PER_S  # successes in the last interval
+        self.attempt_rate = 0.0  # successes and failures per second in the last interval
+        self.success_rate = INITIAL_RATE_PER_S  # successes per second in the last interval
         self.interval = RateInterval(now_ns)
 
     def record_arrival(self, now_ns: int) -> None:
--- a/loadbalancer/policy/request_lifecycle.py
+++ b/loadbalancer/policy/request_lifecycle.py
@@ -119,7 +119,7 @@
             self._retry_or_reject(request, now_ns)
 
     def _retry_or_reject(self, request: Request, now_ns: int) -> None:
-        """Queue a request whose attempts have all failed again, or reject it."""
+        """Queue a request again after all its attempts have failed, or reject it."""
         # The candidates are None if every endpoint of the pool may be used, and empty if none may. In both
         # cases the check has the same result for all endpoints of the pool, so one of them is enough.
         candidates = self.retry_candidates.find(request, now_ns) or request.pool.endpoints[:1]
--- a/loadbalancer/policy/retry_candidates.py
+++ b/loadbalancer/policy/retry_candidates.py
@@ -9,7 +9,7 @@
 from loadbalancer.state.endpoint_state import EndpointState
 from loadbalancer.state.request import Attempt, Request
 
-ENDPOINTS_OUTSIDE_POOL_MAX = 16  # per request: the cost must not grow with the endpoint list
+ENDPOINTS_OUTSIDE_POOL_MAX = 16  # for one request: its cost must not grow with the endpoint list
 UNUSED_STATES_MAX = 64  # states of endpoints outside the pools; beyond this, unused ones are discarded
 
 
--- a/loadbalancer/policy/selection.py
+++ b/loadbalancer/policy/selection.py
@@ -16,7 +16,7 @@
 from loadbalancer.state.request import Request
 
 RANDOM_CHOICES = 2
-SCANNED_ENDPOINTS_MAX = 16  # per request: the cost must not grow with the pool
+SCANNED_ENDPOINTS_MAX = 16  # for one request: its cost must not grow with the pool
 RESERVE_MAX_IN_FLIGHT = 1  # requests in flight at an endpoint outside the subset
 FAILING_ENDPOINT_MAX_IN_FLIGHT = 1  # requests in flight at an endpoint whose last attempt failed
 WARMING_UP_LIMIT_DIVISOR = 2
--- a/loadbalancer/policy/subset_size.py
+++ b/loadbalancer/policy/subset_size.py
@@ -10,9 +10,8 @@
 LARGE_DEPLOYMENT_PROXIES = 512
 # In a large deployment several proxies share each endpoint: a proxy with little traffic leaves none idle.
 LARGE_DEPLOYMENT_SUBSET_SIZE = 64
-LARGE_DEPLOYMENT_SHARING_PROXIES_MIN = (
-    2  # golden-ratio steps are up to 1.9 times the mean: 1 would leave gaps
-)
+# Golden-ratio steps are up to 1.9 times the mean: with 1, some endpoints would be in no subset.
+LARGE_DEPLOYMENT_SHARING_PROXIES_MIN = 2
 PROXY_OFFSET_SALT = 1
 
 
--- a/loadbalancer/policy/subsetting.py
+++ b/loadbalancer/policy/subsetting.py
@@ -24,8 +24,8 @@
 SEGMENT_PROXIES_MIN = 256  # with fewer, the endpoints of a segment are not used evenly
 SEGMENT_ENDPOINTS_MIN = 2048
 # The reserve: endpoints that replace those lost from the subset, and serve retries with idempotency keys.
-ZONE_RESERVE_SIZE = 128  # those that follow the subset on its ring
-REMOTE_RESERVE_SIZE = 128  # those from the ring of all zones
+ZONE_RESERVE_SIZE = 128  # endpoints that follow the subset on its ring
+REMOTE_RESERVE_SIZE = 128  # further endpoints, from the ring of all zones
 RESERVE_SIZE = ZONE_RESERVE_SIZE + REMOTE_RESERVE_SIZE
 GOLDEN_RATIO_FRACTION = 0.618033988749895
 SILVER_RATIO_FRACTION = 0.414213562373095
@@ -88,7 +88,7 @@
 
 
 def _subset_ring(settings: Settings, placement: Placement) -> SortedList[RingKey]:
-    """Return the ring on which this proxy's subset lies: that of its zone, or that of all zones.
+    """Return the ring on which this proxy's subset lies: the ring of its zone, or the ring of all zones.
 
     A zone with few endpoints is not used alone: they may all fail or drain at once, and under high load no
     other zone could help.
--- a/loadbalancer/policy/throttle.py
+++ b/loadbalancer/policy/throttle.py
@@ -72,7 +72,7 @@
         Args:
             tenant: The tenant's name.
             weight: The tenant's share of the proxy's rate, relative to the weights of the other tenants.
-            rng: Draws when the first token accrues, so that proxies do not release requests in step.
+            rng: Draws when the first token accrues, so that proxies do not release requests together.
             now_ns: The current time.
             shortest_objective_ns: The shortest latency objective of all request classes.
         """
--- a/loadbalancer/state/endpoint_state.py
+++ b/loadbalancer/state/endpoint_state.py
@@ -21,8 +21,8 @@
     in_flight: int = 0  # attempts in flight, without those presumed lost
     presumed_lost: int = 0  # attempts in flight whose response is presumed lost
     in_flight_since_ns: int = 0  # `in_flight` is known to have had its present value since this time
-    latest_answered_send_ns: int = 0  # the latest send time of the attempts that it has answered
-    relative_latency: float = 1.0  # its latency as a multiple of the mean over the endpoints
+    latest_answered_send_ns: int = 0  # the latest send time of the attempts that the endpoint has answered
+    relative_latency: float = 1.0  # latency of the endpoint as a multiple of the mean over the endpoints
     # Failures.
     consecutive_failures: int = 0
     ejected_until_ns: int = 0
--- a/loadbalancer/state/request.py
+++ b/loadbalancer/state/request.py
@@ -66,13 +66,11 @@
     attempts: list[Attempt] = field(default_factory=list)
     finished: bool = False  # the final response was given, or the client has disconnected
     streaming: bool = False  # the streamed response has begun
-    delayed_by_throttle: bool = False  # a late response is not attributed to the endpoints
+    delayed_by_throttle: bool = False  # endpoints are not at fault if the response is late
     stalled: bool = False  # the event loop stalled while the request was pending: its durations are invalid
     queued_in: Queue | None = None  # None: the request is not queued
     queue_deadline_ns: int = 0  # the request is rejected if it is still queued at this time
-    probed_endpoints: list[EndpointState] = field(
-        default_factory=list
-    )  # endpoints whose load is being probed for the request
+    probed_endpoints: list[EndpointState] = field(default_factory=list)  # load being probed
     probed_ns: int = 0  # when load probing started
 
     def join_queue(self, queue: Queue) -> None:
--- a/tests/policy/test_attempt_timing.py
+++ b/tests/policy/test_attempt_timing.py
@@ -19,13 +19,13 @@
     assert expected_ns == 60 * NANOSECONDS_PER_MILLISECOND
 
 
-def test_attempt_times_out_at_the_objective_if_late_has_no_value() -> None:
+def test_attempt_times_out_at_objective_if_late_response_has_no_value() -> None:
     now_ns = START + 100 * NANOSECONDS_PER_MILLISECOND
     assert attempt_timeout_ns(make_request(), now_ns) == 200 * NANOSECONDS_PER_MILLISECOND
     assert attempt_timeout_ns(make_request(), now_ns + READ.latency_objective_ns) == 1
 
 
-def test_attempt_has_no_timeout_if_late_has_value_or_class_is_streamed() -> None:
+def test_attempt_has_no_timeout_if_late_response_has_value_or_is_streamed() -> None:
     for changes in ({"late_weight_factor": 0.2}, {"stream": True}):
         request_class = dataclasses.replace(READ, **changes)
         assert attempt_timeout_ns(make_request(request_class), START) == 0
--- a/tests/policy/test_load_probing.py
+++ b/tests/policy/test_load_probing.py
@@ -76,7 +76,7 @@
     assert len(harness.attempts["r1"]) == 1
 
 
-def test_costly_health_checks_or_those_without_a_load_are_not_sent() -> None:
+def test_health_checks_that_are_costly_or_report_no_load_are_not_sent() -> None:
     limits = Limits(max_attempts=3, health_checks=True)
     costly = settings(limits=limits, load_report_columns=("inflight",), prices=Prices(health_check=0.05))
     for config in (costly, settings(limits=limits, load_report_columns=("util",))):
--- a/tests/policy/test_outlier_detection.py
+++ b/tests/policy/test_outlier_detection.py
@@ -5,7 +5,7 @@
 from tests.support.policy_harness import NANOSECONDS_PER_MILLISECOND, PolicyHarness, arrival
 
 
-def test_attempts_that_time_out_together_count_as_one_failure() -> None:
+def test_attempts_that_time_out_together_are_not_all_counted_as_failures() -> None:
     # A short pause of an endpoint must not cause an ejection of seconds.
     harness = PolicyHarness(endpoint_count=1)
     for i in range(6):
--- a/tests/policy/test_rate_control.py
+++ b/tests/policy/test_rate_control.py
@@ -88,7 +88,7 @@
     assert sent_per_s < controller.rate < 2 * sent_per_s  # decreased, to about the rate of requests
 
 
-def test_one_failure_of_few_outcomes_does_not_hold_the_rate_down() -> None:
+def test_one_failure_of_few_outcomes_does_not_prevent_an_increase() -> None:
     throttle = Throttle("ash", 1.0, random.Random(1), 0)
     controller = RateController(throttle.weight, 0)
     controller.rate = controller.last_overload_rate = 10.0
--- a/tests/policy/test_throttle.py
+++ b/tests/policy/test_throttle.py
@@ -132,7 +132,7 @@
     assert trace.forwarded == sorted(trace.forwarded)
 
 
-def test_a_buffered_request_that_ends_returns_its_token() -> None:
+def test_a_buffered_request_that_ends_frees_its_place() -> None:
     throttle = make_throttle(0, 2, 2)
     first, second = make_request(1, throttle), make_request(2, throttle)
     assert throttle.admit(first, 0) is Admission.BUFFER
