--- a/loadbalancer/policy/queue_admission.py
+++ b/loadbalancer/policy/queue_admission.py
@@ -14,8 +14,8 @@
     """Return whether a new request behind `queue_length` others is expected to be served in time.
 
     At `success_rate` (attempts per second that are not failures), the others must be served within a fraction
-    of `wait_max_ns` (see `queue_wait_max_ns`). The fraction is smaller for a tenant over
-    its fair share, so that its requests are rejected first.
+    of `wait_max_ns` (see `queue_wait_max_ns`). The fraction is smaller for a tenant over its fair share, so
+    that its requests are rejected first.
     """
     fraction = OVER_FAIR_SHARE_QUEUE_WAIT_MAX_FRACTION if exceeds_fair_share else QUEUE_WAIT_MAX_FRACTION
     served_in_time = success_rate * wait_max_ns * fraction
--- a/loadbalancer/state/endpoint_pool.py
+++ b/loadbalancer/state/endpoint_pool.py
@@ -17,9 +17,7 @@
     placement: Placement
     endpoints: list[EndpointState] = field(default_factory=list)  # ready endpoints, those of the subset first
     subset_size: int = 0  # how many of `endpoints` are in the subset
-    sharing_proxies: float = (
-        0.0  # mean number of proxies whose subsets contain a given endpoint of this subset
-    )
+    sharing_proxies: float = 0.0  # mean number of proxies that share an endpoint of the subset
     draw_width: int = 0  # random choices are made among this many of `endpoints`, from the first on
     current_subset: Subset | None = None  # the subset that `endpoints` was filled from
     last_choice: EndpointState | None = None  # the endpoint selected for the latest attempt
--- a/loadbalancer/state/request.py
+++ b/loadbalancer/state/request.py
@@ -70,7 +70,7 @@
     stalled: bool = False  # the event loop stalled while the request was pending: its durations are invalid
     queued_in: Queue | None = None  # None: the request is not queued
     queue_deadline_ns: int = 0  # the request is rejected if it is still queued at this time
-    probed_endpoints: list[EndpointState] = field(default_factory=list)  # load being probed
+    probed_endpoints: list[EndpointState] = field(default_factory=list)  # probed for the request
     probed_ns: int = 0  # when load probing started
 
     def join_queue(self, queue: Queue) -> None:
