--- a/scale_test/hollow.py
+++ b/scale_test/hollow.py
@@ -1,4 +1,4 @@
-"""Hollow balancers: the real proxy, discovery client and policy, with no clients, many in one process."""
+"""Hollow balancers: the real proxy, discovery client and policy without clients, many in one process."""
 
 from __future__ import annotations
 
@@ -20,18 +20,18 @@
 from loadbalancer.proxy.endpoint_list_reader import EndpointListReader
 from loadbalancer.proxy.proxy import Proxy
 from scale_test.child_process import commands_of, serve
-from scale_test.records import NEVER_NS, AnswerInForce, BalancerReport, PolicyChange
+from scale_test.records import NEVER_NS, BalancerReport, PolicyChange, ResponseInForce
 
 
 class TimedPolicy:
-    """A policy, and how long it takes over changes of the list."""
+    """Wraps a policy and records how long it takes to apply changes of the endpoint list."""
 
     def __init__(self, policy: Balancer) -> None:
         self._policy = policy
         self.changes: list[PolicyChange] = []
 
     def handle(self, now_ns: int, events: Iterable[Event]) -> list[Action]:
-        """Let the policy handle the events, and record those that change the list."""
+        """Pass the events to the policy, and record the time of those that change the list."""
         events = list(events)
         begun_ns = time.monotonic_ns()
         actions = self._policy.handle(now_ns, events)
@@ -43,7 +43,7 @@
 
 
 class RecordingListApplier(EndpointListApplier):
-    """A list applier that records when each response of discovery was in force, to its last row."""
+    """A list applier that records when the last row of each discovery response came into force."""
 
     def __init__(
         self,
@@ -56,7 +56,10 @@
         self._waiting_tasks: set[asyncio.Task[None]] = set()
 
     def on_discovery_result(self, result: DiscoveryResult) -> None:
-        """Apply a response as usual, and record it."""
+        """Apply a response as usual, and record when it is in force.
+
+        Responses without rows are not recorded, unless they are a full list.
+        """
         super().on_discovery_result(result)
         if not isinstance(result, EndpointList) or not (result.complete or len(result)):
             return
@@ -67,14 +70,14 @@
             self._waiting_tasks.add(wait)
             wait.add_done_callback(self._waiting_tasks.discard)
 
-    async def _record_in_force(self, index: int, applying: asyncio.Task[None]) -> None:
+    async def _record_in_force(self, index: int, apply_task: asyncio.Task[None]) -> None:
         self.in_force[index] = (self.in_force[index][0], NEVER_NS)
-        await asyncio.wait({applying})  # ends with the last of the lists that wait
+        await asyncio.wait({apply_task})  # the task ends when it has applied all pending lists
         self.in_force[index] = (self.in_force[index][0], time.monotonic_ns())
 
 
 class HollowProxy(Proxy):
-    """A proxy that records when its endpoint lists were in force."""
+    """A proxy that records when its endpoint lists came into force."""
 
     list_applier_class = RecordingListApplier
     list_applier: RecordingListApplier
@@ -85,17 +88,21 @@
 
 
 class HollowCommands:
-    """The commands: `start`, as often as needed, and then `report`."""
+    """The commands of this process: `start`, any number of times, and then `report`."""
 
     def __init__(self) -> None:
         self._proxies: list[HollowProxy] = []
 
-    async def start(self, config: str, nodes: list[dict[str, Any]]) -> object:
-        """Start balancers one after the other; returns each one's ns, from its configuration on."""
+    async def start(self, config_path: str, balancer_overrides: list[dict[str, Any]]) -> object:
+        """Start balancers one after the other.
+
+        Returns:
+            The nanoseconds that each took, the reading of its configuration included.
+        """
         started_ns = []
-        for node in nodes:
+        for overrides in balancer_overrides:
             begun_ns = time.monotonic_ns()
-            proxy = hollow_proxy(config, node)
+            proxy = hollow_proxy(config_path, overrides)
             await proxy.start()
             started_ns.append(time.monotonic_ns() - begun_ns)
             self._proxies.append(proxy)
@@ -103,25 +110,30 @@
         return started_ns
 
     async def report(self) -> object:
-        """Stop the balancers; returns what each has recorded."""
+        """Stop the balancers; returns what each recorded."""
         for proxy in self._proxies:
             proxy.close()
         return [
-            BalancerReport(proxy.changes, [AnswerInForce(*answer) for answer in proxy.list_applier.in_force])
+            BalancerReport(
+                proxy.changes, [ResponseInForce(*answer) for answer in proxy.list_applier.in_force]
+            )
             for proxy in self._proxies
         ]
 
 
-def hollow_proxy(config: str, node: dict[str, Any]) -> HollowProxy:
-    """A balancer of the configuration that all share, with what is its own."""
-    base = read_configuration(config)  # read again each time: real balancers share no text
-    settings = replace(base.settings, proxy_index=node["me"], zone=node["zone"])
-    policy = TimedPolicy(Balancer(settings, node["seed"], time.monotonic_ns()))
+def hollow_proxy(config_path: str, overrides: dict[str, Any]) -> HollowProxy:
+    """Create a balancer from the configuration that all share and from its own overrides.
+
+    The file is read again for each balancer, so that balancers share no text, just as real ones don't.
+    """
+    base = read_configuration(config_path)
+    settings = replace(base.settings, proxy_index=overrides["me"], zone=overrides["zone"])
+    policy = TimedPolicy(Balancer(settings, overrides["seed"], time.monotonic_ns()))
     configuration = replace(
         base,
-        name=node["name"],
-        discovery=tuple(node["discovery"]),
-        seed=node["seed"],
+        name=overrides["name"],
+        discovery=tuple(overrides["discovery"]),
+        seed=overrides["seed"],
         settings=settings,
     )
     return HollowProxy(configuration, policy)
--- a/tests/soak/kinds.py
+++ b/tests/soak/kinds.py
@@ -6,25 +6,25 @@
 
 
 class RequestKind(StrEnum):
-    """What a repetition of a request does; the value is its class and the first part of its path."""
+    """Whether a request may be repeated; the value names its profile and is the first segment of its path."""
 
     READ = "read"  # safe to repeat
-    BOOK = "book"  # with an idempotency key
+    BOOK = "book"  # may be repeated within the deduplication window of its idempotency key
     PAY = "pay"  # unsafe to repeat
 
 
-class AttemptEnd(StrEnum):
+class AttemptOutcome(StrEnum):
     """How an endpoint ended an attempt."""
 
     SERVED = "served"
-    DECLINED = "declined"  # never ran
+    DECLINED = "declined"  # turned away without running it
     ERROR = "error"
-    RESET = "reset"
-    CUT = "cut"  # in the middle of the response
+    RESET = "reset"  # connection aborted before the response
+    CUT = "cut"  # connection aborted in the middle of the response
 
 
 class Rule(StrEnum):
-    """A rule of the service, or a sign that the process is unhealthy."""
+    """A rule of the service, or a sign that the balancer process is unhealthy."""
 
     LOST = "lost"
     UNANSWERED = "unanswered"
@@ -40,29 +40,29 @@
     TRACEBACK = "traceback"
 
 
-class Behavior(StrEnum):
+class EndpointBehavior(StrEnum):
     """How an endpoint treats requests."""
 
     NORMAL = "normal"
     SLOW = "slow"
-    HUNG = "hung"
-    DECLINING = "declining"
-    RESETTING = "resetting"
-    CUTTING = "cutting"
-    FAILING = "failing"
+    HUNG = "hung"  # never responds
+    DECLINING = "declining"  # responds with 503 and Srv-Declined
+    RESETTING = "resetting"  # aborts the connection before the response
+    CUTTING = "cutting"  # aborts the connection before the last byte of the response
+    FAILING = "failing"  # responds with 500
 
 
-class Condition(StrEnum):
-    """How discovery treats calls."""
+class DiscoveryCondition(StrEnum):
+    """How discovery responds to calls."""
 
     UP = "up"
-    DOWN = "down"
+    DOWN = "down"  # aborts polls; a pushing discovery defers its changes instead
     SLOW = "slow"
-    SILENT = "silent"
+    SILENT = "silent"  # accepts calls but does not respond
 
 
 class BadClientKind(StrEnum):
-    """What a client sends in place of a proper request."""
+    """What a client sends in place of a complete, valid request."""
 
     NOTHING = "nothing"
     GARBAGE = "garbage"
