--- a/loadbalancer/policy/fleet_updates.py
+++ b/loadbalancer/policy/fleet_updates.py
@@ -76,7 +76,7 @@
             if state is None:
                 continue
             if endpoint.started_ns != state.endpoint.started_ns:
-                state.clear_failures_and_ejection()  # those of before the restart
+                state.clear_failures_and_ejection()  # they belong to the process before the restart
                 restarted.add(state)
             state.update_entry(endpoint)
             self.live_weights.record_implied_load(state, now_ns)
