--- a/loadbalancer/proxy/attempts.py
+++ b/loadbalancer/proxy/attempts.py
@@ -54,7 +54,8 @@
             pending_requests: The requests that may be forwarded.
             connection_pool: Returns the connection pool of an endpoint; None if it accepts no new requests.
             on_ended: Called once for each `Forward`.
-            max_attempts: Maximum number of attempts of one request; attempts that never started do not count.
+            max_attempts: Maximum number of attempts of one request. An attempt that is not sent does not
+                count if its endpoint accepts no new requests, or if another attempt is in flight.
             read_load_reports: Whether endpoints include load reports in their responses.
         """
         self.pending_requests = pending_requests
@@ -87,7 +88,7 @@
         pool = self._connection_pool(action.endpoint_id)
         if pending.exchange is not None or pool is None or not pool.accepts_requests:
             pending.exclude_attempt()
-            self._report_not_sent(action, number, request_complete=False, counts=False)
+            self._report_not_sent(action, number, request_complete=False, counts_as_attempt=False)
             return
         attempt = AttemptInFlight(
             attempts=self,
@@ -124,8 +125,8 @@
         pending = attempt.pending_request
         was_written = pending.exchange is not None and pending.exchange.request_written
         pending.clear_exchange()
-        counts = result is not AttemptResult.NOT_SENT
-        if not counts:
+        counts_as_attempt = result is not AttemptResult.NOT_SENT
+        if not counts_as_attempt:
             pending.exclude_attempt()
         load_report = None
         if response is not None:
@@ -144,13 +145,13 @@
                 elapsed_ns=elapsed_ns,
                 request_complete=pending.finished,
                 load_report=load_report,
-                counts_as_attempt=counts,
+                counts_as_attempt=counts_as_attempt,
                 was_written=was_written,
             )
         )
 
     def _report_not_sent(
-        self, action: Forward, number: int, *, request_complete: bool, counts: bool = True
+        self, action: Forward, number: int, *, request_complete: bool, counts_as_attempt: bool = True
     ) -> None:
         self._on_ended(
             AttemptEnded(
@@ -160,7 +161,7 @@
                 result=AttemptResult.NOT_SENT,
                 elapsed_ns=0,
                 request_complete=request_complete,
-                counts_as_attempt=counts,
+                counts_as_attempt=counts_as_attempt,
             )
         )
 
@@ -182,7 +183,7 @@
             pool=pool,
             serialize=self.serialize,
             on_ended=self.on_exchange_ended,
-            is_still_needed=self.is_still_needed,
+            check_still_needed=self.check_still_needed,
             quarantine_s=QUARANTINE_S,
         )
         self.pending_request.set_exchange(exchange)
@@ -196,11 +197,11 @@
         headers.append((FORWARDED_DEADLINE_MS_HEADER, b"%d" % max(MIN_FORWARDED_DEADLINE_MS, remaining_ms)))
         return write_request(request.method, request.target, headers, request.body)
 
-    def is_still_needed(self) -> bool:
-        """Whether the client still waits for a response; a disconnect that is still unread counts.
+    def check_still_needed(self) -> bool:
+        """Drop the request if its client has disconnected; return whether the request is still pending.
 
-        A disconnect is unread if it arrived in the current turn of the event loop, or while reading
-        is paused.
+        A disconnect is detected even if the event loop has not read it yet, because it arrived in the current
+        event loop turn or while reading is paused.
         """
         client = self.pending_request.client
         if client.has_disconnected:
--- a/loadbalancer/proxy/endpoint_list_parser.py
+++ b/loadbalancer/proxy/endpoint_list_parser.py
@@ -94,11 +94,11 @@
         self._has_entries = False
         self._version: object = None
         self._complete: object = None
-        self._entry: Entry | None = None  # the one being parsed
+        self._entry: Entry | None = None  # the entry being parsed
         self._entry_nesting = 0  # depth inside the entry; nested values are skipped
         self._entry_key: object = None
-        self._weights: dict[float, float] = {}  # so that equal weights share one object
-        self._attributes: dict[EndpointAttributes, EndpointAttributes] = {}  # likewise
+        self._weights: dict[float, float] = {}  # lets equal weights share one object
+        self._attributes: dict[EndpointAttributes, EndpointAttributes] = {}  # likewise for attributes
 
     @property
     def started(self) -> bool:
@@ -202,9 +202,9 @@
             log.warning("discovery: invalid entry of host %.*s: %r", MAX_LOGGED_HOST_CHARACTERS, host, error)
             endpoint_id = self._id_registry.find(preferred_id(host), host_fingerprint(host))
             if endpoint_id is not None:
-                self._list.add_unreadable(endpoint_id)
+                self._list.add_invalid_entry(endpoint_id)
             return
-        endpoint_id = self._endpoint_id(host, attributes.status)
+        endpoint_id = self._find_or_assign_id(host, attributes.status)
         if endpoint_id is not None:
             attributes = self._attributes.setdefault(attributes, attributes)
             self._list.append(endpoint_id, attributes, address)
@@ -251,10 +251,11 @@
             return 0
         return min(started_ms * NANOSECONDS_PER_MILLISECOND - self._clock_offset_ns, time.monotonic_ns())
 
-    def _endpoint_id(self, host: str, status: EndpointStatus) -> int | None:
-        """Return a host's id; None for a removal that must be ignored.
+    def _find_or_assign_id(self, host: str, status: EndpointStatus) -> int | None:
+        """Return a host's id, newly assigned if the host has none.
 
-        If the removed host has no id, and another host has its preferred one, that other host must stay.
+        A removal assigns no id: None if the removed host has none. Another host may have its preferred id,
+        and that host must stay.
         """
         preferred = preferred_id(host)
         fingerprint = host_fingerprint(host)
--- a/loadbalancer/proxy/exchange.py
+++ b/loadbalancer/proxy/exchange.py
@@ -25,31 +25,31 @@
         pool: ConnectionPool,
         serialize: RequestSerializer,
         on_ended: OnExchangeEnded,
-        reserved_connections: int = 0,
-        is_still_needed: Callable[[], bool] = lambda: True,
+        reserved_for_others: int = 0,
+        check_still_needed: Callable[[], bool] = lambda: True,
         quarantine_s: float = 0.0,
     ) -> None:
         """Prepare an exchange; `start` begins it.
 
         Args:
-            pool: The connections to the endpoint.
-            serialize: Serializes the request when it is written. That may be later than the start by the
-                connect timeout, and a remaining time in the request must still be right.
+            pool: The connections to the address.
+            serialize: Serializes the request when it is written. That may be as late as the connect timeout
+                after the start, and the remaining time in the request must still be right then.
             on_ended: Called once at the end, unless the exchange is abandoned.
-            reserved_connections: How many connections within the limit it must leave to other exchanges.
-            is_still_needed: Called before a connection is taken and before the first byte is written; the
-                exchange does not continue if it returns False. It may end the exchange itself.
+            reserved_for_others: How many connections of the limit must stay available to other exchanges.
+            check_still_needed: Called before a connection is taken, and again once a new one is established;
+                the exchange stops if the result is False. The callback itself may end the exchange.
             quarantine_s: How long the connection is not reused after the response.
         """
         self.pool = pool
-        self.reserved_connections = reserved_connections
+        self.reserved_for_others = reserved_for_others
         self.quarantine_s = quarantine_s
         self.serialize = serialize
         self.finished = False
         self.response_too_large = False
-        """Whether it failed because its response was larger than allowed."""
+        """Whether the exchange failed because its response was larger than allowed."""
         self._on_ended = on_ended
-        self._is_still_needed = is_still_needed
+        self._check_still_needed = check_still_needed
         self._connection: EndpointConnection | None = None
         self._connecting: EndpointConnection | None = None
         self._connect_task: asyncio.Task[None] | None = None
@@ -57,21 +57,21 @@
 
     @property
     def unsent(self) -> bool:
-        """Whether it still waits for a connection: no byte of the request has been sent."""
+        """Whether the exchange still waits for a connection: no byte of the request has been sent."""
         return not self.finished and self._connection is None
 
     @property
     def request_written(self) -> bool:
-        """Whether the last byte of the request was passed to the kernel; until then it can't have run."""
+        """Whether the request's last byte has been passed to the kernel; else the request can't have run."""
         return self._connection is not None and self._connection.request_written
 
     def start(self, deadline_s: float | None) -> None:
         """Send the request as soon as there is a connection.
 
         Args:
-            deadline_s: When it times out, on the event loop's clock; None for never.
+            deadline_s: When the exchange times out, on the event loop's clock; None for never.
         """
-        if not self._is_still_needed():
+        if not self._check_still_needed():
             return
         if deadline_s is not None:
             self._set_timeout(deadline_s)
@@ -80,7 +80,7 @@
             self._send_on(connection)
             return
         # Reserved before it is established, so that other exchanges of this event loop turn count it.
-        connection = self.pool.reserve_connection(self.reserved_connections)
+        connection = self.pool.reserve_connection(self.reserved_for_others)
         if connection is not None:
             self._connect(connection)
         else:
@@ -106,7 +106,7 @@
             return
         self._connect_task = None
         self._connecting = None
-        if self._is_still_needed():  # the client may have disconnected meanwhile, and that may be unread
+        if self._check_still_needed():  # the client may have disconnected meanwhile
             self._send_on(connection)
         else:
             connection.close()
@@ -138,7 +138,7 @@
         self._release(close_connection=True)
 
     def _release(self, *, close_connection: bool) -> None:
-        """Mark it as finished, and release its timer, its connect task and its connection."""
+        """Mark the exchange as finished, and release its timer, its connect task and its connection."""
         self.finished = True
         if self._timeout_timer is not None:
             self._timeout_timer.cancel()
@@ -155,18 +155,18 @@
     data: bytes,
     timeout_s: float | None,
     on_ended: OnExchangeEnded,
-    reserved_connections: int = 0,
+    reserved_for_others: int = 0,
 ) -> Exchange:
     """Start an exchange whose request contains no remaining time, and can be serialized in advance.
 
     Args:
-        pool: The connections to the endpoint.
+        pool: The connections to the address.
         data: The serialized request.
-        timeout_s: After which it times out; None for never.
+        timeout_s: Time after which the exchange times out; None for never.
         on_ended: Called at the end, see `Exchange`.
-        reserved_connections: How many connections within the limit it must leave to other exchanges.
+        reserved_for_others: How many connections of the limit must stay available to other exchanges.
     """
-    exchange = Exchange(pool, lambda: data, on_ended, reserved_connections)
+    exchange = Exchange(pool, lambda: data, on_ended, reserved_for_others)
     deadline_s = None if timeout_s is None else asyncio.get_running_loop().time() + timeout_s
     exchange.start(deadline_s)
     return exchange
--- a/loadbalancer/proxy/health_checks.py
+++ b/loadbalancer/proxy/health_checks.py
@@ -36,8 +36,8 @@
         """Set up the health checks.
 
         Args:
-            connection_pool: Returns the pool of an endpoint; None if it takes no new requests.
-            on_ended: Is called once for each health check.
+            connection_pool: Returns the pool of an endpoint; None if it accepts no new requests.
+            on_ended: Called once for each health check.
             with_load_reports: Whether endpoints respond to health checks with load reports.
         """
         self._in_flight = 0
@@ -60,7 +60,7 @@
             data=write_request(b"GET", self._path, [(b"Host", f"{host}:{port}".encode())]),
             timeout_s=HEALTH_CHECK_TIMEOUT_S,
             on_ended=check.on_exchange_ended,
-            reserved_connections=pool.limits.max_connections // ATTEMPT_CONNECTIONS_DIVISOR,
+            reserved_for_others=pool.limits.max_connections // ATTEMPT_CONNECTIONS_DIVISOR,
         )
 
     def _on_check_ended(self, ended: HealthCheckEnded) -> None:
--- a/tests/policy/test_discovery_retry.py
+++ b/tests/policy/test_discovery_retry.py
@@ -7,21 +7,21 @@
 from tests.support.policy_harness import (
     NANOSECONDS_PER_MILLISECOND,
     NANOSECONDS_PER_SECOND,
-    START,
+    START_NS,
     PolicyHarness,
     actions_of_type,
-    settings,
+    make_settings,
 )
 
 
 def test_failed_calls_back_off() -> None:
-    harness = PolicyHarness(settings(discovery_pushes=False))
+    harness = PolicyHarness(make_settings(discovery_pushes=False))
     assert not actions_of_type(WatchEndpoints, harness.actions)
     harness.advance(5 * NANOSECONDS_PER_SECOND)
     assert len(actions_of_type(WatchEndpoints, harness.actions)) == 1
     gaps, last = [], harness.now_ns
     for _ in range(4):
-        harness.give(EndpointUpdate(EndpointUpdateKind.FAILED))
+        harness.deliver(EndpointUpdate(EndpointUpdateKind.FAILED))
         before = len(actions_of_type(WatchEndpoints, harness.actions))
         while len(actions_of_type(WatchEndpoints, harness.actions)) == before:
             harness.advance(50 * NANOSECONDS_PER_MILLISECOND)
@@ -29,26 +29,26 @@
         gaps.append(harness.now_ns - last)
         last = harness.now_ns
     assert gaps[0] < gaps[2]
-    assert max(gaps) <= harness.config.rules.poll_interval_ns
+    assert max(gaps) <= harness.settings.rules.poll_interval_ns
 
 
 def test_watch_that_timed_out_is_renewed_at_once() -> None:
-    harness = PolicyHarness(settings(discovery_pushes=False))
+    harness = PolicyHarness(make_settings(discovery_pushes=False))
     harness.advance(5 * NANOSECONDS_PER_SECOND)
     for _ in range(3):
-        assert WatchEndpoints(True) in harness.give(EndpointUpdate(EndpointUpdateKind.WATCH_TIMED_OUT))
+        assert WatchEndpoints(True) in harness.deliver(EndpointUpdate(EndpointUpdateKind.WATCH_TIMED_OUT))
     # A watch timeout is no failure: the backoff after the next failure is still that of a first one.
-    assert WatchEndpoints(True) not in harness.give(EndpointUpdate(EndpointUpdateKind.FAILED))
+    assert WatchEndpoints(True) not in harness.deliver(EndpointUpdate(EndpointUpdateKind.FAILED))
     assert WatchEndpoints(True) in harness.advance(1500 * NANOSECONDS_PER_MILLISECOND)
 
 
 def test_first_calls_are_spread() -> None:
     delays = set()
     for seed in range(10):
-        balancer = Balancer(settings(discovery_pushes=False), seed, START)
+        balancer = Balancer(make_settings(discovery_pushes=False), seed, START_NS)
         delays |= {
             a.delay_ns // (50 * NANOSECONDS_PER_MILLISECOND)
-            for a in balancer.handle(START, [])
+            for a in balancer.handle(START_NS, [])
             if isinstance(a, SetTimer)
         }
     assert len(delays) > 5
--- a/tests/policy/test_load_estimate.py
+++ b/tests/policy/test_load_estimate.py
@@ -12,9 +12,9 @@
     PolicyHarness,
     arrival,
     make_endpoints,
-    settings,
+    make_settings,
 )
-from tests.support.rule_checker import FinalAnswer
+from tests.support.rule_checker import RequestOutcome
 
 
 def live_weights_update(weights: list[float]) -> EndpointUpdate:
@@ -26,22 +26,22 @@
 
 def test_live_weights_direct_requests_to_the_less_loaded_endpoint() -> None:
     # At most one request is in flight, so this proxy's own counts do not show which endpoint has less load.
-    harness = PolicyHarness(settings(weight_source=WeightSource.LIVE), endpoint_count=2)
-    harness.give(live_weights_update([1.0, 1.0]), live_weights_update([0.1, 0.5]))
+    harness = PolicyHarness(make_settings(weight_source=WeightSource.LIVE), endpoint_count=2)
+    harness.deliver(live_weights_update([1.0, 1.0]), live_weights_update([0.1, 0.5]))
     for i in range(12):
-        harness.give(arrival(i, harness.now_ns))
+        harness.deliver(arrival(i, harness.now_ns))
         harness.now_ns += NANOSECONDS_PER_MILLISECOND
         harness.finish(f"r{i}")
     assert {endpoint.id for sent in harness.attempts.values() for endpoint, _ in sent} == {2}
 
 
 def test_old_load_report_is_ignored() -> None:
-    harness = PolicyHarness(settings(weight_source=WeightSource.LIVE), endpoint_count=1)
-    harness.give(live_weights_update([1.0]), live_weights_update([0.001]))
-    harness.give(arrival(1, harness.now_ns))
-    assert harness.answers["r1"] is FinalAnswer.REJECTED
+    harness = PolicyHarness(make_settings(weight_source=WeightSource.LIVE), endpoint_count=1)
+    harness.deliver(live_weights_update([1.0]), live_weights_update([0.001]))
+    harness.deliver(arrival(1, harness.now_ns))
+    assert harness.outcomes["r1"] is RequestOutcome.REJECTED
     harness.advance(4 * NANOSECONDS_PER_SECOND)
-    harness.give(arrival(2, harness.now_ns))
+    harness.deliver(arrival(2, harness.now_ns))
     assert len(harness.attempts["r2"]) == 1
 
 
@@ -49,10 +49,10 @@
 def test_invalid_load_report_is_ignored(load: float) -> None:
     harness = PolicyHarness(endpoint_count=2)
     for i in range(6):
-        harness.give(arrival(i, harness.now_ns))
+        harness.deliver(arrival(i, harness.now_ns))
         harness.now_ns += 20 * NANOSECONDS_PER_MILLISECOND
         endpoint = harness.attempts[f"r{i}"][0][0].id
-        harness.give(
+        harness.deliver(
             AttemptEnded(
                 f"r{i}",
                 0,
@@ -63,4 +63,4 @@
                 {"inflight": load},
             )
         )
-    assert [harness.answers[f"r{i}"] for i in range(6)] == [FinalAnswer.SERVED] * 6
+    assert [harness.outcomes[f"r{i}"] for i in range(6)] == [RequestOutcome.SERVED] * 6
--- a/tests/policy/test_random_days.py
+++ b/tests/policy/test_random_days.py
@@ -17,18 +17,18 @@
 )
 from loadbalancer.settings import Limits, Rules
 from tests.support.policy_harness import (
-    ANY,
-    BIG,
-    CELL,
+    CELL_DEDUPLICATED,
+    EAST_ONLY,
+    FULLY_DEDUPLICATED,
+    LARGE_MACHINES_ONLY,
     NANOSECONDS_PER_MILLISECOND,
     NANOSECONDS_PER_SECOND,
-    NEAR,
     PAY,
     READ,
     PolicyHarness,
     arrival,
     make_mixed_endpoints,
-    settings,
+    make_settings,
 )
 
 RESULTS = [AttemptResult.OK] * 6 + [r for r in AttemptResult if r is not AttemptResult.TIMEOUT]
@@ -50,17 +50,19 @@
     )
     rules = Rules(slow_start_ns=4 * NANOSECONDS_PER_SECOND, rejected_may_have_run=rng.random() < 0.5)
     harness = PolicyHarness(
-        settings(limits=limits, discovery_pushes=push, proxy_count=rng.choice([1, 3, 40]), rules=rules),
+        make_settings(limits=limits, discovery_pushes=push, proxy_count=rng.choice([1, 3, 40]), rules=rules),
         seed,
         0,
     )
     endpoints = make_mixed_endpoints(endpoint_count)
-    harness.give(EndpointUpdate(EndpointUpdateKind.CACHED, endpoints))
+    harness.deliver(EndpointUpdate(EndpointUpdateKind.CACHED, endpoints))
     for number in range(rng.randint(5, 120)):
         for _ in range(rng.choice([0, 1, 1, 2, 12])):
-            request_class = rng.choice([READ, PAY, CELL, ANY, NEAR, BIG])
+            request_class = rng.choice(
+                [READ, PAY, CELL_DEDUPLICATED, FULLY_DEDUPLICATED, EAST_ONLY, LARGE_MACHINES_ONLY]
+            )
             request_number = f"{number}-{rng.random()}"
-            harness.give(
+            harness.deliver(
                 arrival(
                     request_number,
                     harness.now_ns,
@@ -72,21 +74,21 @@
             )
         for request, attempt in harness.attempts_in_flight():
             if rng.random() < 0.4:
-                harness.give(harness.attempt_ended(request, attempt, rng.choice(RESULTS)))
+                harness.deliver(harness.attempt_ended(request, attempt, rng.choice(RESULTS)))
         if rng.random() < 0.1:
-            unanswered = [r for r in harness.request_classes if r not in harness.answers]
+            unanswered = [r for r in harness.request_classes if r not in harness.outcomes]
             if unanswered:
-                harness.give(ClientDisconnected(rng.choice(unanswered)))
+                harness.deliver(ClientDisconnected(rng.choice(unanswered)))
         if rng.random() < 0.1:
             i = rng.randrange(len(endpoints))
             started = harness.now_ns if rng.random() < 0.5 else endpoints[i].started_ns
             endpoints[i] = endpoints[i]._replace(status=rng.choice(list(EndpointStatus)), started_ns=started)
             kind = rng.choice([EndpointUpdateKind.DELTA, EndpointUpdateKind.FULL, EndpointUpdateKind.CACHED])
-            harness.give(
+            harness.deliver(
                 EndpointUpdate(kind, [endpoints[i]] if kind is EndpointUpdateKind.DELTA else endpoints)
             )
         if not push and rng.random() < 0.05:
-            harness.give(EndpointUpdate(EndpointUpdateKind.FAILED))
+            harness.deliver(EndpointUpdate(EndpointUpdateKind.FAILED))
         harness.advance(rng.choice([0, 1, 10, 50]) * NANOSECONDS_PER_MILLISECOND)
     harness.advance(2 * NANOSECONDS_PER_SECOND)
-    assert set(harness.answers) == set(harness.request_classes)
+    assert set(harness.outcomes) == set(harness.request_classes)
--- a/tests/proxy/test_drain_with_queued_requests.py
+++ b/tests/proxy/test_drain_with_queued_requests.py
@@ -20,14 +20,14 @@
 from loadbalancer.policy.balancer import Balancer
 from loadbalancer.proxy.endpoint_list_applier import SLICE_ENTRIES
 from loadbalancer.proxy.proxy import Proxy
-from tests.proxy.test_discovery_outage import Machine
+from tests.proxy.test_discovery_outage import UnreachableServer
 from tests.support.endpoint_lists import Json, entry, list_json, read_live_list
 from tests.support.fake_discovery import FakeDiscovery
 from tests.support.fake_endpoint import FakeEndpoint, Writer, respond_with
 from tests.support.fake_policies import ScriptedPolicy
 from tests.support.http_messages import HOST, ReceivedMessage, format_response, request
 from tests.support.running_proxy import proxy_settings, running_proxy
-from tests.support.scripted import connect, hold_connections, update_first_endpoint
+from tests.support.scripted import hold_connections, request_readiness, update_first_endpoint
 from tests.support.waiting import wait_until
 
 CLIENTS = 8
@@ -41,7 +41,7 @@
         await release.wait()
         writer.write(format_response(200))
 
-    unreachable = await Machine(respond_with(200), refuses=False).start()
+    unreachable = await UnreachableServer(respond_with(200), refuses_connections=False).start()
     reachable = await FakeEndpoint(respond_when_released).start()
     discovery = FakeDiscovery()
     balancer = Balancer(proxy_settings(max_attempts=2), 1, time.monotonic_ns())
@@ -81,7 +81,7 @@
 async def remove_by_complete_list_in_slices(
     proxy: Proxy, _unreachable: FakeEndpoint, reachable: FakeEndpoint
 ) -> None:
-    others = [entry(f"other{i}", health="draining") for i in range(3 * SLICE_ENTRIES)]
+    others = [entry(f"other{index}", health="draining") for index in range(3 * SLICE_ENTRIES)]
     apply_list(proxy, entry("s1", reachable.port), *others, whole=True)
     await wait_until(lambda: proxy.list_applier.task is None)
 
@@ -111,14 +111,14 @@
     ],
 )
 async def test_requests_queued_when_an_address_is_lost_are_served(apply_change: ApplyChange) -> None:
-    # Guards against cancelled attempts that are retried there before the policy has the update.
+    # Guards against cancelled attempts that are retried at the lost address before the policy has the update.
     release = asyncio.Event()
 
     async def respond_when_released(_request: ReceivedMessage, writer: Writer) -> None:
         await release.wait()
         writer.write(format_response(200))
 
-    unreachable = await Machine(respond_with(200), refuses=False).start()
+    unreachable = await UnreachableServer(respond_with(200), refuses_connections=False).start()
     reachable = await FakeEndpoint(respond_when_released).start()
     balancer = Balancer(proxy_settings(max_attempts=2), 1, time.monotonic_ns())
     async with running_proxy(balancer, unreachable, reachable, max_attempts=2) as first_client:
@@ -143,7 +143,9 @@
 
 async def test_an_unsent_request_survives_successive_drains() -> None:
     # Guards against drains that use up the attempts of a request although no byte of it was sent.
-    unreachable = [await Machine(respond_with(200), refuses=False).start() for _ in range(DRAINS)]
+    unreachable = [
+        await UnreachableServer(respond_with(200), refuses_connections=False).start() for _ in range(DRAINS)
+    ]
     reachable = await FakeEndpoint(respond_with(200)).start()
     hosts = {machine.port: f"s{number}" for number, machine in enumerate(unreachable)}
     balancer = Balancer(proxy_settings(max_attempts=2), 1, time.monotonic_ns())
@@ -179,7 +181,7 @@
 
     policy.react = react
     async with running_proxy(policy, endpoint) as client:
-        await connect(client)
+        await request_readiness(client)
         hold_connections(monkeypatch, asyncio.Event())
         await client.send(request())
         await wait_until(lambda: policy.events_of(RequestArrived))
--- a/tests/proxy/test_endpoint_connections.py
+++ b/tests/proxy/test_endpoint_connections.py
@@ -22,12 +22,12 @@
 from tests.support.http_messages import ReceivedMessage, format_response, request
 from tests.support.running_proxy import running_proxy
 from tests.support.scripted import (
+    attempt_results,
     end_quarantine,
     fail_unless_complete,
     forward_requests,
     forwarding_policy,
     on_timer,
-    results,
 )
 from tests.support.waiting import wait_until
 
@@ -45,13 +45,13 @@
             assert (await client.exchange(request())).body == b"mine"
             assert endpoint.opened_connections == len(endpoint.requests) == count
             assert not client.proxy._connection_limits.idle_connections
-        assert results(policy) == [AttemptResult.OK] * 2
+        assert attempt_results(policy) == [AttemptResult.OK] * 2
 
 
 async def test_a_late_second_response_is_not_given_to_the_next_request(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    # So long that the quarantine cannot end during the test on a slow machine.
+    # Keeps the quarantine from ending during the test on a slow machine.
     monkeypatch.setattr("loadbalancer.proxy.attempts.QUARANTINE_S", 60.0)
     writers: list[asyncio.StreamWriter] = []
 
@@ -114,7 +114,7 @@
         pool = next(iter(client.proxy.addresses.pools.values()))
         transport = pool.idle_connections[0]._transport
         assert transport is not None
-        transport.close()  # as after a close by the endpoint; the pool is notified one turn later
+        transport.close()  # as after a close by the endpoint; the pool is notified one event loop turn later
         ended: list[AttemptResult] = []
         start_exchange(
             pool, b"GET /read HTTP/1.1\r\n\r\n", None, lambda result, _response: ended.append(result)
@@ -129,7 +129,7 @@
     "unread", [b"", format_response(200, b"nobody's")], ids=["end of stream", "second response"]
 )
 async def test_an_idle_connection_with_unread_data_is_not_reused(unread: bytes) -> None:
-    # A close or a second response arrives in the turn of the event loop in which the next attempt starts.
+    # A close or a second response arrives in the event loop turn in which the next attempt starts.
     writers: list[asyncio.StreamWriter] = []
 
     async def respond(_received: ReceivedMessage, writer: asyncio.StreamWriter) -> None:
@@ -149,10 +149,10 @@
             os.write(endpoint_socket.fileno(), unread)
         else:
             endpoint_socket.shutdown(socket.SHUT_WR)
-        client.proxy.dispatch(TimerExpired("retry"))  # in the same turn of the event loop
+        client.proxy.dispatch(TimerExpired("retry"))  # in the same event loop turn
         assert (await client.read()).body == b"mine"
         assert endpoint.opened_connections == 2
-        assert results(policy) == [AttemptResult.OK] * 2
+        assert attempt_results(policy) == [AttemptResult.OK] * 2
 
 
 async def test_connections_to_endpoints_are_limited() -> None:
@@ -167,7 +167,7 @@
         client.proxy._connection_limits.max_connections = 7
         assert (await client.exchange(request())).status == 504
         assert client.proxy._connection_limits.open_connections == 7
-        assert results(policy) == [AttemptResult.CONNECT_FAILED]
+        assert attempt_results(policy) == [AttemptResult.CONNECT_FAILED]
         for other_client in clients:
             other_client.close()
         await wait_until(lambda: client.proxy._connection_limits.open_connections == 0)
--- a/tests/proxy/test_requests.py
+++ b/tests/proxy/test_requests.py
@@ -32,11 +32,11 @@
 from tests.support.http_messages import HOST, ReceivedMessage, format_response, request
 from tests.support.running_proxy import proxy_settings, running_proxy
 from tests.support.scripted import (
-    connect,
     fail_unless_complete,
     forward_requests,
     forwarding_policy,
     on_timer,
+    request_readiness,
 )
 from tests.support.waiting import wait_until
 
@@ -92,8 +92,10 @@
 
 async def test_a_rejection_is_sent_at_once_with_retry_after() -> None:
     policy = ScriptedPolicy(
-        lambda e: (
-            [Reject(e.request_id, 437 * NANOSECONDS_PER_MILLISECOND)] if isinstance(e, RequestArrived) else ()
+        lambda incoming: (
+            [Reject(incoming.request_id, 437 * NANOSECONDS_PER_MILLISECOND)]
+            if isinstance(incoming, RequestArrived)
+            else ()
         )
     )
     async with running_proxy(policy) as client:
@@ -108,10 +110,10 @@
     endpoint = await FakeEndpoint(respond_with(200)).start()
     policy = forwarding_policy()
     async with running_proxy(policy, endpoint, ready_delay_s=3600.0) as client:
-        assert (await connect(client)).status == 503
+        assert (await request_readiness(client)).status == 503
         assert (await client.exchange(request())).status == 200
     async with running_proxy(policy, endpoint) as client:
-        assert (await connect(client)).status == 200
+        assert (await request_readiness(client)).status == 200
 
 
 async def test_one_attempt_at_a_time_and_none_after_the_final_response() -> None:
@@ -140,8 +142,8 @@
             (0, AttemptResult.NOT_SENT, True),
         }
         assert len(endpoint.requests) == 1
-        assert policy.deepest_call == 1
-        assert (await connect(client)).status == 200  # one response only
+        assert policy.max_call_depth == 1
+        assert (await request_readiness(client)).status == 200  # one response only
 
 
 async def test_a_client_disconnect_cancels_its_request() -> None:
@@ -194,7 +196,9 @@
 
 async def test_a_timer_expires_under_its_name() -> None:
     policy = ScriptedPolicy(
-        lambda e: [SetTimer(2 * NANOSECONDS_PER_MILLISECOND, "next")] if e == TimerExpired("first") else ()
+        lambda incoming: (
+            [SetTimer(2 * NANOSECONDS_PER_MILLISECOND, "next")] if incoming == TimerExpired("first") else ()
+        )
     )
     async with running_proxy(policy) as client:
         client.proxy.dispatch(TimerExpired("first"))
@@ -209,10 +213,10 @@
 ) -> None:
     writers: list[asyncio.StreamWriter] = []
 
-    async def wait(_received: ReceivedMessage, writer: asyncio.StreamWriter) -> None:
+    async def hold_response(_received: ReceivedMessage, writer: asyncio.StreamWriter) -> None:
         writers.append(writer)
 
-    endpoint = await FakeEndpoint(wait).start()
+    endpoint = await FakeEndpoint(hold_response).start()
     policy = forwarding_policy(fail_unless_complete, timeout_ns=100 * NANOSECONDS_PER_MILLISECOND)
     async with running_proxy(policy, endpoint) as client:
         client_socket = socket.socket()
@@ -227,7 +231,7 @@
                 )
             else:
                 client_socket.shutdown(socket.SHUT_WR)
-        time.sleep(0.15)  # the attempt's timeout expires too: all events are handled in one turn of the loop
+        time.sleep(0.15)  # the attempt's timeout expires too: all events are handled in one event loop turn
         await wait_until(lambda: policy.events_of(AttemptEnded))
         await wait_until(lambda: not client.proxy._pending_requests)
         assert len(policy.events_of(AttemptEnded)) == 1
@@ -235,5 +239,5 @@
         assert len(policy.events_of(ClientDisconnected)) <= 1
         forward_requests(policy)
         endpoint.respond = respond_with(200, b"next")
-        assert (await client.exchange(request())).body == b"next"  # it does not get the late response
+        assert (await client.exchange(request())).body == b"next"  # and not the late response
         client_socket.close()
--- a/tests/support/policy_harness.py
+++ b/tests/support/policy_harness.py
@@ -31,32 +31,32 @@
 
 NANOSECONDS_PER_MILLISECOND = 1_000_000
 NANOSECONDS_PER_SECOND = 1000 * NANOSECONDS_PER_MILLISECOND
-START = 5 * NANOSECONDS_PER_SECOND
+START_NS = 5 * NANOSECONDS_PER_SECOND
 
 READ = RequestClass("read", Idempotency.IDEMPOTENT, latency_objective_ns=300 * NANOSECONDS_PER_MILLISECOND)
 PAY = RequestClass("pay", Idempotency.NON_IDEMPOTENT, latency_objective_ns=300 * NANOSECONDS_PER_MILLISECOND)
-CELL = RequestClass(
-    "cell",
+CELL_DEDUPLICATED = RequestClass(
+    "cell_deduplicated",
     Idempotency.IDEMPOTENCY_KEY,
     DeduplicationScope.CELL,
     deduplication_window_ns=400 * NANOSECONDS_PER_MILLISECOND,
     latency_objective_ns=300 * NANOSECONDS_PER_MILLISECOND,
 )
-ANY = RequestClass(
-    "any",
+FULLY_DEDUPLICATED = RequestClass(
+    "fully_deduplicated",
     Idempotency.IDEMPOTENCY_KEY,
     DeduplicationScope.ALL,
     deduplication_window_ns=400 * NANOSECONDS_PER_MILLISECOND,
     latency_objective_ns=300 * NANOSECONDS_PER_MILLISECOND,
 )
-NEAR = RequestClass(
-    "near",
+EAST_ONLY = RequestClass(
+    "east_only",
     Idempotency.IDEMPOTENT,
     latency_objective_ns=300 * NANOSECONDS_PER_MILLISECOND,
     allowed_zones=frozenset({"east"}),
 )
-BIG = RequestClass(
-    "big",
+LARGE_MACHINES_ONLY = RequestClass(
+    "large_machines_only",
     Idempotency.IDEMPOTENCY_KEY,
     DeduplicationScope.ZONE,
     deduplication_window_ns=400 * NANOSECONDS_PER_MILLISECOND,
@@ -65,10 +65,13 @@
 )
 
 
-def settings(**changes: object) -> Settings:
-    """Return settings with invented names, with some fields changed."""
+def make_settings(**changes: object) -> Settings:
+    """Return settings for tests, with the given fields replaced."""
     base: dict[str, object] = {
-        "request_classes": {c.name: c for c in (READ, PAY, CELL, ANY, NEAR, BIG)},
+        "request_classes": {
+            c.name: c
+            for c in (READ, PAY, CELL_DEDUPLICATED, FULLY_DEDUPLICATED, EAST_ONLY, LARGE_MACHINES_ONLY)
+        },
         "tenants": {"ash": Tenant("ash", 0.5), "birch": Tenant("birch", 0.5)},
         "limits": Limits(max_attempts=3, hedging=True, cancellation=True, retry_after=True),
         "rules": Rules(slow_start_ns=4 * NANOSECONDS_PER_SECOND),
@@ -78,12 +81,12 @@
 
 
 def make_endpoints(count: int, first: int = 1, started_ns: int = 0) -> list[Endpoint]:
-    """Return ready endpoints of one zone, three to a cell, with ids from `first` on."""
+    """Return ready endpoints in one zone, three per cell, with consecutive ids from `first`."""
     return [Endpoint(first + i, EndpointStatus.READY, "east", i // 3, 1.0, started_ns) for i in range(count)]
 
 
 def make_mixed_endpoints(count: int, started_ns: int = 0) -> list[Endpoint]:
-    """Return endpoints over two zones and two machine types."""
+    """Return endpoints spread over two zones and two machine types."""
     return [
         u._replace(zone=("east", "west")[i % 2], machine_type=("large", "small")[i // 2 % 2])
         for i, u in enumerate(make_endpoints(count, 1, started_ns))
@@ -93,33 +96,33 @@
 def arrival(
     number: int | str,
     now_ns: int,
-    cls: RequestClass = READ,
+    request_class: RequestClass = READ,
     tenant: str = "ash",
     wait_ns: int = 500 * NANOSECONDS_PER_MILLISECOND,
     retry: bool = False,
 ) -> RequestArrived:
-    """Return the arrival of request `r<number>`, whose client waits for so long."""
-    return RequestArrived(f"r{number}", cls.name, tenant, now_ns + wait_ns, is_retry=retry)
+    """Return the arrival of request `r<number>`, whose deadline is `wait_ns` after `now_ns`."""
+    return RequestArrived(f"r{number}", request_class.name, tenant, now_ns + wait_ns, is_retry=retry)
 
 
 class PolicyHarness:
-    """Drives one balancer on a simulated clock, keeps its timers, and has its actions checked."""
+    """Drives one balancer on a simulated clock, runs its timers and checks its actions."""
 
-    def __init__(self, config: Settings | None = None, seed: int = 7, endpoint_count: int = 6) -> None:
-        self.config = config or settings()
-        self.now_ns = START
-        self.balancer = Balancer(self.config, seed, self.now_ns)
-        self.checker = RuleChecker(self.config)
+    def __init__(self, settings: Settings | None = None, seed: int = 7, endpoint_count: int = 6) -> None:
+        self.settings = settings or make_settings()
+        self.now_ns = START_NS
+        self.balancer = Balancer(self.settings, seed, self.now_ns)
+        self.checker = RuleChecker(self.settings)
         self.request_classes = self.checker.request_classes
-        self.answers = self.checker.answers
+        self.outcomes = self.checker.outcomes
         self.attempts = self.checker.attempts
-        self.timers: list[tuple[int, str]] = []  # when each is due, and its name
-        self.actions: list[Action] = []  # all so far
+        self.timers: list[tuple[int, str]] = []  # due time and name
+        self.actions: list[Action] = []  # all actions so far
         if endpoint_count:
-            self.give(EndpointUpdate(EndpointUpdateKind.CACHED, make_endpoints(endpoint_count)))
+            self.deliver(EndpointUpdate(EndpointUpdateKind.CACHED, make_endpoints(endpoint_count)))
 
-    def give(self, *events: Event) -> list[Action]:
-        """Hand events to the balancer now, and return its checked actions."""
+    def deliver(self, *events: Event) -> list[Action]:
+        """Hand events to the balancer at the current time; check and return its actions."""
         for event in events:
             self.checker.record_event(event)
         actions = self.balancer.handle(self.now_ns, events)
@@ -131,16 +134,16 @@
         return actions
 
     def advance(self, by_ns: int, step_ns: int = 5 * NANOSECONDS_PER_MILLISECOND) -> list[Action]:
-        """Let time pass in steps, delivering timers that are due and timeouts at the deadline."""
-        seen: list[Action] = []
+        """Advance the clock in steps; deliver expired timers, and timeouts of attempts at their deadlines."""
+        all_actions: list[Action] = []
         end = self.now_ns + by_ns
         while self.now_ns < end:
             self.now_ns = min(end, self.now_ns + step_ns)
             events = self._due_timers() + self._due_timeouts()
             if events:
-                seen += self.give(*events)
+                all_actions += self.deliver(*events)
             self.checker.check_deadlines(self.now_ns)
-        return seen
+        return all_actions
 
     def _due_timers(self) -> list[Event]:
         due = sorted(timer for timer in self.timers if timer[0] <= self.now_ns)
@@ -155,11 +158,11 @@
         ]
 
     def attempts_in_flight(self) -> list[tuple[str, int]]:
-        """Return the request and the number of each attempt that has not ended."""
+        """Return the request id and attempt number of each attempt that has not ended."""
         return self.checker.attempts_in_flight()
 
     def attempt_ended(self, request: str, number: int, result: AttemptResult) -> AttemptEnded:
-        """Return the event that an attempt ends now."""
+        """Return the event for an attempt that ends at the current time."""
         endpoint, sent_ns = self.attempts[request][number]
         complete = self.checker.is_complete(request) or result is AttemptResult.OK
         return AttemptEnded(request, number, endpoint.id, result, self.now_ns - sent_ns, complete)
@@ -167,9 +170,9 @@
     def finish(
         self, request: str, result: AttemptResult = AttemptResult.OK, number: int = -1
     ) -> list[Action]:
-        """End an attempt, the last one where no number is given."""
+        """End an attempt of a request: by default the last one."""
         number = number if number >= 0 else len(self.attempts[request]) - 1
-        return self.give(self.attempt_ended(request, number, result))
+        return self.deliver(self.attempt_ended(request, number, result))
 
 
 def actions_of_type(kind: type, actions: Iterable[Action]) -> list[Action]:
--- a/tests/support/rule_checker.py
+++ b/tests/support/rule_checker.py
@@ -1,6 +1,8 @@
-"""A checker of rules 1 to 3 and of the grammar of a balancer's actions.
+"""Checks a balancer's actions: rules 1 to 3, and that each action is valid where it is made.
 
-It keeps books of its own from the events and actions alone, and shares no code with the policy.
+The rules concern the outcome of a request by its deadline, the placement and the number of its attempts,
+and the repetition of a request that may have run. The checker derives its state from events and actions
+alone, and shares no code with the policy.
 """
 
 from __future__ import annotations
@@ -30,12 +32,12 @@
 )
 from loadbalancer.settings import DeduplicationScope, Idempotency, RequestClass, Settings
 
-LATE_NS = 20_000_000  # an answer may come so long after its deadline
-GOSSIP_MAX = 256  # bytes
+MAX_LATENESS_NS = 20_000_000  # tolerance for a request that ends after its deadline
+MAX_GOSSIP_BYTES = 256
 
 
-class FinalAnswer(Enum):
-    """How a request ended for its client."""
+class RequestOutcome(Enum):
+    """The outcome of a request for its client."""
 
     SERVED = auto()
     REJECTED = auto()
@@ -44,27 +46,27 @@
 
 
 class SentAttempt(NamedTuple):
-    """Where and when an attempt went out."""
+    """The endpoint and the time of an attempt."""
 
     endpoint: Endpoint
     sent_ns: int
 
 
 class RuleChecker:
-    """The books on one balancer's requests; an action against the rules raises `AssertionError`."""
+    """Tracks the requests of one balancer; an action that breaks a rule raises `AssertionError`."""
 
-    def __init__(self, config: Settings) -> None:
-        self.config = config
+    def __init__(self, settings: Settings) -> None:
+        self.settings = settings
         self.request_classes: dict[str, RequestClass] = {}
         self.deadlines: dict[str, int] = {}
-        self.answers: dict[str, FinalAnswer] = {}
-        self.completed: set[str] = set()  # the balancer has been told that they are over
+        self.outcomes: dict[str, RequestOutcome] = {}
+        self.completed: set[str] = set()  # the balancer has been told that they are complete
         self.attempts: dict[str, list[SentAttempt]] = {}
-        self.results: dict[tuple[str, int], AttemptResult] = {}  # by request and number of the attempt
+        self.results: dict[tuple[str, int], AttemptResult] = {}  # by request id and attempt number
         self.endpoints: dict[int, Endpoint] = {}
 
     def attempts_in_flight(self) -> list[tuple[str, int]]:
-        """Return the request and the number of each attempt that has not ended."""
+        """Return the request id and attempt number of each attempt that has not ended."""
         return [
             (request, number)
             for request, attempts in self.attempts.items()
@@ -73,46 +75,46 @@
         ]
 
     def is_complete(self, request: str) -> bool:
-        """Tell whether a request has its final answer or its client is gone."""
-        return request in self.answers or request in self.completed
+        """Return whether a request has ended or its client has disconnected."""
+        return request in self.outcomes or request in self.completed
 
     def record_event(self, event: Event) -> None:
-        """Book what the balancer is told."""
+        """Record an event that the balancer is sent."""
         match event:
             case RequestArrived():
-                self.request_classes[event.request_id] = self.config.request_classes[event.class_name]
+                self.request_classes[event.request_id] = self.settings.request_classes[event.class_name]
                 self.deadlines[event.request_id] = event.deadline_ns
             case AttemptEnded() if event.request_id in self.request_classes:
                 self._record_attempt_ended(event)
             case ClientDisconnected():
-                self.answers.setdefault(event.request_id, FinalAnswer.DISCONNECTED)
+                self.outcomes.setdefault(event.request_id, RequestOutcome.DISCONNECTED)
                 self.completed.add(event.request_id)
             case EndpointUpdate():
                 self._record_endpoints(event)
 
     def _record_attempt_ended(self, event: AttemptEnded) -> None:
         self.results[event.request_id, event.attempt] = event.result
-        if event.result is AttemptResult.OK and event.request_id not in self.answers:
-            self.answers[event.request_id] = FinalAnswer.SERVED
+        if event.result is AttemptResult.OK and event.request_id not in self.outcomes:
+            self.outcomes[event.request_id] = RequestOutcome.SERVED
         if event.request_complete:
             self.completed.add(event.request_id)
 
     def _record_endpoints(self, update: EndpointUpdate) -> None:
         if update.kind in (EndpointUpdateKind.FULL, EndpointUpdateKind.CACHED):
-            for number, endpoint in self.endpoints.items():
-                self.endpoints[number] = endpoint._replace(status=EndpointStatus.REMOVED)
+            for key, endpoint in self.endpoints.items():
+                self.endpoints[key] = endpoint._replace(status=EndpointStatus.REMOVED)
         self.endpoints |= {endpoint.id: endpoint for endpoint in update.endpoints}
 
     def check_action(self, action: Action, now_ns: int) -> None:
-        """Check one action against the books, and book it."""
-        limits = self.config.limits
+        """Check one action against the recorded state, and record it."""
+        limits = self.settings.limits
         match action:
             case Forward():
                 self._check_forward(action, now_ns)
             case Reject():
                 self._check_reject(action, now_ns)
             case Fail():
-                self._record_answer(action.request_id, FinalAnswer.FAILED, now_ns)
+                self._record_outcome(action.request_id, RequestOutcome.FAILED, now_ns)
             case CancelAttempt():
                 assert limits.cancellation
                 assert action.attempt < len(self.attempts[action.request_id])
@@ -121,67 +123,69 @@
                 assert action.endpoint_id in self.endpoints
             case SendGossip():
                 assert limits.gossip
-                assert len(action.data) <= GOSSIP_MAX
+                assert len(action.data) <= MAX_GOSSIP_BYTES
             case SetTimer():
                 assert action.delay_ns > 0
 
     def check_deadlines(self, now_ns: int) -> None:
-        """Check that each request whose deadline has passed has its final answer."""
+        """Check that each request whose deadline has passed has ended."""
         for request, deadline in self.deadlines.items():
-            if deadline + LATE_NS < now_ns:
-                assert request in self.answers, f"{request} had no final answer in its time"
+            if deadline + MAX_LATENESS_NS < now_ns:
+                assert request in self.outcomes, f"{request} has not ended by its deadline"
 
     def _attempts_that_may_have_run(self, request: str) -> list[SentAttempt]:
-        proofs = set(NEVER_RAN)
-        if self.config.rules.rejected_may_have_run:
-            proofs.discard(AttemptResult.REJECTED)
+        never_ran_results = set(NEVER_RAN)
+        if self.settings.rules.rejected_may_have_run:
+            never_ran_results.discard(AttemptResult.REJECTED)
         return [
             attempt
             for number, attempt in enumerate(self.attempts.get(request, []))
-            if self.results.get((request, number)) not in proofs
+            if self.results.get((request, number)) not in never_ran_results
         ]
 
-    def _record_answer(self, request: str, answer: FinalAnswer, now_ns: int) -> None:
+    def _record_outcome(self, request: str, outcome: RequestOutcome, now_ns: int) -> None:
         assert request in self.request_classes, f"{request} never arrived"
-        earlier = self.answers.get(request)
-        assert earlier is None, f"{request} answered twice: {earlier}, {answer}"
-        assert now_ns <= self.deadlines[request] + LATE_NS, f"{request} answered late"
-        self.answers[request] = answer
+        earlier = self.outcomes.get(request)
+        assert earlier is None, f"{request} ended twice: {earlier}, {outcome}"
+        assert now_ns <= self.deadlines[request] + MAX_LATENESS_NS, f"{request} ended late"
+        self.outcomes[request] = outcome
 
     def _check_reject(self, action: Reject, now_ns: int) -> None:
-        cls = self.request_classes[action.request_id]
+        request_class = self.request_classes[action.request_id]
         deduplicated_everywhere = (
-            cls.idempotency is Idempotency.IDEMPOTENCY_KEY
-            and cls.deduplication_scope is DeduplicationScope.ALL
+            request_class.idempotency is Idempotency.IDEMPOTENCY_KEY
+            and request_class.deduplication_scope is DeduplicationScope.ALL
         )
-        is_harmless = (
-            cls.idempotency is Idempotency.IDEMPOTENT
+        may_reject = (
+            request_class.idempotency is Idempotency.IDEMPOTENT
             or deduplicated_everywhere
             or not self._attempts_that_may_have_run(action.request_id)
         )
-        assert is_harmless, f"{action.request_id} rejected though it may have run"
-        self._record_answer(action.request_id, FinalAnswer.REJECTED, now_ns)
-        assert 0 <= action.retry_after_ns <= self.config.limits.max_retry_after_ns
+        assert may_reject, f"{action.request_id} rejected though it may have run"
+        self._record_outcome(action.request_id, RequestOutcome.REJECTED, now_ns)
+        assert 0 <= action.retry_after_ns <= self.settings.limits.max_retry_after_ns
 
     def _check_forward(self, action: Forward, now_ns: int) -> None:
         request, endpoint = action.request_id, self.endpoints[action.endpoint_id]
-        assert not self.is_complete(request), f"{request} sent after its end"
+        assert not self.is_complete(request), f"{request} forwarded after it had ended"
         self._check_placement(request, endpoint)
         self._check_attempt_limits(request)
         self._check_repetition(request, endpoint, now_ns)
         self.attempts.setdefault(request, []).append(SentAttempt(endpoint, now_ns))
 
     def _check_placement(self, request: str, endpoint: Endpoint) -> None:
-        cls = self.request_classes[request]
-        zones, machine_types = cls.allowed_zones, cls.allowed_machine_types
-        assert endpoint.status is EndpointStatus.READY, f"{request} sent to a draining or removed endpoint"
-        assert zones is None or endpoint.zone in zones, f"{request} sent outside its zones"
+        request_class = self.request_classes[request]
+        zones, machine_types = request_class.allowed_zones, request_class.allowed_machine_types
+        assert endpoint.status is EndpointStatus.READY, (
+            f"{request} forwarded to a draining or removed endpoint"
+        )
+        assert zones is None or endpoint.zone in zones, f"{request} forwarded outside its allowed zones"
         assert machine_types is None or endpoint.machine_type in machine_types, (
-            f"{request} sent to a machine type not open to it"
+            f"{request} forwarded to a machine type that is not allowed"
         )
 
     def _check_attempt_limits(self, request: str) -> None:
-        limits = self.config.limits
+        limits = self.settings.limits
         attempts = self.attempts.get(request, [])
         assert len(attempts) < limits.max_attempts
         in_flight = sum((request, number) not in self.results for number in range(len(attempts)))
@@ -189,16 +193,18 @@
         assert in_flight < in_flight_max, f"{request}: {in_flight} attempts in flight already"
 
     def _check_repetition(self, request: str, endpoint: Endpoint, now_ns: int) -> None:
-        cls, earlier = self.request_classes[request], self._attempts_that_may_have_run(request)
-        if not earlier or cls.idempotency is Idempotency.IDEMPOTENT:
+        request_class, earlier = self.request_classes[request], self._attempts_that_may_have_run(request)
+        if not earlier or request_class.idempotency is Idempotency.IDEMPOTENT:
             return
-        assert cls.idempotency is not Idempotency.NON_IDEMPOTENT, (
-            f"{request} is not idempotent, may have run and is sent again"
+        assert request_class.idempotency is not Idempotency.NON_IDEMPOTENT, (
+            f"{request} is non-idempotent, may have run, and is forwarded again"
         )
         age_ns = now_ns - earlier[0].sent_ns
-        assert age_ns <= cls.deduplication_window_ns, f"{request} repeated after its window"
-        if cls.deduplication_scope is DeduplicationScope.CELL:
+        assert age_ns <= request_class.deduplication_window_ns, (
+            f"{request} repeated after its deduplication window"
+        )
+        if request_class.deduplication_scope is DeduplicationScope.CELL:
             cell = (endpoint.zone, endpoint.cell)
             assert all((first.zone, first.cell) == cell for first, _ in earlier)
-        if cls.deduplication_scope is DeduplicationScope.ZONE:
+        if request_class.deduplication_scope is DeduplicationScope.ZONE:
             assert all(first.zone == endpoint.zone for first, _ in earlier)
