--- a/loadbalancer/policy/balancer.py
+++ b/loadbalancer/policy/balancer.py
@@ -33,7 +33,7 @@
 
 
 class Balancer:
-    """Decides for one proxy. Pass events to `handle`, and carry out the actions it returns, in order."""
+    """Decides for one proxy. Pass events to `handle`, and carry out the returned actions in order."""
 
     def __init__(self, settings: Settings, seed: int, now_ns: int) -> None:
         self.settings = settings
@@ -72,9 +72,9 @@
         )
         self.load_probing = LoadProbing(self.selection, self.timers, enabled=probing_enabled)
         self.attempt_results = AttemptResults(
-            outliers=self.outlier_detection,
-            limit=self.concurrency_limit,
-            rate=self.rate_controller,
+            outlier_detection=self.outlier_detection,
+            concurrency_limit=self.concurrency_limit,
+            rate_controller=self.rate_controller,
             latency_model=self.latency_model,
         )
         self.actions: list[messages.Action] = []
@@ -101,7 +101,7 @@
             retry_candidates=RetryCandidates(self.fleet_updater, self.rng),
             load_probing=self.load_probing,
             forwarding=Forwarding(
-                limit=self.concurrency_limit,
+                concurrency_limit=self.concurrency_limit,
                 latency_model=self.latency_model,
                 slow_start=self.slow_start,
                 timers=self.timers,
@@ -163,7 +163,7 @@
         self.request_lifecycle.serve_queues(now_ns)
         if now_ns >= self.feedback.due_ns:
             self.feedback.adjust(now_ns)
-        wake_up = timers.next_wake_up(now_ns)
+        wake_up = timers.set_wake_up(now_ns)
         if wake_up is not None:
             self.actions.append(wake_up)
         return self.actions.copy()
@@ -172,9 +172,9 @@
         self.timers.on_wake_up(event.name)
 
     def _on_health_check_ended(self, event: messages.HealthCheckEnded, now_ns: int) -> None:
-        state = self.fleet.endpoints.get(event.endpoint_id)
-        if state is not None:
-            self.actions.extend(self.load_probing.record_result(state, event, now_ns))
+        endpoint_state = self.fleet.endpoints.get(event.endpoint_id)
+        if endpoint_state is not None:
+            self.actions.extend(self.load_probing.record_result(endpoint_state, event, now_ns))
 
     def _on_endpoint_update(self, event: messages.EndpointUpdate, now_ns: int) -> None:
         if event.kind in (messages.EndpointUpdateKind.FAILED, messages.EndpointUpdateKind.WATCH_TIMED_OUT):
--- a/loadbalancer/policy/latency_model.py
+++ b/loadbalancer/policy/latency_model.py
@@ -2,7 +2,8 @@
 
 The latencies of successful attempts are used to estimate the mean latency of each class, the relative latency
 of each endpoint, and a linear model of latency over load: base_ns + per_request_ns * load. The load is the
-number of requests in flight at an endpoint. All durations are in nanoseconds.
+number of requests in flight at an endpoint. For an attempt that times out, the linear model is given an
+estimate. All durations are in nanoseconds.
 """
 
 from loadbalancer.state.request import Attempt, Request
@@ -37,12 +38,12 @@
     def __init__(self, longest_objective_ns: int) -> None:
         self.base_ns = 0.0  # latency that does not depend on the load
         self.per_request_ns = INITIAL_PER_REQUEST_NS  # added by each request in flight at the endpoint
-        # Mean latency by mean load: the time between two completions at a busy endpoint.
+        # Mean latency divided by mean load: the time between two completions at a busy endpoint.
         self.service_interval_ns = longest_objective_ns / OBJECTIVE_TO_INITIAL_LATENCY_RATIO
         self.mean_ns = INITIAL_MEAN_NS  # mean latency over all classes
         self.deviation = INITIAL_DEVIATION  # mean relative deviation from the expected latency
         self._latency_over_load = RunningRegression(REGRESSION_SAMPLE_DECAY)
-        self._mean_ns_by_class: dict[str, float] = {}  # of requests without a cost hint
+        self._mean_ns_by_class: dict[str, float] = {}  # of requests without a cost hint, by class name
         self._cost_hint_factor: float | None = None  # mean latency as a multiple of the cost hint
 
     def expected_ns(self, request: Request) -> float:
@@ -79,11 +80,11 @@
 
     def _record_relative_latency(self, attempt: Attempt, ratio: float) -> None:
         """Update the deviation and the endpoint's relative latency with a ratio of latency to expectation."""
-        endpoint = attempt.endpoint_state
-        deviation = min(DEVIATION_SAMPLE_MAX, abs(ratio / endpoint.relative_latency - 1))
+        endpoint_state = attempt.endpoint_state
+        deviation = min(DEVIATION_SAMPLE_MAX, abs(ratio / endpoint_state.relative_latency - 1))
         self.deviation += MEAN_SMOOTHING * (deviation - self.deviation)
         clipped_ratio = min(RELATIVE_LATENCY_SAMPLE_MAX, max(RELATIVE_LATENCY_SAMPLE_MIN, ratio))
-        endpoint.adjust_relative_latency(clipped_ratio, RELATIVE_LATENCY_SMOOTHING)
+        endpoint_state.adjust_relative_latency(clipped_ratio, RELATIVE_LATENCY_SMOOTHING)
 
     def record_latency(self, load: float, latency_ns: float) -> None:
         """Update the linear model of latency over load with one more sample.
--- a/loadbalancer/policy/request_admission.py
+++ b/loadbalancer/policy/request_admission.py
@@ -61,7 +61,7 @@
         request = Request(
             id=event.request_id,
             request_class=request_class,
-            pool=self.fleet.pool(request_class),
+            pool=self.fleet.get_or_create_pool(request_class),
             tenant=throttle.tenant,
             token_bank=throttle.bank,
             deadline_ns=event.deadline_ns,
@@ -72,9 +72,9 @@
         return request
 
     def _admit(self, request: Request, throttle: Throttle, now_ns: int, *, is_retry: bool) -> Admission:
-        """Ask the throttle for a token.
+        """Take a token from the throttle if possible; return what happens to the request.
 
-        A client's retry gets no token that is reserved for new requests, and is never buffered.
+        A client's retry never gets a token that is reserved for new requests, and is never buffered.
         """
         if not is_retry:
             return throttle.admit(request, now_ns)
@@ -90,7 +90,7 @@
         """Queue the buffered requests for which tokens have accrued, and set a timer for the next token."""
         for request in throttle.release(now_ns):
             self._enqueue(request, throttle, now_ns)
-        token_due_ns = throttle.next_wake_up_ns(now_ns)
+        token_due_ns = throttle.schedule_wake_up_ns(now_ns)
         if token_due_ns is not None:
             self.timers.schedule(token_due_ns, TokenDue(throttle))
 
--- a/loadbalancer/policy/retry_candidates.py
+++ b/loadbalancer/policy/retry_candidates.py
@@ -9,7 +9,7 @@
 from loadbalancer.state.endpoint_state import EndpointState
 from loadbalancer.state.request import Attempt, Request
 
-ENDPOINTS_OUTSIDE_POOL_MAX = 16  # per request: the cost must not grow with the endpoint list
+ENDPOINTS_OUTSIDE_POOL_MAX = 16  # for one request: its cost must not grow with the endpoint list
 UNUSED_STATES_MAX = 64  # states of endpoints outside the pools; beyond this, unused ones are discarded
 
 
@@ -21,7 +21,7 @@
         self.rng = rng
 
     def find(self, request: Request, now_ns: int) -> list[EndpointState] | None:
-        """Return the endpoints to which a request may be forwarded again, or None for all of its pool.
+        """Return the endpoints at which a request may be retried; None if all of its pool may be used.
 
         Once a request may have run at an endpoint, its retries must stay in that endpoint's zone or cell if
         only the endpoints there recognise its idempotency key.
--- a/loadbalancer/policy/subsetting.py
+++ b/loadbalancer/policy/subsetting.py
@@ -3,9 +3,9 @@
 Types of the interface: loadbalancer/messages.py.
 
 A subset is a run of consecutive keys on a hash ring that all proxies compute alike. Few proxies share an
-endpoint, so a proxy's own requests in flight are a measure of its load. In addition each proxy has a reserve.
-If open connections have a price, subsets are small; if crossing zones has a price too, they lie in the
-proxy's own zone.
+endpoint, so a proxy's own requests in flight are a measure of the endpoint's load. In addition each proxy has
+a reserve. If open connections have a price, subsets are small; if crossing zones has a price too, they lie in
+the proxy's own zone.
 
 In a large deployment the ring is divided into segments of the key space, and the start of a subset is a rank
 in its segment. This spreads subsets evenly whatever the keys are, and a change of the endpoint list moves
@@ -24,8 +24,8 @@
 SEGMENT_PROXIES_MIN = 256  # with fewer, the endpoints of a segment are not used evenly
 SEGMENT_ENDPOINTS_MIN = 2048
 # The reserve: endpoints that replace those lost from the subset, and serve retries with idempotency keys.
-ZONE_RESERVE_SIZE = 128  # those that follow the subset on its ring
-REMOTE_RESERVE_SIZE = 128  # those from the ring of all zones
+ZONE_RESERVE_SIZE = 128  # endpoints that follow the subset on its ring
+REMOTE_RESERVE_SIZE = 128  # further endpoints, from the ring of all zones
 RESERVE_SIZE = ZONE_RESERVE_SIZE + REMOTE_RESERVE_SIZE
 GOLDEN_RATIO_FRACTION = 0.618033988749895
 SILVER_RATIO_FRACTION = 0.414213562373095
@@ -35,14 +35,14 @@
     """Return this proxy's subset and reserve among the ready endpoints that a placement allows."""
     ring = _subset_ring(settings, placement)
     is_partial_ring = len(ring) < len(placement.ring) or placement.allowed_zones is not None
-    sharing_proxies = _sharing_proxies(settings, is_partial_ring=is_partial_ring)
+    ring_proxy_count = _ring_proxy_count(settings, is_partial_ring=is_partial_ring)
     position = _ring_position(settings, is_partial_ring=is_partial_ring)
-    size = subset_size(settings, len(ring), sharing_proxies)
+    size = subset_size(settings, len(ring), ring_proxy_count)
     first = _first_rank(
         settings=settings,
         ring=ring,
         position=position,
-        proxies=sharing_proxies,
+        ring_proxy_count=ring_proxy_count,
         is_partial_ring=is_partial_ring,
     )
     assigned = ring_slice(ring, first, size)
@@ -55,7 +55,7 @@
         assigned=assigned,
         zone_reserve=zone_reserve,
         remote_reserve=[key for key in remote_reserve if key not in in_use],
-        sharing_proxies=sharing_proxies * size / max(1, len(ring)),
+        sharing_proxies=ring_proxy_count * size / max(1, len(ring)),
     )
 
 
@@ -79,7 +79,7 @@
 def _prefers_own_zone(settings: Settings) -> bool:
     """Return whether subsets should lie in the proxies' zones: if connections and crossing zones have prices.
 
-    Not with fewer proxies than zones: endpoints in zones without a proxy would be idle.
+    With fewer proxies than zones they should not: endpoints in zones without a proxy would be idle.
     """
     prices = settings.prices
     has_prices = prices.connection > 0 and prices.cross_zone > 0
@@ -88,7 +88,7 @@
 
 
 def _subset_ring(settings: Settings, placement: Placement) -> SortedList[RingKey]:
-    """Return the ring on which this proxy's subset lies: that of its zone, or that of all zones.
+    """Return the ring on which this proxy's subset lies: the ring of its zone, or the ring of all zones.
 
     A zone with few endpoints is not used alone: they may all fail or drain at once, and under high load no
     other zone could help.
@@ -99,11 +99,11 @@
     return zone_ring if len(zone_ring) >= FULL_SUBSET_SIZE else placement.ring
 
 
-def _sharing_proxies(settings: Settings, *, is_partial_ring: bool) -> int:
-    """Return how many proxies have their subsets on the same ring.
+def _ring_proxy_count(settings: Settings, *, is_partial_ring: bool) -> int:
+    """Return how many proxies have their subsets on the ring of this one.
 
-    If a ring has only part of the ready endpoints, which proxies use it is not known: proxies are assumed
-    to be spread evenly over the zones.
+    If a ring has only part of the ready endpoints, it is not known which proxies use it. Proxies are then
+    assumed to be spread evenly over the zones.
     """
     proxies = max(1, settings.proxy_count)
     return max(1, proxies // _zone_count(settings)) if is_partial_ring else proxies
@@ -127,30 +127,37 @@
 
 
 def _first_rank(
-    settings: Settings, ring: SortedList[RingKey], position: float, proxies: int, *, is_partial_ring: bool
+    settings: Settings,
+    ring: SortedList[RingKey],
+    position: float,
+    ring_proxy_count: int,
+    *,
+    is_partial_ring: bool,
 ) -> int:
     """Return the rank on its ring at which this proxy's subset begins."""
     if is_large_deployment(settings):
-        return _first_rank_in_segment(settings=settings, ring=ring, position=position, proxies=proxies)
+        return _first_rank_in_segment(
+            settings=settings, ring=ring, position=position, ring_proxy_count=ring_proxy_count
+        )
     if is_partial_ring:
         return int(position * len(ring))
-    return settings.proxy_index * len(ring) // proxies
+    return settings.proxy_index * len(ring) // ring_proxy_count
 
 
 def _first_rank_in_segment(
-    settings: Settings, ring: SortedList[RingKey], position: float, proxies: int
+    settings: Settings, ring: SortedList[RingKey], position: float, ring_proxy_count: int
 ) -> int:
     """Return the rank at which a subset begins, at its position within a segment of the key space."""
-    segments = _segment_count(settings, len(ring), proxies)
+    segments = _segment_count(settings, len(ring), ring_proxy_count)
     segment = int(position * segments)
     low, high = segment_ranks(ring, segment, segments)
     return low + int((position * segments - segment) * (high - low))
 
 
-def _segment_count(settings: Settings, endpoints: int, proxies: int) -> int:
+def _segment_count(settings: Settings, endpoint_count: int, ring_proxy_count: int) -> int:
     """Return the number of segments into which this proxy divides the ring, a power of two."""
-    scaled_endpoints = int(endpoints * 2 ** proxy_offset(settings))
-    segments_max = min(proxies // SEGMENT_PROXIES_MIN, scaled_endpoints // SEGMENT_ENDPOINTS_MIN)
+    scaled_endpoints = int(endpoint_count * 2 ** proxy_offset(settings))
+    segments_max = min(ring_proxy_count // SEGMENT_PROXIES_MIN, scaled_endpoints // SEGMENT_ENDPOINTS_MIN)
     return 1 << max(0, segments_max.bit_length() - 1)
 
 
--- a/loadbalancer/state/running_regression.py
+++ b/loadbalancer/state/running_regression.py
@@ -24,7 +24,7 @@
 
     def __init__(self, decay: float) -> None:
         self.decay = decay
-        self.count = 0.0
+        self.count = 0.0  # sum of the weights of all samples
         self.sum_x = 0.0
         self.sum_y = 0.0
         self.sum_xx = 0.0
--- a/tests/policy/test_latency_model.py
+++ b/tests/policy/test_latency_model.py
@@ -12,7 +12,7 @@
 )
 
 
-def test_first_samples_count_more() -> None:
+def test_first_samples_outweigh_the_initial_latency() -> None:
     harness = PolicyHarness()
     for i in range(3):
         harness.deliver(arrival(i, harness.now_ns))
--- a/tests/policy/test_load_probing.py
+++ b/tests/policy/test_load_probing.py
@@ -31,8 +31,10 @@
     harness.now_ns += NANOSECONDS_PER_MILLISECOND
     harness.deliver(
         *(
-            HealthCheckEnded(u, AttemptResult.OK, NANOSECONDS_PER_MILLISECOND, {"inflight": float(i)})
-            for i, u in enumerate(probed)
+            HealthCheckEnded(
+                endpoint_id, AttemptResult.OK, NANOSECONDS_PER_MILLISECOND, {"inflight": float(i)}
+            )
+            for i, endpoint_id in enumerate(probed)
         )
     )
     assert harness.attempts["r1"][0][0].id == probed[0]
@@ -64,8 +66,8 @@
     harness.now_ns += NANOSECONDS_PER_MILLISECOND
     harness.deliver(
         *(
-            HealthCheckEnded(u, AttemptResult.OK, NANOSECONDS_PER_MILLISECOND, {"inflight": 500.0})
-            for u in probed
+            HealthCheckEnded(endpoint_id, AttemptResult.OK, NANOSECONDS_PER_MILLISECOND, {"inflight": 500.0})
+            for endpoint_id in probed
         )
     )
     assert harness.outcomes["r1"] is RequestOutcome.REJECTED
@@ -80,7 +82,7 @@
     assert len(harness.attempts["r1"]) == 1
 
 
-def test_costly_health_checks_or_those_without_a_load_are_not_sent() -> None:
+def test_health_checks_that_are_costly_or_report_no_load_are_not_sent() -> None:
     limits = Limits(max_attempts=3, health_checks=True)
     costly = make_settings(limits=limits, load_report_columns=("inflight",), prices=Prices(health_check=0.05))
     for config in (costly, make_settings(limits=limits, load_report_columns=("util",))):
