--- a/loadbalancer/policy/concurrency_limit.py
+++ b/loadbalancer/policy/concurrency_limit.py
@@ -35,23 +35,23 @@
         self._last_increase_ns = 0
         self._samples = ThroughputSamples(CONCURRENCY_LIMIT_MAX + 1, OUTCOMES_MIN)
 
-    def record_occupancy(self, endpoint: EndpointState, now_ns: int) -> None:
-        """Record how long an endpoint had its number of requests in flight; call before that changes."""
-        if endpoint.in_flight and endpoint.in_subset:
-            seconds = (now_ns - endpoint.in_flight_since_ns) / NANOSECONDS_PER_SECOND
-            self._samples.add_time(endpoint.in_flight, seconds)
-        endpoint.restart_occupancy(now_ns)
-
-    def record_completion(self, endpoint: EndpointState) -> None:
+    def record_occupancy(self, endpoint_state: EndpointState, now_ns: int) -> None:
+        """Record how long an endpoint had its present number in flight; call before the number changes."""
+        if endpoint_state.in_flight and endpoint_state.in_subset:
+            seconds = (now_ns - endpoint_state.in_flight_since_ns) / NANOSECONDS_PER_SECOND
+            self._samples.add_time(endpoint_state.in_flight, seconds)
+        endpoint_state.restart_occupancy(now_ns)
+
+    def record_completion(self, endpoint_state: EndpointState) -> None:
         """Record a request that an endpoint finished; call before the requests in flight are reduced."""
-        if endpoint.in_subset:
-            self._samples.add_completion(endpoint.in_flight)
+        if endpoint_state.in_subset:
+            self._samples.add_completion(endpoint_state.in_flight)
 
     def has_enough_samples(self, level: int) -> bool:
         """Return whether the samples of a level suffice to judge its throughput.
 
-        They do if, at the throughput of the next lower level, EXPECTED_COMPLETIONS_MIN requests would have
-        finished in the time spent at this level. In any case, level 1 must have OUTCOMES_MIN completions.
+        At the throughput of the next lower level, at least EXPECTED_COMPLETIONS_MIN requests must be expected
+        to finish in the time spent at this level. In any case, level 1 must have OUTCOMES_MIN completions.
         """
         completions = self._samples.completions
         busy_seconds = self._samples.busy_seconds
@@ -88,7 +88,7 @@
         return now_ns - self._last_increase_ns >= SETTLING_MEAN_LATENCIES * self._latency_model.mean_ns
 
     def _has_gain_over_lower_levels(self, level: int) -> bool:
-        """Return whether the throughput of a level is clearly higher than that of all lower levels."""
+        """Return whether a level has clearly more throughput than every lower level."""
         best_lower = max((self._samples.throughput(lower) for lower in range(1, level)), default=0.0)
         return self._samples.throughput(level) >= THROUGHPUT_GAIN_MIN_FACTOR * best_lower
 
@@ -99,10 +99,10 @@
         throughput = self._samples.throughput(level)
         return self._samples.throughput(level + 1) < THROUGHPUT_GAIN_MIN_FACTOR * throughput
 
-    def decay(self) -> None:
+    def decay_and_decrease(self) -> None:
         """Decay the samples, and lower the limit to the first level with a higher throughput, if any.
 
-        The throughput at the limit counts as one standard error higher, as it may rest on few samples.
+        The throughput at the limit is taken one standard error higher, as it may be based on few samples.
         """
         self._samples.decay(SAMPLE_DECAY_PER_FEEDBACK_INTERVAL)
         if not self.has_enough_samples(self.limit):
--- a/loadbalancer/policy/live_weights.py
+++ b/loadbalancer/policy/live_weights.py
@@ -15,13 +15,13 @@
 class LiveWeights:
     """Estimates loads from weights.
 
-    The largest weight seen for a machine type is taken for that of an idle endpoint; dividing it by an
-    endpoint's current weight gives the load.
+    The largest weight seen for a machine type is taken as the weight of an idle endpoint. Divided by an
+    endpoint's current weight, and less 1, it gives the load (requests in flight per core).
     """
 
     def __init__(self, settings: Settings) -> None:
         self.enabled = settings.weight_source is WeightSource.LIVE
-        self._idle_weights: dict[str, float] = {}  # by machine type
+        self._idle_weights: dict[str, float] = {}  # largest weight seen, by machine type
 
     def update_idle_weight(self, endpoint: Endpoint) -> None:
         """Update the idle weight of a machine type from the weight of a listed endpoint."""
--- a/loadbalancer/policy/throttle.py
+++ b/loadbalancer/policy/throttle.py
@@ -72,7 +72,7 @@
         Args:
             tenant: The tenant's name.
             weight: The tenant's share of the proxy's rate, relative to the weights of the other tenants.
-            rng: Draws when the first token accrues, so that proxies do not release requests in step.
+            rng: Draws when the first token accrues, so that proxies do not release requests together.
             now_ns: The current time.
             shortest_objective_ns: The shortest latency objective of all request classes.
         """
@@ -139,12 +139,12 @@
             yield self.buffer.popleft()
 
     def remove_buffered(self, request: Request) -> None:
-        """Remove a buffered request that has ended, and return the token that it was waiting for."""
+        """Remove a buffered request that has ended, and free its place in the buffer."""
         self.buffer.remove(request)
         self.bank.return_token()
 
-    def next_wake_up_ns(self, now_ns: int) -> int | None:
-        """Return when the caller must call `on_token_due`, and mark this wake-up as scheduled.
+    def schedule_wake_up_ns(self, now_ns: int) -> int | None:
+        """Mark a wake-up as scheduled, and return when the caller must call `on_token_due`.
 
         Returns None if no request is buffered or a wake-up is already scheduled.
         """
--- a/loadbalancer/state/endpoint_state.py
+++ b/loadbalancer/state/endpoint_state.py
@@ -6,7 +6,7 @@
 
 from loadbalancer.messages import Endpoint, EndpointStatus
 
-LOAD_MAX = 1e6  # a report of more requests in flight is invalid
+LOAD_MAX = 1e6  # a report of this many requests in flight, or more, is invalid
 
 
 @dataclass(slots=True, eq=False)
@@ -18,19 +18,19 @@
     reserve_rank: int = 0  # its position in the order in which this proxy uses its reserve
     in_subset: bool = False  # in the subset of one of this proxy's pools
     # Attempts of this proxy.
-    in_flight: int = 0  # attempts in flight, without the overdue ones
-    overdue: int = 0  # attempts in flight whose response is considered lost
+    in_flight: int = 0  # attempts in flight, without those presumed lost
+    presumed_lost: int = 0  # attempts in flight whose response is presumed lost
     in_flight_since_ns: int = 0  # `in_flight` is known to have had its present value since this time
-    latest_answered_send_ns: int = 0  # the latest send time of the attempts that it has answered
-    relative_latency: float = 1.0  # its latency as a multiple of the mean over the endpoints
+    latest_answered_send_ns: int = 0  # the latest send time of the attempts that the endpoint has answered
+    relative_latency: float = 1.0  # latency of the endpoint as a multiple of the mean over the endpoints
     # Failures.
     consecutive_failures: int = 0
     ejected_until_ns: int = 0
     recent_attempts: float = 0.0  # number of attempts that have ended, decayed over time
-    recent_resets: float = 0.0  # those of them whose connection broke
+    recent_resets: float = 0.0  # number of these attempts whose connection broke
     consecutive_resets: int = 0
     # Reported load.
-    reported_load: float = 0.0  # requests of all proxies in flight, by its last load report
+    reported_load: float = 0.0  # requests of all proxies in flight: last load report, and own attempts since
     reported_ns: int = 0  # when that report was received; 0: none yet
     check_sent_ns: int = 0  # when the last health check was sent
     check_reset_ns: int = 0  # when the connection of a health check last broke
@@ -56,20 +56,20 @@
     # ---- attempts ----------------------------------------------------------------------------------------
 
     def add_attempt(self) -> None:
-        """Count an attempt that is being sent; the last reported load grows by one, too."""
+        """Count an attempt that is being sent, also in the reported load if there is one."""
         self.in_flight += 1
         if self.reported_ns > 0:
             self.reported_load += 1
 
-    def mark_overdue(self) -> None:
-        """Move one attempt from `in_flight` to `overdue`."""
+    def mark_presumed_lost(self) -> None:
+        """Move one attempt from `in_flight` to `presumed_lost`."""
         self.in_flight -= 1
-        self.overdue += 1
+        self.presumed_lost += 1
 
-    def remove_attempt(self, *, overdue: bool) -> None:
-        """Remove an attempt that has ended from the counts."""
-        if overdue:
-            self.overdue -= 1
+    def remove_attempt(self, *, presumed_lost: bool) -> None:
+        """Remove an attempt that has ended from the counts and from the reported load."""
+        if presumed_lost:
+            self.presumed_lost -= 1
         else:
             self.in_flight -= 1
         self.reported_load = max(0.0, self.reported_load - 1)
@@ -102,7 +102,7 @@
         self.ejected_until_ns = until_ns
 
     def extend_ejection(self, until_ns: int) -> None:
-        """Eject the endpoint until `until_ns` at the earliest."""
+        """Eject the endpoint at least until `until_ns`; a later end is kept."""
         self.ejected_until_ns = max(self.ejected_until_ns, until_ns)
 
     def record_ended_attempt(self, *, was_reset: bool) -> None:
@@ -122,7 +122,7 @@
     # ---- load reports ------------------------------------------------------------------------------------
 
     def record_load(self, load: float | None, now_ns: int) -> None:
-        """Store a reported load; None and invalid loads (negative, `LOAD_MAX` and more, NaN) are ignored."""
+        """Store a reported load; None and invalid loads (negative, NaN, `LOAD_MAX` or more) are ignored."""
         if load is not None and 0 <= load < LOAD_MAX:
             self.reported_load = load
             self.reported_ns = now_ns
--- a/loadbalancer/state/request.py
+++ b/loadbalancer/state/request.py
@@ -31,22 +31,24 @@
     endpoint_state: EndpointState
     sent_ns: int
     expected_ns: float  # expected duration
-    load: float  # estimated requests in flight at the endpoint when it was sent, including this one
+    load: float  # estimated requests in flight at the endpoint at the time of sending, including this one
     result: AttemptResult | None = None  # None: in flight
-    may_have_run: bool = True  # True until the result proves that it never ran
-    overdue: bool = False  # the response is considered lost, and it no longer counts as in flight
-    counts: bool = True  # counts towards `Limits.max_attempts`
+    may_have_run: bool = True  # True until the result proves that the attempt never ran
+    presumed_lost: bool = False  # no longer in `EndpointState.in_flight`
+    counts_towards_max_attempts: bool = True  # False if the proxy never began the attempt
 
-    def end(self, result: AttemptResult, *, may_have_run: bool, counts: bool = True) -> None:
+    def end(
+        self, result: AttemptResult, *, may_have_run: bool, counts_towards_max_attempts: bool = True
+    ) -> None:
         """Record the result of the attempt."""
         self.result = result
         self.may_have_run = may_have_run
-        self.counts = counts
+        self.counts_towards_max_attempts = counts_towards_max_attempts
 
-    def mark_overdue(self) -> None:
-        """Consider the response lost: the attempt no longer counts as in flight at its endpoint."""
-        self.overdue = True
-        self.endpoint_state.mark_overdue()
+    def mark_presumed_lost(self) -> None:
+        """Presume that the response is lost: the endpoint no longer has the attempt in its `in_flight`."""
+        self.presumed_lost = True
+        self.endpoint_state.mark_presumed_lost()
 
 
 @dataclass(slots=True, eq=False)
@@ -57,18 +59,18 @@
     request_class: RequestClass
     pool: EndpointPool  # the endpoints that the request class may use
     tenant: str  # the tenant whose throttle admits the request
-    token_bank: TokenBank  # of that throttle, which may have been dropped since
+    token_bank: TokenBank  # the bank of that throttle, which may have been dropped since
     deadline_ns: int
     objective_ns: int  # the latency objective as a time: a response by then has the full priority weight
     cost_hint_ns: int
     attempts: list[Attempt] = field(default_factory=list)
     finished: bool = False  # the final response was given, or the client has disconnected
     streaming: bool = False  # the streamed response has begun
-    delayed_by_throttle: bool = False  # a late response is not attributed to the endpoints
+    delayed_by_throttle: bool = False  # endpoints are not at fault if the response is late
     stalled: bool = False  # the event loop stalled while the request was pending: its durations are invalid
     queued_in: Queue | None = None  # None: the request is not queued
     queue_deadline_ns: int = 0  # the request is rejected if it is still queued at this time
-    probed_endpoints: list[EndpointState] = field(default_factory=list)  # those whose load is being probed
+    probed_endpoints: list[EndpointState] = field(default_factory=list)  # probed for the request
     probed_ns: int = 0  # when load probing started
 
     def join_queue(self, queue: Queue) -> None:
@@ -90,12 +92,12 @@
     def record_throttle_delay(self, *, delayed: bool) -> None:
         """Record whether the throttle delayed the request too much for a late response to blame endpoints.
 
-        A request that was pending during a stall of the event loop counts as delayed in any case.
+        A request that was pending during a stall of the event loop is recorded as delayed in any case.
         """
         self.delayed_by_throttle = self.stalled or delayed
 
     def attempt_in_flight(self, number: int, endpoint_id: int) -> Attempt | None:
-        """Return an attempt in flight; None if it was never started, has another endpoint, or has ended."""
+        """Return an attempt in flight; None if it was never made, is at another endpoint, or has ended."""
         if not 0 <= number < len(self.attempts):
             return None
         attempt = self.attempts[number]
@@ -119,12 +121,12 @@
 
     @property
     def uncounted_attempts(self) -> int:
-        """The number of attempts that the proxy never began; they don't count for `Limits.max_attempts`."""
-        return [attempt.counts for attempt in self.attempts].count(False)
+        """The number of attempts that the proxy never began; `Limits.max_attempts` does not include them."""
+        return [attempt.counts_towards_max_attempts for attempt in self.attempts].count(False)
 
     @property
-    def is_over(self) -> bool:
-        """Whether the request is finished and has no attempt in flight."""
+    def is_removable(self) -> bool:
+        """Whether no event can concern the request: it is finished and has no attempt in flight."""
         return self.finished and not self.attempts_in_flight
 
     def mark_stalled(self) -> None:
@@ -160,7 +162,7 @@
         """Add a request; its id must not be in use."""
         self._requests[request.id] = request
 
-    def remove_if_over(self, request: Request) -> None:
+    def try_remove(self, request: Request) -> None:
         """Remove a request if it is finished and has no attempt in flight."""
-        if request.is_over:
+        if request.is_removable:
             self._requests.pop(request.id, None)
