--- a/tests/soak/checks.py
+++ b/tests/soak/checks.py
@@ -26,7 +26,10 @@
 
 
 def check_requests(records: Records, schedule: Schedule) -> None:
-    """Check that each request whose client waited got a response in time, a 200 only from an endpoint."""
+    """Check that each request whose client waited got a response in time, a 200 only from an endpoint.
+
+    `_check_closed_connection` and `_check_unfinished` say which requests may go without a response.
+    """
     for request in records.requests:
         if request.status is not None:
             _check_response(records, request)
@@ -67,14 +70,17 @@
     assert request.ended_s is not None
     reached_endpoint = request.id in records.attempts
     if request.response_begun:
-        return  # the client can tell that it is not complete
+        return  # the client can tell that the response is not complete
     if not reached_endpoint and (not request.on_new_connection or schedule.has_connection_flood):
         return
     records.add_violation(Rule.LOST, "connection ended without a response", request.id, request.ended_s)
 
 
 def _check_unfinished(records: Records, request: ClientRequest) -> None:
-    """Check a request that was still unanswered at SIGKILL."""
+    """Check a request that was still unanswered at SIGKILL.
+
+    This breaks a rule only if the request was sent more than `LATE_AT_SHUTDOWN_S` after SIGTERM.
+    """
     if records.terminations_s and request.sent_s > records.terminations_s[0] + LATE_AT_SHUTDOWN_S:
         records.add_violation(Rule.LATE_AT_SHUTDOWN, "unanswered at SIGKILL", request.id)
 
--- a/tests/soak/schedule.py
+++ b/tests/soak/schedule.py
@@ -119,7 +119,7 @@
     """Everything that happens in a run."""
 
     seed: int
-    pushes: bool  # discovery pushes lists; else the balancer polls
+    pushes: bool  # whether discovery pushes lists; otherwise the balancer polls
     descriptors: int  # the balancer's limit on open descriptors
     has_connection_flood: bool
     endpoint_count: int
