--- a/tests/soak/clients.py
+++ b/tests/soak/clients.py
@@ -14,7 +14,7 @@
 from tests.support.http_messages import HOST, ReceivedMessage, read_message, request
 
 CONNECT_TIMEOUT_S = 1.0
-LATE_RESPONSE_WAIT_S = 1.0  # after the deadline, to tell a late response from a missing one
+LATE_RESPONSE_WAIT_S = 1.0  # wait after the deadline, to tell a late response from a missing one
 BAD_CLIENT_WAIT_S = 4.0
 BAD_REQUESTS = {
     BadClientKind.NOTHING: b"",
@@ -48,7 +48,7 @@
 
 
 class Clients:
-    """Clients that send requests on idle connections, and open another when all are busy."""
+    """Clients that send requests on idle connections, and open a new connection when all are busy."""
 
     def __init__(self, records: Records) -> None:
         self.open_connections = 0
@@ -67,7 +67,7 @@
         task.add_done_callback(self._tasks.discard)
 
     async def wait(self, timeout_s: float) -> None:
-        """Wait until all background tasks are done, or until the time-out."""
+        """Wait until all background tasks are done, or until the timeout."""
         if self._tasks:
             await asyncio.wait(self._tasks, timeout=timeout_s)
 
@@ -76,11 +76,11 @@
         self._port = port
 
     def stop_connecting(self) -> None:
-        """Open no more connections, as the platform now sends new ones elsewhere."""
+        """Open no more connections from now on, as the platform sends new ones elsewhere."""
         self.may_connect = False
 
     async def send(self, planned: PlannedRequest) -> None:
-        """Send a request, and once more if it raced with the balancer's close of an idle connection."""
+        """Send a request, and again on a new connection if the balancer may have closed the idle one."""
         first = await self._send_once(planned)
         if first is not None and self._raced_with_close(first):
             await self._send_once(planned, on_new_connection=True)
@@ -108,7 +108,7 @@
         self._records.requests.append(sent)
         self._records.log_event(f"client sends {sent.id} {planned.kind} {planned.deadline_ms} ms")
         connection.writer.write(format_request(sent.id, planned.kind, planned.deadline_ms))
-        await self._read(connection, sent, planned)
+        await self._read_and_record_response(connection, sent, planned)
         return sent
 
     async def _connect(self) -> Connection | None:
@@ -122,7 +122,9 @@
         self.open_connections += 1
         return connection
 
-    async def _read(self, connection: Connection, sent: ClientRequest, planned: PlannedRequest) -> None:
+    async def _read_and_record_response(
+        self, connection: Connection, sent: ClientRequest, planned: PlannedRequest
+    ) -> None:
         wait_s = sent.deadline_s + LATE_RESPONSE_WAIT_S - time.monotonic()
         if planned.disconnect_after_s is not None:
             wait_s = planned.disconnect_after_s
@@ -132,18 +134,18 @@
                 response = await read_message(connection.reader)
         except TimeoutError:
             self._records.log_event(f"client of {sent.id} disconnects")
-            sent.disconnect(time.monotonic())
+            sent.record_disconnect(time.monotonic())
         except asyncio.IncompleteReadError as error:
-            if error.partial or error.expected is not None:
-                sent.begin_response()
-            sent.end(time.monotonic())
+            if error.partial or error.expected is not None:  # part of the head, or all of it, has arrived
+                sent.record_response_start()
+            sent.record_end(time.monotonic())
         except OSError:
-            sent.end(time.monotonic())
+            sent.record_end(time.monotonic())
         if response is None:
             self._records.log_event(f"{sent.id} ends without a response")
             self._close(connection)
             return
-        sent.answer(response.status, response.body.decode(), time.monotonic())
+        sent.record_response(response.status, response.body.decode(), time.monotonic())
         self._records.log_event(f"{sent.id} answered {response.status}")
         if response.headers.get("connection") == "close":
             self._close(connection)
@@ -155,12 +157,12 @@
         connection.writer.close()
 
     async def connect_bad_client(self, kind: BadClientKind) -> None:
-        """Connect, send no complete, valid request, and wait for an error or a close."""
+        """Connect, send the bytes of this kind of bad client, and wait for an error or a close."""
         connection = await self._connect()
         if connection is None:
             return
-        bad = BadClient(kind, time.monotonic())
-        self._records.bad_clients.append(bad)
+        bad_client = BadClient(kind, time.monotonic())
+        self._records.bad_clients.append(bad_client)
         connection.writer.write(BAD_REQUESTS[kind])
         try:
             async with asyncio.timeout(BAD_CLIENT_WAIT_S):
@@ -168,13 +170,13 @@
         except TimeoutError:
             self._records.log_event(f"bad client ({kind}) got neither an error nor a close")
         except OSError:
-            bad.end(time.monotonic())
+            bad_client.record_end(time.monotonic())
         else:
-            bad.end(time.monotonic())
+            bad_client.record_end(time.monotonic())
         self._close(connection)
 
     async def open_connection_flood(self, connections: int) -> None:
-        """Open at least so many connections, and leave them idle."""
+        """Try to open this many connections, rounded up to whole batches, and leave them idle."""
         for _ in range(0, connections, FLOOD_BATCH_SIZE):
             opened = await asyncio.gather(*(self._connect() for _ in range(FLOOD_BATCH_SIZE)))
             self._flood_writers += [connection.writer for connection in opened if connection is not None]
--- a/tests/soak/run.py
+++ b/tests/soak/run.py
@@ -34,12 +34,12 @@
 from tests.support.endpoint_lists import entry
 from tests.support.http_messages import HOST
 
-NEW_CONNECTIONS_AFTER_SIGTERM_S = 0.4  # then the platform sends new connections elsewhere
-LAG_CHECK_INTERVAL_S = 0.01  # of the event loop of this process
+NEW_CONNECTIONS_AFTER_SIGTERM_S = 0.4  # afterwards, the platform sends new connections elsewhere
+LAG_CHECK_INTERVAL_S = 0.01  # the lag is that of this process's event loop
 MIN_RECORDED_LAG_S = 0.005
 SAMPLE_INTERVAL_S = 0.5
 MAX_MEMORY_GROWTH_BYTES = 24_000_000
-MAX_OTHER_DESCRIPTORS = 48  # event loop, discovery, logs, and sockets that are being closed
+MAX_OTHER_DESCRIPTORS = 48  # descriptors for the event loop, discovery, logs, and sockets being closed
 
 
 @dataclass(frozen=True)
@@ -79,13 +79,13 @@
         self.discovery = SoakDiscovery(self.records, pushes=schedule.pushes)
         self.balancer = BalancerProcess(schedule, folder)
         self.clients = Clients(self.records)
-        self.ready_s = 0.0
+        self.start_duration_s = 0.0
         self._ready_at_s = 0.0
         self._memory_at_readiness_bytes = 0
         self._tasks: list[asyncio.Task[None]] = []
 
     async def play(self) -> SeedResult:
-        """Start the balancer, play the schedule, end the balancer, and check the rules."""
+        """Start the balancer, play the schedule, kill the balancer and check the rules; return the result."""
         self._tasks.append(asyncio.create_task(self._measure_lag()))
         try:
             await self._start()
@@ -108,7 +108,7 @@
             self.discovery.fake.entries[row["host"]] = row
         address = await self.discovery.open_address()
         self.balancer.write_configuration(address, self.discovery.known_list())
-        self.ready_s = await self.balancer.start()
+        self.start_duration_s = await self.balancer.start()
         self.clients.set_balancer_port(self.balancer.port)
         self._ready_at_s = time.monotonic()
         self._memory_at_readiness_bytes = self.balancer.memory_bytes()
@@ -238,14 +238,14 @@
                     for line in records.log_before(violation.at_s)
                 ],
             )
-            for violation in sorted(records.violations, key=lambda each: each.at_s)
+            for violation in sorted(records.violations, key=lambda reported: reported.at_s)
         ]
         return SeedResult(
             seed=self.schedule.seed,
             requests=len(records.requests),
             served=sum(request.status == checks.OK for request in records.requests),
             attempts=sum(len(attempts) for attempts in records.attempts.values()),
-            ready_s=round(self.ready_s, 3),
+            ready_s=round(self.start_duration_s, 3),
             max_lag_s=round(max((lag.seconds for lag in records.lags), default=0.0), 3),
             broken=broken,
         )
--- a/tests/soak/servers.py
+++ b/tests/soak/servers.py
@@ -32,13 +32,13 @@
         self.number = number
         self.behavior = EndpointBehavior.NORMAL
         self._records = records
-        self._machine = UnreachableServer(self._respond, refuses_connections=False) if is_late else None
-        self.server = self._machine or FakeEndpoint(self._respond)
+        self._late_server = UnreachableServer(self._respond, refuses_connections=False) if is_late else None
+        self.server = self._late_server or FakeEndpoint(self._respond)
 
     async def listen_late(self) -> None:
         """Accept connections from now on, if the endpoint listens late."""
-        if self._machine is not None:
-            await self._machine.start_accepting()
+        if self._late_server is not None:
+            await self._late_server.start_accepting()
 
     def set_behavior(self, behavior: EndpointBehavior) -> None:
         """Set how requests are treated from now on."""
@@ -59,13 +59,13 @@
             case EndpointBehavior.HUNG:
                 return
             case EndpointBehavior.DECLINING:
-                attempt.finish(AttemptOutcome.DECLINED)
+                attempt.record_outcome(AttemptOutcome.DECLINED)
                 writer.write(format_response(503, b"", DECLINED_HEADER))
             case EndpointBehavior.FAILING:
-                attempt.finish(AttemptOutcome.ERROR)
+                attempt.record_outcome(AttemptOutcome.ERROR)
                 writer.write(format_response(500))
             case EndpointBehavior.RESETTING:
-                attempt.finish(AttemptOutcome.RESET)
+                attempt.record_outcome(AttemptOutcome.RESET)
                 await abort_connection(received, writer)
             case _:
                 await self._serve(attempt, received, writer, behavior)
@@ -81,18 +81,18 @@
         body = f"{attempt.request_id} at {self.number}"
         response = format_response(200, body.encode())
         if behavior is EndpointBehavior.CUTTING:
-            attempt.finish(AttemptOutcome.CUT)
+            attempt.record_outcome(AttemptOutcome.CUT)
             writer.write(response[:-1])
             await writer.drain()
             await abort_connection(received, writer)
             return
-        attempt.finish(AttemptOutcome.SERVED)
+        attempt.record_outcome(AttemptOutcome.SERVED)
         self._records.served_bodies.add(body)
         writer.write(response)
 
 
 def _is_open(writer: Writer) -> bool:
-    """Whether the balancer still has the connection open; any unread input is taken for a close."""
+    """Return whether the balancer still has the connection open; any unread input counts as a close."""
     transport = cast(asyncio.Transport, writer.transport)
     return not transport.is_closing() and not has_unread_input(transport)
 
@@ -121,7 +121,7 @@
 
 
 class SoakDiscovery:
-    """A discovery that may be down, slow or silent, and whose address changes."""
+    """A discovery service that may be down, slow or silent, and whose address changes."""
 
     def __init__(self, records: Records, *, pushes: bool) -> None:
         self.fake = FakeDiscovery(honors_wait=True)
@@ -136,7 +136,7 @@
         self._closing: set[asyncio.Task[None]] = set()
 
     async def open_address(self, old_address_listens_s: float = 0.0) -> str:
-        """Listen at a new address, and return it; older ones close after `old_address_listens_s`."""
+        """Listen at a new address and return it; the old one stops after `old_address_listens_s`."""
         for older in self._addresses:
             self._closing.add(asyncio.create_task(older.close_later(old_address_listens_s)))
         self._addresses.clear()
@@ -163,7 +163,11 @@
         self._records.changes.append(change)
 
     def set_condition(self, condition: DiscoveryCondition) -> None:
-        """Change the condition; SILENT cancels the open calls, and so does DOWN when discovery is polled."""
+        """Change the condition, which may affect deferred changes and open calls.
+
+        UP applies the deferred changes. SILENT cancels the open calls and keeps their connections open; DOWN
+        cancels the calls and aborts the connections, unless discovery pushes its lists.
+        """
         self.condition = condition
         self._records.conditions.append(ConditionChange(time.monotonic(), condition))
         if condition is DiscoveryCondition.UP:
--- a/tests/support/rule_checker.py
+++ b/tests/support/rule_checker.py
@@ -1,8 +1,15 @@
-"""Checks a balancer's actions: rules 1 to 3, and that each action is valid where it is made.
+"""Checks that a balancer's actions keep the rules for requests, and that each action is valid when made.
 
-The rules concern the outcome of a request by its deadline, the placement and the number of its attempts,
-and the repetition of a request that may have run. The checker derives its state from events and actions
-alone, and shares no code with the policy.
+The rules:
+
+- Each request ends exactly once, at the latest `MAX_LATENESS_NS` after its deadline, and has no attempts
+  sent after that.
+- Attempts are sent only to ready endpoints in the zones and on the machine types that the request class
+  allows, not more than `Limits.max_attempts` in total, and one at a time, or two with hedging.
+- A request that may have run is sent again only if it is idempotent, or within its deduplication window and
+  scope. Such a request is rejected only if it is idempotent or its deduplication scope is `ALL`.
+
+The checker derives its state from events and actions alone, and shares no code with the policy.
 """
 
 from __future__ import annotations
@@ -32,7 +39,7 @@
 )
 from loadbalancer.settings import DeduplicationScope, Idempotency, RequestClass, Settings
 
-MAX_LATENESS_NS = 20_000_000  # tolerance for a request that ends after its deadline
+MAX_LATENESS_NS = 20_000_000  # time after its deadline within which a request must end
 MAX_GOSSIP_BYTES = 256
 
 
@@ -58,9 +65,9 @@
     def __init__(self, settings: Settings) -> None:
         self.settings = settings
         self.request_classes: dict[str, RequestClass] = {}
-        self.deadlines: dict[str, int] = {}
+        self.deadlines_ns: dict[str, int] = {}
         self.outcomes: dict[str, RequestOutcome] = {}
-        self.completed: set[str] = set()  # the balancer has been told that they are complete
+        self.completed: set[str] = set()  # requests that the balancer has been told are complete
         self.attempts: dict[str, list[SentAttempt]] = {}
         self.results: dict[tuple[str, int], AttemptResult] = {}  # by request id and attempt number
         self.endpoints: dict[int, Endpoint] = {}
@@ -75,7 +82,7 @@
         ]
 
     def is_complete(self, request: str) -> bool:
-        """Return whether a request has ended or its client has disconnected."""
+        """Return whether a request has an outcome, or the balancer has been told that it is complete."""
         return request in self.outcomes or request in self.completed
 
     def record_event(self, event: Event) -> None:
@@ -83,7 +90,7 @@
         match event:
             case RequestArrived():
                 self.request_classes[event.request_id] = self.settings.request_classes[event.class_name]
-                self.deadlines[event.request_id] = event.deadline_ns
+                self.deadlines_ns[event.request_id] = event.deadline_ns
             case AttemptEnded() if event.request_id in self.request_classes:
                 self._record_attempt_ended(event)
             case ClientDisconnected():
@@ -101,8 +108,8 @@
 
     def _record_endpoints(self, update: EndpointUpdate) -> None:
         if update.kind in (EndpointUpdateKind.FULL, EndpointUpdateKind.CACHED):
-            for key, endpoint in self.endpoints.items():
-                self.endpoints[key] = endpoint._replace(status=EndpointStatus.REMOVED)
+            for known_id, endpoint in self.endpoints.items():
+                self.endpoints[known_id] = endpoint._replace(status=EndpointStatus.REMOVED)
         self.endpoints |= {endpoint.id: endpoint for endpoint in update.endpoints}
 
     def check_action(self, action: Action, now_ns: int) -> None:
@@ -128,9 +135,9 @@
                 assert action.delay_ns > 0
 
     def check_deadlines(self, now_ns: int) -> None:
-        """Check that each request whose deadline has passed has ended."""
-        for request, deadline in self.deadlines.items():
-            if deadline + MAX_LATENESS_NS < now_ns:
+        """Check that each request has ended `MAX_LATENESS_NS` after its deadline at the latest."""
+        for request, request_deadline_ns in self.deadlines_ns.items():
+            if request_deadline_ns + MAX_LATENESS_NS < now_ns:
                 assert request in self.outcomes, f"{request} has not ended by its deadline"
 
     def _attempts_that_may_have_run(self, request: str) -> list[SentAttempt]:
@@ -144,10 +151,11 @@
         ]
 
     def _record_outcome(self, request: str, outcome: RequestOutcome, now_ns: int) -> None:
+        """Record the end of a request, and check that it had arrived and that it ends once and in time."""
         assert request in self.request_classes, f"{request} never arrived"
         earlier = self.outcomes.get(request)
         assert earlier is None, f"{request} ended twice: {earlier}, {outcome}"
-        assert now_ns <= self.deadlines[request] + MAX_LATENESS_NS, f"{request} ended late"
+        assert now_ns <= self.deadlines_ns[request] + MAX_LATENESS_NS, f"{request} ended late"
         self.outcomes[request] = outcome
 
     def _check_reject(self, action: Reject, now_ns: int) -> None:
@@ -205,6 +213,8 @@
         )
         if request_class.deduplication_scope is DeduplicationScope.CELL:
             cell = (endpoint.zone, endpoint.cell)
-            assert all((first.zone, first.cell) == cell for first, _ in earlier)
+            assert all(
+                (earlier_endpoint.zone, earlier_endpoint.cell) == cell for earlier_endpoint, _ in earlier
+            )
         if request_class.deduplication_scope is DeduplicationScope.ZONE:
-            assert all(first.zone == endpoint.zone for first, _ in earlier)
+            assert all(earlier_endpoint.zone == endpoint.zone for earlier_endpoint, _ in earlier)
