--- a/loadbalancer/policy/attempt_results.py
+++ b/loadbalancer/policy/attempt_results.py
@@ -114,8 +114,8 @@
     def record_overdue(self, attempt: Attempt, now_ns: int) -> None:
         """Eject the endpoint of an overdue attempt.
 
-        If the endpoint has answered an attempt that was sent later, the response is presumed lost, and the
-        attempt no longer uses up the concurrency limit.
+        If an attempt that was sent to the endpoint later has succeeded, the response to this one is presumed
+        lost, and it no longer uses up the concurrency limit.
         """
         endpoint_state = attempt.endpoint_state
         self.outlier_detection.eject_overloaded(attempt, now_ns)
--- a/loadbalancer/policy/concurrency_limit.py
+++ b/loadbalancer/policy/concurrency_limit.py
@@ -65,7 +65,8 @@
     def increase(self, now_ns: int) -> bool:
         """Raise the limit by one, unless samples are missing or show no gain in throughput.
 
-        Returns whether the limit was raised. To be called while requests are queued.
+        It also stays at CONCURRENCY_LIMIT_MAX, and for a short time after each increase. Returns whether the
+        limit was raised. To be called while requests are queued.
         """
         level = self.limit
         if (
@@ -100,7 +101,7 @@
         return self._samples.throughput(level + 1) < THROUGHPUT_GAIN_MIN_FACTOR * throughput
 
     def decay_and_decrease(self) -> None:
-        """Decay the samples, and lower the limit to the first level with a higher throughput, if any.
+        """Decay the samples, and lower the limit to the lowest level with a higher throughput, if any.
 
         The throughput at the limit is taken one standard error higher, as it may be based on few samples.
         """
--- a/loadbalancer/policy/feedback.py
+++ b/loadbalancer/policy/feedback.py
@@ -38,9 +38,9 @@
     def adjust(self, now_ns: int) -> None:
         """Run a feedback tick.
 
-        Decays samples, sets draw widths and rates, queues buffered requests that have a token at the new
-        rates, and drops unused endpoint states and idle throttles. The rates change only at the ticks that
-        end a rate interval (`RateController.adjust`).
+        Decays samples, lowers the concurrency limit if necessary, sets draw widths and rates, queues buffered
+        requests that have a token at the new rates, and drops unused endpoint states and idle throttles. The
+        rates change only at the ticks that end a rate interval (`RateController.adjust`).
         """
         self.due_ns = now_ns + FEEDBACK_INTERVAL_NS
         self.concurrency_limit.decay_and_decrease()
--- a/loadbalancer/policy/hedging.py
+++ b/loadbalancer/policy/hedging.py
@@ -9,8 +9,9 @@
 ) -> bool:
     """Return whether a second attempt is worth its load.
 
-    Its response must be expected before the latency objective, and no request may be queued, which would have
-    to wait longer. If attempts cannot be cancelled, the overdue one continues, and a second only adds load.
+    Its response must be expected by the latency objective, if it takes as long as was expected of the overdue
+    attempt. No request may be in the pool's queue, where it would have to wait longer. If attempts cannot be
+    cancelled, the overdue one continues, and a second only adds load.
     """
     if queue_length or not limits.cancellation:
         return False
--- a/loadbalancer/policy/outlier_detection.py
+++ b/loadbalancer/policy/outlier_detection.py
@@ -31,7 +31,8 @@
 EJECTION_DOUBLINGS_MAX = 5
 EJECTION_JITTER_MIN = 0.75
 EJECTION_JITTER_MAX = 1.25
-EJECTED_FRACTION_MAX = 0.7  # maximum ejected fraction of the endpoints that a pool draws from
+# No more endpoints are ejected once at least this fraction of those that a pool draws from is ejected.
+EJECTED_FRACTION_MAX = 0.7
 RESET_PROBABILITY_MAX = 1e-3  # resets in a row with at most this probability are attributed to the endpoint
 # The assumed probability of a reset is capped at this, so that 6 resets in a row are always attributed.
 COMMON_RESET_FRACTION_MAX = 0.3
--- a/loadbalancer/policy/queue_admission.py
+++ b/loadbalancer/policy/queue_admission.py
@@ -35,7 +35,7 @@
     """Return whether a request waited so long for a token that a late response is not the endpoint's fault.
 
     This is the case if less than half of the class's latency objective remains when the request joins the
-    queue.
+    queue. It is also the case without any wait if the deadline is that close.
     """
     remaining_ns = request.objective_ns - now_ns
     return remaining_ns < THROTTLE_DELAY_MAX_FRACTION * request.request_class.latency_objective_ns
--- a/loadbalancer/policy/rate_control.py
+++ b/loadbalancer/policy/rate_control.py
@@ -108,8 +108,8 @@
     def record_capacity_rejection(self) -> None:
         """Count a request that is rejected because no endpoint has capacity for it in time.
 
-        Its queue was too long when it arrived there, it reached its queue deadline, no endpoint may take its
-        retry, or the selected endpoint would respond after the latency objective.
+        Its pool's queue was too long for it, it reached its queue deadline there, no endpoint that may take
+        its retry was available, or the selected endpoint would respond after the latency objective.
         """
         self.interval.has_begun = True
         self.interval.rejected_for_capacity += 1
@@ -194,6 +194,6 @@
     def guaranteed_rate(self, weight: float) -> float:
         """Return the minimum rate of a tenant, active or idle.
 
-        It is the tenant's share of R by weight, or the unused rate if that is more.
+        It is the largest of TENANT_RATE_MIN_PER_S, the tenant's share of R by weight, and the unused rate.
         """
         return max(TENANT_RATE_MIN_PER_S, self.rate * weight / self.total_weight, self.unused_rate)
--- a/loadbalancer/policy/request_lifecycle.py
+++ b/loadbalancer/policy/request_lifecycle.py
@@ -120,8 +120,8 @@
 
     def _retry_or_reject(self, request: Request, now_ns: int) -> None:
         """Queue a request again after all its attempts have failed, or reject it."""
-        # The candidates are None if every endpoint of the pool may be used, and empty if none may. In both
-        # cases the check has the same result for all endpoints of the pool, so one of them is enough.
+        # The candidates are None if the deduplication scope excludes no endpoint of the pool, and empty if it
+        # excludes all. In both cases the check has the same result for all of them, so one is enough.
         candidates = self.retry_candidates.find(request, now_ns) or request.pool.endpoints[:1]
         if should_retry(request, candidates, now_ns=now_ns, limits=self.settings.limits):
             self.queues[request.pool].prepend(request)
--- a/loadbalancer/policy/request_queue.py
+++ b/loadbalancer/policy/request_queue.py
@@ -12,7 +12,8 @@
     def __init__(self, pool: EndpointPool) -> None:
         self.pool = pool
         self.waiting: deque[Request] = deque()
-        self.blocked_since_ns = 0  # since when no endpoint has been available; 0: not blocked
+        # When no endpoint was available for the first time since the queue was last empty; 0: not blocked.
+        self.blocked_since_ns = 0
 
     def append(self, request: Request) -> None:
         """Add a request at the end."""
--- a/loadbalancer/policy/retry_candidates.py
+++ b/loadbalancer/policy/retry_candidates.py
@@ -21,10 +21,11 @@
         self.rng = rng
 
     def find(self, request: Request, now_ns: int) -> list[EndpointState] | None:
-        """Return the endpoints at which a request may be retried; None if all of its pool may be used.
+        """Return where a request may be retried; None if the deduplication scope excludes none of its pool.
 
         Once a request may have run at an endpoint, its retries must stay in that endpoint's zone or cell if
-        only the endpoints there recognise its idempotency key.
+        only the endpoints there recognise its idempotency key. The result does not say whether a retry is
+        allowed at all: `may_forward` decides that.
         """
         request_class = request.request_class
         if request_class.idempotency is Idempotency.IDEMPOTENT:
--- a/loadbalancer/policy/retry_eligibility.py
+++ b/loadbalancer/policy/retry_eligibility.py
@@ -36,8 +36,9 @@
 def may_forward(request: Request, endpoint: Endpoint, now_ns: int, limits: Limits) -> bool:
     """Return whether an attempt at an endpoint may start now.
 
-    It must not start after the request's final response or its deadline, beyond the limits on attempts, at an
-    endpoint that is not ready or outside the placement, or if the request could take effect a second time.
+    It must not start after the request's final response, the beginning of a streamed response or the
+    deadline, beyond the limits on attempts, at an endpoint that is not ready or outside the placement, or if
+    the request could take effect a second time.
     """
     if request.finished or request.streaming or now_ns >= request.deadline_ns:
         return False
--- a/loadbalancer/policy/selection.py
+++ b/loadbalancer/policy/selection.py
@@ -18,7 +18,7 @@
 RANDOM_CHOICES = 2
 SCANNED_ENDPOINTS_MAX = 16  # for one request: its cost must not grow with the pool
 RESERVE_MAX_IN_FLIGHT = 1  # requests in flight at an endpoint outside the subset
-FAILING_ENDPOINT_MAX_IN_FLIGHT = 1  # requests in flight at an endpoint whose last attempt failed
+FAILING_ENDPOINT_MAX_IN_FLIGHT = 1  # requests in flight at an endpoint that failed since its last success
 WARMING_UP_LIMIT_DIVISOR = 2
 REQUESTS_SINCE_REPORT = 1.5  # assumed to reach an endpoint after its load report, including the new one
 
--- a/loadbalancer/policy/slow_start.py
+++ b/loadbalancer/policy/slow_start.py
@@ -47,7 +47,10 @@
         return int(NANOSECONDS_PER_SECOND / sends_per_s)
 
     def _capacity_fraction(self, state: EndpointState, now_ns: int) -> float:
-        """Return the fraction of its full capacity that an endpoint has now, while it warms up."""
+        """Return the fraction of full capacity that an endpoint is assumed to have now, while it warms up.
+
+        The capacity is assumed to grow linearly with time.
+        """
         rules = self.rules
         initial = rules.slow_start_initial_capacity
         return initial + (1 - initial) * (now_ns - state.endpoint.started_ns) / rules.slow_start_ns
@@ -72,13 +75,13 @@
         return max(1.0, min(self.proxy_count, sharing_proxies))
 
     def apply_pacing(self, state: EndpointState, now_ns: int, intervals: float) -> None:
-        """Send nothing to an endpoint that is warming up for `intervals` pacing intervals."""
+        """For `intervals` pacing intervals, send nothing to an endpoint that is warming up."""
         pause_ns = int(intervals * self.pacing_interval_ns(state, now_ns))
         state.extend_ejection(now_ns + pause_ns)
         self.timers.schedule(state.ejected_until_ns, ServeQueue())
 
     def spread_first_attempts(self, states: Iterable[EndpointState], now_ns: int, rng: random.Random) -> None:
-        """Delay first attempts at endpoints that have just started by a random part of the pacing interval.
+        """Delay first attempts at those endpoints that are warming up by a random part of a pacing interval.
 
         All proxies are notified of a start at once: without the delay their first attempts would coincide.
         """
--- a/loadbalancer/policy/subset_size.py
+++ b/loadbalancer/policy/subset_size.py
@@ -32,7 +32,8 @@
     """Return the size of this proxy's subset, given the numbers of endpoints and proxies of its ring.
 
     It is the full size or, if that is less, the size with which SHARING_PROXIES_MAX proxies share each
-    endpoint. It is never below the minimum, or so small that some endpoint would be in no subset.
+    endpoint. It is never so small that some endpoint would be in no subset, nor below the minimum unless
+    there are fewer endpoints.
     """
     size_at_max_sharing = SHARING_PROXIES_MAX * endpoint_count / ring_proxy_count
     if is_large_deployment(settings):
--- a/loadbalancer/policy/subsetting.py
+++ b/loadbalancer/policy/subsetting.py
@@ -4,12 +4,12 @@
 
 A subset is a run of consecutive keys on a hash ring that all proxies compute alike. Few proxies share an
 endpoint, so a proxy's own requests in flight are a measure of the endpoint's load. In addition each proxy has
-a reserve. If open connections have a price, subsets are small; if crossing zones has a price too, they lie in
-the proxy's own zone.
+a reserve. If open connections have a price, the minimum size of a subset is smaller; if crossing zones has a
+price too, subsets lie in the proxy's own zone, if it has enough endpoints.
 
 In a large deployment the ring is divided into segments of the key space, and the start of a subset is a rank
-in its segment. This spreads subsets evenly whatever the keys are, and a change of the endpoint list moves
-only the subsets of one segment, by one endpoint.
+in its segment. This spreads subsets evenly whatever the keys are, and a new or lost endpoint moves only the
+start of the subsets in its segment, by at most one endpoint.
 """
 
 from sortedcontainers import SortedList
@@ -60,14 +60,15 @@
 
 
 def reserve_rank(settings: Settings, endpoint_id: int) -> int:
-    """Return the rank of an endpoint in this proxy's reserve; each proxy orders its reserve differently."""
+    """Return an endpoint's sort key in this proxy's reserve; each proxy orders its reserve differently."""
     return mix64(endpoint_id, settings.proxy_index + 1)
 
 
 def new_endpoint_table(settings: Settings) -> EndpointTable:
     """Return an empty table, with rings by zone and by cell if these settings need them.
 
-    Subsets need rings by zone; retries with an idempotency key need those of its deduplication scope.
+    Subsets in the proxy's own zone need rings by zone; retries with an idempotency key need those of its
+    deduplication scope.
     """
     scopes = {request_class.deduplication_scope for request_class in settings.request_classes.values()}
     return EndpointTable(
@@ -114,10 +115,11 @@
 
 
 def _ring_position(settings: Settings, *, is_partial_ring: bool) -> float:
-    """Return where on its ring this proxy's subset begins (0 to 1).
+    """Return this proxy's position on its ring (0 to 1), from which its subset and reserve are derived.
 
-    Golden-ratio steps spread most sets of proxies evenly. The proxies of one zone may be every n-th one,
-    which needs a second ratio.
+    The subset begins there, except on the complete ring of a small deployment (`_first_rank`). Golden-ratio
+    steps spread most sets of proxies evenly. The proxies of one zone may be every n-th one, which needs a
+    second ratio.
     """
     index = settings.proxy_index
     if is_partial_ring and is_large_deployment(settings):
--- a/loadbalancer/policy/tenant_throttles.py
+++ b/loadbalancer/policy/tenant_throttles.py
@@ -28,8 +28,8 @@
     """The throttles of the tenants that send requests.
 
     A throttle is created at the first request of its tenant, in the state that it would have if it had always
-    existed, and dropped when it is idle. Tenants that send nothing therefore take no memory or processor
-    time, however many are configured.
+    existed, and dropped when it is idle. Tenants that send nothing therefore have no throttle that takes
+    memory or processor time, however many are configured.
     """
 
     def __init__(
--- a/loadbalancer/policy/throttle.py
+++ b/loadbalancer/policy/throttle.py
@@ -5,8 +5,8 @@
 full bank allows a burst of half a second's tokens, or of BANK_CAPACITY_MIN_TOKENS if that is more.
 
 While the bank is empty, requests wait in the buffer for a token. The buffer holds as many requests as can get
-a token within a quarter of the shortest latency objective, and at least one; the queue deadline also bounds
-the wait. While the buffer is full, requests are rejected.
+a token within a quarter of the shortest latency objective, or BUFFER_WAIT_MAX_S if that is less, and at least
+one; the queue deadline also bounds the wait. While the buffer is full, requests are rejected.
 """
 
 import random
@@ -91,7 +91,7 @@
         self.demand_per_s = 0.0
         self.exceeds_fair_share = False  # the demand exceeds the tenant's share of the success rate
         self.has_missed_token = False  # the bank was empty for a request of this rate interval
-        self.arrivals = 0  # requests in this rate interval
+        self.arrivals = 0  # requests in this rate interval, without clients' marked retries
         self._wake_up_scheduled = False
 
     def _buffer_capacity(self, rate_per_s: float) -> int:
@@ -102,7 +102,7 @@
         return max(1, round(rate_per_s * self.buffer_wait_max_s), len(self.buffer))
 
     def set_rate(self, rate_per_s: float, now_ns: int) -> None:
-        """Change the rate and with it the capacities; the tokens and the buffered requests are kept."""
+        """Change the rate and the capacities; keep buffered requests, and tokens up to the new capacity."""
         self.bank.set_rate(
             rate_per_s=rate_per_s,
             bank_capacity=_bank_capacity(rate_per_s),
--- a/loadbalancer/policy/timers.py
+++ b/loadbalancer/policy/timers.py
@@ -30,7 +30,7 @@
 
 @dataclass(slots=True, eq=False)
 class ServeQueue:
-    """The time at which an endpoint may be available again.
+    """The time at which an endpoint may be available again, or at which load probing times out.
 
     It needs no handler, as the queues are served after each batch of events and timers.
     """
--- a/loadbalancer/state/endpoint_pool.py
+++ b/loadbalancer/state/endpoint_pool.py
@@ -20,7 +20,7 @@
     sharing_proxies: float = 0.0  # mean number of proxies that share an endpoint of the subset
     draw_width: int = 0  # random choices are made among this many of `endpoints`, from the first on
     current_subset: Subset | None = None  # the subset that `endpoints` was filled from
-    last_choice: EndpointState | None = None  # the endpoint selected for the latest attempt
+    last_choice: EndpointState | None = None  # selected last, even if no attempt was then sent to it
 
     def allows(self, endpoint: Endpoint) -> bool:
         """Return whether the placement allows an endpoint."""
--- a/loadbalancer/state/endpoint_state.py
+++ b/loadbalancer/state/endpoint_state.py
@@ -15,25 +15,25 @@
 
     id: int
     endpoint: Endpoint  # its entry in the endpoint list
-    reserve_rank: int = 0  # its position in the order in which this proxy uses its reserve
+    reserve_rank: int = 0  # a hash, by which this proxy orders its reserve
     in_subset: bool = False  # in the subset of one of this proxy's pools
     # Attempts of this proxy.
     in_flight: int = 0  # attempts in flight, without those presumed lost
     presumed_lost: int = 0  # attempts in flight whose response is presumed lost
     in_flight_since_ns: int = 0  # `in_flight` is known to have had its present value since this time
-    latest_answered_send_ns: int = 0  # the latest send time of the attempts that the endpoint has answered
+    latest_answered_send_ns: int = 0  # the latest send time of the attempts that have succeeded
     relative_latency: float = 1.0  # latency of the endpoint as a multiple of the mean over the endpoints
     # Failures.
     consecutive_failures: int = 0
     ejected_until_ns: int = 0
-    recent_attempts: float = 0.0  # number of attempts that have ended, decayed over time
+    recent_attempts: float = 0.0  # ended attempts, neither cancelled nor unsent; decays over time
     recent_resets: float = 0.0  # number of these attempts whose connection broke
     consecutive_resets: int = 0
     # Reported load.
-    reported_load: float = 0.0  # requests of all proxies in flight: last load report, and own attempts since
+    reported_load: float = 0.0  # requests of all proxies in flight: last report, own starts and ends since
     reported_ns: int = 0  # when that report was received; 0: none yet
-    check_sent_ns: int = 0  # when the last health check was sent
-    check_reset_ns: int = 0  # when the connection of a health check last broke
+    check_sent_ns: int = 0  # when the last health check was sent, repetitions excluded
+    check_reset_ns: int = 0  # when a health check was last repeated because its connection broke
 
     # ---- endpoint list -----------------------------------------------------------------------------------
 
@@ -75,7 +75,7 @@
         self.reported_load = max(0.0, self.reported_load - 1)
 
     def record_response(self, sent_ns: int) -> None:
-        """Record that the endpoint has answered an attempt that was sent at `sent_ns`."""
+        """Record that an attempt that was sent at `sent_ns` has succeeded."""
         self.latest_answered_send_ns = max(self.latest_answered_send_ns, sent_ns)
 
     def restart_occupancy(self, now_ns: int) -> None:
@@ -83,7 +83,7 @@
         self.in_flight_since_ns = now_ns
 
     def adjust_relative_latency(self, ratio: float, weight: float) -> None:
-        """Move the relative latency towards a new sample by a fraction of `weight` (0 to 1)."""
+        """Move the relative latency towards a new sample, by the fraction `weight` of the difference."""
         self.relative_latency += weight * (ratio - self.relative_latency)
 
     # ---- failures ----------------------------------------------------------------------------------------
@@ -132,5 +132,5 @@
         self.check_sent_ns = now_ns
 
     def record_check_reset(self, now_ns: int) -> None:
-        """Record that the connection of a health check broke."""
+        """Record that the connection of a health check broke, and that the check is repeated."""
         self.check_reset_ns = now_ns
--- a/loadbalancer/state/endpoint_table.py
+++ b/loadbalancer/state/endpoint_table.py
@@ -1,8 +1,8 @@
 """All endpoints of the list in a compact form, and the hash rings of the ready ones.
 
 The table stores the attributes of each endpoint, and for each ready one a key on the ring of every placement
-that allows it. The cost of an update is proportional to the number of changes, and no structure that is read
-often grows with the length of the list. Only the endpoints in use have a full `EndpointState`.
+that allows it. The cost of updating the rings is about proportional to the number of changes. Requests don't
+read the table, except for some retries. Only the endpoints in use have a full `EndpointState`.
 """
 
 from __future__ import annotations
@@ -41,7 +41,7 @@
         self._must_rebuild = False
 
     def add_placement(self, placement: Placement) -> None:
-        """Add a placement; its rings are filled by the next `apply_changes` that changes something."""
+        """Add a placement; call before the first `apply_changes`, as its rings receive only changes."""
         placement.index_zones = self._index_zones
         placement.index_cells = self._index_cells
         self.placements.append(placement)
@@ -86,7 +86,8 @@
     def apply_changes(self) -> bool:
         """Update the rings; return whether ready endpoints were added, changed or removed.
 
-        Always true after a rebuild, which does not check this.
+        Changes of weight or start time alone don't count, as the rings depend on neither. Always true after a
+        rebuild, which does not check this.
         """
         self._drop_unused_attributes()
         if self._must_rebuild:
@@ -115,7 +116,7 @@
             placement.add((i, row) for i, row in self.attributes.items() if row.status is ready)
 
     def _drop_unused_attributes(self) -> None:
-        """Drop shared attributes that no endpoint has, once they are more than half of those stored."""
+        """Drop shared attributes that no endpoint has, once far more are stored than endpoints are listed."""
         if len(self._interned) > 2 * len(self.attributes) + UNUSED_ATTRIBUTES_MIN:
             self._interned = {attributes: attributes for attributes in self.attributes.values()}
 
