--- a/loadbalancer/policy/slow_start.py
+++ b/loadbalancer/policy/slow_start.py
@@ -32,7 +32,7 @@
         self.sustained_throughput = 0.0  # this proxy's attempts per second at one warm endpoint
 
     def is_warming_up(self, state: EndpointState, now_ns: int) -> bool:
-        """Return whether an endpoint has started so recently that it cannot carry full load yet."""
+        """Return whether an endpoint has started so recently that it may not carry full load yet."""
         started_ns = state.endpoint.started_ns
         return bool(started_ns) and now_ns - started_ns < self.rules.slow_start_ns
 
--- a/loadbalancer/state/endpoint_ids.py
+++ b/loadbalancer/state/endpoint_ids.py
@@ -1,8 +1,8 @@
 """The ids of endpoints inside the process, unique even if the hashes of two host names collide.
 
 An id is a hash of the host name, so that all proxies give an endpoint the same id, in whatever order they
-read their lists. If another host holds that id, the next free one is assigned; only then does the
-id depend on the order.
+read their lists. If another host holds that id, the next free one is assigned; only then does the id
+depend on the order.
 """
 
 from __future__ import annotations
