--- a/loadbalancer/__main__.py
+++ b/loadbalancer/__main__.py
@@ -4,7 +4,7 @@
 
 SIGTERM and SIGINT start a graceful shutdown, SIGHUP reloads the configuration. The exit status is 0 after a
 shutdown, 1 if the system refuses a resource (for example, if the port is in use), and 2 if the configuration
-is invalid.
+is missing or invalid.
 """
 
 from __future__ import annotations
--- a/loadbalancer/messages.py
+++ b/loadbalancer/messages.py
@@ -46,9 +46,11 @@
     ERROR = "error"  # an error response; may have run
     REJECTED = "rejected"  # rejected by the endpoint; never ran, unless `Rules.rejected_may_have_run`
     TIMEOUT = "timeout"  # may have run, may still be running
-    CONNECT_FAILED = "connect_failed"  # no connection, or the connection limit is reached; never ran
-    RESET = "reset"  # the connection broke; may have run
-    CANCELLED = "cancelled"  # ended by `CancelAttempt`; may have run
+    # No connection, the limit on connections or health checks is reached, or the connection broke before the
+    # whole request was sent; never ran.
+    CONNECT_FAILED = "connect_failed"
+    RESET = "reset"  # the connection broke later, or the response was invalid; may have run
+    CANCELLED = "cancelled"  # by `CancelAttempt`, or since the request needs no response now; may have run
     NOT_SENT = "not_sent"  # the proxy did not send it; never ran
 
 
@@ -73,7 +75,7 @@
 
 
 class EndpointUpdate(NamedTuple):
-    """Discovery sent the endpoint list or changes to it, or failed."""
+    """The endpoint list or changes to it, or a failure of discovery."""
 
     kind: EndpointUpdateKind
     endpoints: Iterable[Endpoint] = ()  # iterated over once
@@ -99,9 +101,11 @@
     endpoint_id: int
     result: AttemptResult
     elapsed_ns: int  # since the attempt started
-    request_complete: bool = False  # the client has its final response
+    request_complete: bool = False  # the client has its final response, or needs none any more
     load_report: Mapping[str, float] | None = None  # values by column name; None: no load report
-    counts_as_attempt: bool = True  # for `Limits.max_attempts`; False: the proxy never began it
+    # For `Limits.max_attempts`. False: not sent, since the endpoint accepts no new requests, or since another
+    # attempt is in flight. An attempt that is not sent because its deadline has passed counts.
+    counts_as_attempt: bool = True
     was_written: bool = True  # the whole request may have reached the endpoint; False: it never ran
 
 
@@ -158,7 +162,7 @@
 
 
 class Forward(NamedTuple):
-    """Start an attempt. A request's attempts are numbered from 0 in the order in which they are sent."""
+    """Start an attempt. A request's attempts are numbered from 0, in order, even those not sent."""
 
     request_id: str
     endpoint_id: int
--- a/loadbalancer/proxy/addresses.py
+++ b/loadbalancer/proxy/addresses.py
@@ -10,7 +10,7 @@
 """Host and port, as asyncio takes them."""
 
 CompactAddress = int | Address
-"""An IPv4 address and port as one integer, in a third of the memory; an IPv6 address as an `Address`."""
+"""An IPv4 address and port as one integer, under a third of the size; an IPv6 address as an `Address`."""
 
 NO_ADDRESS: Address = ("", 0)  # stored for an endpoint that was removed
 PORT_BITS = 16
--- a/loadbalancer/proxy/attempts.py
+++ b/loadbalancer/proxy/attempts.py
@@ -70,7 +70,7 @@
         Args:
             action: The decision of the policy.
             decided_ns: The time of that decision, on the monotonic clock. The attempt's timeout counts from
-                then, so that an event loop stall after the decision does not extend it past the deadline.
+                then, so that an event loop stall after the decision does not postpone its end.
         """
         now_ns = time.monotonic_ns()
         pending = self.pending_requests.get(action.request_id)
@@ -109,9 +109,10 @@
             pending.exchange.finish(AttemptResult.CANCELLED)
 
     def cancel_unsent(self) -> None:
-        """Cancel the attempts that wait for a connection to an endpoint that is draining or removed.
+        """Cancel the attempts that wait for a connection to an endpoint that drains, moved or was removed.
 
-        No request may be started there any more, even if the connection has been established meanwhile.
+        No request may be started at that address any more, even if the connection has been established
+        meanwhile.
         """
         for pending in self.pending_requests.snapshot():
             exchange = pending.exchange
--- a/loadbalancer/proxy/client_connection.py
+++ b/loadbalancer/proxy/client_connection.py
@@ -43,7 +43,7 @@
         """Record that a request of the client is being handled."""
 
     def mark_idle(self, client: ClientConnection) -> None:
-        """Record that the response is written and the connection is kept alive."""
+        """Record that the connection is kept alive after a response, of which part may still be unsent."""
 
     def mark_receiving(self, client: ClientConnection) -> None:
         """Record that the first part of a request has been received, and that the rest is due."""
@@ -58,8 +58,8 @@
 class ClientConnection(asyncio.Protocol):
     """A client's connection, which carries one request at a time.
 
-    Pipelining is not supported: a request that is sent before the response to an earlier one is rejected, and
-    the connection is closed.
+    Pipelining is not supported: if a request is sent before the response to an earlier one, both are dropped,
+    and the connection is closed after one error response.
     """
 
     def __init__(self, owner: ConnectionOwner, handler: RequestHandler) -> None:
@@ -101,7 +101,7 @@
     # -- asyncio.Protocol --
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Store the transport, or abort it if the connection was evicted before it was established."""
+        """Store the transport, or abort it if the connection was closed before it was established."""
         self._transport = cast(asyncio.Transport, transport)
         if self._ended:
             self._transport.abort()
--- a/loadbalancer/proxy/client_eviction.py
+++ b/loadbalancer/proxy/client_eviction.py
@@ -9,8 +9,8 @@
 # A younger connection that awaits a request is not evicted: the request may be in transit.
 MIN_EVICTION_AGE_S = 0.05
 
-# While other connections await a request, a younger idle connection is not evicted: the others time out
-# first.
+# While other connections await a request, a younger idle connection is not evicted: the others can be evicted
+# or time out soon.
 MIN_IDLE_EVICTION_AGE_S = REQUEST_RECEIVE_TIMEOUT_S
 
 
@@ -20,11 +20,12 @@
     """Return the connection to abort for a new one, if any may be aborted.
 
     A closing connection is chosen first, then one that awaits a request, then an idle one; the oldest of its
-    kind. One that awaits a request or is idle must be old enough and have no unread data; an idle one must
-    also have no unsent data.
+    kind. One that awaits a request or is idle must be old enough and have no unread data. If the idle one
+    that is chosen so has unsent data, no connection may be aborted.
 
     Args:
-        closing: Connections that are being closed, also after a rejection.
+        closing: Connections that are being closed, also after a rejection; without those that were closed
+            while part of a response was still to be written.
         awaiting_request: Connections whose first request is due, or whose request is partially received.
         idle: Connections that are kept alive between requests.
     """
--- a/loadbalancer/proxy/discovery_call.py
+++ b/loadbalancer/proxy/discovery_call.py
@@ -35,7 +35,7 @@
 
 CONNECT_TIMEOUT_S = 2.0
 
-# A call times out this long after the time for which discovery may hold it.
+# A call times out this long after the time (`wait_s`) that its caller allows for the response.
 TIMEOUT_MARGIN_S = 1.0
 
 # Each part of a response that is received extends the timeout by the time that it takes at this rate.
@@ -83,7 +83,10 @@
         self.pool = ConnectionPool(limits, address)
 
     def call(self, query: str, wait_s: float, on_result: OnResult) -> DiscoveryCall:
-        """Start a call for a list; discovery may hold it for `wait_s` before it responds."""
+        """Start a call for a list, which times out `TIMEOUT_MARGIN_S` after `wait_s`.
+
+        The wait that is sent to discovery is a parameter of `query`, and may be shorter.
+        """
         return DiscoveryCall(self, query, wait_s, on_result)
 
     def record_connect_result(self, *, refused: bool) -> None:
--- a/loadbalancer/proxy/discovery_client.py
+++ b/loadbalancer/proxy/discovery_client.py
@@ -39,7 +39,8 @@
     """Watches and fetches the endpoint list; at most one watch call and one fetch call are in flight.
 
     Where discovery pushes, the client retries a failed watch itself, with backoff, and reports lists only.
-    Where it is polled, failures are reported too, and the policy decides when to watch again.
+    During a handover, the calls to the new address replace that retry. Where discovery is polled, failures
+    are reported too, and the policy decides when to watch again.
     """
 
     def __init__(
@@ -143,7 +144,7 @@
         if self._defers_calls:
             self._watch_deferred = True
             return
-        if self._pushes and self._handover is None:  # otherwise the new address continues the watch
+        if self._pushes and self._handover is None:  # else the new address continues the watch
             self._watch_later(self._watch_backoff.delay_s())
         self._report(failure)
 
@@ -196,7 +197,7 @@
         self._handover.start()
 
     def _resume_calls(self) -> None:
-        """Resume the calls to the current address after a handover was abandoned."""
+        """Resume the calls to the current address, including those that an abandoned handover deferred."""
         if self._watching and self._watch_call is None:
             self.watch()
         if self._fetch_deferred:
--- a/loadbalancer/proxy/discovery_handover.py
+++ b/loadbalancer/proxy/discovery_handover.py
@@ -15,7 +15,7 @@
 )
 from loadbalancer.proxy.endpoint_list import EndpointList
 
-# The complete list of the new address must be received within 4 s: this wait plus the margin of each call.
+# A call to the new address must return the complete list within 4 s: this wait plus the margin of each call.
 # A shorter wait would not help: a discovery with many callers serves an abandoned call before its retry.
 HANDOVER_WAIT_S = 3.0
 
--- a/loadbalancer/proxy/downstream.py
+++ b/loadbalancer/proxy/downstream.py
@@ -50,7 +50,7 @@
         self._connections: set[ClientConnection] = set()
         self._idle = ConnectionTable()  # kept alive between requests
         self._awaiting_request = ConnectionTable()  # the first request is due, or one has started
-        self._closing = ConnectionTable()  # closed or rejected, until the connection is lost
+        self._closing = ConnectionTable()  # closed with nothing left to write, or rejected
         self._flushing = ConnectionTable()  # closed, and part of a response is still to be written
         self._accept_tasks: set[asyncio.Task[object]] = set()
         self._socket: socket.socket | None = None
@@ -244,8 +244,8 @@
     def continue_shutdown(self) -> bool:
         """Take the next step of the graceful shutdown; called repeatedly.
 
-        The listening socket is closed once the listen backlog is empty, and connections on which no request
-        has started are closed.
+        The listening socket is closed once the listen backlog is empty. Connections on which no request has
+        started are closed, except those with unread data and new ones whose first request may be in transit.
 
         Returns:
             Whether the listener is closed and no connection is left that may still send a request.
--- a/loadbalancer/proxy/exchange.py
+++ b/loadbalancer/proxy/exchange.py
@@ -38,7 +38,8 @@
             on_ended: Called once at the end, unless the exchange is abandoned.
             reserved_for_others: How many connections of the limit must stay available to other exchanges.
             check_still_needed: Called before a connection is taken, and again once a new one is established;
-                the exchange stops if the result is False. The callback itself may end the exchange.
+                the request is not sent if the result is False. The callback must then have ended the exchange
+                itself, for example with `finish`: `on_ended` is not called otherwise.
             quarantine_s: How long the connection is not reused after the response.
         """
         self.pool = pool
--- a/loadbalancer/proxy/health_checks.py
+++ b/loadbalancer/proxy/health_checks.py
@@ -46,7 +46,7 @@
         self._path = LOAD_REPORT_PATH if with_load_reports else LIVENESS_PATH
 
     def start(self, endpoint_id: int) -> None:
-        """Start a health check; it fails at once if the endpoint has no pool or too many are in flight."""
+        """Start a health check; it fails at once if the endpoint is not ready or too many checks run."""
         pool = self._connection_pool(endpoint_id)
         started_ns = time.monotonic_ns()
         if pool is None or self._in_flight >= MAX_HEALTH_CHECKS_IN_FLIGHT:
--- a/loadbalancer/proxy/http.py
+++ b/loadbalancer/proxy/http.py
@@ -97,7 +97,10 @@
         self.message_started = False
         """Whether part of a message has been received, and the rest is due."""
         self.error_status = 0
-        """The status to send to a peer that violated HTTP or exceeded a limit; 0 if it did neither."""
+        """The status for a peer that violated HTTP or exceeded a limit; 0 if it did neither.
+
+        It is sent to clients only.
+        """
         self._reset_message()
 
     def _reset_message(self) -> None:
--- a/loadbalancer/proxy/proxy.py
+++ b/loadbalancer/proxy/proxy.py
@@ -1,7 +1,7 @@
 """The proxy: passes events to the policy and executes the actions that it returns.
 
-The components that execute them each have a module: `pending_requests`, `attempts`, `health_checks`,
-`gossip`, `discovery_client`, `endpoint_list_applier` and `downstream`.
+The components that raise the events or execute the actions each have a module: `pending_requests`,
+`attempts`, `health_checks`, `gossip`, `discovery_client`, `endpoint_list_applier` and `downstream`.
 """
 
 from __future__ import annotations
--- a/loadbalancer/proxy/request_validation.py
+++ b/loadbalancer/proxy/request_validation.py
@@ -67,7 +67,8 @@
     """Validate a request without regard to other requests.
 
     The first segment of the path must name a request class, and the method must be the one of that class.
-    There must be exactly one request id, the deadline must be a positive integer, and a GET has no body.
+    There must be exactly one request id, the deadline must be a positive integer, the target has no fragment,
+    and a GET has no body.
     """
     if request.method not in ALLOWED_METHODS:
         return UNKNOWN_METHOD
--- a/loadbalancer/proxy/shutdown.py
+++ b/loadbalancer/proxy/shutdown.py
@@ -1,6 +1,7 @@
 """Graceful shutdown: its timeout after SIGTERM, and the wait until the proxy is drained.
 
-While it drains, the proxy still accepts connections and requests; each response closes its connection.
+While it drains, the proxy still accepts requests, and each response closes its connection. New connections
+are accepted until the listen backlog is found empty, for at least `LATE_CONNECTIONS_S`.
 """
 
 from __future__ import annotations
--- a/loadbalancer/settings.py
+++ b/loadbalancer/settings.py
@@ -1,6 +1,6 @@
-"""Typed settings of the policy, with their defaults (read from JSON by `settings_reader`).
+"""Typed settings of the policy and the proxy, with their defaults (read from JSON by `settings_reader`).
 
-All times and durations are whole nanoseconds (`_ns`).
+All times and durations are whole nanoseconds (`_ns`), except CPU time, which is in microseconds (`cpu_us_`).
 
 Neither the policy nor the proxy uses these settings, which are read only because the wire has them:
 
@@ -79,7 +79,7 @@
     """What a proxy may do, and the resources that it may use."""
 
     # Features.
-    max_attempts: int = 1  # per request, hedged attempts included; attempts that never began don't count
+    max_attempts: int = 1  # per request, hedged ones included; see `AttemptEnded.counts_as_attempt`
     hedging: bool = False  # two attempts of a request may be in flight at the same time
     cancellation: bool = False  # attempts may be cancelled
     health_checks: bool = False  # health checks may be sent
@@ -88,7 +88,7 @@
     max_retry_after_ns: int = 1_000_000_000  # the longest Retry-After that clients respect
     # Connections to endpoints.
     connect_timeout_ns: int = 250_000_000
-    connection_idle_timeout_ns: int = 0  # idle connections are closed after this time; 0: not set
+    connection_idle_timeout_ns: int = 0  # endpoints close idle connections after this time; 0: not set
     max_streams_per_connection: int = 1  # concurrent attempts on one connection
     # Resources of the proxy.
     max_pending_requests: int = 0  # requests that may be pending at the same time; 0: no limit
@@ -131,7 +131,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Settings:
-    """All settings of the policy of one proxy."""
+    """All settings of one proxy and its policy."""
 
     # This proxy among the others.
     proxy_index: int = 0  # from 0 to below proxy_count
--- a/loadbalancer/units.py
+++ b/loadbalancer/units.py
@@ -1,4 +1,4 @@
-"""Factors between units of time. Times in the policy and most in the proxy are whole nanoseconds."""
+"""Factors between units of time. The policy uses nanoseconds (`_ns`), the proxy also seconds (`_s`)."""
 
 from __future__ import annotations
 
